--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -26,11 +26,11 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
+from onyxhollow.gossip.core import Terms  # noqa: E402
 from onyxhollow.lab import decisions, scenario  # noqa: E402
 from onyxhollow.lab.sockets.engine import Sockets  # noqa: E402
 from onyxhollow.lab.together import Trouble  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
-from onyxhollow.sharing.core import Terms  # noqa: E402
 
 ONE_BY_ONE = 0.12  # seconds from start to start of processes that were killed
 ZONES = ["north", "east", "south", "west"]
--- a/onyxhollow/facade.py
+++ b/onyxhollow/decision_adapter.py
@@ -11,16 +11,16 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
+from onyxhollow.counters import Counters
 from onyxhollow.interface import Customer, DialEnd, Entry, Listener, ListKind, Readiness, Settings
-from onyxhollow.memory.counters import Counters
 from onyxhollow.policy import FULL_LOAD, SHED_LOAD, Balancer, Session
-from onyxhollow.recall import avoided, describe, take_back
+from onyxhollow.state_snapshot import avoided, describe, take_back
 
 WELL = (DialEnd.OK, DialEnd.CANCELLED, DialEnd.NOT_SENT, DialEnd.FULL)  # they say nothing bad of a server
 
 
 class Shared(Protocol):
-    """As onyxhollow.sharing tells it."""
+    """As onyxhollow.gossip tells it."""
 
     @property
     def server(self) -> str: ...
--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -47,15 +47,15 @@
 from onyxhollow.addresses.orders import MOST as MOST_ORDERS
 from onyxhollow.addresses.orders import VERBS, WORDS, Book
 from onyxhollow.addresses.rules import Standing
+from onyxhollow.append_log import RecordError, Records
+from onyxhollow.counters import ACCEPTED, ENDS
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.works import Caller
 from onyxhollow.loop import Task
+from onyxhollow.management.api import PLAIN, Answer
 from onyxhollow.membership.swim import Member
-from onyxhollow.memory.buffers import BufferPool
-from onyxhollow.memory.counters import ACCEPTED, ENDS
-from onyxhollow.operations.management import PLAIN, Answer
 from onyxhollow.policy import Pace
-from onyxhollow.records import RecordError, Records
+from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.discovery import Call, ListError, StatusError
 
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -10,13 +10,13 @@
 import msgspec
 
 from onyxhollow.addresses.file import AddressesError, AddressesFile, read_addresses
-from onyxhollow.duties.claim import Rules
-from onyxhollow.duties.messages import VOTERS
-from onyxhollow.duties.voter import LONGEST_LEASE, MOST_DUTIES
+from onyxhollow.gossip import core as share_terms
+from onyxhollow.leases.claim import Rules
+from onyxhollow.leases.messages import VOTERS
+from onyxhollow.leases.voter import LONGEST_LEASE, MOST_DUTIES
 from onyxhollow.membership.messages import NAME, Address
 from onyxhollow.membership.seal import KeyFileError, read_keys
 from onyxhollow.membership.swim import Terms
-from onyxhollow.sharing import core as share_terms
 
 
 class FleetError(ValueError):
@@ -41,7 +41,7 @@
 
 
 class Share(Table, frozen=True):
-    """What members tell one another of servers; onyxhollow.sharing.core.Terms has the words."""
+    """What members tell one another of servers; onyxhollow.gossip.core.Terms has the words."""
 
     on: bool = False
     every: float = 0.25
--- a/onyxhollow/fleet/gate.py
+++ b/onyxhollow/fleet/gate.py
@@ -49,13 +49,13 @@
 from onyxhollow.addresses.messages import Evidence, Seen
 from onyxhollow.addresses.rules import Standing
 from onyxhollow.addresses.table import RECORDS, Refused, Stands, Table, Term, encode
+from onyxhollow.append_log import RecordError, Records
+from onyxhollow.counters import Counters
 from onyxhollow.fleet import clock
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.loop import Loop
-from onyxhollow.memory.buffers import LONGEST_LINE, BufferPool
-from onyxhollow.memory.counters import Counters
-from onyxhollow.operations.management import PLAIN, Answer, Management
-from onyxhollow.records import RecordError, Records
+from onyxhollow.management.api import PLAIN, Answer, Management
+from onyxhollow.wire.buffers import LONGEST_LINE, BufferPool
 from onyxhollow.wire.channel import Channel, ListenError
 
 TAKES = 3.0  # seconds for the daemon to answer a command
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -22,11 +22,7 @@
 import xxhash
 
 from onyxhollow import __version__
-from onyxhollow.duties import messages as said
-from onyxhollow.duties.change import Changer
-from onyxhollow.duties.claim import Claim, Said, State, Turn
-from onyxhollow.duties.messages import VOTERS, Council
-from onyxhollow.duties.voter import Voter
+from onyxhollow.append_log import RecordError, Records
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.advertise import ADDRESSES, Addresses
 from onyxhollow.fleet.file import Duty, Fleet
@@ -34,13 +30,17 @@
 from onyxhollow.fleet.shares import SHARE, Shares
 from onyxhollow.fleet.works import Calls, Work
 from onyxhollow.interface import Entry, ListKind
+from onyxhollow.leases import messages as said
+from onyxhollow.leases.change import Changer
+from onyxhollow.leases.claim import Claim, Said, State, Turn
+from onyxhollow.leases.messages import VOTERS, Council
+from onyxhollow.leases.voter import Voter
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.loop import READ, Task
+from onyxhollow.management.api import PLAIN, Answer
 from onyxhollow.membership.messages import LARGEST, Life, Update
 from onyxhollow.membership.seal import Seal
 from onyxhollow.membership.swim import Member, Swim
-from onyxhollow.operations.management import PLAIN, Answer
-from onyxhollow.records import RecordError, Records
 from onyxhollow.wire.channel import ListenError
 
 HOLDS, VOTES = 1, 2  # flags of a member: may hold duties; has a voter's memory
--- a/onyxhollow/fleet/shares.py
+++ b/onyxhollow/fleet/shares.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from onyxhollow.fleet import clock
+from onyxhollow.gossip.core import Sharing, Terms
+from onyxhollow.gossip.messages import MESSAGES, encode
 from onyxhollow.interface import DialEnd
 from onyxhollow.membership.swim import Member
-from onyxhollow.sharing.core import Sharing, Terms
-from onyxhollow.sharing.messages import MESSAGES, encode
 
 if TYPE_CHECKING:
     from onyxhollow.fleet.node import Node
--- a/onyxhollow/fleet/works.py
+++ b/onyxhollow/fleet/works.py
@@ -13,7 +13,7 @@
 
 from onyxhollow.loop import Loop, Task
 from onyxhollow.membership.messages import Address
-from onyxhollow.memory.buffers import BufferPool
+from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.discovery import Call, ListError, StatusError
 
 ANSWER = 1.0  # seconds for a called address to answer
--- a/onyxhollow/sharing/core.py
+++ b/onyxhollow/gossip/core.py
@@ -26,7 +26,7 @@
 
 import xxhash
 
-from onyxhollow.sharing.messages import COUNT_BYTES, ROOM, ROW_BYTES, Counts, Page, Row
+from onyxhollow.gossip.messages import COUNT_BYTES, ROOM, ROW_BYTES, Counts, Page, Row
 
 KEEPERS, LISTENED = 2, 3  # members told of a server's counts; members whose rows of it count
 OLDEST = 15.0  # seconds past which what is told is passed over
--- a/onyxhollow/lab/fleet/broken.py
+++ b/onyxhollow/lab/fleet/broken.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable, Iterable
 
-from onyxhollow.duties.claim import Claim, Rules, Said, State
-from onyxhollow.duties.messages import Message
-from onyxhollow.duties.voter import Voter
+from onyxhollow.leases.claim import Claim, Rules, Said, State
+from onyxhollow.leases.messages import Message
+from onyxhollow.leases.voter import Voter
 
 
 def forgets() -> None:
--- a/onyxhollow/lab/fleet/explore.py
+++ b/onyxhollow/lab/fleet/explore.py
@@ -21,10 +21,10 @@
 from random import Random
 from typing import Any
 
-from onyxhollow.duties.claim import Claim, Rules
-from onyxhollow.duties.messages import Answer, Council, Message, Offer, encode
-from onyxhollow.duties.voter import Voter
 from onyxhollow.lab.fleet import broken
+from onyxhollow.leases.claim import Claim, Rules
+from onyxhollow.leases.messages import Answer, Council, Message, Offer, encode
+from onyxhollow.leases.voter import Voter
 
 TICK = 10  # units of true time
 LEASE, BOUND = 40.0, 0.1
--- a/onyxhollow/lab/together.py
+++ b/onyxhollow/lab/together.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from onyxhollow.facade import report_shared
-from onyxhollow.sharing.core import Sharing, Terms
-from onyxhollow.sharing.messages import Counts, Page
+from onyxhollow.decision_adapter import report_shared
+from onyxhollow.gossip.core import Sharing, Terms
+from onyxhollow.gossip.messages import Counts, Page
 
 if TYPE_CHECKING:
     from onyxhollow.lab.virtual import Instance, Virtual
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -9,7 +9,8 @@
 from collections.abc import Hashable
 from typing import Any
 
-from onyxhollow.facade import WELL
+from onyxhollow.decision_adapter import WELL
+from onyxhollow.gossip.core import Terms
 from onyxhollow.interface import (
     Customer,
     DialEnd,
@@ -28,7 +29,6 @@
 from onyxhollow.lab.world.listing import Row
 from onyxhollow.lab.world.servers import Server, State, Verdict
 from onyxhollow.lab.world.world import World
-from onyxhollow.sharing.core import Terms
 
 PROBE_TIME = 0.3  # seconds until a probe is given up
 PROBE_WORK = 0.0002  # core seconds
--- a/onyxhollow/duties/change.py
+++ b/onyxhollow/leases/change.py
@@ -8,8 +8,8 @@
 
 from __future__ import annotations
 
-from onyxhollow.duties.claim import Claim, Said
-from onyxhollow.duties.messages import Accepted, Change, Council, Propose
+from onyxhollow.leases.claim import Claim, Said
+from onyxhollow.leases.messages import Accepted, Change, Council, Propose
 
 
 class Changer:
--- a/onyxhollow/duties/claim.py
+++ b/onyxhollow/leases/claim.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from random import Random
 
-from onyxhollow.duties.messages import Answer, Ask, Council, Learn, Message, Proposal, Release
+from onyxhollow.leases.messages import Answer, Ask, Council, Learn, Message, Proposal, Release
 
 ROUNDS = 4  # askings of a holder whose answers still count
 STANDBY = 3  # candidates that look out for the end of a lease, the first by rank
--- a/onyxhollow/duties/voter.py
+++ b/onyxhollow/leases/voter.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from onyxhollow.duties.messages import (
+from onyxhollow.leases.messages import (
     VOTERS,
     Accepted,
     Accepting,
--- a/onyxhollow/lifecycle/config.py
+++ b/onyxhollow/lifecycle/config.py
@@ -11,10 +11,10 @@
 import orjson
 
 from onyxhollow.interface import Settings
-from onyxhollow.memory.tables import Address
 from onyxhollow.settings import WireError, read_settings, rows, seconds, section, text, whole
 from onyxhollow.wire.discovery import ListError, ServerList, read_address, read_list
 from onyxhollow.wire.remote_clock import RemoteClock
+from onyxhollow.wire.tables import Address
 
 
 class ConfigError(ValueError):
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -14,25 +14,24 @@
 from collections.abc import Callable, Generator
 from typing import Protocol
 
-from onyxhollow.facade import Facade
+from onyxhollow.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
+from onyxhollow.decision_adapter import Facade
 from onyxhollow.interface import DialEnd, Entry, ListKind
 from onyxhollow.lifecycle.config import Config, ConfigError, needs_restart, read_config
 from onyxhollow.lifecycle.handover import STARTING, STOPPING, TAKING, Handover, StateError, given_socket
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.lifecycle.signals import SignalQueue
 from onyxhollow.loop import READ, Loop, Task
-from onyxhollow.memory.buffers import BufferPool
-from onyxhollow.memory.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
-from onyxhollow.memory.tables import Addresses
-from onyxhollow.operations import figures
-from onyxhollow.operations.management import PLAIN, Answer, Management
-from onyxhollow.service import Service, ServiceState
+from onyxhollow.management.api import PLAIN, Answer, Management
+from onyxhollow.service_state import Service, ServiceState
+from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import ListenError, listen_socket
 from onyxhollow.wire.discovery import Discovery, ServerList, read_list, watch_wait
 from onyxhollow.wire.passing import Passing, Receiver
 from onyxhollow.wire.probes import Probes
 from onyxhollow.wire.sessions import Sessions, turn_away
 from onyxhollow.wire.system_errors import LOST_IN_ACCEPT, Fault, fault_of
+from onyxhollow.wire.tables import Addresses
 
 ACCEPTS = 64  # connections taken in one turn of the loop, so that those open are not kept waiting
 OWN = 12  # descriptors that are no connections: the loop's, the listener, standard ones, signals, the file
@@ -197,7 +196,7 @@
             ("busy_total", ends[REFUSED]),
             ("failure_total", ends[TORN_DOWN]),
         )
-        return 200, figures.render(by_tier, values), figures.TEXT
+        return 200, metrics.render(by_tier, values), metrics.TEXT
 
     def out_of_service(self, _: str) -> Answer:
         if self.service.ready:
--- a/onyxhollow/operations/management.py
+++ b/onyxhollow/management/api.py
@@ -8,12 +8,12 @@
 
 import h11
 
+from onyxhollow.counters import Counters
 from onyxhollow.loop import READ, Hurry, Loop
-from onyxhollow.memory.buffers import BufferPool
-from onyxhollow.memory.counters import Counters
-from onyxhollow.memory.tables import Address
+from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import Channel, listen_socket
 from onyxhollow.wire.system_errors import Fault, fault_of
+from onyxhollow.wire.tables import Address
 
 PATIENCE = 5.0  # seconds for a whole call, and for its answer to be read
 LONGEST_HEAD, LONGEST_BODY = 16 * 1024, 64 * 1024  # bytes of a call
--- a/onyxhollow/wire/carried.py
+++ b/onyxhollow/wire/carried.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from onyxhollow.interface import Listener, Repeat, Scope
-from onyxhollow.memory.buffers import SIZE
+from onyxhollow.wire.buffers import SIZE
 from onyxhollow.wire.messages import Opening, read_opening
 
 
--- a/onyxhollow/wire/channel.py
+++ b/onyxhollow/wire/channel.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Generator
 
 from onyxhollow.loop import READ, WRITE, Hurry, Loop
-from onyxhollow.memory.buffers import BufferPool, Leaving, LineBuffer
-from onyxhollow.memory.tables import Address
+from onyxhollow.wire.buffers import BufferPool, Leaving, LineBuffer
 from onyxhollow.wire.system_errors import SHORTAGE_PAUSE, Fault, fault_of
+from onyxhollow.wire.tables import Address
 
 LINGER = 0.5  # seconds of silence for which a closed one is drained: a reset would lose its last bytes
 DRAINED = 2.0  # seconds for which it is drained at the most, however much still comes
--- a/onyxhollow/wire/discovery.py
+++ b/onyxhollow/wire/discovery.py
@@ -11,13 +11,13 @@
 import h11
 import orjson
 
+from onyxhollow.counters import Counters
 from onyxhollow.interface import Entry, ListKind, Readiness
 from onyxhollow.loop import Loop
-from onyxhollow.memory.buffers import BufferPool
-from onyxhollow.memory.counters import Counters
-from onyxhollow.memory.tables import Address, Addresses
+from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.remote_clock import RemoteClock
+from onyxhollow.wire.tables import Address, Addresses
 
 READY = {"active": Readiness.IN_SERVICE, "leaving": Readiness.DRAINING, "left": Readiness.GONE}
 ANSWER = 3.5  # seconds for an answer that is due at once: a busy service works through calls in turn
--- a/onyxhollow/wire/probes.py
+++ b/onyxhollow/wire/probes.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable, Generator
 from dataclasses import dataclass
 
+from onyxhollow.counters import Counters
 from onyxhollow.interface import DialEnd
 from onyxhollow.loop import Loop, Task
-from onyxhollow.memory.buffers import BufferPool, LongLineError
-from onyxhollow.memory.counters import Counters
-from onyxhollow.memory.tables import Address, Addresses
+from onyxhollow.wire.buffers import BufferPool, LongLineError
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.messages import read_report, rest, word
 from onyxhollow.wire.system_errors import Fault, fault_of_connect
+from onyxhollow.wire.tables import Address, Addresses
 
 ENDS = {b"PONG": DialEnd.OK, b"ERR": DialEnd.ERROR, b"BUSY": DialEnd.FULL}
 MOST_OWED = 3  # answers a connection may owe; a server that owes more may never have got the questions
--- a/onyxhollow/wire/servers.py
+++ b/onyxhollow/wire/servers.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from onyxhollow.counters import Counters
 from onyxhollow.interface import DialEnd
 from onyxhollow.loop import Loop
-from onyxhollow.memory.buffers import BufferPool, LongLineError
-from onyxhollow.memory.counters import Counters
-from onyxhollow.memory.tables import Addresses
+from onyxhollow.wire.buffers import BufferPool, LongLineError
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.messages import read_report, rest, word
 from onyxhollow.wire.system_errors import Fault, fault_of_connect
+from onyxhollow.wire.tables import Addresses
 
 ENDS = {b"BUSY": DialEnd.FULL, b"ERR": DialEnd.ERROR, b"BYE": DialEnd.OK, b"MOVE": DialEnd.CANCELLED}
 
--- a/onyxhollow/wire/sessions.py
+++ b/onyxhollow/wire/sessions.py
@@ -10,18 +10,18 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from onyxhollow.facade import Facade, Handle
+from onyxhollow.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
+from onyxhollow.decision_adapter import Facade, Handle
 from onyxhollow.interface import Customer, DialEnd, Listener
 from onyxhollow.loop import Loop, Task
-from onyxhollow.memory.buffers import SIZE, BufferPool, LongLineError
-from onyxhollow.memory.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
-from onyxhollow.memory.tables import Addresses, SessionTable
-from onyxhollow.service import Service, ServiceState
+from onyxhollow.service_state import Service, ServiceState
+from onyxhollow.wire.buffers import SIZE, BufferPool, LongLineError
 from onyxhollow.wire.carried import Carried, read_carried
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.messages import MalformedError, Opening, read_opening, rest, told_figure, word
 from onyxhollow.wire.passing import Passing
 from onyxhollow.wire.servers import Dialled, Servers
+from onyxhollow.wire.tables import Addresses, SessionTable
 
 Steps = Generator[float, None, None]
 
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -25,10 +25,10 @@
 from onyxhollow.addresses.orders import Book
 from onyxhollow.addresses.rules import Cell, Orders, Standing, apply, decide
 from onyxhollow.addresses.table import Refused, Table
+from onyxhollow.append_log import RecordError
 from onyxhollow.fleet.advertise import Store
 from onyxhollow.fleet.gate import read_gate
 from onyxhollow.lab.fleet import places, wander
-from onyxhollow.records import RecordError
 
 POLICY = file.Policy(least=1, ill_for=10.0, dead_for=2.0, well_for=20.0, step=5.0, window=30.0)
 A, L, W = Standing.ADVERTISED, Standing.LESSER, Standing.WITHDRAWN
--- a/tests/test_fleet_cores.py
+++ b/tests/test_fleet_cores.py
@@ -12,11 +12,16 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from onyxhollow import records as records_module
+from onyxhollow import append_log as records_module
 from onyxhollow.__main__ import main
-from onyxhollow.duties.change import Changer
-from onyxhollow.duties.claim import Claim, Rules, State
-from onyxhollow.duties.messages import (
+from onyxhollow.append_log import RecordError, Records
+from onyxhollow.fleet import clock, telling
+from onyxhollow.fleet.file import FleetError, read_fleet
+from onyxhollow.fleet.node import Node
+from onyxhollow.lab.fleet import broken, explore
+from onyxhollow.leases.change import Changer
+from onyxhollow.leases.claim import Claim, Rules, State
+from onyxhollow.leases.messages import (
     VOTERS,
     Accepted,
     Answer,
@@ -30,15 +35,10 @@
     Release,
     Remembers,
 )
-from onyxhollow.duties.voter import Voter
-from onyxhollow.fleet import clock, telling
-from onyxhollow.fleet.file import FleetError, read_fleet
-from onyxhollow.fleet.node import Node
-from onyxhollow.lab.fleet import broken, explore
+from onyxhollow.leases.voter import Voter
 from onyxhollow.membership.messages import LARGEST, Life, Packet, Ping, Update
 from onyxhollow.membership.seal import Seal, read_keys
 from onyxhollow.membership.swim import Swim, Terms
-from onyxhollow.records import RecordError, Records
 
 KEYS = [b"k" * 16]
 COUNCIL = Council(0, ("a", "b", "c"))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -393,7 +393,7 @@
         "import sys, onyxhollow.__main__, onyxhollow.lifecycle.proxy\n"
         "print(*sorted({name.partition('.')[0] for name in sys.modules if not name.startswith('_')}"
         " - set(sys.stdlib_module_names)), sum(name.startswith(('onyxhollow.lab', 'onyxhollow.fleet',"
-        " 'onyxhollow.duties', 'onyxhollow.membership', 'onyxhollow.records')) for name in sys.modules),"
+        " 'onyxhollow.leases', 'onyxhollow.membership', 'onyxhollow.append_log')) for name in sys.modules),"
         " 'urllib.parse' in sys.modules)"
     )
     got = subprocess.run(
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -17,12 +17,12 @@
 from conftest import CALLS, Toy
 
 from onyxhollow.__main__ import main
+from onyxhollow.counters import Counters
 from onyxhollow.interface import Repeat
 from onyxhollow.lifecycle.config import ConfigError
 from onyxhollow.lifecycle.proxy import OWN
-from onyxhollow.memory.buffers import BufferPool, LineBuffer, LongLineError
-from onyxhollow.memory.counters import Counters
 from onyxhollow.wire import sessions
+from onyxhollow.wire.buffers import BufferPool, LineBuffer, LongLineError
 from onyxhollow.wire.channel import Channel
 
 BOTH = {"calls": CALLS, "once": replace(CALLS, name="once", repeat=Repeat.ONCE_ONLY)}
@@ -898,6 +898,6 @@
     counters.must(True, "all is well")
     with pytest.raises(AssertionError, match="one answer"):
         counters.must(False, "one answer")
-    said = "from onyxhollow.memory.counters import Counters as C; c = C(); c.must(0, 'x'); print(c.counts)"
+    said = "from onyxhollow.counters import Counters as C; c = C(); c.must(0, 'x'); print(c.counts)"
     told = subprocess.run([sys.executable, "-O", "-c", said], capture_output=True, text=True, check=True)
     assert told.stdout == "Counter({'broken: x': 1})\n"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,14 +14,13 @@
 
 from onyxhollow import loop as loops
 from onyxhollow.__main__ import main
+from onyxhollow.counters import Counters
 from onyxhollow.interface import ListKind, Repeat
 from onyxhollow.lifecycle import handover as handovers
 from onyxhollow.lifecycle import proxy as proxies
 from onyxhollow.lifecycle.config import ConfigError, decode, needs_restart, read_config
 from onyxhollow.lifecycle.handover import Handover, StateError, decode_state, encode_state, given_socket
-from onyxhollow.memory.counters import Counters
-from onyxhollow.operations import figures
-from onyxhollow.recall import avoided, describe, take_back
+from onyxhollow.state_snapshot import avoided, describe, take_back
 from onyxhollow.wire import sessions
 from onyxhollow.wire.channel import ListenError
 from onyxhollow.wire.passing import Receiver
@@ -166,7 +165,7 @@
     counters, odd = Counters(), 'a "quoted"\\\nname'
     counters.open_listeners([odd])
     counters.ended("accepted", odd)
-    text = figures.render([("success_total", counters.ends["accepted"])], []).decode()
+    text = metrics.render([("success_total", counters.ends["accepted"])], []).decode()
     assert read_figures(text)["lb_success_total", odd] == 1
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -7,14 +7,14 @@
 import pytest
 from conftest import PLAIN
 
-from onyxhollow.facade import Facade, report_shared
+from onyxhollow.counters import Counters
+from onyxhollow.decision_adapter import Facade, report_shared
+from onyxhollow.gossip import messages
+from onyxhollow.gossip.core import News, Sharing, Terms
+from onyxhollow.gossip.messages import Counts, Page, Row
 from onyxhollow.interface import DialEnd, Entry, ListKind, Readiness
 from onyxhollow.lab import decisions, scenario, virtual
 from onyxhollow.lab.together import Trouble
-from onyxhollow.memory.counters import Counters
-from onyxhollow.sharing import messages
-from onyxhollow.sharing.core import News, Sharing, Terms
-from onyxhollow.sharing.messages import Counts, Page, Row
 
 TERMS = Terms(every=0.25, report=2.0, renew=1.0)
 
