--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -125,14 +125,14 @@
     except ValueError as error:
         return no_good(error)
     settings, (host, port) = config.settings, config.listen
-    print(f"{config.name}: listens on {host}:{port}, one of {settings.balancers} balancers")
+    print(f"{config.name}: listens on {host}:{port}, one of {settings.instance_count} balancers")
     calls = ":".join(map(str, config.management)) if config.management else "nowhere: no management"
     print(f"operators call {calls}")
-    weights = "live" if settings.live_sizes else "sizes"
-    how = "asked for" if settings.watched else "pushed"
+    weights = "live" if settings.live_weights else "sizes"
+    how = "asked for" if settings.list_is_polled else "pushed"
     print(
-        f"weights {weights}, list {how}, groups {'on' if settings.groups else 'off'}, "
-        f"a probe costs {settings.probe_price:g}, a crossing {settings.crossing_price:g}"
+        f"weights {weights}, list {how}, groups {'on' if settings.group_affinity else 'off'}, "
+        f"a probe costs {settings.health_check_price:g}, a crossing {settings.cross_zone_price:g}"
     )
     print(f"servers known {len(config.known.entries)}, listeners {len(settings.listeners)}")
     if fleet:
--- a/onyxhollow/append_log.py
+++ b/onyxhollow/append_log.py
@@ -22,7 +22,7 @@
 MOST = 4096  # records in a file before its owner is to write it anew
 
 
-class RecordError(Exception):
+class AppendLogError(Exception):
     """The file can't be had or is none of ours; the text says why."""
 
 
@@ -41,7 +41,7 @@
     if not text:
         return [], 0, ""
     if text[: len(MAGIC)] != MAGIC[: len(text)]:
-        raise RecordError(f"expected records that begin with {MAGIC.decode()}, got {text[:8]!r}")
+        raise AppendLogError(f"expected records that begin with {MAGIC.decode()}, got {text[:8]!r}")
     if len(text) < len(MAGIC):
         return [], 0, f"{len(text)} bytes of a header"
     found: list[bytes] = []
@@ -61,7 +61,7 @@
     return found, at, ""
 
 
-class Records:
+class AppendLog:
     """One file of records, held by a lock for as long as this process lives.
 
     RecordError from __init__ if it can't be had. OSError from append and rewrite: nothing of it counts, and
@@ -80,14 +80,14 @@
                 fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError:
                 os.close(self.lock)
-                raise RecordError(f"{self.path}: held by another process") from None
+                raise AppendLogError(f"{self.path}: held by another process") from None
             self.fd = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             with open(self.path, "rb") as file:
                 text = file.read()
             try:
                 self.rows, good, self.cut = unpack(text)
-            except RecordError as error:
-                raise RecordError(f"{self.path}: {error}") from None
+            except AppendLogError as error:
+                raise AppendLogError(f"{self.path}: {error}") from None
             self.fresh = not self.rows  # nothing is remembered
             if self.cut or not text:
                 os.ftruncate(self.fd, good)
@@ -100,7 +100,7 @@
             else:
                 self.size = good
         except OSError as error:
-            raise RecordError(f"{self.path}: {error.strerror}") from None
+            raise AppendLogError(f"{self.path}: {error.strerror}") from None
 
     def sync_folder(self) -> None:
         fd = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
--- a/onyxhollow/benchlink/link.py
+++ b/onyxhollow/benchlink/link.py
@@ -7,30 +7,30 @@
 from collections.abc import Callable, Hashable
 from typing import IO, Any, BinaryIO
 
-from onyxhollow.interface import DialEnd, Entry, ListKind, Readiness
+from onyxhollow.interface import AttemptOutcome, Endpoint, EndpointListKind, EndpointState
 from onyxhollow.policy import Balancer, Session
 from onyxhollow.settings import WireError, read_settings, whole
 
 ENDS = {
-    0: DialEnd.OK,
-    5: DialEnd.ERROR,
-    11: DialEnd.FULL,
-    110: DialEnd.TIMEOUT,
-    111: DialEnd.CONNECT_FAILED,
-    104: DialEnd.RESET,
-    125: DialEnd.CANCELLED,
-    114: DialEnd.NOT_SENT,
+    0: AttemptOutcome.OK,
+    5: AttemptOutcome.ERROR,
+    11: AttemptOutcome.OVERLOADED,
+    110: AttemptOutcome.TIMEOUT,
+    111: AttemptOutcome.CONNECT_FAILED,
+    104: AttemptOutcome.RESET,
+    125: AttemptOutcome.CANCELLED,
+    114: AttemptOutcome.NOT_SENT,
 }
 LISTS = {
-    "cached": ListKind.CACHED,
-    "full": ListKind.FULL,
-    "delta": ListKind.CHANGES,
-    "failed": ListKind.FAILED,
+    "cached": EndpointListKind.CACHED,
+    "full": EndpointListKind.SNAPSHOT,
+    "delta": EndpointListKind.DELTA,
+    "failed": EndpointListKind.FAILED,
 }
 READY = {
-    "in_service": Readiness.IN_SERVICE,
-    "terminating": Readiness.DRAINING,
-    "terminated": Readiness.GONE,
+    "in_service": EndpointState.IN_SERVICE,
+    "terminating": EndpointState.DRAINING,
+    "terminated": EndpointState.REMOVED,
 }
 NOTE_LOAD, NOTE_DELAY = 1, 2
 COST_KNOWN = 1
@@ -48,7 +48,7 @@
     return float(value)
 
 
-def read_entry(row: Any) -> Entry:
+def read_entry(row: Any) -> Endpoint:
     if not isinstance(row, list) or len(row) < 2:
         raise WireError(f"list entry: impossible value {row!r}")
     readiness, name, size, kind, started, zone, cell = (row + [None] * 7)[:7]
@@ -56,14 +56,14 @@
         raise WireError(f"readiness: impossible value {readiness!r}")
     start = whole(started or 0, "startTimeNs")
     size = 1.0 if size is None else figure(size, "powerHint")
-    return Entry(
+    return Endpoint(
         name=word(name, "server"),
-        readiness=READY[readiness],
-        size=size,
-        started=start / 1e9 if start else None,
+        state=READY[readiness],
+        weight=size,
+        started_at=start / 1e9 if start else None,
         zone=zone or "",
         cell=cell or 0,
-        kind=kind or "",
+        machine_type=kind or "",
     )
 
 
@@ -137,7 +137,7 @@
     def order(self, *values: Any) -> None:
         token, band, customer, left, load, group = self.describe(values)
         listener = self.settings.listeners[band]
-        who = self.settings.customers.get(customer)
+        who = self.settings.tenants.get(customer)
         sess = self.balancer.take(token, listener, who, group, left, load)
         if not sess.answered:
             self.sessions[token] = sess
@@ -145,7 +145,7 @@
     def existing(self, *values: Any) -> None:
         token, band, customer, _, load, group = self.describe(values[:8])
         server = word(values[8] if len(values) > 8 else None, "server")
-        who = self.settings.customers.get(customer)
+        who = self.settings.tenants.get(customer)
         sess = self.balancer.adopt(token, self.settings.listeners[band], who, group, load, server)
         if sess is not None:
             self.sessions[token] = sess
@@ -170,9 +170,9 @@
             return
         if complete:
             del self.sessions[corr]
-        end = ENDS.get(whole(how, "how"), DialEnd.UNKNOWN)
+        end = ENDS.get(whole(how, "how"), AttemptOutcome.UNKNOWN)
         load = self.report(rest[2] if len(rest) > 2 else None)
-        if end is DialEnd.CANCELLED and sess.standing:
+        if end is AttemptOutcome.CANCELLED and sess.standing:
             sess.client_gone()  # this wire does not say whether its server sent it away or the client left
         sess.dial_ended(end, complete, whole(took, "tookNs") / 1e9, load)
 
@@ -186,7 +186,7 @@
         self.balancer.tick()
 
     def probed(self, server: Any, how: Any, took: Any, stats: Any = None, *_: Any) -> None:
-        end = ENDS.get(whole(how, "how"), DialEnd.UNKNOWN)
+        end = ENDS.get(whole(how, "how"), AttemptOutcome.UNKNOWN)
         took = whole(took or 0, "tookNs") / 1e9
         self.balancer.probed(word(server, "server"), end, took, self.report(stats))
 
--- a/onyxhollow/decision_adapter.py
+++ b/onyxhollow/decision_adapter.py
@@ -12,11 +12,24 @@
 from typing import Any, Protocol
 
 from onyxhollow.counters import Counters
-from onyxhollow.interface import Customer, DialEnd, Entry, Listener, ListKind, Readiness, Settings
+from onyxhollow.interface import (
+    AttemptOutcome,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    Listener,
+    Settings,
+    Tenant,
+)
 from onyxhollow.policy import FULL_LOAD, SHED_LOAD, Balancer, Session
 from onyxhollow.state_snapshot import avoided, describe, take_back
 
-WELL = (DialEnd.OK, DialEnd.CANCELLED, DialEnd.NOT_SENT, DialEnd.FULL)  # they say nothing bad of a server
+WELL = (
+    AttemptOutcome.OK,
+    AttemptOutcome.CANCELLED,
+    AttemptOutcome.NOT_SENT,
+    AttemptOutcome.OVERLOADED,
+)  # they say nothing bad of a server
 
 
 class Shared(Protocol):
@@ -35,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pick:
+class Selection:
     """What is to be done for a session: dial a server for so long, or (server is None) answer it."""
 
     server: str | None = None
@@ -44,17 +57,17 @@
     retry_after: float = 0.0
 
 
-class Handle:
+class SessionHandle:
     """One session as the network code sees it."""
 
-    def __init__(self, facade: Facade, wake: Callable[[], None]) -> None:
+    def __init__(self, facade: DecisionAdapter, wake: Callable[[], None]) -> None:
         self.facade, self.wake = facade, wake
         self.sess: Session | None = None
-        self.chosen: Pick | None = None
+        self.chosen: Selection | None = None
         self.call_back = self.move = False  # the dial out is to be given up; the client is to be moved
         self.dialling = self.answered = False
 
-    def choose(self, chosen: Pick) -> None:
+    def choose(self, chosen: Selection) -> None:
         must = self.facade.counters.must
         if not must(not self.answered, "nothing is decided after the answer"):
             return
@@ -62,7 +75,7 @@
         self.chosen = chosen
         self.wake()
 
-    def pick(self, gone: Callable[[], bool]) -> Generator[float, None, Pick | None]:
+    def pick(self, gone: Callable[[], bool]) -> Generator[float, None, Selection | None]:
         """Waits for the decision; None when the client has gone meanwhile."""
         while self.chosen is None:
             if gone():
@@ -76,7 +89,9 @@
         """Whether the dial that is out may still be written to its server."""
         return self.sess is not None and self.sess.may_send()
 
-    def report(self, end: DialEnd, took: float, final: bool = False, load: float | None = None) -> None:
+    def report(
+        self, end: AttemptOutcome, took: float, final: bool = False, load: float | None = None
+    ) -> None:
         """How a dial, or the connection that came of it, has ended."""
         self.facade.counters.must(self.dialling, "an end belongs to a dial that is out")
         self.dialling = self.call_back = False
@@ -109,9 +124,11 @@
         """However its connection ended: the module must not count it among the open ones for ever."""
         self.report_gone()
         if self.dialling:
-            self.report(DialEnd.CANCELLED, 0.0, True)
+            self.report(AttemptOutcome.CANCELLED, 0.0, True)
 
-    def give_up(self, end: DialEnd | None = None, took: float = 0.0, load: float | None = None) -> Pick:
+    def give_up(
+        self, end: AttemptOutcome | None = None, took: float = 0.0, load: float | None = None
+    ) -> Selection:
         """Nothing more is tried for the session, and the module answers it by its own rules.
 
         end: how the dial that was out has ended; None if it waits for one."""
@@ -122,7 +139,7 @@
             else:
                 self.report(end, took, load=load)
         chosen, self.chosen, self.answered = self.chosen, None, True
-        return chosen or Pick()
+        return chosen or Selection()
 
 
 def report_shared(balancer: Balancer, news: Shared) -> None:
@@ -131,13 +148,13 @@
     load = news.load
     if load is not None and load >= SHED_LOAD and balancer.rng.random() * load >= load - FULL_LOAD:
         load = SHED_LOAD - 0.01  # all are told at once: as many as are too much move theirs, the others wait
-    balancer.probed(news.server, DialEnd.OK, 0.0, load, news.age, news.held)
+    balancer.probed(news.server, AttemptOutcome.OK, 0.0, load, news.age, news.held)
     server = balancer.servers.get(news.server)
     if server and (more := news.doubt - server.score(balancer.host.now)) > 0.0:
         balancer.blame(server, more)
 
 
-class Facade:
+class DecisionAdapter:
     """Carries the module. Its clock is the loop's, its one timer the caller's of tick."""
 
     def __init__(
@@ -165,12 +182,12 @@
         self,
         wake: Callable[[], None],
         listener: Listener,
-        customer: Customer | None,
+        customer: Tenant | None,
         group: Hashable,
         left: float,
         load: float | None,
-    ) -> Handle:
-        handle = Handle(self, wake)
+    ) -> SessionHandle:
+        handle = SessionHandle(self, wake)
         handle.sess = self.balancer.take(handle, listener, customer, group, left, load)
         return handle
 
@@ -178,14 +195,14 @@
         self,
         wake: Callable[[], None],
         listener: Listener,
-        customer: Customer | None,
+        customer: Tenant | None,
         group: Hashable,
         load: float | None,
         server: str,
         placed: bool = False,
-    ) -> Handle:
+    ) -> SessionHandle:
         """A connection that was open before this process started; placed: by the one before it."""
-        handle = Handle(self, wake)
+        handle = SessionHandle(self, wake)
         handle.sess = self.balancer.adopt(handle, listener, customer, group, load, server)
         if handle.sess and placed:
             handle.sess.placed = True
@@ -197,7 +214,7 @@
     def all_adopted(self) -> None:
         """Servers that drain were told of before their connections came."""
         for server in self.balancer.servers.values():
-            if server.readiness is Readiness.DRAINING and not server.leaving:
+            if server.readiness is EndpointState.DRAINING and not server.leaving:
                 self.balancer.hand_off(server, "drain", told=True)
 
     def describe(self) -> tuple[dict[str, Any], list[dict[str, Any]]]:
@@ -207,10 +224,10 @@
     def take_back(self, common: dict[str, Any], records: list[dict[str, Any]]) -> int:
         return take_back(self.balancer, common, records)
 
-    def report_list(self, kind: ListKind, entries: Iterable[Entry] = ()) -> None:
+    def report_list(self, kind: EndpointListKind, entries: Iterable[Endpoint] = ()) -> None:
         self.balancer.server_list(kind, entries)
 
-    def report_probe(self, server: str, end: DialEnd, took: float, load: float | None) -> None:
+    def report_probe(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.balancer.probed(server, end, took, load)
 
     def report_shared(self, news: Shared) -> None:
@@ -239,24 +256,24 @@
 
     # asked by the module
     def dial(self, token: Hashable, server: str, timeout: float) -> None:
-        assert isinstance(token, Handle)
-        token.choose(Pick(server, timeout))
+        assert isinstance(token, SessionHandle)
+        token.choose(Selection(server, timeout))
 
     def cancel(self, token: Hashable, dial: int) -> None:
-        assert isinstance(token, Handle)
+        assert isinstance(token, SessionHandle)
         token.call_back = True
         token.wake()
 
     def refuse(self, token: Hashable, retry_after: float) -> None:
-        assert isinstance(token, Handle)
-        token.choose(Pick(refused=True, retry_after=retry_after))
+        assert isinstance(token, SessionHandle)
+        token.choose(Selection(refused=True, retry_after=retry_after))
 
     def tear_down(self, token: Hashable) -> None:
-        assert isinstance(token, Handle)
-        token.choose(Pick())
+        assert isinstance(token, SessionHandle)
+        token.choose(Selection())
 
     def move(self, token: Hashable) -> None:
-        assert isinstance(token, Handle)
+        assert isinstance(token, SessionHandle)
         token.move = True
         token.wake()
 
--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -47,7 +47,7 @@
 from onyxhollow.addresses.orders import MOST as MOST_ORDERS
 from onyxhollow.addresses.orders import VERBS, WORDS, Book
 from onyxhollow.addresses.rules import Standing
-from onyxhollow.append_log import RecordError, Records
+from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.counters import ACCEPTED, ENDS
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.works import Caller
@@ -244,7 +244,7 @@
     """What a voter keeps: orders and decisions, on its disk before it says so."""
 
     def __init__(self, folder: str) -> None:
-        self.records = Records(folder, "addresses")
+        self.records = AppendLog(folder, "addresses")
         self.rows: dict[str, Written] = {}
         for body in self.records.rows:
             row = WRITTEN.decode(body)
@@ -404,7 +404,7 @@
         self.store_at = now + RECORDS_AGAIN
         try:
             self.store = Store(self.node.fleet.folder)
-        except (RecordError, msgspec.DecodeError) as error:
+        except (AppendLogError, msgspec.DecodeError) as error:
             self.node.counts["addresses: store can't be had"] += 1
             self.node.event("store waits", why=str(error)[:200])
             self.store_at = now + 10 * RECORDS_AGAIN
@@ -636,7 +636,7 @@
             listeners = proxy.config.settings.listeners
             service = self.told.service[number % len(self.told.service)]
             name = next((name for name in service.listeners if name in listeners), next(iter(listeners)))
-            within = listeners[name].dial_timeout
+            within = listeners[name].attempt_timeout
             host, port = proxy.config.listen
             task: list[Task] = [self.node.task]
             went = False
--- a/onyxhollow/fleet/gate.py
+++ b/onyxhollow/fleet/gate.py
@@ -49,7 +49,7 @@
 from onyxhollow.addresses.messages import Evidence, Seen
 from onyxhollow.addresses.rules import Standing
 from onyxhollow.addresses.table import RECORDS, Refused, Stands, Table, Term, encode
-from onyxhollow.append_log import RecordError, Records
+from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.counters import Counters
 from onyxhollow.fleet import clock
 from onyxhollow.lifecycle.log import Log
@@ -98,7 +98,7 @@
         self.loop = Loop(self.failed)
         self.pool, self.counters = BufferPool(), Counters()
         self.table = Table(addresses.service, site, told.own_as)
-        self.records = Records(folder, "gate")
+        self.records = AppendLog(folder, "gate")
         self.table.remember([RECORDS.decode(row) for row in self.records.rows])
         self.table.alive_at = clock.now()
         self.taken: dict[str, Standing | None] = dict.fromkeys(self.table.stands)  # what the daemon has taken
@@ -322,7 +322,7 @@
         told, addresses, site = read_gate(path)
         folder = os.path.join(os.path.dirname(os.path.abspath(path)), told.folder)
         gate = Gate(told, addresses, site, folder, sys.stdout.fileno())
-    except (AddressesError, RecordError, ListenError) as error:
+    except (AddressesError, AppendLogError, ListenError) as error:
         sys.stderr.write(f"onyxhollow: {error}\n")
         return 2
     except msgspec.DecodeError as error:
--- a/onyxhollow/fleet/lists.py
+++ b/onyxhollow/fleet/lists.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from onyxhollow.fleet import clock, telling
-from onyxhollow.interface import ListKind
+from onyxhollow.interface import EndpointListKind
 from onyxhollow.membership.swim import Member
 from onyxhollow.wire.discovery import ListError, read_list
 
@@ -30,7 +30,7 @@
         self.node, self.duty, self.zone, self.every, self.service = node, duty, zone, every, service
         self.discovery = node.proxy.discovery
         self.address = self.discovery.address  # after a reload with another one, `service` says nothing of it
-        within = node.proxy.config.settings.ask_within
+        within = node.proxy.config.settings.max_poll_interval
         self.listener = telling.Listener(duty, self.source, every, within / 4, node.rng, clock.now())
         self.teller: telling.Teller | None = None
         self.still: Callable[[], bool] = lambda: False
@@ -66,18 +66,18 @@
     def zone_members(self) -> list[Member]:
         return [member for member in self.node.swim.there() if self.zone in (None, member.zone)]
 
-    def own_list(self, kind: ListKind) -> None:
+    def own_list(self, kind: EndpointListKind) -> None:
         """The list service has answered this proxy, or has not."""
-        if kind is ListKind.CACHED or self.taking:
+        if kind is EndpointListKind.CACHED or self.taking:
             return
         listener = self.listener
-        if kind is not ListKind.FAILED:
+        if kind is not EndpointListKind.FAILED:
             self.progressed = self.node.loop.now
             listener.asked_itself()
             self.tell_drains()
         if self.teller is None:
             return
-        if kind is ListKind.FAILED:
+        if kind is EndpointListKind.FAILED:
             self.teller.lost = True
             self.teller.next_beat = clock.now()
         else:
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -22,14 +22,14 @@
 import xxhash
 
 from onyxhollow import __version__
-from onyxhollow.append_log import RecordError, Records
+from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.advertise import ADDRESSES, Addresses
 from onyxhollow.fleet.file import Duty, Fleet
 from onyxhollow.fleet.lists import LIST, Lists
 from onyxhollow.fleet.shares import SHARE, Shares
 from onyxhollow.fleet.works import Calls, Work
-from onyxhollow.interface import Entry, ListKind
+from onyxhollow.interface import Endpoint, EndpointListKind
 from onyxhollow.leases import messages as said
 from onyxhollow.leases.change import Changer
 from onyxhollow.leases.claim import Claim, Said, State, Turn
@@ -106,7 +106,7 @@
         me = Update(self.name, self.epoch, 0, Life.ALIVE, fleet.advertise, self.zone, 0)
         self.swim = Swim(me, self.told.terms(), self.rng, fleet.seeds, now)
         self.council = Council(0, tuple(self.told.voters))
-        self.records: Records | None = None
+        self.records: AppendLog | None = None
         self.voter: Voter | None = None
         self.records_at = now
         self.disk_fails, self.waits_for = False, ""
@@ -444,8 +444,8 @@
         """As soon as no other process holds them: at a replacement the one before this may still vote."""
         self.records_at = now + RECORDS_AGAIN
         try:
-            records = Records(self.fleet.folder, "voter")
-        except RecordError as error:
+            records = AppendLog(self.fleet.folder, "voter")
+        except AppendLogError as error:
             if str(error) != self.waits_for:
                 self.waits_for = str(error)
                 self.event("voter waits", why=self.waits_for[:200])
@@ -792,7 +792,7 @@
 
     # told by the proxy
 
-    def list_told(self, kind: ListKind, entries: list[Entry]) -> None:
+    def list_told(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
         if self.lists:
             self.lists.own_list(kind)
 
--- a/onyxhollow/fleet/shares.py
+++ b/onyxhollow/fleet/shares.py
@@ -10,7 +10,7 @@
 from onyxhollow.fleet import clock
 from onyxhollow.gossip.core import Sharing, Terms
 from onyxhollow.gossip.messages import MESSAGES, encode
-from onyxhollow.interface import DialEnd
+from onyxhollow.interface import AttemptOutcome
 from onyxhollow.membership.swim import Member
 
 if TYPE_CHECKING:
@@ -46,14 +46,14 @@
     def answer(self, server: str, load: float, age: float) -> Any:
         """In a turn of its own: the module is in the middle of asking."""
         yield self.node.loop.now
-        self.facade.balancer.probed(server, DialEnd.OK, 0.0, load, age)
+        self.facade.balancer.probed(server, AttemptOutcome.OK, 0.0, load, age)
 
-    def probed(self, server: str, end: DialEnd, took: float, load: float | None) -> None:
+    def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.node.proxy.probe_told(server, end, took, load)
         now = clock.now()
-        if end is DialEnd.OK and load is None:
+        if end is AttemptOutcome.OK and load is None:
             return  # it answers, and reports nothing
-        self.core.asked(server, load if end is DialEnd.OK else None, now)
+        self.core.asked(server, load if end is AttemptOutcome.OK else None, now)
         self.deliver()
 
     def deliver(self) -> None:
@@ -83,7 +83,7 @@
         core.listed({server.name: server.zone for server in self.facade.balancer.fleet})
         core.tick(self.facade.own(), now)
         asks, core.ask = core.ask, []
-        if self.node.proxy.config.settings.probes:
+        if self.node.proxy.config.settings.health_checks:
             for server in asks:
                 self.node.counts["sharing: servers asked"] += 1
                 self.probe_server(server)
--- a/onyxhollow/interface.py
+++ b/onyxhollow/interface.py
@@ -12,15 +12,15 @@
 from typing import Protocol
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """Whether a session may be set up again after a dial that may have run."""
 
-    REPEATABLE = "repeatable"
-    REFERENCED = "referenced"
-    ONCE_ONLY = "once-only"
+    IDEMPOTENT = "repeatable"
+    KEYED = "referenced"
+    NON_IDEMPOTENT = "once-only"
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """For referenced listeners: the servers that drop repeats of one another's sessions."""
 
     ALL = "all"
@@ -28,12 +28,12 @@
     CELL = "cell"
 
 
-class DialEnd(Enum):
+class AttemptOutcome(Enum):
     """How a dial ended. The value tells whether the session may have run on the server."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect failed"
     RESET = "reset"
@@ -43,52 +43,52 @@
 
     @property
     def never_ran(self) -> bool:
-        return self in (DialEnd.FULL, DialEnd.CONNECT_FAILED, DialEnd.NOT_SENT)
+        return self in (AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
-class Readiness(Enum):
+class EndpointState(Enum):
     IN_SERVICE = "in service"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
-class ListKind(Enum):
+class EndpointListKind(Enum):
     CACHED = "cached"
-    FULL = "full"
-    CHANGES = "changes"
+    SNAPSHOT = "full"
+    DELTA = "changes"
     FAILED = "failed"
 
 
 @dataclass(frozen=True)
 class Listener:
     name: str
-    handshake_target: float
-    dial_timeout: float
+    handshake_objective: float
+    attempt_timeout: float
     utility: float = 1.0
-    repeat: Repeat = Repeat.REPEATABLE
-    scope: Scope = Scope.ALL
-    window: float = 0.0
-    message_target: float = 0.0
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window: float = 0.0
+    message_objective: float = 0.0
 
 
 @dataclass(frozen=True)
-class Customer:
+class Tenant:
     name: str
-    share: float = 0.0
-    connections: float = 0.0  # open connections within its share, over all balancers; 0: not told
+    quota_share: float = 0.0
+    connection_quota: float = 0.0  # open connections within its share, over all balancers; 0: not told
 
 
 @dataclass(frozen=True)
-class Entry:
+class Endpoint:
     """One server as the server list tells it; started: None when long ago; a size of 0 says nothing."""
 
     name: str
-    readiness: Readiness
-    size: float = 1.0
-    started: float | None = None
+    state: EndpointState
+    weight: float = 1.0
+    started_at: float | None = None
     zone: str = ""
     cell: int = 0
-    kind: str = ""  # of machine
+    machine_type: str = ""  # of machine
 
 
 @dataclass(frozen=True)
@@ -96,25 +96,25 @@
     """All that is told once, at the start; the balancer hands each part its own few values."""
 
     listeners: dict[str, Listener]
-    customers: dict[str, Customer]
-    me: int = 0
-    balancers: int = 1
+    tenants: dict[str, Tenant]
+    instance_index: int = 0
+    instance_count: int = 1
     zone: str = ""
-    watched: bool = True  # the list comes only when asked for
-    ask_within: float = 10.0
-    cold_share: float = 1.0
-    cold_time: float = 0.0
-    fall_multiple: float = 1.0
-    fall_time: float = 1.0
-    most_dials: int = 1
-    probes: bool = False
-    probe_price: float = 0.0
-    crossing_price: float = 0.0  # of a dial to another zone
-    cancelling: bool = False
-    retry_after: float = 0.0  # the longest wait a client heeds; 0: it is not told
-    overage_utility: float = 1.0
-    groups: bool = False
-    live_sizes: bool = False  # the list's size is lowered the more connections a core the server holds
+    list_is_polled: bool = True  # the list comes only when asked for
+    max_poll_interval: float = 10.0
+    slow_start_share: float = 1.0
+    slow_start_time: float = 0.0
+    overload_multiple: float = 1.0
+    overload_window: float = 1.0
+    max_attempts: int = 1
+    health_checks: bool = False
+    health_check_price: float = 0.0
+    cross_zone_price: float = 0.0  # of a dial to another zone
+    cancellation: bool = False
+    max_retry_after: float = 0.0  # the longest wait a client heeds; 0: it is not told
+    over_quota_utility: float = 1.0
+    group_affinity: bool = False
+    live_weights: bool = False  # the list's size is lowered the more connections a core the server holds
     load_field: str = ""  # the report value that tells load over capacity, if the settings name one
 
 
--- a/onyxhollow/lab/baselines.py
+++ b/onyxhollow/lab/baselines.py
@@ -12,16 +12,16 @@
 from typing import TYPE_CHECKING
 
 from onyxhollow.interface import (
-    Customer,
-    DialEnd,
-    Entry,
+    AttemptOutcome,
+    DeduplicationScope,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
     Host,
+    Idempotency,
     Listener,
-    ListKind,
-    Readiness,
-    Repeat,
-    Scope,
     Settings,
+    Tenant,
 )
 from onyxhollow.policy import TICK, ColdBudget, draw
 
@@ -42,12 +42,12 @@
 class Known:
     """A server as the list tells it."""
 
-    def __init__(self, entry: Entry) -> None:
+    def __init__(self, entry: Endpoint) -> None:
         self.name, self.open = entry.name, dict[Plain.Session, None]()
         self.learn(entry)
 
-    def learn(self, entry: Entry) -> None:
-        self.readiness, self.size, self.started = entry.readiness, entry.size, entry.started
+    def learn(self, entry: Endpoint) -> None:
+        self.readiness, self.size, self.started = entry.state, entry.weight, entry.started_at
         self.zone, self.cell = entry.zone, entry.cell
 
 
@@ -60,7 +60,7 @@
             balancer: Plain,
             token: Hashable,
             listener: Listener,
-            customer: Customer | None,
+            customer: Tenant | None,
             give_up: float,
         ) -> None:
             self.balancer, self.token, self.listener, self.customer = balancer, token, listener, customer
@@ -81,7 +81,9 @@
         def client_gone(self) -> None:
             self.answered = True
 
-        def dial_ended(self, end: DialEnd, final: bool, took: float, load: float | None = None) -> None:
+        def dial_ended(
+            self, end: AttemptOutcome, final: bool, took: float, load: float | None = None
+        ) -> None:
             if not self.dialling or self.server is None:
                 return
             self.dialling, stood, self.standing = False, self.standing, False
@@ -96,7 +98,7 @@
     def __init__(self, host: Host, settings: Settings, seed: int, world: World) -> None:
         self.host, self.settings, self.rng, self.world = host, settings, Random(seed), world
         self.servers: dict[str, Known] = {}
-        self.lost, self.ask_at = settings.watched, host.now + 0.05 * self.rng.random()
+        self.lost, self.ask_at = settings.list_is_polled, host.now + 0.05 * self.rng.random()
         self.waiting: list[Plain.Session] = []
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.counter, self.look_at = 0, 0.0
@@ -106,31 +108,31 @@
 
     # the module's door
 
-    def server_list(self, kind: ListKind, entries: Iterable[Entry]) -> None:
-        if kind is ListKind.FAILED:
+    def server_list(self, kind: EndpointListKind, entries: Iterable[Endpoint]) -> None:
+        if kind is EndpointListKind.FAILED:
             self.lost, self.ask_at = True, self.host.now + ASK_EVERY * (0.5 + self.rng.random())
             return
-        if kind is not ListKind.CACHED:
+        if kind is not EndpointListKind.CACHED:
             self.lost = False
-        absent = set(self.servers) if kind is not ListKind.CHANGES else set()
+        absent = set(self.servers) if kind is not EndpointListKind.DELTA else set()
         for entry in entries:
             absent.discard(entry.name)
             known = self.servers.get(entry.name)
-            news = known is None or known.readiness is Readiness.IN_SERVICE
+            news = known is None or known.readiness is EndpointState.IN_SERVICE
             known = known or self.servers.setdefault(entry.name, Known(entry))
-            if entry.started != known.started:
-                self.budget.tokens[known] = (draw(known.name, self.settings.me), self.host.now)  # type: ignore[index]
+            if entry.started_at != known.started:
+                self.budget.tokens[known] = (draw(known.name, self.settings.instance_index), self.host.now)  # type: ignore[index]
             known.learn(entry)
-            if entry.readiness is Readiness.DRAINING and news:
+            if entry.state is EndpointState.DRAINING and news:
                 self.drain(known)
         for name in sorted(absent):
-            self.servers[name].readiness = Readiness.GONE
+            self.servers[name].readiness = EndpointState.REMOVED
 
     def take(
         self,
         token: Hashable,
         listener: Listener,
-        customer: Customer | None,
+        customer: Tenant | None,
         group: Hashable,
         time_left: float,
         load: float | None,
@@ -144,7 +146,7 @@
         self,
         token: Hashable,
         listener: Listener,
-        customer: Customer | None,
+        customer: Tenant | None,
         group: Hashable,
         load: float | None,
         name: str,
@@ -156,12 +158,12 @@
         server.open[sess] = None
         return sess
 
-    def probed(self, name: str, end: DialEnd, took: float, load: float | None) -> None: ...
+    def probed(self, name: str, end: AttemptOutcome, took: float, load: float | None) -> None: ...
 
     def tick(self) -> None:
         now = self.host.now
         if self.lost and now >= self.ask_at:
-            self.ask_at = now + self.settings.ask_within / 2
+            self.ask_at = now + self.settings.max_poll_interval / 2
             self.host.watch()
         while self.due and self.due[0][0] <= now:
             heapq.heappop(self.due)[2]()
@@ -190,17 +192,20 @@
     def allowed(self, sess: Plain.Session, server: Known) -> bool:
         """Rules 2 and 3, and the cold budget."""
         now, listener, first = self.host.now, sess.listener, sess.ran_at
-        if server.readiness is not Readiness.IN_SERVICE:
+        if server.readiness is not EndpointState.IN_SERVICE:
             return False
-        if first is not None and listener.repeat is not Repeat.REPEATABLE:
-            if listener.repeat is Repeat.ONCE_ONLY or now - sess.ran_since >= listener.window - TICK:
+        if first is not None and listener.idempotency is not Idempotency.IDEMPOTENT:
+            if (
+                listener.idempotency is Idempotency.NON_IDEMPOTENT
+                or now - sess.ran_since >= listener.deduplication_window - TICK
+            ):
                 return False
             same = {
-                Scope.ALL: True,
-                Scope.ZONE: server.zone == first.zone,
-                Scope.CELL: server.cell == first.cell,
+                DeduplicationScope.ALL: True,
+                DeduplicationScope.ZONE: server.zone == first.zone,
+                DeduplicationScope.CELL: server.cell == first.cell,
             }
-            if not same[listener.scope]:
+            if not same[listener.deduplication_scope]:
                 return False
         return self.budget.grow(server, self.fill(), now) >= 1.0  # type: ignore[arg-type]
 
@@ -214,11 +219,11 @@
         if sess.answered or sess.dialling:
             return
         now, left = self.host.now, sess.give_up - self.host.now
-        spent = left <= 0 or len(sess.tried) >= self.settings.most_dials
+        spent = left <= 0 or len(sess.tried) >= self.settings.max_attempts
         fit = [] if spent else [s for s in self.servers.values() if self.allowed(sess, s)]
         fit = [s for s in fit if s not in sess.tried] or fit
         if not fit:
-            if not spent and not sess.tried and left > sess.listener.dial_timeout / 2:
+            if not spent and not sess.tried and left > sess.listener.attempt_timeout / 2:
                 self.waiting.append(sess)
             else:
                 self.end(sess)
@@ -234,14 +239,21 @@
         if sess.ran_at is None:
             sess.ran_since = now
         server.open[sess] = None
-        last = len(sess.tried) >= self.settings.most_dials or sess.listener.repeat is Repeat.ONCE_ONLY
-        self.host.dial(sess.token, server.name, left if last else min(left, sess.listener.handshake_target))
+        last = (
+            len(sess.tried) >= self.settings.max_attempts
+            or sess.listener.idempotency is Idempotency.NON_IDEMPOTENT
+        )
+        self.host.dial(
+            sess.token, server.name, left if last else min(left, sess.listener.handshake_objective)
+        )
 
     def end(self, sess: Plain.Session) -> None:
-        sess.answered, repeat = True, sess.listener.repeat
-        everywhere = repeat is Repeat.REFERENCED and sess.listener.scope is Scope.ALL
-        if sess.ran_at is None or repeat is Repeat.REPEATABLE or everywhere:
-            self.host.refuse(sess.token, self.settings.retry_after * self.rng.random())
+        sess.answered, repeat = True, sess.listener.idempotency
+        everywhere = (
+            repeat is Idempotency.KEYED and sess.listener.deduplication_scope is DeduplicationScope.ALL
+        )
+        if sess.ran_at is None or repeat is Idempotency.IDEMPOTENT or everywhere:
+            self.host.refuse(sess.token, self.settings.max_retry_after * self.rng.random())
         else:
             self.host.tear_down(sess.token)
 
@@ -290,7 +302,7 @@
             """Load over capacity once it has the session too, and whether its group is there already."""
             server = self.truth(known)
             bad = not server.running or server.mute or server.errors or server.state.value == "draining"
-            if bad or self.world.cuts and self.world.blocked(self.settings.me, server):
+            if bad or self.world.cuts and self.world.blocked(self.settings.instance_index, server):
                 return 100.0, False
             there = group < 0 or group in server.groups
             out = sum(1 for other in known.open if not other.standing)
--- a/onyxhollow/lab/broken.py
+++ b/onyxhollow/lab/broken.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from onyxhollow.interface import Readiness
+from onyxhollow.interface import EndpointState
 from onyxhollow.lab.scenario import Scenario, decode
 from onyxhollow.policy import Balancer, Server, Session
 
@@ -41,14 +41,14 @@
         super().dial(sess)
 
     def dial_time(self, sess: Session, left: float) -> float:
-        return min(left, sess.listener.handshake_target)
+        return min(left, sess.listener.handshake_objective)
 
 
 class DeafToDrains(Balancer):
     """Rule 3: goes on placing on servers told draining."""
 
-    def leave(self, server: Server, readiness: Readiness) -> None:
-        if readiness is Readiness.GONE:
+    def leave(self, server: Server, readiness: EndpointState) -> None:
+        if readiness is EndpointState.REMOVED:
             super().leave(server, readiness)
 
     def server_list(self, kind: Any, entries: Any) -> None:
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -12,15 +12,15 @@
 from onyxhollow.decision_adapter import WELL
 from onyxhollow.gossip.core import Terms
 from onyxhollow.interface import (
-    Customer,
-    DialEnd,
-    Entry,
+    AttemptOutcome,
+    DeduplicationScope,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    Idempotency,
     Listener,
-    ListKind,
-    Readiness,
-    Repeat,
-    Scope,
     Settings,
+    Tenant,
 )
 from onyxhollow.lab.decisions import Maker
 from onyxhollow.lab.scenario import Scenario
@@ -34,7 +34,7 @@
 PROBE_WORK = 0.0002  # core seconds
 STOP_STEP, STILL_COMING, STOP_MARGIN = 0.05, 0.5, 0.3  # of a planned stop, seconds
 LOG_KEPT = 400  # lines of the modules' logs kept
-READINESS = {row.value: row for row in Readiness}
+READINESS = {row.value: row for row in EndpointState}
 
 
 class Held:
@@ -69,7 +69,7 @@
         self.talk = engine.talk
         if self.talk:
             self.talk.joined(self, number * 1000 + life)
-        self.told(ListKind.CACHED, list(self.rows.values()))
+        self.told(EndpointListKind.CACHED, list(self.rows.values()))
 
     @property
     def now(self) -> float:
@@ -103,7 +103,7 @@
 
     def cancel(self, token: Hashable, dial: int) -> None:
         assert isinstance(token, Held)
-        self.later(0.0, self.dial_over, token, token.dial, DialEnd.CANCELLED)
+        self.later(0.0, self.dial_over, token, token.dial, AttemptOutcome.CANCELLED)
 
     def refuse(self, token: Hashable, retry_after: float) -> None:
         assert isinstance(token, Held)
@@ -120,29 +120,29 @@
         if token.standing and not token.sess.over:
             self.world.ledger.count("moves")
             self.world.cut(token.sess, Cause.MOVED)
-            self.later(0.0, self.dial_over, token, token.dial, DialEnd.CANCELLED)
+            self.later(0.0, self.dial_over, token, token.dial, AttemptOutcome.CANCELLED)
 
     def probe(self, server: str, shared: bool = False) -> None:
         """shared: asked for all members, and not by the module."""
         target, now = self.world.by_name[server], self.now
         if self.talk and not shared and (known := self.talk.cores[self.number].report(server, now)):
             load, age = known
-            self.later(0.0, self.balancer.probed, server, DialEnd.OK, 0.0, load, age)
+            self.later(0.0, self.balancer.probed, server, AttemptOutcome.OK, 0.0, load, age)
             return
         self.world.ledger.count("probes")
         there = 3 * self.engine.one_way(self.zone, target.zone, None)
         reachable = not target.gone_silent and not self.world.blocked(self.number, target)
         if not reachable or target.hung:
-            self.later(PROBE_TIME, self.probed, server, DialEnd.TIMEOUT, PROBE_TIME, None)
+            self.later(PROBE_TIME, self.probed, server, AttemptOutcome.TIMEOUT, PROBE_TIME, None)
         elif target.state is State.STOPPED:
-            self.later(there, self.probed, server, DialEnd.CONNECT_FAILED, there, None)
+            self.later(there, self.probed, server, AttemptOutcome.CONNECT_FAILED, there, None)
         else:
             target.pile += PROBE_WORK
             draw = int(now * 1000) + self.number
             load = target.told_load(now, self.world.tables.normal(target.number, draw))
-            self.later(1.3 * there, self.probed, server, DialEnd.OK, 1.3 * there, load)
+            self.later(1.3 * there, self.probed, server, AttemptOutcome.OK, 1.3 * there, load)
 
-    def probed(self, server: str, end: DialEnd, took: float, load: float | None) -> None:
+    def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.balancer.probed(server, end, took, load)
         if self.talk and (core := self.talk.cores.get(self.number)):
             core.asked(server, load, self.now)
@@ -164,9 +164,9 @@
     def tick(self) -> None:
         self.balancer.tick()
 
-    def told(self, kind: ListKind, rows: list[Row]) -> None:
+    def told(self, kind: EndpointListKind, rows: list[Row]) -> None:
         entries = [
-            Entry(row.name, READINESS[row.readiness], row.size, row.started, row.zone, row.cell)
+            Endpoint(row.name, READINESS[row.readiness], row.size, row.started, row.zone, row.cell)
             for row in rows
         ]
         for row in rows:
@@ -181,7 +181,7 @@
             self.rows = {}
         for row in rows:
             self.rows[row.name] = row
-        self.told(ListKind.FULL if whole else ListKind.CHANGES, rows)
+        self.told(EndpointListKind.SNAPSHOT if whole else EndpointListKind.DELTA, rows)
 
     def list_news(self, rows: list[Row], version: int) -> None:
         self.when_able(self.note, (rows, False, version))
@@ -190,7 +190,7 @@
         if not self.alive:
             return
         if rows is None:
-            self.when_able(self.told, (ListKind.FAILED, []))
+            self.when_able(self.told, (EndpointListKind.FAILED, []))
             return
         self.world.referee.watching(self.number, True)
         self.when_able(self.note, (rows, whole, version))
@@ -199,7 +199,7 @@
         if self.alive:
             self.world.referee.watching(self.number, False)
             self.world.referee.asks(self.now, self.number)
-            self.when_able(self.told, (ListKind.FAILED, []))
+            self.when_able(self.told, (EndpointListKind.FAILED, []))
 
     def come(self, sess: Session) -> None:
         """A session has reached the proxy."""
@@ -236,16 +236,16 @@
         server = held.server
         if server.gone_silent or self.world.blocked(self.number, server):
             left = self.world.network.connect_time - (self.now - held.sent_at)
-            self.later(max(0.0, left), self.dial_over, held, dial, DialEnd.CONNECT_FAILED)
+            self.later(max(0.0, left), self.dial_over, held, dial, AttemptOutcome.CONNECT_FAILED)
             return
         verdict, wait = self.world.offer(held.sess, server)
         if verdict is Verdict.UP:
             self.agenda.after(wait + one_way, self.verdict, held, dial, server, server.started)
         elif verdict is not Verdict.SILENT:
             end = {
-                Verdict.FULL: DialEnd.FULL,
-                Verdict.ERROR: DialEnd.ERROR,
-                Verdict.REFUSED: DialEnd.CONNECT_FAILED,
+                Verdict.FULL: AttemptOutcome.OVERLOADED,
+                Verdict.ERROR: AttemptOutcome.ERROR,
+                Verdict.REFUSED: AttemptOutcome.CONNECT_FAILED,
             }[verdict]
             self.later(wait + one_way, self.dial_over, held, dial, end)
 
@@ -256,7 +256,7 @@
         if not held.out or held.dial != dial:
             self.world.ledger.count("set up in vain")
         elif server.state is State.STOPPED or server.started != started:
-            self.when_able(self.dial_over, (held, dial, DialEnd.RESET))
+            self.when_able(self.dial_over, (held, dial, AttemptOutcome.RESET))
         else:
             self.when_able(self.stands, (held, dial, server))
 
@@ -270,13 +270,13 @@
 
     def timed_out(self, held: Held, dial: int) -> None:
         if held.out and held.dial == dial and not held.standing:
-            self.dial_over(held, dial, DialEnd.TIMEOUT)
+            self.dial_over(held, dial, AttemptOutcome.TIMEOUT)
 
-    def dial_over(self, held: Held, dial: int, end: DialEnd) -> None:
+    def dial_over(self, held: Held, dial: int, end: AttemptOutcome) -> None:
         if not held.out or held.dial != dial:
             return
         held.out = False
-        if end is not DialEnd.OK:
+        if end is not AttemptOutcome.OK:
             self.world.ledger.count(f"dial: {end.value}")
         self.world.referee.dial_ended(self.now, held.sess.number, held.sent_at, end.never_ran)
         final = held.answered or held.standing
@@ -294,7 +294,7 @@
             return
         if held.standing:
             self.gone(held)
-            self.dial_over(held, held.dial, DialEnd.CANCELLED)
+            self.dial_over(held, held.dial, AttemptOutcome.CANCELLED)
             return
         self.world.referee.gone(self.now, sess.number)
         self.held.pop(sess.number, None)
@@ -309,7 +309,7 @@
 
     def ended(self, sess: Session, sent_away: bool) -> None:
         if held := self.held.get(sess.number):
-            self.dial_over(held, held.dial, DialEnd.CANCELLED if sent_away else DialEnd.RESET)
+            self.dial_over(held, held.dial, AttemptOutcome.CANCELLED if sent_away else AttemptOutcome.RESET)
 
     def stop(self, span: float) -> None:
         self.later(STILL_COMING, self.stop_step, self.now + span - STOP_MARGIN)
@@ -327,7 +327,7 @@
         for held in [held for held in self.held.values() if not held.standing and not held.answered]:
             held.handle.give_up = -math.inf
             if held.out:
-                self.dial_over(held, held.dial, DialEnd.CANCELLED)
+                self.dial_over(held, held.dial, AttemptOutcome.CANCELLED)
             else:
                 self.balancer.dial(held.handle)
 
@@ -357,41 +357,41 @@
                 row.target,
                 row.timeout,
                 row.utility,
-                Repeat(row.repeat),
-                Scope(row.scope),
+                Idempotency(row.repeat),
+                DeduplicationScope(row.scope),
                 row.window,
                 row.message_target,
             )
             for row in scenario.listeners
         ]
         self.customers = [
-            Customer(row.name, row.share, self.world.quotas[n]) for n, row in enumerate(scenario.customers)
+            Tenant(row.name, row.share, self.world.quotas[n]) for n, row in enumerate(scenario.customers)
         ]
 
     def settings(self, number: int) -> Settings:
         fleet, proxies = self.scenario.fleet, self.scenario.proxies
         return Settings(
             listeners={row.name: row for row in self.listeners},
-            customers={row.name: row for row in self.customers},
-            me=number,
-            balancers=fleet.proxies,
+            tenants={row.name: row for row in self.customers},
+            instance_index=number,
+            instance_count=fleet.proxies,
             zone=self.world.zone_name(self.world.proxies[number].zone),
-            ask_within=proxies.ask_within,
-            cold_share=fleet.cold_share,
-            cold_time=fleet.cold_time,
-            fall_multiple=fleet.fall_multiple,
-            fall_time=fleet.fall_time,
-            most_dials=proxies.most_dials,
-            probes=proxies.probes,
-            probe_price=proxies.probe_price,
-            cancelling=proxies.cancelling,
-            retry_after=self.scenario.clients.most_retry_after,
-            overage_utility=proxies.overage_utility,
-            groups=self.scenario.clients.group_size > 1,
+            max_poll_interval=proxies.ask_within,
+            slow_start_share=fleet.cold_share,
+            slow_start_time=fleet.cold_time,
+            overload_multiple=fleet.fall_multiple,
+            overload_window=fleet.fall_time,
+            max_attempts=proxies.most_dials,
+            health_checks=proxies.probes,
+            health_check_price=proxies.probe_price,
+            cancellation=proxies.cancelling,
+            max_retry_after=self.scenario.clients.most_retry_after,
+            over_quota_utility=proxies.overage_utility,
+            group_affinity=self.scenario.clients.group_size > 1,
             load_field="load" if proxies.probes else "",
         )
 
-    def describe(self, sess: Session) -> tuple[Listener, Customer, Hashable]:
+    def describe(self, sess: Session) -> tuple[Listener, Tenant, Hashable]:
         wish = sess.client.wish
         group = f"g{wish.group}" if wish.group >= 0 else f"k{wish.number}"
         return self.listeners[wish.listener], self.customers[wish.customer], group
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -15,15 +15,16 @@
 from typing import Protocol
 
 from onyxhollow.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
-from onyxhollow.decision_adapter import Facade
-from onyxhollow.interface import DialEnd, Entry, ListKind
+from onyxhollow.decision_adapter import DecisionAdapter
+from onyxhollow.interface import AttemptOutcome, Endpoint, EndpointListKind
 from onyxhollow.lifecycle.config import Config, ConfigError, needs_restart, read_config
 from onyxhollow.lifecycle.handover import STARTING, STOPPING, TAKING, Handover, StateError, given_socket
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.lifecycle.signals import SignalQueue
 from onyxhollow.loop import READ, Loop, Task
+from onyxhollow.management import metrics
 from onyxhollow.management.api import PLAIN, Answer, Management
-from onyxhollow.service_state import Service, ServiceState
+from onyxhollow.service_state import ServicePhase, ServiceState
 from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import ListenError, listen_socket
 from onyxhollow.wire.discovery import Discovery, ServerList, read_list, watch_wait
@@ -57,7 +58,7 @@
 class Part(Protocol):
     """Something beside the sessions that this process carries: told what it may need to know."""
 
-    def list_told(self, kind: ListKind, entries: list[Entry]) -> None: ...
+    def list_told(self, kind: EndpointListKind, entries: list[Endpoint]) -> None: ...
 
     def close(self) -> None:
         """The process ends now."""
@@ -77,8 +78,8 @@
         self.log = Log(out, config.name)
         self.loop = Loop(self.failed)
         follows = handover is not None and handover.follows
-        waits = follows or not config.settings.watched
-        self.service = ServiceState(Service.STARTING if waits else Service.IN_SERVICE)
+        waits = follows or not config.settings.list_is_polled
+        self.service = ServiceState(ServicePhase.STARTING if waits else ServicePhase.IN_SERVICE)
         self.drains = 0  # times that clients were sent away
         self.listener = given or listen_socket(config.listen, "listen")
         self.handover, self.list_heard = handover, False
@@ -93,10 +94,10 @@
             self.pool,
             self.counters,
             config.discovery,
-            wait=watch_wait(settings.ask_within, settings.balancers),
+            wait=watch_wait(settings.max_poll_interval, settings.instance_count),
             clock=config.clock,
             version=config.known.version,
-            pushed=not settings.watched,
+            pushed=not settings.list_is_polled,
             addresses=self.addresses,
             told=self.list_told,
             log=self.log.event,
@@ -112,7 +113,7 @@
             config.probe_time,
             told=self.probe_told,
         )
-        self.facade = Facade(
+        self.facade = DecisionAdapter(
             lambda: self.loop.now,
             settings,
             config.seed,
@@ -121,7 +122,7 @@
             probe=self.probes.probe,
             watch=self.discovery.ask,
         )
-        self.facade.report_list(ListKind.CACHED, config.known.entries)
+        self.facade.report_list(EndpointListKind.CACHED, config.known.entries)
         self.sessions = Sessions(
             self.loop,
             self.pool,
@@ -129,7 +130,7 @@
             self.addresses,
             self.facade,
             settings.listeners,
-            settings.customers,
+            settings.tenants,
             settings.load_field,
             config.connect_time,
             self.service,
@@ -155,7 +156,7 @@
 
     def take_limits(self, config: Config) -> None:
         """Shares of what is told: fixed figures that suit a thousand descriptors leave nothing of few."""
-        longest = max(row.dial_timeout for row in config.settings.listeners.values())
+        longest = max(row.attempt_timeout for row in config.settings.listeners.values())
         self.stop_span = min(LONGEST_STOP, longest) + STOP_MORE - STOP_MARGIN
         descriptors = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - OWN
         if self.management:  # operators are answered when sessions have used up all the rest
@@ -201,7 +202,7 @@
     def out_of_service(self, _: str) -> Answer:
         if self.service.ready:
             self.drains += 1
-            self.service.state = Service.LEAVING
+            self.service.state = ServicePhase.DRAINING
             self.log.event("out of service", live=self.sessions.taken, within=AWAY_SPAN)
             self.loop.spawn(self.drain(self.drains))
         return 200, b"out of service\n", PLAIN
@@ -209,8 +210,8 @@
     def in_service(self, _: str) -> Answer:
         if self.service.stopping:
             return 503, b"stopping\n", PLAIN
-        if self.service.is_any(Service.LEAVING, Service.AWAY):
-            self.service.state = Service.IN_SERVICE
+        if self.service.is_any(ServicePhase.DRAINING, ServicePhase.OUT_OF_SERVICE):
+            self.service.state = ServicePhase.IN_SERVICE
             self.log.event("in service", live=self.sessions.taken)
         return 200, b"in service\n", PLAIN
 
@@ -221,13 +222,13 @@
         last = began + AWAY_SPAN
 
         def wanted() -> bool:
-            return self.service.is_any(Service.LEAVING) and self.drains == this
+            return self.service.is_any(ServicePhase.DRAINING) and self.drains == this
 
         yield from self.loop.sleep(AWAY_FROM)
         yield from self.send_away(last - AWAY_MARGIN, wanted)
         yield from self.loop.sleep(last - self.loop.now)
         if wanted():
-            self.service.state = Service.AWAY
+            self.service.state = ServicePhase.OUT_OF_SERVICE
             left = [sess for sess in self.sessions.table.live if sess.opening is not None]
             for sess in left:
                 sess.stop()
@@ -246,15 +247,15 @@
         until = self.loop.now + FIRST_LIST
         while not self.list_answered and self.loop.now < until:
             yield until
-        if self.service.is_any(Service.STARTING):
-            self.service.state = Service.IN_SERVICE
+        if self.service.is_any(ServicePhase.STARTING):
+            self.service.state = ServicePhase.IN_SERVICE
             self.take_clients()
 
-    def list_told(self, kind: ListKind, entries: list[Entry]) -> None:
+    def list_told(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
         self.list_answered = True
         if self.starter:
             self.starter.wake()
-        if not self.list_heard and kind is not ListKind.FAILED:
+        if not self.list_heard and kind is not EndpointListKind.FAILED:
             self.list_heard = True
             if self.follower:
                 self.follower.wake()
@@ -265,7 +266,7 @@
         except Exception as error:  # the list must go on being followed
             self.failed("list", error)
 
-    def probe_told(self, server: str, end: DialEnd, took: float, load: float | None) -> None:
+    def probe_told(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.log.event("probe", server=server, end=end.value, took=round(took, 4), load=load)
         self.facade.report_probe(server, end, took, load)
 
@@ -349,7 +350,7 @@
             if self.service.stopping:
                 return
             receiver = self.receive(handover)
-            self.service.state = Service.IN_SERVICE
+            self.service.state = ServicePhase.IN_SERVICE
             self.take_clients()
             handover.say(TAKING, receiver.path if receiver else "")
             self.log.event("successor", list_heard=self.list_heard, took=round(self.loop.now - began, 3))
@@ -390,7 +391,7 @@
         for name, address in told.addresses.items():
             self.addresses.learn(name, address)
         self.discovery.version = told.version
-        self.facade.report_list(ListKind.CACHED, told.entries)
+        self.facade.report_list(EndpointListKind.CACHED, told.entries)
 
     def hand_over(self, handover: Handover, token: str) -> None:
         try:
@@ -505,10 +506,10 @@
         keep their listener's terms and their dials; the list is asked for whole: its weights may mean another
         thing now."""
         settings = config.settings
-        self.sessions.settle(settings.listeners, settings.customers, settings.load_field, config.connect_time)
+        self.sessions.settle(settings.listeners, settings.tenants, settings.load_field, config.connect_time)
         self.probes.settle(settings.load_field, config.probe_time)
-        wait = watch_wait(settings.ask_within, settings.balancers)
-        self.discovery.settle(wait, pushed=not settings.watched)
+        wait = watch_wait(settings.max_poll_interval, settings.instance_count)
+        self.discovery.settle(wait, pushed=not settings.list_is_polled)
         self.facade.resettle(settings)
 
     def print_counters(self) -> None:
@@ -535,11 +536,11 @@
             self.handover.say(STOPPING)  # called off, a successor gives the clients back
             self.look_at_successor(self.handover)
         if self.service.replaced:  # nothing new comes here
-            self.service.state = Service.MAKING_WAY
+            self.service.state = ServicePhase.HANDING_OVER
             if self.successor_path:
                 yield from self.pass_on(self.successor_path, last)
         else:
-            self.service.state = Service.STOPPING
+            self.service.state = ServicePhase.STOPPING
             self.take_clients()  # those too that were waiting for it to start
             yield from self.loop.sleep(STILL_COMING)
         yield from self.stop_listening(last)
--- a/onyxhollow/loop.py
+++ b/onyxhollow/loop.py
@@ -56,7 +56,7 @@
         self.due: list[tuple[float, int, Task]] = []
         self.counter, self.running, self.now = 0, True, time.monotonic()
         self.stalled = 0.0  # seconds for which this process stood still, by how late its timers came
-        self.hurry: Hurry | None = None
+        self.hurry: UrgentDescriptors | None = None
 
     def read_clock(self) -> float:
         """The time at this moment, for what can't go by the time at which the turn began."""
@@ -158,7 +158,7 @@
             self.turn()
 
 
-class Hurry:
+class UrgentDescriptors:
     """A few descriptors of the loop that are owed an answer soon: looked at in the middle of a long turn too.
     It stands in for the loop where a channel is given one."""
 
--- a/onyxhollow/management/api.py
+++ b/onyxhollow/management/api.py
@@ -9,7 +9,7 @@
 import h11
 
 from onyxhollow.counters import Counters
-from onyxhollow.loop import READ, Hurry, Loop
+from onyxhollow.loop import READ, Loop, UrgentDescriptors
 from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import Channel, listen_socket
 from onyxhollow.wire.system_errors import Fault, fault_of
@@ -29,7 +29,7 @@
 
     def __init__(self, loop: Loop, address: Address, counters: Counters, routes: Routes) -> None:
         self.listener = listen_socket(address, "management")
-        self.loop, self.hurry, self.pool = loop, Hurry(loop), BufferPool()
+        self.loop, self.hurry, self.pool = loop, UrgentDescriptors(loop), BufferPool()
         self.counters, self.routes = counters, routes
         self.most = 16  # connections; past them the longest without a whole call makes room
         self.callers: dict[Caller, None] = {}  # without a whole call yet, in order of their coming
--- a/onyxhollow/policy.py
+++ b/onyxhollow/policy.py
@@ -24,8 +24,8 @@
 from hashlib import blake2b
 from random import Random
 
-from onyxhollow.interface import Customer, DialEnd, Entry, Host, Listener, ListKind  # isort: skip
-from onyxhollow.interface import Readiness, Repeat, Scope, Settings  # isort: skip
+from onyxhollow.interface import Tenant, AttemptOutcome, Endpoint, Host, Listener, EndpointListKind  # isort: skip
+from onyxhollow.interface import EndpointState, Idempotency, DeduplicationScope, Settings  # isort: skip
 
 TICK, LIST_CALLS = 0.05, 8.0  # seconds of the one timer; calls a second for a troubled list, of all together
 LIST_PAUSE = 4.0  # seconds at the most until it is asked again: 6 s after a change that counts as told
@@ -85,7 +85,7 @@
 
 
 class Server:
-    def __init__(self, entry: Entry) -> None:
+    def __init__(self, entry: Endpoint) -> None:
         self.places, self.size = list[float](), 1.0  # on the ring of homes; as registered
         self.held, self.held_at = 0.0, -math.inf  # connections a core, of all balancers, as the list tells
         self.learn(entry)
@@ -97,9 +97,9 @@
         self.arrival: Pace | None = None  # cold or back: new placements at the staged pace, to a fair share
         self.leaving: Pace | None = None  # its connections are handed off
 
-    def learn(self, entry: Entry) -> None:
-        self.name, self.readiness, self.started = entry.name, Readiness.IN_SERVICE, entry.started
-        self.zone, self.cell, self.kind = entry.zone, entry.cell, entry.kind
+    def learn(self, entry: Endpoint) -> None:
+        self.name, self.readiness, self.started = entry.name, EndpointState.IN_SERVICE, entry.started_at
+        self.zone, self.cell, self.kind = entry.zone, entry.cell, entry.machine_type
 
     def take_size(self, size: float, unit: float) -> None:
         self.size = size
@@ -132,7 +132,7 @@
         balancer: Balancer,
         token: Hashable,
         listener: Listener,
-        customer: Customer | None,
+        customer: Tenant | None,
         group: Hashable,
         give_up: float,
         load: float | None,
@@ -162,7 +162,7 @@
         if server := self.server:
             now = self.balancer.host.now
             server.delay.add(delay, now)
-            if 0 < self.listener.message_target < delay:
+            if 0 < self.listener.message_objective < delay:
                 before, server.strained_at = server.strained_at, now
                 self.balancer.blame(server, 0.3)
                 if now - before < STRAIN_FOR:
@@ -173,7 +173,7 @@
         if self.dialling and not self.standing and self.balancer.cancelling:
             self.balancer.host.cancel(self.token, len(self.tried) - 1)
 
-    def dial_ended(self, end: DialEnd, final: bool, took: float, load: float | None = None) -> None:
+    def dial_ended(self, end: AttemptOutcome, final: bool, took: float, load: float | None = None) -> None:
         if not self.dialling or self.server is None:
             return
         server, self.dialling = self.server, False
@@ -197,7 +197,7 @@
         server, now = self.server, self.balancer.host.now
         return (
             server is not None
-            and server.readiness is Readiness.IN_SERVICE
+            and server.readiness is EndpointState.IN_SERVICE
             and not self.answered
             and self.give_up - now > LEAST_LEFT
             and self.may_go_to(server, now)
@@ -206,12 +206,19 @@
     def may_go_to(self, server: Server, now: float) -> bool:
         """Rule 2: whether a dial to this server can not make anything run twice."""
         first, listener = self.may_run_at, self.listener
-        if first is None or listener.repeat is Repeat.REPEATABLE:
+        if first is None or listener.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if listener.repeat is Repeat.ONCE_ONLY or now - self.may_run_since >= listener.window - HELD_UP:
+        if (
+            listener.idempotency is Idempotency.NON_IDEMPOTENT
+            or now - self.may_run_since >= listener.deduplication_window - HELD_UP
+        ):
             return False
-        same = {Scope.ALL: True, Scope.ZONE: server.zone == first.zone, Scope.CELL: server.cell == first.cell}
-        return same[listener.scope]
+        same = {
+            DeduplicationScope.ALL: True,
+            DeduplicationScope.ZONE: server.zone == first.zone,
+            DeduplicationScope.CELL: server.cell == first.cell,
+        }
+        return same[listener.deduplication_scope]
 
 
 class Rate:
@@ -244,9 +251,13 @@
 
     def settle(self, settings: Settings) -> None:
         """Takes over settings, at the start or later."""
-        self.share, self.time, self.multiple = settings.cold_share, settings.cold_time, settings.fall_multiple
-        self.fall_time, self.balancers = settings.fall_time, settings.balancers
-        self.phase = settings.me / settings.balancers
+        self.share, self.time, self.multiple = (
+            settings.slow_start_share,
+            settings.slow_start_time,
+            settings.overload_multiple,
+        )
+        self.fall_time, self.balancers = settings.overload_window, settings.instance_count
+        self.phase = settings.instance_index / settings.instance_count
 
     def cold(self, server: Server, now: float) -> bool:
         return server.started is not None and now - server.started < self.time
@@ -292,7 +303,7 @@
         self.demand, self.largest = dict[Hashable, Rate](), dict[str, float]()  # by group; by kind of machine
         self.brims = dict[str, tuple[float, float]]()  # a kind's connections a core and load, summed, fading
         self.budget = ColdBudget(host.now)
-        first_call, self.list_lost, self.list_failures = self.rng.random(), settings.watched, 0
+        first_call, self.list_lost, self.list_failures = self.rng.random(), settings.list_is_polled, 0
         self.settle(settings)
         self.ask_at = host.now + first_call * min(self.callers, self.ask_within / 2)
         self.review()
@@ -300,15 +311,17 @@
 
     def settle(self, settings: Settings) -> None:
         """Takes over settings, at the start or later: sessions, hand-offs and timers go on."""
-        self.zone, self.crossing_price = settings.zone, settings.crossing_price
-        self.balancers, self.overage_utility = settings.balancers, settings.overage_utility
-        self.most_dials, self.cancelling = settings.most_dials, settings.cancelling
-        self.retry_after, self.share_groups = settings.retry_after, settings.groups
-        self.live_sizes, self.ask_within = settings.live_sizes, settings.ask_within
+        self.zone, self.crossing_price = settings.zone, settings.cross_zone_price
+        self.balancers, self.overage_utility = settings.instance_count, settings.over_quota_utility
+        self.most_dials, self.cancelling = settings.max_attempts, settings.cancellation
+        self.retry_after, self.share_groups = settings.max_retry_after, settings.group_affinity
+        self.live_sizes, self.ask_within = settings.live_weights, settings.max_poll_interval
         self.budget.settle(settings)
-        self.callers = max(1.0, settings.balancers / LIST_CALLS)  # seconds that the calls of all take
-        self.quota = sum(c.connections for c in settings.customers.values()) / settings.balancers
-        self.probes = PROBE_POINTS / max(1e-4, settings.probe_price) if settings.probes else 0.0  # a session
+        self.callers = max(1.0, settings.instance_count / LIST_CALLS)  # seconds that the calls of all take
+        self.quota = sum(c.connection_quota for c in settings.tenants.values()) / settings.instance_count
+        self.probes = (
+            PROBE_POINTS / max(1e-4, settings.health_check_price) if settings.health_checks else 0.0
+        )  # a session
         if self.probes and not self.probing:
             self.probing = True
             self.later(self.rng.uniform(0.5, 1.5), self.probe_round)
@@ -316,15 +329,15 @@
     def resettle(self, settings: Settings) -> None:
         """Other settings in a running balancer. What was learnt under another meaning of the weight or of
         groups is let go; the list must be told whole again, and gives sizes by the new one."""
-        if settings.live_sizes != self.live_sizes:
+        if settings.live_weights != self.live_sizes:
             self.largest.clear()
             self.brims.clear()
             for server in self.servers.values():
                 server.held, server.held_at = 0.0, -math.inf
-        if settings.groups != self.share_groups:
+        if settings.group_affinity != self.share_groups:
             self.memory.clear()
             self.demand.clear()
-        self.list_lost = settings.watched or self.list_failures > 0
+        self.list_lost = settings.list_is_polled or self.list_failures > 0
         self.settle(settings)
         self.host.log(
             f"settings: live weights {self.live_sizes}, groups {self.share_groups}, probes "
@@ -363,7 +376,7 @@
     def value(self, sess: Session) -> tuple[bool, float]:
         """Overload: those of most utility first, less if their customer holds more than its share."""
         who = sess.customer
-        over = who is not None and 0 < who.connections < self.balancers * self.held[who.name]
+        over = who is not None and 0 < who.connection_quota < self.balancers * self.held[who.name]
         return self.host.now >= sess.hold_until, sess.listener.utility * (self.overage_utility if over else 1)
 
     def review(self) -> None:
@@ -409,15 +422,15 @@
     def well(self, server: Server, sess: Session | None = None) -> bool:
         now = self.host.now
         return (
-            server.readiness is Readiness.IN_SERVICE
+            server.readiness is EndpointState.IN_SERVICE
             and self.load_of(server) < FULL_LOAD
             and now - server.strained_at >= STRAIN_FOR * (3 if self.blind else 1)  # nobody says: over
             and server.score(now) <= self.bar
             and not (sess and (server.leaving or not sess.may_go_to(server, now)))
         )
 
-    def server_list(self, kind: ListKind, entries: Iterable[Entry]) -> None:
-        if kind is ListKind.FAILED:
+    def server_list(self, kind: EndpointListKind, entries: Iterable[Endpoint]) -> None:
+        if kind is EndpointListKind.FAILED:
             self.list_lost, self.list_failures, part = True, self.list_failures + 1, self.callers / 4
             # All lose it at once, and it works through calls given up too: long, growing, spread waits.
             longest = min(
@@ -427,18 +440,18 @@
                 self.host.log(f"list lost: asking again within {longest:.2f} s")
             self.ask_at = self.host.now + longest * self.rng.uniform(0.25, 1.0)
             return
-        if kind is not ListKind.CACHED:
+        if kind is not EndpointListKind.CACHED:
             if self.list_failures:
                 self.host.log(f"list watched: failures before {self.list_failures}")
             self.list_lost, self.list_failures = False, 0
         self.learn_sizes(entries := list(entries))
-        first, absent = not self.servers, set(self.servers) if kind is not ListKind.CHANGES else set()
+        first, absent = not self.servers, set(self.servers) if kind is not EndpointListKind.DELTA else set()
         for entry in entries:
             absent.discard(entry.name)
             self.told(entry, first)
         for name in sorted(absent):
-            self.leave(self.servers[name], Readiness.GONE)
-        self.fleet = [s for s in self.servers.values() if s.readiness is Readiness.IN_SERVICE]
+            self.leave(self.servers[name], EndpointState.REMOVED)
+        self.fleet = [s for s in self.servers.values() if s.readiness is EndpointState.IN_SERVICE]
         if self.live_sizes:
             unit = max(self.largest.values(), default=1.0) / 4
             for server in self.fleet:
@@ -446,38 +459,42 @@
         self.ring = sorted((place, n) for n, s in enumerate(self.fleet) for place in s.places)
         self.draw_working()
 
-    def learn_sizes(self, entries: list[Entry]) -> None:
+    def learn_sizes(self, entries: list[Endpoint]) -> None:
         """A weight that moves with load is no size: taken for one, homes wander and the fullest look small.
         The largest that a kind of machine was told with is its size, and what is missing, connections."""
         for entry in entries if self.live_sizes else ():
-            if (grown := entry.size / self.largest.get(entry.kind, math.inf)) > 1.0:
-                for server in (s for s in self.servers.values() if s.kind == entry.kind):  # fuller than told
+            if (grown := entry.weight / self.largest.get(entry.machine_type, math.inf)) > 1.0:
+                for server in (
+                    s for s in self.servers.values() if s.kind == entry.machine_type
+                ):  # fuller than told
                     server.held = (server.held + 1.0) * grown - 1.0
                     server.load_held = (server.load_held + 1.0) * grown - 1.0
-                self.brims.pop(entry.kind, None)
-            self.largest[entry.kind] = max(self.largest.get(entry.kind, 0.0), entry.size) or 1.0
+                self.brims.pop(entry.machine_type, None)
+            self.largest[entry.machine_type] = (
+                max(self.largest.get(entry.machine_type, 0.0), entry.weight) or 1.0
+            )
 
-    def told(self, entry: Entry, first: bool) -> None:
+    def told(self, entry: Endpoint, first: bool) -> None:
         now, server = self.host.now, self.servers.get(entry.name)
-        if server is None and entry.readiness is Readiness.GONE:
+        if server is None and entry.state is EndpointState.REMOVED:
             return
         before = server.started if server else None
-        joined = server.readiness is not Readiness.IN_SERVICE if server else not first
+        joined = server.readiness is not EndpointState.IN_SERVICE if server else not first
         server = server or self.servers.setdefault(entry.name, Server(entry))
-        if entry.readiness is not Readiness.IN_SERVICE:
-            self.leave(server, entry.readiness)
+        if entry.state is not EndpointState.IN_SERVICE:
+            self.leave(server, entry.state)
             return
         server.learn(entry)
         if self.live_sizes:
-            server.size = self.largest[entry.kind]
-            if entry.size:
-                held = server.size / entry.size - 1.0
+            server.size = self.largest[entry.machine_type]
+            if entry.weight:
+                held = server.size / entry.weight - 1.0
                 if server.held_at == -math.inf:
                     server.load_held = held  # a report from before goes on from here
                 server.held, server.held_at = held, now
         else:
-            server.take_size(entry.size or 1.0, 1.0)
-        if not joined and (entry.started == before or not self.budget.cold(server, now)):
+            server.take_size(entry.weight or 1.0, 1.0)
+        if not joined and (entry.started_at == before or not self.budget.cold(server, now)):
             return
         server.leaving, server.distrust, share = None, 0.0, self.mean * server.size  # it starts anew
         self.budget.tokens[server] = ((self.budget.phase + draw(server.name)) % 1.0, now)
@@ -487,9 +504,9 @@
         if self.rng.random() * len(self.fleet) < len(self.working) and server not in self.working:
             self.working[self.rng.randrange(len(self.working))] = server  # in as many sets as others are
 
-    def leave(self, server: Server, readiness: Readiness) -> None:
-        news, server.readiness, server.arrival = server.readiness is Readiness.IN_SERVICE, readiness, None
-        if readiness is Readiness.DRAINING and news:
+    def leave(self, server: Server, readiness: EndpointState) -> None:
+        news, server.readiness, server.arrival = server.readiness is EndpointState.IN_SERVICE, readiness, None
+        if readiness is EndpointState.DRAINING and news:
             self.hand_off(server, "drain", told=True)
 
     def load_of(self, server: Server) -> float:
@@ -509,7 +526,9 @@
         return sum(figures) / len(figures) if figures else None
 
     def hand_off(self, source: Server, why: str, told: bool = False) -> None:
-        if source.connections and (told or source.readiness is Readiness.IN_SERVICE and not source.leaving):
+        if source.connections and (
+            told or source.readiness is EndpointState.IN_SERVICE and not source.leaving
+        ):
             source.leaving = Pace(len(source.connections), source.latency(self.host.now))
             self.host.log(f"hand-off {source.name}: {why}, own connections {source.leaving.count}")
             self.step_hand_off(source, source.leaving)
@@ -519,7 +538,7 @@
         if source.leaving is not pace:
             return
         mended = (
-            source.readiness is Readiness.IN_SERVICE
+            source.readiness is EndpointState.IN_SERVICE
             and source.score(now) < DISTRUSTED / 2
             and self.load_of(source) < SHED_LOAD
             and now - source.strained_at >= STRAIN_FOR
@@ -529,7 +548,7 @@
             source.leaving = None
             return
         receivers = [s for s in self.working if s is not source and not s.leaving and self.well(s)]
-        all_go = source.readiness is Readiness.IN_SERVICE and self.open_share > 0.5 and not self.sparse
+        all_go = source.readiness is EndpointState.IN_SERVICE and self.open_share > 0.5 and not self.sparse
         late = math.inf if all_go and self.load_of(source) >= SHED_LOAD else pace.latency  # overfull
         allowed = pace.allowance(source.delay.fresh(now) or late, self.latency(receivers))
         own = [s for s in source.connections if s.standing and (s.placed or all_go)]  # or earn nothing there
@@ -604,7 +623,7 @@
         home = self.home(sess)
         if home is None and sess.group is not None and self.share_groups and self.sparse:
             return None  # strewn, each group's work is paid for everywhere: a jam that feeds itself
-        bound = sess.may_run_at is not None and sess.listener.repeat is not Repeat.REPEATABLE
+        bound = sess.may_run_at is not None and sess.listener.idempotency is not Idempotency.IDEMPOTENT
         pool = self.fleet if bound else self.working
         if len(pool) > LEAST and not bound:  # the work for one dial does not grow with the fleet
             pool = self.rng.sample(self.near, min(4, len(self.near))) + self.rng.sample(pool, LEAST // 2)
@@ -625,7 +644,7 @@
         self,
         token: Hashable,
         listener: Listener,
-        customer: Customer | None,
+        customer: Tenant | None,
         group: Hashable,
         time_left: float,
         load: float | None,
@@ -643,7 +662,7 @@
         self,
         token: Hashable,
         listener: Listener,
-        customer: Customer | None,
+        customer: Tenant | None,
         group: Hashable,
         load: float | None,
         name: str,
@@ -708,15 +727,17 @@
 
     def dial_time(self, sess: Session, left: float) -> float:
         """Early dials get the handshake target or, if a store slows all, thrice what set-ups take."""
-        if len(sess.tried) >= sess.most_dials or sess.listener.repeat is Repeat.ONCE_ONLY:
+        if len(sess.tried) >= sess.most_dials or sess.listener.idempotency is Idempotency.NON_IDEMPOTENT:
             return left
         usual = self.setting_up.fresh(self.host.now) or 0.0
-        return min(left, max(sess.listener.handshake_target, 3.0 * usual))
+        return min(left, max(sess.listener.handshake_objective, 3.0 * usual))
 
     def end(self, sess: Session) -> None:
-        sess.answered, repeat = True, sess.listener.repeat
-        everywhere = repeat is Repeat.REFERENCED and sess.listener.scope is Scope.ALL
-        if sess.may_run_at is None or repeat is Repeat.REPEATABLE or everywhere:  # rule 2
+        sess.answered, repeat = True, sess.listener.idempotency
+        everywhere = (
+            repeat is Idempotency.KEYED and sess.listener.deduplication_scope is DeduplicationScope.ALL
+        )
+        if sess.may_run_at is None or repeat is Idempotency.IDEMPOTENT or everywhere:  # rule 2
             self.host.refuse(sess.token, self.retry_after * self.rng.uniform(0.3, 1.0))
         else:
             self.host.tear_down(sess.token)
@@ -730,18 +751,25 @@
         if load >= SHED_LOAD:
             self.hand_off(server, f"load {load:.2f}")  # overfull: all messages are late until some are moved
 
-    def dial_judged(self, sess: Session, server: Server, end: DialEnd, took: float) -> None:
-        away = end is DialEnd.CANCELLED and sess.standing and not sess.left  # it drains, told or not yet
-        if end in (DialEnd.OK, DialEnd.CANCELLED, DialEnd.NOT_SENT) and not away:
+    def dial_judged(self, sess: Session, server: Server, end: AttemptOutcome, took: float) -> None:
+        away = (
+            end is AttemptOutcome.CANCELLED and sess.standing and not sess.left
+        )  # it drains, told or not yet
+        if end in (AttemptOutcome.OK, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT) and not away:
             return
         if not sess.standing:
-            server.set_up.add(max(took, sess.listener.handshake_target), self.host.now)
-            if end is DialEnd.TIMEOUT:
+            server.set_up.add(max(took, sess.listener.handshake_objective), self.host.now)
+            if end is AttemptOutcome.TIMEOUT:
                 self.setting_up.add(took, self.host.now)
-        if end is DialEnd.FULL or sess.standing and end is DialEnd.RESET:
+        if end is AttemptOutcome.OVERLOADED or sess.standing and end is AttemptOutcome.RESET:
             server.strained_at = self.host.now  # it sheds: refilled at once it would drop them again
-        sure = away or end is DialEnd.CONNECT_FAILED and took < TICK  # sent away, or nobody there: seen once
-        self.blame(server, SURE if sure else 0.3 if sess.standing else 0.5 if end is DialEnd.FULL else 1.0)
+        sure = (
+            away or end is AttemptOutcome.CONNECT_FAILED and took < TICK
+        )  # sent away, or nobody there: seen once
+        self.blame(
+            server,
+            SURE if sure else 0.3 if sess.standing else 0.5 if end is AttemptOutcome.OVERLOADED else 1.0,
+        )
 
     def blame(self, server: Server, amount: float) -> None:
         server.distrust, server.distrust_at = (score := server.score(self.host.now) + amount), self.host.now
@@ -766,7 +794,7 @@
     def probed(
         self,
         name: str,
-        end: DialEnd,
+        end: AttemptOutcome,
         took: float,
         load: float | None,
         age: float = 0.0,
@@ -774,9 +802,9 @@
     ) -> None:  # held: open connections of all balancers, where they tell
         if (server := self.servers.get(name)) and held is not None and not self.live_sizes:
             server.held, server.held_at = held / server.size, self.host.now - age
-        if server and end is DialEnd.OK and load is not None:
+        if server and end is AttemptOutcome.OK and load is not None:
             self.load_told(server, load, age)
-        elif server and end not in (DialEnd.OK, DialEnd.FULL):
+        elif server and end not in (AttemptOutcome.OK, AttemptOutcome.OVERLOADED):
             self.blame(server, 1.0)
         if self.sparse:
             self.serve()
--- a/onyxhollow/settings.py
+++ b/onyxhollow/settings.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from onyxhollow.interface import Customer, Listener, Repeat, Scope, Settings
+from onyxhollow.interface import DeduplicationScope, Idempotency, Listener, Settings, Tenant
 
 DISCOVERY = ("on_request", "pushed")
 WEIGHTS = ("none", "nominal", "rough", "live")
 REPEATS = {
-    "read_like": Repeat.REPEATABLE,
-    "idempotency_key": Repeat.REFERENCED,
-    "non_idempotent": Repeat.ONCE_ONLY,
+    "read_like": Idempotency.IDEMPOTENT,
+    "idempotency_key": Idempotency.KEYED,
+    "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
 
 
@@ -78,16 +78,16 @@
 
 def read_listener(row: Mapping[str, Any], message_target: float) -> Listener:
     semantics = one_of(row, "semantics", REPEATS)
-    scope = one_of(row, "group", (s.value for s in Scope), "all")
+    scope = one_of(row, "group", (s.value for s in DeduplicationScope), "all")
     return Listener(
         name=text(row, "name"),
-        handshake_target=number(row, "handshakeTargetNs", low=1.0) / 1e9,
-        dial_timeout=number(row, "dialTimeoutNs", low=1.0) / 1e9,
+        handshake_objective=number(row, "handshakeTargetNs", low=1.0) / 1e9,
+        attempt_timeout=number(row, "dialTimeoutNs", low=1.0) / 1e9,
         utility=number(row, "utility", 1.0),
-        repeat=REPEATS[semantics],
-        scope=Scope(scope),
-        window=seconds(row, "windowNs", 0.0),
-        message_target=message_target,
+        idempotency=REPEATS[semantics],
+        deduplication_scope=DeduplicationScope(scope),
+        deduplication_window=seconds(row, "windowNs", 0.0),
+        message_objective=message_target,
     )
 
 
@@ -108,7 +108,7 @@
     customers = []
     for place, row in enumerate(rows(options, "tenants")):
         quota = {"quota": quotas[place] if isinstance(quotas, list) and place < len(quotas) else None}
-        customers.append(Customer(text(row, "name"), number(row, "share", 0.0), number(quota, "quota", 0.0)))
+        customers.append(Tenant(text(row, "name"), number(row, "share", 0.0), number(quota, "quota", 0.0)))
     discovery = one_of(options, "discovery", DISCOVERY, "on_request")
     weights = one_of(options, "weightKind", WEIGHTS, "nominal")
     fields = report.get("fields") or []
@@ -117,25 +117,27 @@
     load_field = "x0" if "x0" in fields and "over" in str(extra.get("reportX0", "")) else ""
     settings = Settings(
         listeners={row.name: row for row in listeners},
-        customers={row.name: row for row in customers},
-        me=int(number(options, "me", 0)),
-        balancers=int(number(options, "peersTotal", 1, low=1)),
+        tenants={row.name: row for row in customers},
+        instance_index=int(number(options, "me", 0)),
+        instance_count=int(number(options, "peersTotal", 1, low=1)),
         zone=text(options, "zone", ""),
-        watched=discovery == "on_request",
-        ask_within=seconds(rules, "askWithinNs", 10.0),
-        cold_share=number(rules, "coldShare", 1.0),
-        cold_time=seconds(rules, "coldNs", 0.0),
-        fall_multiple=number(rules, "fallMultiple", 1.0),
-        fall_time=seconds(rules, "fallNs", 1.0),
-        most_dials=int(number(ceilings, "mostDials", 1, low=1)),
-        probes=ceilings.get("probes") is True and report.get("how") in ("probe", "answers"),
-        probe_price=number(section(options, "charges"), "probe", 0.0),
-        crossing_price=number(section(options, "charges"), "crossZone", 0.0),
-        cancelling=ceilings.get("cancelling") is True,
-        retry_after=seconds(ceilings, "maxRetryAfterNs", 0.0) if ceilings.get("retryAfter") is True else 0.0,
-        overage_utility=number(options, "overageUtility", 1.0),
-        groups=extra.get("groups") is True,
-        live_sizes=weights == "live",
+        list_is_polled=discovery == "on_request",
+        max_poll_interval=seconds(rules, "askWithinNs", 10.0),
+        slow_start_share=number(rules, "coldShare", 1.0),
+        slow_start_time=seconds(rules, "coldNs", 0.0),
+        overload_multiple=number(rules, "fallMultiple", 1.0),
+        overload_window=seconds(rules, "fallNs", 1.0),
+        max_attempts=int(number(ceilings, "mostDials", 1, low=1)),
+        health_checks=ceilings.get("probes") is True and report.get("how") in ("probe", "answers"),
+        health_check_price=number(section(options, "charges"), "probe", 0.0),
+        cross_zone_price=number(section(options, "charges"), "crossZone", 0.0),
+        cancellation=ceilings.get("cancelling") is True,
+        max_retry_after=seconds(ceilings, "maxRetryAfterNs", 0.0)
+        if ceilings.get("retryAfter") is True
+        else 0.0,
+        over_quota_utility=number(options, "overageUtility", 1.0),
+        group_affinity=extra.get("groups") is True,
+        live_weights=weights == "live",
         load_field=load_field,
     )
     return settings, fields
--- a/onyxhollow/state_snapshot.py
+++ b/onyxhollow/state_snapshot.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from onyxhollow.interface import Readiness
+from onyxhollow.interface import EndpointState
 from onyxhollow.policy import Balancer, Figure, Pace, Server
 
 
@@ -23,9 +23,9 @@
 
 def avoided(balancer: Balancer) -> tuple[int, int]:
     """Servers in the list, and those passed over for what is wrong with them; a full one is not down."""
-    listed = [s for s in balancer.servers.values() if s.readiness is not Readiness.GONE]
+    listed = [s for s in balancer.servers.values() if s.readiness is not EndpointState.REMOVED]
     bar, now = balancer.bar, balancer.host.now
-    return len(listed), sum(s.readiness is Readiness.DRAINING or s.score(now) > bar for s in listed)
+    return len(listed), sum(s.readiness is EndpointState.DRAINING or s.score(now) > bar for s in listed)
 
 
 def describe(balancer: Balancer) -> tuple[dict[str, Any], list[dict[str, Any]]]:
@@ -49,7 +49,7 @@
             "tokens": budget.grow(server, balancer.fill, now) if budget.cold(server, now) else None,
         }
         for server in balancer.servers.values()
-        if server.readiness is not Readiness.GONE
+        if server.readiness is not EndpointState.REMOVED
     ]
     return common, records
 
--- a/onyxhollow/wire/carried.py
+++ b/onyxhollow/wire/carried.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from onyxhollow.interface import Listener, Repeat, Scope
+from onyxhollow.interface import DeduplicationScope, Idempotency, Listener
 from onyxhollow.wire.buffers import SIZE
 from onyxhollow.wire.messages import Opening, read_opening
 
@@ -26,6 +26,34 @@
     unsent: tuple[bytes, bytes]  # to client and server
 
 
+def encode_listener(listener: Listener) -> dict[str, Any]:
+    """The listener under the keys that every version of the hand-off protocol has used."""
+    return {
+        "name": listener.name,
+        "handshake_target": listener.handshake_objective,
+        "dial_timeout": listener.attempt_timeout,
+        "utility": listener.utility,
+        "repeat": listener.idempotency.value,
+        "scope": listener.deduplication_scope.value,
+        "window": listener.deduplication_window,
+        "message_target": listener.message_objective,
+    }
+
+
+def decode_listener(record: dict[str, Any]) -> Listener:
+    """The listener of a hand-off record. KeyError, TypeError or ValueError for one that is malformed."""
+    return Listener(
+        name=record["name"],
+        handshake_objective=record["handshake_target"],
+        attempt_timeout=record["dial_timeout"],
+        utility=record["utility"],
+        idempotency=Idempotency(record["repeat"]),
+        deduplication_scope=DeduplicationScope(record["scope"]),
+        deduplication_window=record["window"],
+        message_objective=record["message_target"],
+    )
+
+
 def read_carried(record: dict[str, Any]) -> Carried:
     def pair(name: str) -> tuple[bytes, bytes]:
         client, server = record[name]
@@ -33,8 +61,7 @@
             raise ValueError(f"read: over {SIZE} bytes")
         return client.encode("latin-1"), server.encode("latin-1")
 
-    terms = record["listener"]
-    listener = Listener(**{**terms, "repeat": Repeat(terms["repeat"]), "scope": Scope(terms["scope"])})
+    listener = decode_listener(record["listener"])
     load = record["load"]
     return Carried(
         read_opening(record["line"].encode("latin-1")),
--- a/onyxhollow/wire/channel.py
+++ b/onyxhollow/wire/channel.py
@@ -8,7 +8,7 @@
 import struct
 from collections.abc import Callable, Generator
 
-from onyxhollow.loop import READ, WRITE, Hurry, Loop
+from onyxhollow.loop import READ, WRITE, Loop, UrgentDescriptors
 from onyxhollow.wire.buffers import BufferPool, Leaving, LineBuffer
 from onyxhollow.wire.system_errors import SHORTAGE_PAUSE, Fault, fault_of
 from onyxhollow.wire.tables import Address
@@ -24,7 +24,7 @@
 class Channel:
     def __init__(
         self,
-        loop: Loop | Hurry,
+        loop: Loop | UrgentDescriptors,
         sock: socket.socket,
         pool: BufferPool,
         wake: Callable[[], None],
--- a/onyxhollow/wire/discovery.py
+++ b/onyxhollow/wire/discovery.py
@@ -12,14 +12,14 @@
 import orjson
 
 from onyxhollow.counters import Counters
-from onyxhollow.interface import Entry, ListKind, Readiness
+from onyxhollow.interface import Endpoint, EndpointListKind, EndpointState
 from onyxhollow.loop import Loop
 from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.remote_clock import RemoteClock
 from onyxhollow.wire.tables import Address, Addresses
 
-READY = {"active": Readiness.IN_SERVICE, "leaving": Readiness.DRAINING, "left": Readiness.GONE}
+READY = {"active": EndpointState.IN_SERVICE, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
 ANSWER = 3.5  # seconds for an answer that is due at once: a busy service works through calls in turn
 SILENT_AFTER = 1.0  # seconds past its wait after which a watch counts as silent; protocol: 2 s
 CONNECTED_WITHIN = 1.5  # seconds for a connection to the service to come up before another one is tried
@@ -60,7 +60,7 @@
 class ServerList:
     version: int
     whole: bool
-    entries: list[Entry]
+    entries: list[Endpoint]
     addresses: dict[str, Address]
 
 
@@ -78,7 +78,7 @@
     version = told.get("seq")
     if isinstance(version, bool) or not isinstance(version, int):
         raise ListError(f"seq: impossible value {version!r}")
-    entries: list[Entry] = []
+    entries: list[Endpoint] = []
     addresses: dict[str, Address] = {}
     latest = max((start_of(row) for row in told["hosts"]), default=0.0)
     if latest:
@@ -89,21 +89,21 @@
         name, ready = row["host"], READY.get(row.get("health", ""))
         if ready is None:
             raise ListError(f"health: impossible value {row.get('health')!r}")
-        if ready is not Readiness.GONE or row.get("dial"):
+        if ready is not EndpointState.REMOVED or row.get("dial"):
             addresses[name] = read_address(row.get("dial"))
         size, cell, born = row.get("share", 1.0), row.get("block") or 0, start_of(row)
         for value in (size, cell):
             if not is_figure(value):
                 raise ListError(f"{name}: impossible figure {value!r}")
         entries.append(
-            Entry(
+            Endpoint(
                 name=name,
-                readiness=ready,
-                size=float(size),
-                started=clock.start(name, born, now) if born else None,
+                state=ready,
+                weight=float(size),
+                started_at=clock.start(name, born, now) if born else None,
                 zone=str(row.get("site") or ""),
                 cell=int(cell),
-                kind=str(row.get("class") or ""),
+                machine_type=str(row.get("class") or ""),
             )
         )
     return ServerList(version, told.get("whole") is True, entries, addresses)
@@ -193,7 +193,7 @@
         version: int,
         pushed: bool,
         addresses: Addresses,
-        told: Callable[[ListKind, list[Entry]], None],
+        told: Callable[[EndpointListKind, list[Endpoint]], None],
         log: Callable[..., None],
         seed: int,
         soon: bool = False,
@@ -293,14 +293,14 @@
                 self.silences += 1
                 self.log("list silent", version=self.version, in_a_row=self.silences)
                 if self.silences > 1:
-                    self.told(ListKind.FAILED, [])
+                    self.told(EndpointListKind.FAILED, [])
                 return True
             self.busy = BUSY_FOR
             self.pause = ASK_AGAIN if isinstance(error, StatusError) else DOWN_AGAIN
             self.asked = False  # asked for while the call was out: when to ask again is said anew now
             self.log("list failed", why=str(error)[:200], version=self.version)
             self.version = -1 if isinstance(error, ValueError) else self.version
-            self.told(ListKind.FAILED, [])
+            self.told(EndpointListKind.FAILED, [])
             return False
         self.asked, self.soon, self.silences, self.interrupted = False, False, 0, False
         self.clock.known_until = self.loop.now
@@ -325,13 +325,13 @@
             self.rows.clear()
         self.rows.update((row["host"], row) for row in rows)
         if news.entries or news.whole or news.version != self.version:
-            lines = [f"{e.name} {e.readiness.value}" + self.age(e) for e in news.entries]
+            lines = [f"{e.name} {e.state.value}" + self.age(e) for e in news.entries]
             self.log("list", version=news.version, whole=news.whole, rows=lines[:24])
         self.version = news.version
-        self.told(ListKind.FULL if news.whole else ListKind.CHANGES, news.entries)
+        self.told(EndpointListKind.SNAPSHOT if news.whole else EndpointListKind.DELTA, news.entries)
 
-    def age(self, entry: Entry) -> str:
-        return "" if entry.started is None else f", started {self.loop.now - entry.started:.1f} s ago"
+    def age(self, entry: Endpoint) -> str:
+        return "" if entry.started_at is None else f", started {self.loop.now - entry.started_at:.1f} s ago"
 
     def hang_up(self) -> None:
         if self.call is not None:
--- a/onyxhollow/wire/probes.py
+++ b/onyxhollow/wire/probes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from onyxhollow.counters import Counters
-from onyxhollow.interface import DialEnd
+from onyxhollow.interface import AttemptOutcome
 from onyxhollow.loop import Loop, Task
 from onyxhollow.wire.buffers import BufferPool, LongLineError
 from onyxhollow.wire.channel import Channel
@@ -14,7 +14,7 @@
 from onyxhollow.wire.system_errors import Fault, fault_of_connect
 from onyxhollow.wire.tables import Address, Addresses
 
-ENDS = {b"PONG": DialEnd.OK, b"ERR": DialEnd.ERROR, b"BUSY": DialEnd.FULL}
+ENDS = {b"PONG": AttemptOutcome.OK, b"ERR": AttemptOutcome.ERROR, b"BUSY": AttemptOutcome.OVERLOADED}
 MOST_OWED = 3  # answers a connection may owe; a server that owes more may never have got the questions
 
 
@@ -37,7 +37,7 @@
         addresses: Addresses,
         field: str,
         patience: float,
-        told: Callable[[str, DialEnd, float, float | None], None],
+        told: Callable[[str, AttemptOutcome, float, float | None], None],
     ) -> None:
         self.loop, self.pool, self.counters, self.addresses = loop, pool, counters, addresses
         self.field, self.patience, self.told = field, patience, told
@@ -65,7 +65,7 @@
 
     def ask(self, server: str, wake: Callable[[], None]) -> Generator[float, None, None]:
         started = self.loop.now
-        end, load, standing = DialEnd.CONNECT_FAILED, None, None
+        end, load, standing = AttemptOutcome.CONNECT_FAILED, None, None
         self.counters.add("probes sent")
         try:
             standing = self.connection(server, wake)
@@ -75,11 +75,16 @@
             if fault_of_connect(error) is Fault.SHORTAGE:
                 self.counters.add("probes without a descriptor")
                 return  # nothing was asked: it says nothing of the server
-            end = DialEnd.CONNECT_FAILED
+            end = AttemptOutcome.CONNECT_FAILED
         except LongLineError:
-            end = DialEnd.UNKNOWN
+            end = AttemptOutcome.UNKNOWN
         if standing is not None:
-            connected = end in (DialEnd.OK, DialEnd.ERROR, DialEnd.FULL, DialEnd.TIMEOUT)
+            connected = end in (
+                AttemptOutcome.OK,
+                AttemptOutcome.ERROR,
+                AttemptOutcome.OVERLOADED,
+                AttemptOutcome.TIMEOUT,
+            )
             if connected and not standing.channel.ended and server not in self.standing:
                 self.keep(server, standing)
             else:
@@ -89,21 +94,21 @@
 
     def answer(
         self, standing: Standing, until: float
-    ) -> Generator[float, None, tuple[DialEnd, float | None]]:
+    ) -> Generator[float, None, tuple[AttemptOutcome, float | None]]:
         channel = standing.channel
         standing.owed += 1
         while True:
             while (line := channel.line()) is not None:
                 standing.owed -= 1
                 if not standing.owed:
-                    told = ENDS.get(word(line), DialEnd.UNKNOWN), read_report(rest(line), self.field)
+                    told = ENDS.get(word(line), AttemptOutcome.UNKNOWN), read_report(rest(line), self.field)
                     channel.settle(False)
                     return told
             channel.settle(False)
             if channel.ended:
-                return (DialEnd.RESET if channel.wrote else DialEnd.CONNECT_FAILED), None
+                return (AttemptOutcome.RESET if channel.wrote else AttemptOutcome.CONNECT_FAILED), None
             if self.loop.now >= until:
-                return (DialEnd.CONNECT_FAILED if channel.connecting else DialEnd.TIMEOUT), None
+                return (AttemptOutcome.CONNECT_FAILED if channel.connecting else AttemptOutcome.TIMEOUT), None
             yield until
 
     def keep(self, server: str, standing: Standing) -> None:
--- a/onyxhollow/wire/servers.py
+++ b/onyxhollow/wire/servers.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from onyxhollow.counters import Counters
-from onyxhollow.interface import DialEnd
+from onyxhollow.interface import AttemptOutcome
 from onyxhollow.loop import Loop
 from onyxhollow.wire.buffers import BufferPool, LongLineError
 from onyxhollow.wire.channel import Channel
@@ -15,14 +15,19 @@
 from onyxhollow.wire.system_errors import Fault, fault_of_connect
 from onyxhollow.wire.tables import Addresses
 
-ENDS = {b"BUSY": DialEnd.FULL, b"ERR": DialEnd.ERROR, b"BYE": DialEnd.OK, b"MOVE": DialEnd.CANCELLED}
+ENDS = {
+    b"BUSY": AttemptOutcome.OVERLOADED,
+    b"ERR": AttemptOutcome.ERROR,
+    b"BYE": AttemptOutcome.OK,
+    b"MOVE": AttemptOutcome.CANCELLED,
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Dialled:
     """How a dial ended; or, where it was accepted, the connection and the server's line."""
 
-    end: DialEnd = DialEnd.CONNECT_FAILED
+    end: AttemptOutcome = AttemptOutcome.CONNECT_FAILED
     load: float | None = None
     channel: Channel | None = None
     receipt: bytes = b""
@@ -40,7 +45,7 @@
     def may_send(self) -> bool:
         """Whether that line may still be written. Asked in the moment before it is."""
 
-    def given_up(self) -> DialEnd | None:
+    def given_up(self) -> AttemptOutcome | None:
         """Whether the dial is to end now, and as what."""
 
 
@@ -76,13 +81,13 @@
         except OSError as error:
             # Without a descriptor of our own nothing was tried, and nothing is known of the server.
             ours = fault_of_connect(error) is Fault.SHORTAGE
-            return Dialled(DialEnd.NOT_SENT if ours else DialEnd.CONNECT_FAILED)
+            return Dialled(AttemptOutcome.NOT_SENT if ours else AttemptOutcome.CONNECT_FAILED)
         result = Dialled()
         try:
             result = yield from self.exchange(channel, until, attempt)
         except LongLineError:
             self.malformed("line over 4 KiB from a server")
-            result = Dialled(DialEnd.UNKNOWN)
+            result = Dialled(AttemptOutcome.UNKNOWN)
         finally:
             if result.channel is None:
                 channel.close()
@@ -93,16 +98,16 @@
         connected_by = min(until, self.loop.now + self.connect_time)
         while channel.connecting and self.loop.now < connected_by:
             if attempt.given_up() is not None:
-                return Dialled(DialEnd.NOT_SENT)
+                return Dialled(AttemptOutcome.NOT_SENT)
             yield connected_by
         if channel.connecting or channel.broken:
-            return Dialled(DialEnd.CONNECT_FAILED)
+            return Dialled(AttemptOutcome.CONNECT_FAILED)
         # While the connection came up the server may have been told to drain, the client may have left, time
         # may have run out, a stop may have begun. What is not written now is known not to have run.
         now = self.loop.read_clock()
         if now >= until or not attempt.may_send():
             self.counters.add("dials withheld")
-            return Dialled(DialEnd.NOT_SENT)
+            return Dialled(AttemptOutcome.NOT_SENT)
         channel.write(attempt.opening_line(until - now))
         return (yield from self.answer(channel, until, attempt))
 
@@ -115,13 +120,15 @@
                 self.counters.add("dials written whole")
             if (said := channel.line()) is not None:
                 if (first := word(said)) == b"UP":
-                    return Dialled(DialEnd.OK, None, channel, bytes(said))
-                return Dialled(ENDS.get(first, DialEnd.UNKNOWN), read_report(rest(said), self.load_field))
+                    return Dialled(AttemptOutcome.OK, None, channel, bytes(said))
+                return Dialled(
+                    ENDS.get(first, AttemptOutcome.UNKNOWN), read_report(rest(said), self.load_field)
+                )
             # May it have run? The last byte of the line decides.
             if channel.ended:
-                return Dialled(DialEnd.RESET if channel.wrote else DialEnd.CONNECT_FAILED)
+                return Dialled(AttemptOutcome.RESET if channel.wrote else AttemptOutcome.CONNECT_FAILED)
             if self.loop.now >= until:
-                return Dialled(DialEnd.TIMEOUT if channel.wrote else DialEnd.CONNECT_FAILED)
+                return Dialled(AttemptOutcome.TIMEOUT if channel.wrote else AttemptOutcome.CONNECT_FAILED)
             if (end := attempt.given_up()) is not None:
-                return Dialled(end if channel.wrote else DialEnd.NOT_SENT)
+                return Dialled(end if channel.wrote else AttemptOutcome.NOT_SENT)
             yield until
--- a/onyxhollow/wire/sessions.py
+++ b/onyxhollow/wire/sessions.py
@@ -7,16 +7,16 @@
 import socket
 from collections import deque
 from collections.abc import Callable, Generator
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 from typing import Any
 
 from onyxhollow.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
-from onyxhollow.decision_adapter import Facade, Handle
-from onyxhollow.interface import Customer, DialEnd, Listener
+from onyxhollow.decision_adapter import DecisionAdapter, SessionHandle
+from onyxhollow.interface import AttemptOutcome, Listener, Tenant
 from onyxhollow.loop import Loop, Task
-from onyxhollow.service_state import Service, ServiceState
+from onyxhollow.service_state import ServicePhase, ServiceState
 from onyxhollow.wire.buffers import SIZE, BufferPool, LongLineError
-from onyxhollow.wire.carried import Carried, read_carried
+from onyxhollow.wire.carried import Carried, encode_listener, read_carried
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.messages import MalformedError, Opening, read_opening, rest, told_figure, word
 from onyxhollow.wire.passing import Passing
@@ -44,7 +44,7 @@
 STARTED_LINE = 0.3  # seconds for the rest of a line that has begun to come as its connection was to be ended
 BUSY = b"BUSY\r\n"
 AWAY = BUSY  # to PING while clients are sent away: any line but PONG is a no
-AFTER_ANSWER = {b"BYE": DialEnd.OK, b"MOVE": DialEnd.CANCELLED, b"ERR": DialEnd.ERROR}
+AFTER_ANSWER = {b"BYE": AttemptOutcome.OK, b"MOVE": AttemptOutcome.CANCELLED, b"ERR": AttemptOutcome.ERROR}
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,9 +64,9 @@
         pool: BufferPool,
         counters: Counters,
         addresses: Addresses,
-        facade: Facade,
+        facade: DecisionAdapter,
         listeners: dict[str, Listener],
-        customers: dict[str, Customer],
+        customers: dict[str, Tenant],
         load_field: str,
         connect_time: float,
         service: ServiceState,
@@ -86,7 +86,7 @@
     def settle(
         self,
         listeners: dict[str, Listener],
-        customers: dict[str, Customer],
+        customers: dict[str, Tenant],
         load_field: str,
         connect_time: float,
     ) -> None:
@@ -121,7 +121,7 @@
         ClientSession(self, client, carried, server)
         return True
 
-    def echo_took(self, handle: Handle, server: str, sent: Moment, now: float) -> None:
+    def echo_took(self, handle: SessionHandle, server: str, sent: Moment, now: float) -> None:
         """Tells the module of a late echo, once a second for each server. Told of all, at each connection, a
         short pause would look like dozens of faults, and echoes of 0.2 ms would drown the set-up times that
         hand-offs are paced by. Time for which this process itself stood still is not the server's."""
@@ -181,7 +181,7 @@
         self.shared, self.loop, self.counters = shared, shared.loop, shared.counters
         self.client = Channel(self.loop, sock, shared.pool, self.wake)
         self.server: Channel | None = None
-        self.handle: Handle | None = None
+        self.handle: SessionHandle | None = None
         self.opening: Opening | None = None
         self.stopping = self.open = False  # open: UP has been passed on
         self.told = False  # what became of it has been counted
@@ -285,7 +285,7 @@
                     raise MalformedError("too many PINGs")
                 client.write(b"PONG\r\n" if self.shared.service.answers_pings else AWAY)
                 until = self.loop.now + FRONT_LINE
-                if self.shared.service.is_any(Service.MAKING_WAY) and not len(client.inbox):
+                if self.shared.service.is_any(ServicePhase.HANDING_OVER) and not len(client.inbox):
                     # Its next call goes to the successor. Ended after an answer, none is on its way here.
                     table.asked(self)
                     client.finish()
@@ -349,7 +349,7 @@
             return
         took_at = self.loop.now
         left = opening.left - min(HURRY, opening.left / 10)
-        if shared.service.is_any(Service.AWAY):
+        if shared.service.is_any(ServicePhase.OUT_OF_SERVICE):
             left = -math.inf  # the module refuses it
         handle = self.handle = shared.facade.take(
             self.wake, listener, customer, opening.group, left, opening.load
@@ -364,7 +364,7 @@
                 self.answer(choice.refused, choice.retry_after)
                 return
             if self.absent():
-                self.conclude(handle, handle.give_up(DialEnd.NOT_SENT).refused)
+                self.conclude(handle, handle.give_up(AttemptOutcome.NOT_SENT).refused)
                 return
             self.name = choice.server
             self.dials += 1
@@ -390,21 +390,21 @@
             if self.absent() or self.stopping:
                 self.conclude(handle, handle.give_up(end, took, dialled.load).refused)
                 return
-            errors += end is DialEnd.ERROR
-            if errors > 1 and end is DialEnd.ERROR:
+            errors += end is AttemptOutcome.ERROR
+            if errors > 1 and end is AttemptOutcome.ERROR:
                 # Two servers that both fail it: what this client sent is at fault (the id of a session open
                 # at another proxy, say), which says nothing of them. It may have run all the same.
-                end = DialEnd.CANCELLED
+                end = AttemptOutcome.CANCELLED
             handle.report(end, took, False, dialled.load)
 
-    def conclude(self, handle: Handle, refused: bool) -> None:
+    def conclude(self, handle: SessionHandle, refused: bool) -> None:
         """Nothing more is tried: the client has left, or the proxy stops."""
         if self.absent():
             self.leave(handle, refused)
         else:
             self.answer(refused)
 
-    def leave(self, handle: Handle, refused: bool) -> None:
+    def leave(self, handle: SessionHandle, refused: bool) -> None:
         """The client has gone before it was answered. One that has only ended its sending still reads: it
         gets its final answer all the same, which is lost on the way to one that is not there."""
         handle.report_gone()
@@ -434,7 +434,7 @@
         dialled = yield from self.shared.servers.dial(name, wait, self)
         if dialled.channel is not None and self.absent():
             dialled.channel.close()
-            return Dialled(DialEnd.CANCELLED)
+            return Dialled(AttemptOutcome.CANCELLED)
         if dialled.channel is not None:
             self.server, self.open = dialled.channel, True
             self.count(ACCEPTED)
@@ -455,16 +455,16 @@
             return False
         return self.handle is None or self.handle.may_send()
 
-    def given_up(self) -> DialEnd | None:
+    def given_up(self) -> AttemptOutcome | None:
         """Whether the dial that is out is to end now, and as what."""
         handle = self.handle
         if handle is not None and self.absent() and not handle.answered:
             handle.report_gone()  # where it is allowed, the module calls the dial back
         if handle.call_back if handle is not None else self.absent():
-            return DialEnd.CANCELLED
-        return DialEnd.CANCELLED if self.stopping else None
+            return AttemptOutcome.CANCELLED
+        return AttemptOutcome.CANCELLED if self.stopping else None
 
-    def adopt(self, opening: Opening, listener: Listener, customer: Customer | None) -> Steps:
+    def adopt(self, opening: Opening, listener: Listener, customer: Tenant | None) -> Steps:
         """A connection that was open before the run: to that server and no other, until it is up."""
         name, until = opening.at or "", self.loop.now + ADOPTED
         self.name = name
@@ -485,27 +485,29 @@
 
     # from UP on
 
-    def relay(self, handle: Handle, carried: Carried | None = None) -> Steps:
+    def relay(self, handle: SessionHandle, carried: Carried | None = None) -> Steps:
         """Passes lines both ways until one side ends, or the client is to be moved or passed on."""
         client, server, started = self.client, self.server, carried.started if carried else self.loop.now
         assert server is not None
         self.heard = carried.heard if carried else started
         while True:
             if not self.pass_to_client(handle, server):
-                self.move(handle, "of a malformed server", DialEnd.ERROR, started)
+                self.move(handle, "of a malformed server", AttemptOutcome.ERROR, started)
             elif not self.pass_to_server(server):
-                self.move(handle, "malformed", DialEnd.CANCELLED, started)
+                self.move(handle, "malformed", AttemptOutcome.CANCELLED, started)
             elif server.ended:
-                self.finish_with(handle, AFTER_ANSWER.get(self.last, DialEnd.RESET), started)
+                self.finish_with(handle, AFTER_ANSWER.get(self.last, AttemptOutcome.RESET), started)
             elif client.ended and not server.full:
                 self.client_left(handle, started)
             elif self.passing is not None and (yield from self.pass_on(handle, self.passing, started)):
                 pass
             elif handle.move or self.stopping:
-                self.move(handle, "moved" if handle.move else "moved at stop", DialEnd.CANCELLED, started)
+                self.move(
+                    handle, "moved" if handle.move else "moved at stop", AttemptOutcome.CANCELLED, started
+                )
             elif (look_at := self.look_at_echoes(handle)) <= self.loop.now:
                 # A machine that vanished says nothing, and keep-alive does not notice.
-                self.move(handle, "silent server", DialEnd.RESET, started)
+                self.move(handle, "silent server", AttemptOutcome.RESET, started)
             else:
                 client.settle(server.full or len(self.out) >= MOST_OUT)
                 server.settle(client.full)
@@ -533,7 +535,9 @@
         )
         yield from self.relay(handle, carried)
 
-    def pass_on(self, handle: Handle, passing: Passing, started: float) -> Generator[float, None, bool]:
+    def pass_on(
+        self, handle: SessionHandle, passing: Passing, started: float
+    ) -> Generator[float, None, bool]:
         """Whether the successor has it now. While it may have, nothing is read here; the copies of this
         process are only closed: shut down, the connections would end for the successor too."""
         client, server, sess, opening = self.client, self.server, handle.sess, self.opening
@@ -545,7 +549,7 @@
             self.loop.watch(channel.fd, 0, None)
         record = {
             "line": opening.line.decode("latin-1"),
-            "listener": asdict(sess.listener),
+            "listener": encode_listener(sess.listener),
             "server": self.name,
             "started": started,
             "heard": self.heard,
@@ -573,10 +577,10 @@
         client.close()
         server.close()
         handle.report_gone()
-        handle.report(DialEnd.CANCELLED, self.loop.now - started, True)
+        handle.report(AttemptOutcome.CANCELLED, self.loop.now - started, True)
         return True
 
-    def pass_to_client(self, handle: Handle, server: Channel) -> bool:
+    def pass_to_client(self, handle: SessionHandle, server: Channel) -> bool:
         """False if the server has sent what is no line."""
         try:
             while (line := server.line()) is not None:
@@ -610,7 +614,7 @@
             return False
         return True
 
-    def look_at_echoes(self, handle: Handle) -> float:
+    def look_at_echoes(self, handle: SessionHandle) -> float:
         """When to look again; now, if the server has been silent for too long."""
         if not self.out:
             return math.inf
@@ -625,14 +629,14 @@
         self.shared.echo_took(handle, self.name, oldest, now)
         return min(silent_at, now + LATE_AGAIN)
 
-    def read_load(self, handle: Handle, line: memoryview) -> None:
+    def read_load(self, handle: SessionHandle, line: memoryview) -> None:
         load = told_figure(rest(line))
         if load is None:
             self.shared.malformed("LOAD without a figure", bytes(line))
         else:
             handle.report_load(load / 1e6)  # told in microseconds of work a second
 
-    def move(self, handle: Handle, why: str, end: DialEnd, started: float) -> None:
+    def move(self, handle: SessionHandle, why: str, end: AttemptOutcome, started: float) -> None:
         """MOVE goes between two lines: only whole lines are ever put into the client's buffer."""
         self.counters.must(self.open and not self.end, "only an open connection is moved")
         self.counters.add(f"clients {why}")
@@ -641,16 +645,16 @@
         if self.server:
             self.server.finish()
         self.end = why
-        if end is DialEnd.CANCELLED:
+        if end is AttemptOutcome.CANCELLED:
             handle.report_gone()  # ended by this proxy, not by its server: it says nothing of that
         handle.report(end, self.loop.now - started, True)
 
-    def finish_with(self, handle: Handle, end: DialEnd, started: float) -> None:
+    def finish_with(self, handle: SessionHandle, end: AttemptOutcome, started: float) -> None:
         """The server has ended it: the client's side ends the same way, after the last bytes."""
         self.counters.add(f"connections {end.value}")
         self.end = end.value
         server = self.server
-        if server is not None and server.broken and end is DialEnd.RESET and not self.client.out:
+        if server is not None and server.broken and end is AttemptOutcome.RESET and not self.client.out:
             self.client.reset()
         else:
             self.client.finish()
@@ -658,7 +662,7 @@
             server.close()
         handle.report(end, self.loop.now - started, True)
 
-    def client_left(self, handle: Handle, started: float) -> None:
+    def client_left(self, handle: SessionHandle, started: float) -> None:
         self.counters.add("connections ended by the client")
         self.end = "client left"
         if half := self.client.inbox.rest():
@@ -671,7 +675,7 @@
                 self.server.finish()
         self.client.close()
         handle.report_gone()
-        handle.report(DialEnd.CANCELLED, self.loop.now - started, True)
+        handle.report(AttemptOutcome.CANCELLED, self.loop.now - started, True)
 
     def stop(self) -> None:
         """This proxy stops: an open connection is moved; one that waits is answered now."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,23 +8,23 @@
 
 import pytest
 
-from onyxhollow.interface import DialEnd, Entry, Listener, ListKind, Readiness, Settings
+from onyxhollow.interface import AttemptOutcome, Endpoint, EndpointListKind, EndpointState, Listener, Settings
 from onyxhollow.lifecycle.config import Config
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.policy import Balancer
 from onyxhollow.wire.discovery import read_list
 from onyxhollow.wire.remote_clock import RemoteClock
 
-CALLS = Listener("calls", handshake_target=0.3, dial_timeout=2.0, message_target=0.1)
+CALLS = Listener("calls", handshake_objective=0.3, attempt_timeout=2.0, message_objective=0.1)
 PLAIN = Settings(
     listeners={"calls": CALLS},
-    customers={},
-    watched=False,
-    most_dials=4,
-    cold_share=0.25,
-    cold_time=10.0,
-    fall_multiple=2.0,
-    fall_time=2.0,
+    tenants={},
+    list_is_polled=False,
+    max_attempts=4,
+    slow_start_share=0.25,
+    slow_start_time=10.0,
+    overload_multiple=2.0,
+    overload_window=2.0,
 )
 
 
@@ -54,20 +54,19 @@
     def asked(self, name):
         return [call[1:] for call in self.did if call[0] == name]
 
-    def servers(self, *names, kind=ListKind.FULL, **values):
-        ready = values.pop("readiness", Readiness.IN_SERVICE)
-        values["kind"] = values.pop("kind_", "")
-        self.balancer.server_list(kind, [Entry(name, ready, **values) for name in names])
+    def servers(self, *names, kind=EndpointListKind.SNAPSHOT, **values):
+        state = values.pop("state", EndpointState.IN_SERVICE)
+        self.balancer.server_list(kind, [Endpoint(name, state, **values) for name in names])
         return [self.balancer.servers.get(name) for name in names]
 
     def loads(self, **reported):
         for name, load in reported.items():
-            self.balancer.probed(name, DialEnd.OK, 0.01, load)
+            self.balancer.probed(name, AttemptOutcome.OK, 0.01, load)
 
     def take(self, listener=CALLS, group=None, stands=True, customer=None, took=0.01):
         self.taken += 1
         token = 10000 + self.taken
-        sess = self.balancer.take(token, listener, customer, group, listener.dial_timeout, None)
+        sess = self.balancer.take(token, listener, customer, group, listener.attempt_timeout, None)
         if stands and sess.dialling:
             sess.accepted(took)
         return sess
@@ -85,7 +84,7 @@
 
 @pytest.fixture
 def lost():
-    return lambda sess, end=DialEnd.RESET: sess.dial_ended(end, False, 0.1)
+    return lambda sess, end=AttemptOutcome.RESET: sess.dial_ended(end, False, 0.1)
 
 
 class Peer:
@@ -138,7 +137,7 @@
         self.toys, self.opened = {name: Toy() for name in servers}, 0
         self.list = Toy()
         rows = [self.row(name) for name in servers] if known else []
-        settings = replace(PLAIN, **{"most_dials": 2, "watched": True, **changes})
+        settings = replace(PLAIN, **{"max_attempts": 2, "list_is_polled": True, **changes})
         told = {"seq": 7, "whole": True, "hosts": rows}
         self.config = Config(
             "n0",
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -25,7 +25,7 @@
 from onyxhollow.addresses.orders import Book
 from onyxhollow.addresses.rules import Cell, Orders, Standing, apply, decide
 from onyxhollow.addresses.table import Refused, Table
-from onyxhollow.append_log import RecordError
+from onyxhollow.append_log import AppendLogError
 from onyxhollow.fleet.advertise import Store
 from onyxhollow.fleet.gate import read_gate
 from onyxhollow.lab.fleet import places, wander
@@ -271,7 +271,7 @@
     monkeypatch.undo()
     assert not store.rows and store.keep([order("1", 1, "drain")]) == ["1"]
     store.records.close()
-    with pytest.raises(RecordError):
+    with pytest.raises(AppendLogError):
         held, other = Store(str(tmp_path)), Store(str(tmp_path))
         held.records.close()
         other.records.close()
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -26,7 +26,7 @@
 
 
 def starts(clock, now, *rows):
-    return [entry.started for entry in read_list(whole(1, *rows), clock, now).entries]
+    return [entry.started_at for entry in read_list(whole(1, *rows), clock, now).entries]
 
 
 def test_in_the_first_lists_a_server_is_so_much_older_than_the_latest_start():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -15,12 +15,12 @@
 import pytest
 from conftest import CALLS, Toy
 
-from onyxhollow.interface import Repeat, Scope
+from onyxhollow.interface import DeduplicationScope, Idempotency
 from onyxhollow.lifecycle.proxy import OWN, Proxy
 from onyxhollow.wire import discovery, sessions
 from onyxhollow.wire.channel import Channel
 
-PATIENT = replace(CALLS, handshake_target=4.0, dial_timeout=4.0)
+PATIENT = replace(CALLS, handshake_objective=4.0, attempt_timeout=4.0)
 REFUSED, FAILED = b"BUSY\r\n", b"ERR\r\n"
 EMPTY_LIST = json.dumps({"seq": 8, "whole": False, "hosts": []}).encode()
 
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("how", ["close", "reset", "half-close"])
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_a_client_that_leaves_while_the_connection_comes_up_has_nothing_sent_for_it(late, how, cancelling):
-    proxy = late("a", cancelling=cancelling)
+    proxy = late("a", cancellation=cancelling)
     client = proxy.open(wait=4000)
     connecting(proxy)
     if how == "half-close":
@@ -135,7 +135,7 @@
 
 def test_a_stop_that_ends_between_the_pick_and_the_write_refuses_and_sends_nothing(loopback, monkeypatch):
     # The line went out, and a once-only session that need not have run was torn down.
-    proxy = loopback(listeners={"calls": replace(PATIENT, repeat=Repeat.ONCE_ONLY)})
+    proxy = loopback(listeners={"calls": replace(PATIENT, idempotency=Idempotency.NON_IDEMPOTENT)})
     client = proxy.open(wait=4000)
     ready = Channel.ready
 
@@ -152,7 +152,12 @@
 
 def test_a_repeat_whose_window_passes_while_the_connection_comes_up_is_not_sent(late):
     # The window was looked at when the server was picked, a whole connect time before the write.
-    keyed = replace(PATIENT, repeat=Repeat.REFERENCED, scope=Scope.ALL, window=0.9)
+    keyed = replace(
+        PATIENT,
+        idempotency=Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window=0.9,
+    )
     proxy = late("ab", listeners={"calls": keyed})
     tell(proxy, 9, ("a", "leaving"), ("b",))
     client = proxy.open(wait=4000)
@@ -355,7 +360,7 @@
 def test_each_watch_that_falls_silent_is_followed_by_another_also_at_a_service_that_was_busy(loopback):
     # After a call turned away the service counted as a busy one: 3.5 s past the wait. A second silence in a
     # row was a failure, and a pause came before the next call. What was missed counts as told after 2 s.
-    proxy = loopback(ask_within=0.6)
+    proxy = loopback(max_poll_interval=0.6)
     proxy.answer_list(b"", b"503 No")
     proxy.until(lambda: proxy.counts["list failures"] == 1)
     came = []
@@ -370,7 +375,7 @@
 def test_a_connection_to_the_list_that_never_comes_up_is_followed_by_another(loopback, monkeypatch):
     # It was waited for as long as the watch that it was made for.
     monkeypatch.setattr(discovery, "CONNECTED_WITHIN", 0.3, raising=False)
-    proxy = loopback(ask_within=20.0)
+    proxy = loopback(max_poll_interval=20.0)
     proxy.list = LateToy()
     proxy.reload_to(proxy.list)
     proxy.until(lambda: proxy.counts["list calls"] >= 3, within=2.0)
@@ -379,7 +384,7 @@
 
 
 def test_an_answer_that_trickles_without_end_is_given_up_as_one_that_never_came(loopback):
-    proxy = loopback(ask_within=0.6)
+    proxy = loopback(max_poll_interval=0.6)
     first = proxy.until(lambda: proxy.list.asked())
     came = time.monotonic()
     first.say(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
@@ -393,7 +398,7 @@
 
 def test_where_the_list_is_pushed_no_client_is_taken_by_what_the_file_knew(loopback):
     # What the list's service has counts as told from the first moment of a process.
-    proxy = loopback("ab", watched=False)
+    proxy = loopback("ab", list_is_polled=False)
     client = proxy.open()
     proxy.until(lambda: proxy.list.asked())
     proxy.idle(0.1)
@@ -405,7 +410,7 @@
 
 
 def test_where_the_list_is_pushed_and_its_service_is_down_clients_are_taken_all_the_same(loopback):
-    proxy = loopback("a", watched=False)
+    proxy = loopback("a", list_is_polled=False)
     proxy.list.sock.close()
     proxy.reload_to(proxy.list)
     client = proxy.open()
--- a/tests/test_fleet_cores.py
+++ b/tests/test_fleet_cores.py
@@ -14,7 +14,7 @@
 
 from onyxhollow import append_log as records_module
 from onyxhollow.__main__ import main
-from onyxhollow.append_log import RecordError, Records
+from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.fleet import clock, telling
 from onyxhollow.fleet.file import FleetError, read_fleet
 from onyxhollow.fleet.node import Node
@@ -514,7 +514,7 @@
 def test_each_write_fsync_and_rename_that_fails_leaves_what_counted_before(tmp_path, monkeypatch):
     for place, name in enumerate(("pwrite", "fsync", "rename", "fsync folder")):
         folder = str(tmp_path / str(place))
-        kept = Records(folder, "r")
+        kept = AppendLog(folder, "r")
         kept.append(b"one", b"two")
 
         def fail(*_, **__):
@@ -529,30 +529,30 @@
                 kept.rewrite([b"three"]) if name in ("rename", "fsync folder") else kept.append(b"three")
         kept.append(b"four")  # written anew, since nobody knows what the disk holds
         kept.close()
-        assert Records(folder, "r").rows == [b"one", b"two", b"four"], name
+        assert AppendLog(folder, "r").rows == [b"one", b"two", b"four"], name
 
 
 def test_what_a_crash_cut_off_is_named_and_written_over(tmp_path):
-    kept = Records(str(tmp_path), "r")
-    with pytest.raises(RecordError, match="another process"):
-        Records(str(tmp_path), "r")
+    kept = AppendLog(str(tmp_path), "r")
+    with pytest.raises(AppendLogError, match="another process"):
+        AppendLog(str(tmp_path), "r")
     kept.append(b"one", b"two", b"three")
     kept.close()
     whole = (tmp_path / "r").read_bytes()
     for cut, told in ((1, "half a record"), (len(b"three") + 3, "half a head")):
         (tmp_path / "r").write_bytes(whole[:-cut])
-        again = Records(str(tmp_path), "r")
+        again = AppendLog(str(tmp_path), "r")
         assert again.rows == [b"one", b"two"] and told in again.cut
         again.close()
     (tmp_path / "r").write_bytes(whole[:-1] + b"X")
-    again = Records(str(tmp_path), "r")
+    again = AppendLog(str(tmp_path), "r")
     assert "checksum" in again.cut
     again.append(b"new")
     again.close()
-    assert Records(str(tmp_path), "r").rows == [b"one", b"two", b"new"]
+    assert AppendLog(str(tmp_path), "r").rows == [b"one", b"two", b"new"]
     (tmp_path / "s").write_bytes(b"something else")
-    with pytest.raises(RecordError, match="expected records"):
-        Records(str(tmp_path), "s")
+    with pytest.raises(AppendLogError, match="expected records"):
+        AppendLog(str(tmp_path), "s")
 
 
 # the list
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -18,14 +18,14 @@
 
 from onyxhollow.__main__ import main
 from onyxhollow.counters import Counters
-from onyxhollow.interface import Repeat
+from onyxhollow.interface import Idempotency
 from onyxhollow.lifecycle.config import ConfigError
 from onyxhollow.lifecycle.proxy import OWN
 from onyxhollow.wire import sessions
 from onyxhollow.wire.buffers import BufferPool, LineBuffer, LongLineError
 from onyxhollow.wire.channel import Channel
 
-BOTH = {"calls": CALLS, "once": replace(CALLS, name="once", repeat=Repeat.ONCE_ONLY)}
+BOTH = {"calls": CALLS, "once": replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)}
 LIST = json.dumps({"seq": 8, "whole": False, "hosts": []}).encode()
 
 
@@ -107,7 +107,7 @@
 
 
 def test_a_client_that_leaves_before_an_answer_has_its_dial_called_back(loopback):
-    proxy = loopback(cancelling=True)
+    proxy = loopback(cancellation=True)
     client = proxy.open()
     server = proxy.until(lambda: proxy.toys["a"].asked())
     client.sock.close()
@@ -295,7 +295,7 @@
 
 
 def test_more_bytes_while_a_dial_is_out_end_it_and_say_nothing_of_its_server(loopback):
-    proxy = loopback(cancelling=True)
+    proxy = loopback(cancellation=True)
     client = proxy.open()
     server = proxy.until(lambda: proxy.toys["a"].asked())
     client.say(b"OPEN 5 6 c=calls,d=9\r\n" * 300)
@@ -431,7 +431,7 @@
     def none_left(*_):
         raise OSError(errno.EMFILE, "Too many open files")
 
-    proxy = loopback(probes=True, probe_price=0.01, load_field="x0")
+    proxy = loopback(health_checks=True, health_check_price=0.01, load_field="x0")
     client = proxy.open()
     monkeypatch.setattr(Channel, "dial", none_left)
     proxy.until(lambda: client.read() == b"BUSY\r\n")
@@ -487,7 +487,7 @@
 
 
 def test_the_first_call_is_a_watch_and_many_proxies_wait_longer_for_news(loopback):
-    proxy = loopback(balancers=20)
+    proxy = loopback(instance_count=20)
     peer = proxy.until(lambda: proxy.list.asked())  # spread over 2.5 s
     assert peer.got.startswith(b"GET /v1/endpoints?index=7&wait=10000 ")
 
@@ -542,7 +542,7 @@
 
 @pytest.mark.parametrize("load", [b"nan", b"-3", b"inf", b"1e999", b"x"])
 def test_a_load_that_is_none_is_not_taken_for_one(loopback, load):
-    proxy = loopback(probes=True, load_field="x0")
+    proxy = loopback(health_checks=True, load_field="x0")
     proxy.proxy.probes.probe("a")
     proxy.until(lambda: proxy.toys["a"].asked()).say(b"PONG x0=" + load + b"\r\n")
     proxy.until(lambda: proxy.counts["probes ok"] == 1)
@@ -573,7 +573,7 @@
 
 
 def test_a_list_that_the_module_does_not_ask_for_is_followed_all_the_same(loopback):
-    proxy = loopback(watched=False)
+    proxy = loopback(list_is_polled=False)
     first = proxy.until(lambda: proxy.list.asked())
     first.sock.close()
     proxy.answer_list(LIST, count=2)
@@ -582,14 +582,14 @@
 
 def test_a_list_that_says_nothing_is_given_up_in_time(loopback, monkeypatch):
     monkeypatch.setattr("onyxhollow.wire.discovery.ANSWER", 0.2)
-    proxy = loopback(ask_within=0.6)
+    proxy = loopback(max_poll_interval=0.6)
     proxy.until(lambda: proxy.list.asked())
     proxy.until(lambda: proxy.counts["list failures"] == 1)
     proxy.until(lambda: proxy.list.asked(2))
 
 
 def test_a_watch_that_falls_silent_is_opened_anew_at_once_before_what_it_missed_counts_as_told(loopback):
-    proxy = loopback(ask_within=0.6)
+    proxy = loopback(max_poll_interval=0.6)
     proxy.until(lambda: proxy.list.asked())
     came = time.monotonic()
     proxy.until(lambda: proxy.list.asked(2), within=2.4)  # of a wait of 0.5 s; told 2 s after it
@@ -604,7 +604,7 @@
 def test_watches_that_began_together_end_apart(loopback):
     waits = set()
     for _ in range(4):
-        proxy = loopback(ask_within=20.0)
+        proxy = loopback(max_poll_interval=20.0)
         del proxy.proxy.discovery.rng.uniform
         proxy.proxy.discovery.rng.seed(len(waits))
         told = proxy.until(lambda proxy=proxy: proxy.list.asked()).read()
@@ -668,7 +668,7 @@
 
 
 def test_settings_are_switched_there_and_back_under_traffic_and_nothing_is_lost_or_sent_twice(loopback):
-    slow = replace(CALLS, handshake_target=5.0, dial_timeout=5.0)
+    slow = replace(CALLS, handshake_objective=5.0, attempt_timeout=5.0)
     proxy = loopback("abc", listeners={"calls": slow})
     proxy.answer_list(whole(proxy, 8, ("a",), ("b",), ("c",)))
     old, balancer = proxy.config.settings, proxy.proxy.facade.balancer
@@ -693,11 +693,11 @@
     pace = source.leaving
     live = replace(
         old,
-        live_sizes=True,
-        groups=True,
-        watched=False,
-        balancers=9,
-        listeners={"calls": replace(CALLS, handshake_target=0.2, dial_timeout=0.3)},
+        live_weights=True,
+        group_affinity=True,
+        list_is_polled=False,
+        instance_count=9,
+        listeners={"calls": replace(CALLS, handshake_objective=0.2, attempt_timeout=0.3)},
     )
     shares = {"a": 4, "b": 0.5, "c": 4}
     rows = [proxy.row(name, **{"share": share, "class": "m"}) for name, share in shares.items()]
@@ -735,7 +735,7 @@
 
 
 def test_a_probe_brings_the_load_and_its_connection_goes_with_its_server(loopback):
-    proxy = loopback(probes=True, probe_price=0.01, load_field="x0")
+    proxy = loopback(health_checks=True, health_check_price=0.01, load_field="x0")
     server = proxy.until(lambda: proxy.toys["a"].asked())
     assert server.got == b"STATS\r\n"
     server.say(b"PONG qps=3,x0=0.5\r\n")
@@ -747,7 +747,7 @@
 
 
 def test_a_late_answer_to_a_probe_is_not_taken_for_the_next_ones(loopback):
-    proxy = loopback(probes=True, probe_price=0.01, load_field="x0")
+    proxy = loopback(health_checks=True, health_check_price=0.01, load_field="x0")
     server = proxy.until(lambda: proxy.toys["a"].asked())
     proxy.until(lambda: proxy.counts["probes timeout"] == 1)
     server.say(b"PONG x0=0.9\r\n")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,18 +15,19 @@
 from onyxhollow import loop as loops
 from onyxhollow.__main__ import main
 from onyxhollow.counters import Counters
-from onyxhollow.interface import ListKind, Repeat
+from onyxhollow.interface import EndpointListKind, Idempotency
 from onyxhollow.lifecycle import handover as handovers
 from onyxhollow.lifecycle import proxy as proxies
 from onyxhollow.lifecycle.config import ConfigError, decode, needs_restart, read_config
 from onyxhollow.lifecycle.handover import Handover, StateError, decode_state, encode_state, given_socket
+from onyxhollow.management import metrics
 from onyxhollow.state_snapshot import avoided, describe, take_back
 from onyxhollow.wire import sessions
 from onyxhollow.wire.channel import ListenError
 from onyxhollow.wire.passing import Receiver
 
 OPERATORS = ("127.0.0.1", 0)
-BOTH = {"calls": CALLS, "once": replace(CALLS, name="once", repeat=Repeat.ONCE_ONLY)}
+BOTH = {"calls": CALLS, "once": replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)}
 END = b" HTTP/1.1\r\nHost: x\r\n\r\n"
 READY = b"GET /control/ready"
 LIST = json.dumps({"seq": 8, "whole": False, "hosts": []}).encode()
@@ -295,14 +296,14 @@
     added["settings"]["listeners"][0]["semantics"] = "non_idempotent"
     assert needs_restart(old, decode(added, {})) == "" == needs_restart(decode(added, {}), old)
     one = changed(("settings", "listeners"), 0)
-    assert needs_restart(old, decode(one, {})) == "" and decode(one, {}).settings.most_dials == 3
+    assert needs_restart(old, decode(one, {})) == "" and decode(one, {}).settings.max_attempts == 3
 
 
 def test_a_dropped_listeners_sessions_keep_their_terms_and_fewer_dials_are_for_new_ones(served, monkeypatch):
-    proxy = served("ab", listeners=BOTH, most_dials=2)
+    proxy = served("ab", listeners=BOTH, max_attempts=2)
     dialling = proxy.open("calls")
     first, other = proxy.first_dial()
-    settings = replace(proxy.config.settings, listeners={"once": BOTH["once"]}, most_dials=1)
+    settings = replace(proxy.config.settings, listeners={"once": BOTH["once"]}, max_attempts=1)
     proxy.config = replace(proxy.config, settings=settings)
     proxy.proxy.reload()
     first.say(b"ERR\r\n")
@@ -560,7 +561,7 @@
 
 
 def test_a_successor_knows_loads_and_distrust_and_spends_no_cold_budget_twice(start):
-    cold = {"balancers": 1, "cold_share": 0.25, "cold_time": 10.0, "fall_multiple": 2.0}
+    cold = {"instance_count": 1, "slow_start_share": 0.25, "slow_start_time": 10.0, "overload_multiple": 2.0}
     old, new = start(**cold), start(**cold)
     for host in (old, new):
         host.servers("a", "b", "c")
@@ -574,7 +575,7 @@
     for _ in range(3):
         old.balancer.blame(old.balancer.servers["b"], 1.0)
     for host in (old, new):
-        host.servers("d", kind=ListKind.CHANGES, started=1009.0)
+        host.servers("d", kind=EndpointListKind.DELTA, started_at=1009.0)
     budget = old.balancer.budget
     budget.tokens[old.balancer.servers["d"]] = (0.1, old.now)  # the rest is spent
     common, records = json.loads(json.dumps(describe(old.balancer)))
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -8,11 +8,11 @@
 from conftest import PLAIN
 
 from onyxhollow.counters import Counters
-from onyxhollow.decision_adapter import Facade, report_shared
+from onyxhollow.decision_adapter import DecisionAdapter, report_shared
 from onyxhollow.gossip import messages
 from onyxhollow.gossip.core import News, Sharing, Terms
 from onyxhollow.gossip.messages import Counts, Page, Row
-from onyxhollow.interface import DialEnd, Entry, ListKind, Readiness
+from onyxhollow.interface import AttemptOutcome, Endpoint, EndpointListKind, EndpointState
 from onyxhollow.lab import decisions, scenario, virtual
 from onyxhollow.lab.together import Trouble
 
@@ -202,12 +202,12 @@
 # the module
 
 
-FEW = {"probes": True, "probe_price": 0.001, "balancers": 100, "zone": "a"}
+FEW = {"health_checks": True, "health_check_price": 0.001, "instance_count": 100, "zone": "a"}
 
 
 def zoned(host, **names):
-    entries = [Entry(name, Readiness.IN_SERVICE, zone=zone) for name, zone in names.items()]
-    host.balancer.server_list(ListKind.FULL, entries)
+    entries = [Endpoint(name, EndpointState.IN_SERVICE, zone=zone) for name, zone in names.items()]
+    host.balancer.server_list(EndpointListKind.SNAPSHOT, entries)
     return [host.balancer.servers[name] for name in names]
 
 
@@ -220,14 +220,14 @@
         host.loads(**{s.name: 0.3 for s in servers})
         sess = host.take()
         counts[sess.server.zone] += 1
-        sess.dial_ended(DialEnd.OK, True, 0.0)
+        sess.dial_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["a"] >= 35
     for server in servers:  # told for the fleet: the near ones hold far more
         load, held = (0.6, 60) if server.zone == "a" else (0.2, 20)
         report_shared(host.balancer, News(server.name, load, 0.0, held, 0.0, 0.0))
     for _ in range(40):
         counts[(sess := host.take()).server.zone] += 1
-        sess.dial_ended(DialEnd.OK, True, 0.0)
+        sess.dial_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["b"] >= 25
 
 
@@ -258,13 +258,15 @@
 
 def test_a_server_passed_over_by_chance_has_room_for_a_sites_health_and_a_full_one_has_not():
     told = replace(PLAIN, **FEW)
-    facade = Facade(lambda: 100.0, told, 1, Counters(), lambda line: None, lambda name: None, lambda: None)
-    entries = [Entry(name, Readiness.IN_SERVICE, zone="a") for name in "xy"]
-    facade.report_list(ListKind.FULL, entries)
+    facade = DecisionAdapter(
+        lambda: 100.0, told, 1, Counters(), lambda line: None, lambda name: None, lambda: None
+    )
+    entries = [Endpoint(name, EndpointState.IN_SERVICE, zone="a") for name in "xy"]
+    facade.report_list(EndpointListKind.SNAPSHOT, entries)
     servers = facade.balancer.servers
     servers["x"].strained_at = 100.0
     assert not facade.balancer.well(servers["x"]) and facade.room("a") == (2, 2)
-    facade.report_probe("y", DialEnd.OK, 0.0, 0.9)
+    facade.report_probe("y", AttemptOutcome.OK, 0.0, 0.9)
     assert facade.room("a") == (2, 1)
 
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -8,11 +8,24 @@
 import pytest
 from conftest import CALLS, PLAIN
 
-from onyxhollow.interface import Customer, DialEnd, Entry, ListKind, Readiness, Repeat, Scope
+from onyxhollow.interface import (
+    AttemptOutcome,
+    DeduplicationScope,
+    Endpoint,
+    EndpointListKind,
+    EndpointState,
+    Idempotency,
+    Tenant,
+)
 from onyxhollow.policy import Pace, Rate, draw
 
-ONCE = replace(CALLS, repeat=Repeat.ONCE_ONLY)
-REFERENCED = replace(CALLS, repeat=Repeat.REFERENCED, scope=Scope.CELL, window=1.0)
+ONCE = replace(CALLS, idempotency=Idempotency.NON_IDEMPOTENT)
+REFERENCED = replace(
+    CALLS,
+    idempotency=Idempotency.KEYED,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window=1.0,
+)
 
 
 def placed(host):
@@ -20,8 +33,8 @@
 
 
 def test_own_connections_even_out_per_registered_size(host):
-    host.servers("a", "b", "c", size=1.0)
-    host.servers("d", kind=ListKind.CHANGES, size=3.0)
+    host.servers("a", "b", "c", weight=1.0)
+    host.servers("d", kind=EndpointListKind.DELTA, weight=3.0)
     host.balancer.servers["d"].arrival = None
     for _ in range(120):
         host.take()
@@ -45,7 +58,7 @@
     for _ in range(20):
         host.take()
     host.balancer.review()
-    host.servers("c", kind=ListKind.CHANGES)
+    host.servers("c", kind=EndpointListKind.DELTA)
     host.balancer.servers["c"].arrival = None
     weigh = [host.balancer.weight(s, None, None) for s in (*old, host.balancer.servers["c"])]
     assert weigh[2] == pytest.approx(sum(weigh[:2]) / 2)
@@ -54,8 +67,8 @@
 def test_connections_of_a_group_meet_on_one_server_at_all_balancers(start):
     homes = set()
     for seed in (1, 2, 3):
-        host = start(seed, groups=True)
-        host.servers(*"abcdef", size=4.0)
+        host = start(seed, group_affinity=True)
+        host.servers(*"abcdef", weight=4.0)
         host.balancer.fill = 5.0
         homes |= {host.take(group="g7").server.name for _ in range(3)}
     assert len(homes) == 1
@@ -79,13 +92,13 @@
     for load, sess in enumerate(sessions):
         sess.load_news(float(40 - load))
     host.balancer.adopt(7, CALLS, None, None, 0.0, "a")
-    host.servers("b", kind=ListKind.CHANGES)
-    host.servers("a", kind=ListKind.CHANGES, readiness=Readiness.DRAINING)
+    host.servers("b", kind=EndpointListKind.DELTA)
+    host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
     assert host.take(stands=False).server is not a
     host.wait(2.2)
     moved = [token for (token,) in host.asked("move")]
     assert moved[:6] == [s.token for s in sessions[:-7:-1]] and 7 not in moved
-    sessions[0].dial_ended(DialEnd.OK, True, 9.0)
+    sessions[0].dial_ended(AttemptOutcome.OK, True, 9.0)
     assert a.leaving.moved == len(moved) + 1
 
 
@@ -93,7 +106,7 @@
     a, b = host.servers("a", "b")
     for _ in range(80):
         host.take(took=0.01)
-    host.servers("a", kind=ListKind.CHANGES, readiness=Readiness.DRAINING)
+    host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
     first = len(host.asked("move"))
     b.set_up.add(0.1, host.now)
     host.wait(2.2)
@@ -101,12 +114,12 @@
 
 
 def test_a_cold_joiner_takes_no_more_than_its_own_share_of_the_fleets_budget(start):
-    host = start(balancers=4, me=0)
+    host = start(instance_count=4, instance_index=0)
     host.servers("a", "b", "c")
     for _ in range(40):
         host.wait(0.25)
         host.take()
-    host.servers("d", kind=ListKind.CHANGES, started=host.now)
+    host.servers("d", kind=EndpointListKind.DELTA, started_at=host.now)
     before = len(host.asked("dial"))
     for _ in range(8):
         host.wait(0.25)
@@ -131,7 +144,7 @@
         if loads:
             host.loads(a=1.3)
         else:
-            host.servers("a", kind=ListKind.CHANGES, readiness=Readiness.DRAINING)  # as in the design
+            host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)  # as in the design
         host.wait(1.5)
         assert bool(host.asked("move")) is gone
 
@@ -165,14 +178,14 @@
         host.loads(a=0.7)
         waiting = [host.take(stands=False) for _ in range(12)]
         host.wait(0.1)
-        host.servers("b", kind=ListKind.CHANGES, started=started)
+        host.servers("b", kind=EndpointListKind.DELTA, started_at=started)
         host.wait(0.2)
         assert least <= sum(sess.dialling for sess in waiting) <= most
 
 
 def test_all_servers_cold_sessions_are_held_and_then_refused_at_half_time(host):
     host.servers("a")
-    host.servers("a", kind=ListKind.CHANGES, started=host.now)
+    host.servers("a", kind=EndpointListKind.DELTA, started_at=host.now)
     host.balancer.budget.seen = 0.0
     sess = host.take()
     host.wait(0.9)
@@ -187,21 +200,21 @@
     host.servers("a", "b")
     sess = host.take(stands=False)
     for _ in range(3):
-        sess.dial_ended(DialEnd.CONNECT_FAILED, False, 0.001)
+        sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
     assert not host.asked("refuse")
-    sess.dial_ended(DialEnd.CONNECT_FAILED, False, 0.001)
+    sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
     assert len(host.asked("refuse")) == 1 and len(host.asked("dial")) == 4
-    sess.dial_ended(DialEnd.CONNECT_FAILED, False, 0.001)
+    sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
     assert len(host.asked("refuse")) == 1
 
 
 def test_rule_1_nothing_is_sent_for_a_session_whose_client_is_gone(start):
-    host = start(cancelling=True)
+    host = start(cancellation=True)
     a, b = host.servers("a", "b")
     gone = host.take(stands=False)
     gone.client_gone()
     assert host.asked("cancel") == [(gone.token, 0)]
-    gone.dial_ended(DialEnd.TIMEOUT, False, 0.3)
+    gone.dial_ended(AttemptOutcome.TIMEOUT, False, 0.3)
     a.strained_at = b.strained_at = host.now
     host.take(stands=False).client_gone()
     host.wait(5.0)
@@ -211,9 +224,9 @@
 def test_rule_2_once_only_is_redialled_only_if_it_never_ran(host, lost):
     host.servers("a", "b")
     sess = host.take(ONCE, stands=False)
-    lost(sess, DialEnd.CONNECT_FAILED)
+    lost(sess, AttemptOutcome.CONNECT_FAILED)
     assert len(host.asked("dial")) == 2
-    lost(sess, DialEnd.UNKNOWN)
+    lost(sess, AttemptOutcome.UNKNOWN)
     assert len(host.asked("dial")) == 2
     assert host.asked("tear_down") == [(sess.token,)] and not host.asked("refuse")
 
@@ -225,11 +238,11 @@
 def test_rule_2_referenced_repeats_only_in_its_group_and_window(host, lost, cells, later, again):
     host.servers("a", cell=cells[0])
     sess = host.take(REFERENCED, stands=False)
-    host.servers("b", kind=ListKind.CHANGES, cell=cells[1])
-    host.servers("a", kind=ListKind.CHANGES, readiness=Readiness.GONE)
+    host.servers("b", kind=EndpointListKind.DELTA, cell=cells[1])
+    host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.REMOVED)
     host.balancer.servers["b"].arrival = None
     host.wait(later)
-    lost(sess, DialEnd.TIMEOUT)
+    lost(sess, AttemptOutcome.TIMEOUT)
     assert (len(host.asked("dial")) == 2) is again
     assert host.asked("tear_down") == ([] if again else [(sess.token,)])
 
@@ -241,16 +254,16 @@
 
 
 def test_a_lost_list_is_asked_for_again_before_silence_counts_as_told(start):
-    host = start(watched=True, ask_within=10.0)
-    host.servers("a", kind=ListKind.CACHED)
+    host = start(list_is_polled=True, max_poll_interval=10.0)
+    host.servers("a", kind=EndpointListKind.CACHED)
     host.wait(0.5)
     assert len(host.asked("watch")) == 1
     for _ in range(6):
-        host.servers(kind=ListKind.FAILED)
+        host.servers(kind=EndpointListKind.FAILED)
         asked = len(host.asked("watch"))
         host.wait(2.6)
         assert len(host.asked("watch")) > asked
-    host.servers("a", kind=ListKind.FULL)
+    host.servers("a", kind=EndpointListKind.SNAPSHOT)
     asked = len(host.asked("watch"))
     host.wait(20.0)
     assert len(host.asked("watch")) == asked
@@ -261,9 +274,9 @@
         """In the five seconds from a failure that all meet at once, each call failing after two seconds."""
         made = 0
         for seed in range(count):
-            host = start(seed, watched=True, balancers=count)
+            host = start(seed, list_is_polled=True, instance_count=count)
             host.wait(6.0)
-            host.balancer.server_list(ListKind.FAILED, [])
+            host.balancer.server_list(EndpointListKind.FAILED, [])
             host.did.clear()
             for _ in range(100):
                 host.wait(0.05)
@@ -271,16 +284,16 @@
                     made += 1
                     host.did.clear()
                     host.wait(2.0)
-                    host.balancer.server_list(ListKind.FAILED, [])
+                    host.balancer.server_list(EndpointListKind.FAILED, [])
         return made
 
     assert calls(40) <= 40 * 2 and calls(4) >= 4 * 2
-    host = start(watched=True, balancers=40)  # from the first second on, and never answered
+    host = start(list_is_polled=True, instance_count=40)  # from the first second on, and never answered
     for _ in range(20):
         host.wait(6.5)
         assert host.asked("watch")  # the first within 5 s, the others within 6 s of a failure
         host.did.clear()
-        host.balancer.server_list(ListKind.FAILED, [])
+        host.balancer.server_list(EndpointListKind.FAILED, [])
     sess = host.take(stands=False)
     host.wait(2.0)
     assert sess.answered and len(host.asked("refuse")) == 1
@@ -315,8 +328,8 @@
 
 
 def test_a_server_cold_in_the_first_list_is_eased_in(host):
-    host.balancer.server_list(ListKind.CACHED, [])
-    a, b = host.servers("a", started=host.now - 1.0) + host.servers("b", kind=ListKind.CHANGES)
+    host.balancer.server_list(EndpointListKind.CACHED, [])
+    a, b = host.servers("a", started_at=host.now - 1.0) + host.servers("b", kind=EndpointListKind.DELTA)
     assert a.arrival and host.balancer.budget.cold(a, host.now) and not host.balancer.budget.cold(b, host.now)
 
 
@@ -365,8 +378,8 @@
 
 
 def test_overload_admits_by_utility_and_within_the_customers_share(start):
-    over, within = Customer("over", connections=1.0), Customer("within", connections=99.0)
-    host = start(customers={"over": over, "within": within}, overage_utility=0.2)
+    over, within = Tenant("over", connection_quota=1.0), Tenant("within", connection_quota=99.0)
+    host = start(tenants={"over": over, "within": within}, over_quota_utility=0.2)
     host.servers("a", "b")
     for _ in range(6):
         host.take(customer=over)
@@ -381,7 +394,7 @@
 
 
 def test_servers_are_probed_often_only_while_one_is_strained(start):
-    host = start(probes=True, probe_price=0.01)
+    host = start(health_checks=True, health_check_price=0.01)
     host.balancer.asking = lambda *_: False  # asked loads have a story of their own
     a, *_ = host.servers(*"abcdefgh")
 
@@ -413,9 +426,9 @@
 
 def test_a_store_too_slow_for_any_dial_stretches_the_dial_times_too(host, lost):
     host.servers("a", "b")
-    lost(host.take(stands=False), DialEnd.TIMEOUT)
+    lost(host.take(stands=False), AttemptOutcome.TIMEOUT)
     assert [timeout for *_, timeout in host.asked("dial")] == pytest.approx([0.3, 0.3])
-    host.take(stands=False).dial_ended(DialEnd.TIMEOUT, False, 0.3)
+    host.take(stands=False).dial_ended(AttemptOutcome.TIMEOUT, False, 0.3)
     assert host.asked("dial")[-1][-1] > 0.4
 
 
@@ -428,7 +441,7 @@
     assert times == pytest.approx([0.3, 0.3, 3 * (0.01 + 0.3 * 0.49)])
 
 
-FEW = {"probes": True, "probe_price": 0.001, "balancers": 100}
+FEW = {"health_checks": True, "health_check_price": 0.001, "instance_count": 100}
 
 
 def test_with_few_own_connections_a_server_is_asked_before_a_dial_and_a_silent_one_passed_over(start):
@@ -444,13 +457,13 @@
 
 
 def test_a_balancer_restarted_on_a_small_fleet_dials_at_once(start):
-    host = start(probes=True, probe_price=0.001, balancers=4)
+    host = start(health_checks=True, health_check_price=0.001, instance_count=4)
     host.servers(*"abcd")
     assert host.take().server and not host.asked("probe")
 
 
 def test_a_group_whose_homes_are_full_waits_and_is_not_strewn(start):
-    host = start(groups=True, **FEW)
+    host = start(group_affinity=True, **FEW)
     servers = host.servers(*(f"s{n}" for n in range(60)))
     host.loads(**{s.name: 0.1 for s in servers})
     stretch = set()
@@ -466,9 +479,9 @@
 
 
 def test_a_cold_server_is_home_to_its_groups_as_far_as_its_budget_goes(start):
-    host = start(groups=True)
-    old = host.servers(*"abc", size=4.0)
-    cold = host.servers("x", size=4.0, kind=ListKind.CHANGES, started=host.now)[0]
+    host = start(group_affinity=True)
+    old = host.servers(*"abc", weight=4.0)
+    cold = host.servers("x", weight=4.0, kind=EndpointListKind.DELTA, started_at=host.now)[0]
     balancer = host.balancer
 
     def first(group):
@@ -500,14 +513,14 @@
 
 def test_a_group_is_not_strewn_over_arriving_servers_that_happen_to_have_a_turn(start):
     # Another one had a turn at each balancer and moment: the group's work was paid for at eight servers.
-    homes, customers = set(), {"acme": Customer("acme", connections=4000.0)}
+    homes, customers = set(), {"acme": Tenant("acme", connection_quota=4000.0)}
     for n in range(100):
-        host = start(n, balancers=200, me=n, groups=True, customers=customers)
+        host = start(n, instance_count=200, instance_index=n, group_affinity=True, tenants=customers)
         old = [f"s{n}" for n in range(12)]
         host.servers(*old)
         host.wait(1.0)
-        host.servers(*(f"c{n}" for n in range(12)), kind=ListKind.CHANGES, started=host.now)
-        host.servers(*old, kind=ListKind.CHANGES, readiness=Readiness.GONE)
+        host.servers(*(f"c{n}" for n in range(12)), kind=EndpointListKind.DELTA, started_at=host.now)
+        host.servers(*old, kind=EndpointListKind.DELTA, state=EndpointState.REMOVED)
         host.wait(3.0 + n / 50)
         sess = host.take(stands=False)
         sess.group = "g"
@@ -517,11 +530,11 @@
 
 
 def test_after_a_restart_among_many_a_server_has_room_for_a_share_of_what_customers_may_hold(start):
-    told = {"customers": {"acme": Customer("acme", 1.0, 600.0)}}
+    told = {"tenants": {"acme": Tenant("acme", 1.0, 600.0)}}
     placed = []
     for seed in range(20):
-        host = start(seed, groups=True, **FEW, **told)
-        host.servers(*(f"s{n}" for n in range(12)), size=4.0)
+        host = start(seed, group_affinity=True, **FEW, **told)
+        host.servers(*(f"s{n}" for n in range(12)), weight=4.0)
         host.loads(**{f"s{n}": 0.5 for n in range(12)})
         host.balancer.look()
         assert host.balancer.fill == pytest.approx(600 / 100 / 48)  # nothing open here: the fleet's as told
@@ -537,7 +550,7 @@
     for _ in range(40):
         host.take()
     gone = {s.name for s in servers if s in first and s is not servers[-1]}
-    host.servers(*gone, kind=ListKind.CHANGES, readiness=Readiness.GONE)
+    host.servers(*gone, kind=EndpointListKind.DELTA, state=EndpointState.REMOVED)
     assert len(host.balancer.working) == 16 and not gone & {s.name for s in host.balancer.working}
     before = set(host.balancer.working)
     host.wait(60.0)
@@ -546,7 +559,7 @@
 
 def test_the_work_for_a_session_does_not_grow_with_the_fleet(start):
     def looks(size):
-        host = start(groups=True, **FEW)
+        host = start(group_affinity=True, **FEW)
         host.loads(**{s.name: 0.1 for s in host.servers(*(f"s{n}" for n in range(size)))})
         well, seen = host.balancer.well, []
         host.balancer.well = lambda *what: seen.append(what) or well(*what)
@@ -558,7 +571,7 @@
 
 
 def test_many_balancers_together_keep_a_cold_servers_budget_and_fill_it(start):
-    hosts = [start(seed, balancers=100, me=seed) for seed in range(100)]
+    hosts = [start(seed, instance_count=100, instance_index=seed) for seed in range(100)]
     for host in hosts:
         host.servers(*(f"s{n}" for n in range(20)))
         host.balancer.probes = 0.1
@@ -567,7 +580,7 @@
             host.wait(2.0)
             host.loads(**{f"s{n}": 0.5 for n in range(20)})
         host.wait(1.0)
-        host.servers("c", "d", kind=ListKind.CHANGES, started=host.now)
+        host.servers("c", "d", kind=EndpointListKind.DELTA, started_at=host.now)
     # 50 connections stand on a warm server at half load: 100 fill it over 10 s, a cold one takes a quarter.
     before = [len(host.asked("dial")) for host in hosts]
     for second in range(1, 11):
@@ -584,12 +597,12 @@
 @pytest.mark.parametrize("count", [1, 3, 30, 200])
 def test_a_burst_after_a_quiet_time_stays_within_what_a_cold_server_bears_from_all_together(start, count):
     # Each balancer kept its turn to send until there was something: after a quiet while 200 sent at once.
-    customers = {"acme": Customer("acme", connections=4000.0)}
-    hosts = [start(n, balancers=count, me=n, customers=customers) for n in range(count)]
+    customers = {"acme": Tenant("acme", connection_quota=4000.0)}
+    hosts = [start(n, instance_count=count, instance_index=n, tenants=customers) for n in range(count)]
     for host in hosts:
         warm = host.servers(*(f"s{n}" for n in range(20)))
         host.wait(1.0)
-        host.servers("c", kind=ListKind.CHANGES, started=host.now)
+        host.servers("c", kind=EndpointListKind.DELTA, started_at=host.now)
         host.wait(5.0)
         for server in warm:
             server.strained_at = math.inf  # nothing else is open: all that comes wants the cold one
@@ -611,7 +624,7 @@
         host.take()
     host.balancer.review()
     usual = host.balancer.mean
-    host.servers("a", "b", "c", kind=ListKind.CHANGES, readiness=Readiness.DRAINING)
+    host.servers("a", "b", "c", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
     assert host.balancer.mean <= 1.2 * usual
 
 
@@ -632,46 +645,49 @@
     host.wait(0.1)
     assert sess.server is host.balancer.servers["a"] and len(host.balancer.fleet) == 1
     host.servers(*(f"s{n}" for n in range(1000)))
-    host.servers("a", kind=ListKind.CHANGES, size=3.0, zone="z")
+    host.servers("a", kind=EndpointListKind.DELTA, weight=3.0, zone="z")
     assert len(host.balancer.fleet) == 1001 and len(host.balancer.servers["a"].places) == 6
-    host.servers(kind=ListKind.FULL)
+    host.servers(kind=EndpointListKind.SNAPSHOT)
     assert not host.balancer.working and host.take(stands=False).server is None
 
 
 def test_a_weight_that_moves_with_load_is_taken_for_connections_and_not_for_a_size(start):
     # Taken for a size, the homes of groups wandered with it and the fullest server looked smallest.
-    host = start(live_sizes=True, groups=True, balancers=8)
-    servers = host.servers("a", "b", "c", size=4.0, kind_="m")
-    host.servers("d", kind=ListKind.CHANGES, size=2.0, kind_="n")
+    host = start(live_weights=True, group_affinity=True, instance_count=8)
+    servers = host.servers("a", "b", "c", weight=4.0, machine_type="m")
+    host.servers("d", kind=EndpointListKind.DELTA, weight=2.0, machine_type="n")
     places = {s.name: list(s.places) for s in host.balancer.fleet}
-    host.servers("a", kind=ListKind.CHANGES, size=0.4, kind_="m")
-    host.servers("b", kind=ListKind.CHANGES, size=1.0, kind_="m")
+    host.servers("a", kind=EndpointListKind.DELTA, weight=0.4, machine_type="m")
+    host.servers("b", kind=EndpointListKind.DELTA, weight=1.0, machine_type="m")
     assert [s.size for s in host.balancer.fleet] == [4.0, 4.0, 4.0, 2.0]
     assert {s.name: list(s.places) for s in host.balancer.fleet} == places
     assert [round(s.held, 6) for s in servers] == [9.0, 3.0, 0.0]
     host.loads(a=0.9)
     assert host.balancer.load_of(servers[1]) == pytest.approx(0.3)  # told of one, and so of all of its kind
-    host.servers("a", kind=ListKind.CHANGES, size=0.5, kind_="m")
+    host.servers("a", kind=EndpointListKind.DELTA, weight=0.5, machine_type="m")
     assert host.balancer.load_of(servers[0]) == pytest.approx(0.7)  # its report is carried on
     weigh = [host.balancer.weight(s, None, None) for s in servers]
     assert weigh == sorted(weigh, reverse=True) and len(set(weigh)) == 3
-    host.servers("a", kind=ListKind.CHANGES, size=0.0, kind_="m")  # says nothing
+    host.servers("a", kind=EndpointListKind.DELTA, weight=0.0, machine_type="m")  # says nothing
     assert servers[0].size == 4.0 and host.balancer.load_of(servers[0]) == pytest.approx(0.7)
 
 
 def test_a_balancer_that_first_hears_of_loaded_servers_puts_homes_where_others_do(start):
-    early, late = start(1, live_sizes=True, groups=True), start(2, live_sizes=True, groups=True)
-    early.servers("a", "b", "c", size=4.0, kind_="m")
-    late.servers("a", "b", "c", size=0.5, kind_="m")
+    early, late = (
+        start(1, live_weights=True, group_affinity=True),
+        start(2, live_weights=True, group_affinity=True),
+    )
+    early.servers("a", "b", "c", weight=4.0, machine_type="m")
+    late.servers("a", "b", "c", weight=0.5, machine_type="m")
     assert [s.places for s in early.balancer.fleet] == [s.places for s in late.balancer.fleet]
 
 
 def test_a_groups_home_is_near_only_while_the_fleet_is_empty_by_a_crossings_price(start):
     # Two in three dials crossed rooms for three points; strewn over rooms a full fleet pays groups thrice.
     for price, load, near in ((0.03, 0.2, True), (0.03, 0.4, False), (0.01, 0.2, False)):
-        host = start(groups=True, zone="here", crossing_price=price)
+        host = start(group_affinity=True, zone="here", cross_zone_price=price)
         host.servers(*(f"far{n}" for n in range(30)), zone="there")
-        host.servers(*(f"near{n}" for n in range(30)), kind=ListKind.CHANGES, zone="here")
+        host.servers(*(f"near{n}" for n in range(30)), kind=EndpointListKind.DELTA, zone="here")
         for server in host.balancer.fleet:
             server.arrival = None
         host.loads(**{s.name: load for s in host.balancer.fleet})
@@ -686,7 +702,7 @@
     for others in (2, 0):
         placed.append(0)
         for seed in range(200):
-            host = start(seed, groups=True, **FEW)
+            host = start(seed, group_affinity=True, **FEW)
             host.servers(*(f"s{n}" for n in range(16)))
             host.loads(**{f"s{n}": 0.6 for n in range(16)})
             host.balancer.look()
@@ -701,25 +717,25 @@
 
 def test_a_switch_to_live_weights_and_back_reads_nothing_old_as_new(start):
     # A load reported under sizes was carried on by all connections at the first live word.
-    host = start(groups=True)
-    a, b = host.servers("a", "b", size=4.0, kind_="m")
-    sess, live = host.take(), replace(PLAIN, groups=True, live_sizes=True)
+    host = start(group_affinity=True)
+    a, b = host.servers("a", "b", weight=4.0, machine_type="m")
+    sess, live = host.take(), replace(PLAIN, group_affinity=True, live_weights=True)
     host.loads(a=0.4, b=0.2)
     host.balancer.resettle(live)
-    host.servers("a", "b", size=0.4, kind_="m")
-    host.servers("b", kind=ListKind.CHANGES, size=4.0, kind_="m")
+    host.servers("a", "b", weight=0.4, machine_type="m")
+    host.servers("b", kind=EndpointListKind.DELTA, weight=4.0, machine_type="m")
     assert host.balancer.load_of(a) == pytest.approx(0.4) and (a.size, a.held) == (4.0, 9.0)
     host.loads(a=0.5)
-    host.balancer.resettle(replace(PLAIN, groups=True))
+    host.balancer.resettle(replace(PLAIN, group_affinity=True))
     assert not host.balancer.brims and host.balancer.load_of(a) == pytest.approx(0.5)
-    host.servers("a", "b", size=2.0, kind_="m")
+    host.servers("a", "b", weight=2.0, machine_type="m")
     assert (a.size, a.held, b.size) == (2.0, 0.0, 2.0)
     assert sess.server in (a, b) and sess in sess.server.connections and len(host.asked("dial")) == 1
 
 
 def test_servers_full_by_a_guess_alone_are_asked_while_sessions_wait(start):
     # Back from a drain: few own connections where others hold many, so each new one looks like a tenth of it.
-    host = start(probes=True, probe_price=0.001, balancers=2)
+    host = start(health_checks=True, health_check_price=0.001, instance_count=2)
     host.servers("a", "b")
     host.loads(a=0.4, b=0.4)
     for _ in range(14):
@@ -740,16 +756,16 @@
 
 
 def test_six_in_ten_servers_replaced_in_one_answer_get_nothing_more_and_nobody_is_left_unanswered(start):
-    host = start(balancers=40)
-    host.servers(*(f"s{n}" for n in range(10)), size=4.0)
+    host = start(instance_count=40)
+    host.servers(*(f"s{n}" for n in range(10)), weight=4.0)
     for _ in range(40):
         host.take()
     old, before = {f"s{n}" for n in range(6)}, len(host.asked("dial"))
     host.balancer.server_list(
-        ListKind.CHANGES,
+        EndpointListKind.DELTA,
         [
-            *(Entry(name, Readiness.GONE) for name in sorted(old)),
-            *(Entry(f"t{n}", Readiness.IN_SERVICE, size=4.0, started=host.now) for n in range(6)),
+            *(Endpoint(name, EndpointState.REMOVED) for name in sorted(old)),
+            *(Endpoint(f"t{n}", EndpointState.IN_SERVICE, weight=4.0, started_at=host.now) for n in range(6)),
         ],
     )
     late = []
@@ -764,7 +780,7 @@
 
 @pytest.mark.parametrize("span", [5.0, 600.0])
 def test_a_clock_that_jumps_on_answers_those_that_wait_once_and_goes_on(host, span):
-    host.servers("a", "b", readiness=Readiness.DRAINING)
+    host.servers("a", "b", state=EndpointState.DRAINING)
     waiting = [host.take(stands=False) for _ in range(5)]
     host.wake.clear()
     host.now += span
@@ -777,7 +793,7 @@
 
 def test_a_load_beyond_all_measure_keeps_its_server_out_and_all_figures_finite(start):
     host = start(**FEW)
-    host.servers("a", "b", size=4.0)
+    host.servers("a", "b", weight=4.0)
     for _ in range(20):
         host.loads(a=1e308, b=0.1)
         host.take()
@@ -794,17 +810,17 @@
     servers = host.servers("a", "b", "c")
     sess = host.take()
     away = sess.server
-    sess.dial_ended(DialEnd.CANCELLED, True, 20.0)
+    sess.dial_ended(AttemptOutcome.CANCELLED, True, 20.0)
     assert not host.balancer.well(away)
     assert {host.take().server for _ in range(20)} == {*servers} - {away}
     host.wait(4.0)  # no verdict for good
     assert host.balancer.well(away)
     host.wait(40.0)
-    lost(host.take(stands=False), DialEnd.CONNECT_FAILED)  # 0.1 s: it may only be slow
+    lost(host.take(stands=False), AttemptOutcome.CONNECT_FAILED)  # 0.1 s: it may only be slow
     assert all(host.balancer.well(server) for server in servers)
     sess = host.take(stands=False)
     shut = sess.server
-    sess.dial_ended(DialEnd.CONNECT_FAILED, False, 0.001)
+    sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
     assert not host.balancer.well(shut) and sess.server is not shut
 
 
@@ -812,24 +828,24 @@
     host.servers("a")
     left, moved = host.take(), host.take()
     left.client_gone()
-    left.dial_ended(DialEnd.CANCELLED, True, 20.0)
+    left.dial_ended(AttemptOutcome.CANCELLED, True, 20.0)
     moved.server.strained_at = host.now
     host.balancer.hand_off(moved.server, "a story")
     assert host.asked("move")
-    moved.dial_ended(DialEnd.CANCELLED, True, 20.0)
+    moved.dial_ended(AttemptOutcome.CANCELLED, True, 20.0)
     assert moved.server.score(host.now) == 0.0
 
 
 def blind(start, **changes):
     """Four balancers, four servers of size 4; customers may hold 320 connections: own 20 fill a server."""
-    told = {"customers": {"acme": Customer("acme", 1.0, 320.0)}, "balancers": 4}
+    told = {"tenants": {"acme": Tenant("acme", 1.0, 320.0)}, "instance_count": 4}
     host = start(**(told | changes))
-    return host, host.servers(*"abcd", size=4.0)
+    return host, host.servers(*"abcd", weight=4.0)
 
 
 def test_where_no_load_is_told_own_part_of_what_customers_may_hold_bounds_a_server(start):
     """On 200 proxies without reports a group's home was filled until it threw its connections out."""
-    host, servers = blind(start, retry_after=1.0)
+    host, servers = blind(start, max_retry_after=1.0)
     for _ in range(200):
         host.take()
         host.balancer.look()
@@ -845,9 +861,11 @@
 def test_where_no_load_is_told_a_group_has_one_home_for_all_zones_and_a_shedding_server_rests_longer(start):
     homes = set()
     for zone in ("north", "south"):
-        host, _ = blind(start, groups=True, zone=zone, crossing_price=0.1)
+        host, _ = blind(start, group_affinity=True, zone=zone, cross_zone_price=0.1)
         for name in "abcd":
-            host.servers(name, kind=ListKind.CHANGES, zone="north" if name in "ab" else "south", size=4.0)
+            host.servers(
+                name, kind=EndpointListKind.DELTA, zone="north" if name in "ab" else "south", weight=4.0
+            )
         host.balancer.look()
         homes.add(host.take(group="g7").server.name)
     assert len(homes) == 1
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -15,7 +15,7 @@
 from conftest import CALLS as LISTENER
 from conftest import Peer
 
-from onyxhollow.interface import Repeat
+from onyxhollow.interface import Idempotency
 from onyxhollow.wire import channel
 from onyxhollow.wire.system_errors import Fault, fault_of, fault_of_connect
 
@@ -51,7 +51,7 @@
     "unregister": ("ENOENT",),
     "poll": ("EINTR",),
 }
-CALLS_ONCE = replace(LISTENER, repeat=Repeat.ONCE_ONLY)  # its attempts may not run twice
+CALLS_ONCE = replace(LISTENER, idempotency=Idempotency.NON_IDEMPOTENT)  # its attempts may not run twice
 CASES = [(call, name) for call, names in CALLS.items() for name in names]
 SHORTAGES = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "ENOSPC", "EADDRNOTAVAIL"}
 
