--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -26,7 +26,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.gossip.core import Terms  # noqa: E402
+from onyxhollow.gossip.core import GossipConfig  # noqa: E402
 from onyxhollow.lab import decisions, scenario  # noqa: E402
 from onyxhollow.lab.sockets.engine import Sockets  # noqa: E402
 from onyxhollow.lab.together import Trouble  # noqa: E402
@@ -69,7 +69,7 @@
 def play(cell: tuple[str, tuple[int, int], float, int, str]) -> dict[str, Any]:
     """One run in virtual time. how: alone, before=REVISION, together, cut, liar, or a policy of the lab's."""
     title, size, seconds, seed, how = cell
-    terms = Terms() if how in ("together", "cut", "liar") else None
+    terms = GossipConfig() if how in ("together", "cut", "liar") else None
     trouble = {"cut": Trouble(6.0, seconds - 6.0), "liar": Trouble(liars=3)}.get(how, Trouble())
     policy = "module" if terms or how == "alone" else how.removeprefix("before=")
     engine = Virtual(day(title, size, seconds), seed, decisions.find(policy), terms, trouble)
--- a/onyxhollow/benchlink/link.py
+++ b/onyxhollow/benchlink/link.py
@@ -80,13 +80,13 @@
         self.out.append(json.dumps(values, separators=(",", ":")))
 
     # what the decision module asks of its host
-    def dial(self, token: Hashable, server: str, timeout: float) -> None:
+    def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
         self.put("forward", self.number, token, server, max(1, round(timeout * 1e9)))
 
-    def cancel(self, token: Hashable, dial: int) -> None:
+    def cancel_attempt(self, token: Hashable, dial: int) -> None:
         self.put("recall", self.number, token, dial)
 
-    def refuse(self, token: Hashable, retry_after: float) -> None:
+    def reject(self, token: Hashable, retry_after: float) -> None:
         self.sessions.pop(token, None)  # type: ignore[call-overload]
         self.put("overloadReply", self.number, token, round(retry_after * 1e9))
 
@@ -94,16 +94,16 @@
         self.sessions.pop(token, None)  # type: ignore[call-overload]
         self.put("finishError", self.number, token)
 
-    def move(self, token: Hashable) -> None:
+    def migrate(self, token: Hashable) -> None:
         self.put("relocate", self.number, token)
 
-    def probe(self, server: str) -> None:
+    def check_health(self, server: str) -> None:
         self.put("soundOut", self.number, server)
 
-    def watch(self) -> None:
+    def poll_endpoint_list(self) -> None:
         self.put("observe", self.number, True)
 
-    def wake_at(self, when: float) -> None:
+    def set_timer(self, when: float) -> None:
         self.put("wakeAt", self.number, math.ceil(when * 1e9), 0)
 
     def log(self, line: str) -> None:
@@ -126,26 +126,26 @@
         return None if value is None else figure(value, name)
 
     def describe(self, values: tuple[Any, ...]) -> tuple[int, Any, Any, float, float | None, Any]:
-        band, customer, _, left, work, group, bits = (values[1:] + (None,) * 7)[:7]
+        band, tenant, _, left, work, group, bits = (values[1:] + (None,) * 7)[:7]
         if band not in self.settings.listeners:
             raise WireError(f"band: impossible value {band!r}")
         bits = whole(bits or 0, "bitmap")
         load = figure(work, "workNs") / 1e9 if work is not None and bits & COST_KNOWN else None
         left = whole(left or 0, "expiresInNs") / 1e9
-        return whole(values[0] if values else None, "corr"), band, customer or None, left, load, group
+        return whole(values[0] if values else None, "corr"), band, tenant or None, left, load, group
 
     def order(self, *values: Any) -> None:
-        token, band, customer, left, load, group = self.describe(values)
+        token, band, tenant, left, load, group = self.describe(values)
         listener = self.settings.listeners[band]
-        who = self.settings.tenants.get(customer)
+        who = self.settings.tenants.get(tenant)
         sess = self.balancer.take(token, listener, who, group, left, load)
         if not sess.answered:
             self.sessions[token] = sess
 
     def existing(self, *values: Any) -> None:
-        token, band, customer, _, load, group = self.describe(values[:8])
+        token, band, tenant, _, load, group = self.describe(values[:8])
         server = word(values[8] if len(values) > 8 else None, "server")
-        who = self.settings.tenants.get(customer)
+        who = self.settings.tenants.get(tenant)
         sess = self.balancer.adopt(token, self.settings.listeners[band], who, group, load, server)
         if sess is not None:
             self.sessions[token] = sess
--- a/onyxhollow/decision_adapter.py
+++ b/onyxhollow/decision_adapter.py
@@ -60,15 +60,15 @@
 class SessionHandle:
     """One session as the network code sees it."""
 
-    def __init__(self, facade: DecisionAdapter, wake: Callable[[], None]) -> None:
-        self.facade, self.wake = facade, wake
+    def __init__(self, decisions: DecisionAdapter, wake: Callable[[], None]) -> None:
+        self.decisions, self.wake = decisions, wake
         self.sess: Session | None = None
         self.chosen: Selection | None = None
         self.call_back = self.move = False  # the dial out is to be given up; the client is to be moved
         self.dialling = self.answered = False
 
     def choose(self, chosen: Selection) -> None:
-        must = self.facade.counters.must
+        must = self.decisions.counters.must
         if not must(not self.answered, "nothing is decided after the answer"):
             return
         must(self.chosen is None and not self.dialling, "one dial at a time")
@@ -93,12 +93,12 @@
         self, end: AttemptOutcome, took: float, final: bool = False, load: float | None = None
     ) -> None:
         """How a dial, or the connection that came of it, has ended."""
-        self.facade.counters.must(self.dialling, "an end belongs to a dial that is out")
+        self.decisions.counters.must(self.dialling, "an end belongs to a dial that is out")
         self.dialling = self.call_back = False
         self.answered = self.answered or final
         if self.sess:
             if end not in WELL and not final and self.sess.server:
-                self.facade.dial_failed(self.sess.server.name)
+                self.decisions.dial_failed(self.sess.server.name)
             self.sess.dial_ended(end, final, took, load)
 
     def report_accepted(self, took: float) -> None:
@@ -168,7 +168,7 @@
         watch: Callable[[], None],
     ) -> None:
         self.clock, self.counters, self.log = clock, counters, log
-        self.probe, self.watch = probe, watch
+        self.check_health, self.poll_endpoint_list = probe, watch
         self.due = math.inf
         self.dial_failed: Callable[[str], None] = lambda server: None  # heard by who shares such evidence
         self.balancer = Balancer(self, settings, seed)
@@ -182,20 +182,20 @@
         self,
         wake: Callable[[], None],
         listener: Listener,
-        customer: Tenant | None,
+        tenant: Tenant | None,
         group: Hashable,
         left: float,
         load: float | None,
     ) -> SessionHandle:
         handle = SessionHandle(self, wake)
-        handle.sess = self.balancer.take(handle, listener, customer, group, left, load)
+        handle.sess = self.balancer.take(handle, listener, tenant, group, left, load)
         return handle
 
     def adopt(
         self,
         wake: Callable[[], None],
         listener: Listener,
-        customer: Tenant | None,
+        tenant: Tenant | None,
         group: Hashable,
         load: float | None,
         server: str,
@@ -203,7 +203,7 @@
     ) -> SessionHandle:
         """A connection that was open before this process started; placed: by the one before it."""
         handle = SessionHandle(self, wake)
-        handle.sess = self.balancer.adopt(handle, listener, customer, group, load, server)
+        handle.sess = self.balancer.adopt(handle, listener, tenant, group, load, server)
         if handle.sess and placed:
             handle.sess.placed = True
             if handle.sess.server:  # the load that its server has told of holds this one already
@@ -255,16 +255,16 @@
         self.balancer.tick()
 
     # asked by the module
-    def dial(self, token: Hashable, server: str, timeout: float) -> None:
+    def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
         assert isinstance(token, SessionHandle)
         token.choose(Selection(server, timeout))
 
-    def cancel(self, token: Hashable, dial: int) -> None:
+    def cancel_attempt(self, token: Hashable, dial: int) -> None:
         assert isinstance(token, SessionHandle)
         token.call_back = True
         token.wake()
 
-    def refuse(self, token: Hashable, retry_after: float) -> None:
+    def reject(self, token: Hashable, retry_after: float) -> None:
         assert isinstance(token, SessionHandle)
         token.choose(Selection(refused=True, retry_after=retry_after))
 
@@ -272,10 +272,10 @@
         assert isinstance(token, SessionHandle)
         token.choose(Selection())
 
-    def move(self, token: Hashable) -> None:
+    def migrate(self, token: Hashable) -> None:
         assert isinstance(token, SessionHandle)
         token.move = True
         token.wake()
 
-    def wake_at(self, when: float) -> None:
+    def set_timer(self, when: float) -> None:
         self.due = when
--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -93,16 +93,16 @@
         self.shared = shared
         self.core: Keeper | None = None
         self.still: Callable[[], bool] = lambda: False
-        self.progressed, self.outdated = shared.node.loop.now, False
+        self.last_progress_at, self.superseded = shared.node.loop.now, False
         self.hello_at = 0.0
 
-    def begin(self, term: int, still: Callable[[], bool]) -> None:
+    def start(self, term: int, still: Callable[[], bool]) -> None:
         shared, now = self.shared, clock.now()
-        self.progressed, self.still, self.hello_at = shared.node.loop.now, still, now
-        self.core = Keeper(shared.told, shared.node.council.names, term, now, time.time())
+        self.last_progress_at, self.still, self.hello_at = shared.node.loop.now, still, now
+        self.core = Keeper(shared.told, shared.node.voters.names, term, now, time.time())
         self.core.due = now
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.core, self.still = None, lambda: False
 
     def tick(self, now: float) -> None:
@@ -111,20 +111,20 @@
             return
         if not self.still():
             return
-        core.voters = self.shared.node.council.names
+        core.voters = self.shared.node.voters.names
         core.tick(now, time.time())
         if now >= self.hello_at:
             self.hello_at = now + HELLO
-            hello = Hello(core.term, self.shared.node.who)
+            hello = Hello(core.term, self.shared.node.process_id)
             self.shared.hello(hello)
-            self.shared.node.swim.broadcast(ADDRESSES, encode(hello))
+            self.shared.node.membership.broadcast(ADDRESSES, encode(hello))
         self.send(core)
 
     def heard(self, message: Message, member: str, now: float) -> None:
         if (core := self.core) is None:
             return
         if isinstance(message, Have | Kept):
-            self.progressed = self.shared.node.loop.now
+            self.last_progress_at = self.shared.node.loop.now
         core.heard(message, member, now, time.time())
         if core.out or core.log:
             self.send(core)
@@ -134,7 +134,7 @@
         out, core.out = core.out, []
         log, core.log = core.log, []
         for row in log:
-            self.shared.node.event(
+            self.shared.node.log_event(
                 "address",
                 address=row.address,
                 site=row.site,
@@ -163,29 +163,29 @@
         super().__init__()
         self.shared, self.site = shared, site
         self.core: Announcer | None = None
-        self.progressed, self.outdated = shared.node.loop.now, False
+        self.last_progress_at, self.superseded = shared.node.loop.now, False
         self.address = read_address(site.gate, "gate")
 
-    def begin(self, term: int, still: Callable[[], bool]) -> None:
+    def start(self, term: int, still: Callable[[], bool]) -> None:
         self.running += 1
-        self.progressed, self.outdated = self.shared.node.loop.now, False
+        self.last_progress_at, self.superseded = self.shared.node.loop.now, False
         self.core = Announcer(self.shared.told, self.site, term, clock.now())
         self.task = self.shared.node.loop.spawn(self.run(self.running, self.core, still))
 
-    def end(self) -> None:
-        super().end()
+    def stop(self) -> None:
+        super().stop()
         self.core = None
 
     def run(self, this: int, core: Announcer, still: Callable[[], bool]) -> Generator[float, None, None]:
         node, every = self.shared.node, self.shared.told.every
-        member = quote(node.who)
+        member = quote(node.process_id)
         while self.running == this:
             due = node.loop.now + every
             try:
                 if not core.read or not core.speaker:
                     yield from self.act(this, core, f"/claim?term={core.term}&member={member}", still)
                 for word in core.tick(clock.now()):
-                    node.event("address alone", site=self.site.name, why=word)
+                    node.log_event("address alone", site=self.site.name, why=word)
                 for row in core.due():
                     what = f"name={quote(row.name)}&as={int(row.wanted)}&keeper={core.keeper}"
                     target = f"/set?term={core.term}&number={core.call()}&{what}"
@@ -194,7 +194,7 @@
                 yield from self.act(this, core, f"/alive?term={core.term}&last={last}", still)
             except StatusError as error:
                 self.hang_up()
-                self.outdated = self.outdated or error.status == 409
+                self.superseded = self.superseded or error.status == 409
             except (ListError, OSError, h11.ProtocolError, ValueError, KeyError):
                 if self.running == this:
                     self.hang_up()
@@ -229,7 +229,7 @@
         told = orjson.loads(body)
         table = {name: (int(row["wanted"]), row["told"]) for name, row in told["rows"].items()}
         core.stands(table, int(told["keeper"]), bool(told["speaker"]), clock.now())
-        self.progressed = loop.now
+        self.last_progress_at = loop.now
 
     def granted(self, grant: Grant, now: float) -> None:
         if self.core is not None:
@@ -319,27 +319,27 @@
     # saying and hearing
 
     def to_who(self, who: str, message: Message) -> None:
-        if who == self.node.who:
+        if who == self.node.process_id:
             self.local.append(message)
-        elif member := self.node.member(who):
-            self.node.swim.carry(member, ADDRESSES, encode(message))
+        elif member := self.node.find_member(who):
+            self.node.membership.send_payload(member, ADDRESSES, encode(message))
 
     def to_name(self, name: str, message: Message) -> None:
         if name == self.node.name:
             self.local.append(message)
             return
-        for member in list(self.node.swim.there()):
+        for member in list(self.node.membership.live_members()):
             if member.name == name:
-                self.node.swim.carry(member, ADDRESSES, encode(message))
+                self.node.membership.send_payload(member, ADDRESSES, encode(message))
 
     def to_zone(self, zone: str, message: Message) -> None:
         if zone == self.node.zone:
             self.local.append(message)
-        for member in list(self.node.swim.there()):
+        for member in list(self.node.membership.live_members()):
             if member.zone == zone:
-                self.node.swim.carry(member, ADDRESSES, encode(message))
+                self.node.membership.send_payload(member, ADDRESSES, encode(message))
 
-    def heard(self, member: Member, body: bytes, now: float) -> None:
+    def on_message(self, member: Member, body: bytes, now: float) -> None:
         try:
             message = MESSAGES.decode(body)
         except (msgspec.DecodeError, RecursionError):
@@ -347,7 +347,7 @@
             return
         self.take(message, member.name, f"{member.name}~{member.epoch}", now)
 
-    def event(self, body: bytes) -> None:
+    def on_broadcast(self, body: bytes) -> None:
         try:
             message = MESSAGES.decode(body)
         except (msgspec.DecodeError, RecursionError):
@@ -406,12 +406,12 @@
             self.store = Store(self.node.fleet.folder)
         except (AppendLogError, msgspec.DecodeError) as error:
             self.node.counts["addresses: store can't be had"] += 1
-            self.node.event("store waits", why=str(error)[:200])
+            self.node.log_event("store waits", why=str(error)[:200])
             self.store_at = now + 10 * RECORDS_AGAIN
             return
         for order in self.store.orders():
             self.book.add(order, now, time.time())
-        self.node.event(
+        self.node.log_event(
             "store",
             orders=len(self.store.orders()),
             decided=len(self.store.decided()),
@@ -419,13 +419,13 @@
         )
 
     def keep(self, message: Keep, who: str) -> None:
-        if self.store is None or self.node.name not in self.node.council.names:
+        if self.store is None or self.node.name not in self.node.voters.names:
             return
         try:
             ids = self.store.keep(message.rows)
         except OSError as error:
             self.node.counts["addresses: disk failures"] += 1
-            self.node.event("store disk", why=f"{error.strerror}"[:200])
+            self.node.log_event("store disk", why=f"{error.strerror}"[:200])
             return
         now, wall = clock.now(), time.time()
         for row in message.rows:
@@ -434,7 +434,7 @@
         self.to_who(who, Kept(self.node.name, ids))
 
     def tell_orders(self, message: Want, who: str) -> None:
-        if self.store is None or self.node.name not in self.node.council.names:
+        if self.store is None or self.node.name not in self.node.voters.names:
             return
         orders = sorted(self.book.rows.values(), key=lambda order: order.number)
         count = len(orders)
@@ -453,13 +453,13 @@
             if pending.numbered:
                 continue
             pending.heard.add(message.voter)
-            if len(pending.heard) >= self.node.council.majority:
+            if len(pending.heard) >= self.node.voters.majority:
                 pending.numbered = True
                 pending.order = msgspec.structs.replace(pending.order, number=self.book.highest + 1)
                 self.push(pending)
 
     def push(self, pending: Pending) -> None:
-        for voter in self.node.council.names:
+        for voter in self.node.voters.names:
             if voter not in pending.kept_by:
                 message = Keep([pending.order]) if pending.numbered else Want(0)
                 self.to_name(voter, message)
@@ -468,10 +468,10 @@
         for name in message.ids:
             if (pending := self.pending.get(name)) is not None:
                 pending.kept_by.add(message.voter)
-                if len(pending.kept_by) >= self.node.council.majority:
+                if len(pending.kept_by) >= self.node.voters.majority:
                     del self.pending[name]
                     self.done.append(name)
-                    self.node.event(
+                    self.node.log_event(
                         "order",
                         id=name,
                         verb=pending.order.verb,
@@ -521,7 +521,7 @@
 
     def order_state(self, query: str) -> Answer:
         id = dict(parse_qsl(query)).get("id", "")
-        pending, needed = self.pending.get(id), self.node.council.majority
+        pending, needed = self.pending.get(id), self.node.voters.majority
         if pending is None and id not in self.done:
             return 404, b"id: no such order here\n", PLAIN
         kept = needed if pending is None else len(pending.kept_by)
@@ -558,8 +558,12 @@
 
     def voters_there(self) -> list[str]:
         if self.store is not None:
-            return [self.node.who]
-        return [f"{m.name}~{m.epoch}" for m in self.node.swim.there() if m.name in self.node.council.names]
+            return [self.node.process_id]
+        return [
+            f"{m.name}~{m.epoch}"
+            for m in self.node.membership.live_members()
+            if m.name in self.node.voters.names
+        ]
 
     def answer(self, message: Ask, who: str, now: float) -> None:
         told: Any = None
@@ -573,7 +577,7 @@
             }
         elif core is not None and self.keeper_work.still():
             if message.what == "view":
-                told = core.view(now) | {"keeper": self.node.who}
+                told = core.view(now) | {"keeper": self.node.process_id}
             elif message.what == "plan" and message.order is not None:
                 told = core.plan(message.order, now, time.time())
         if told is None:
@@ -664,7 +668,7 @@
         proxy, rows = self.node.proxy, []
         service = proxy.service
         ready = service.ready and not service.replaced
-        servers, with_room = proxy.facade.room(self.node.zone)
+        servers, with_room = proxy.decisions.room(self.node.zone)
         live: dict[str, int] = {}
         for sess in proxy.sessions.table.live:
             if sess.open and sess.opening is not None:
@@ -705,7 +709,7 @@
         ]
         if self.pace is None:
             self.pace = Pace(len(live))
-            self.node.event("address leaves", names=sorted(self.leaving), connections=len(live))
+            self.node.log_event("address leaves", names=sorted(self.leaving), connections=len(live))
         moved = live[: self.pace.allowance(None, None)]
         for sess in moved:
             sess.stop()
@@ -734,9 +738,9 @@
                         self.to_who(self.keeper[1], Evidence(self.site.name, some))
         while self.local:
             message = self.local.pop(0)
-            self.take(message, self.node.name, self.node.who, clock.now())
+            self.take(message, self.node.name, self.node.process_id, clock.now())
 
-    def next(self) -> float:
+    def next_due(self) -> float:
         keeper = self.keeper_work.core
         return min(self.due, keeper.due if keeper else self.due)
 
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -16,7 +16,7 @@
 from onyxhollow.leases.voter import LONGEST_LEASE, MOST_DUTIES
 from onyxhollow.membership.messages import NAME, Address
 from onyxhollow.membership.seal import KeyFileError, read_keys
-from onyxhollow.membership.swim import Terms
+from onyxhollow.membership.swim import ProtocolConfig
 
 
 class FleetError(ValueError):
@@ -41,7 +41,7 @@
 
 
 class Share(Table, frozen=True):
-    """What members tell one another of servers; onyxhollow.gossip.core.Terms has the words."""
+    """What members tell one another of servers; onyxhollow.gossip.core.GossipConfig has the words."""
 
     on: bool = False
     every: float = 0.25
@@ -76,15 +76,15 @@
     sharing: Share = msgspec.field(default_factory=Share)
     record: bool = False  # each lease that goes on gets a log line: for trials
 
-    def terms(self) -> Terms:
+    def terms(self) -> ProtocolConfig:
         told = self.membership
-        return Terms(period=told.period, timeout=told.timeout, sync_every=told.sync)
+        return ProtocolConfig(period=told.period, timeout=told.timeout, sync_every=told.sync)
 
-    def share(self) -> share_terms.Terms | None:
+    def share(self) -> share_terms.GossipConfig | None:
         told = self.sharing
         if not told.on:
             return None
-        return share_terms.Terms(told.every, told.fan, told.report, told.renew, audit=told.audit)
+        return share_terms.GossipConfig(told.every, told.fan, told.report, told.renew, audit=told.audit)
 
     def rules(self) -> Rules:
         return Rules(self.leases.lease, self.leases.rate_bound)
--- a/onyxhollow/fleet/lists.py
+++ b/onyxhollow/fleet/lists.py
@@ -34,7 +34,7 @@
         self.listener = telling.Listener(duty, self.source, every, within / 4, node.rng, clock.now())
         self.teller: telling.Teller | None = None
         self.still: Callable[[], bool] = lambda: False
-        self.progressed, self.outdated = node.loop.now, False
+        self.last_progress_at, self.superseded = node.loop.now, False
         self.waiting: deque[tuple[Member, telling.Said]] = deque()
         self.sends_at = math.inf
         self.answered: dict[str, float] = {}
@@ -49,8 +49,8 @@
 
     # as a duty's work
 
-    def begin(self, term: int, still: Callable[[], bool]) -> None:
-        self.progressed = self.node.loop.now
+    def start(self, term: int, still: Callable[[], bool]) -> None:
+        self.last_progress_at = self.node.loop.now
         self.teller, self.still = telling.Teller(self.duty, term, self.source, self.every), still
         self.listener.resting = False
         self.discovery.rest(False)
@@ -59,12 +59,12 @@
         self.teller.next_beat = clock.now()
         self.node.task.wake()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.teller = None
         self.still = lambda: False
 
     def zone_members(self) -> list[Member]:
-        return [member for member in self.node.swim.there() if self.zone in (None, member.zone)]
+        return [member for member in self.node.membership.live_members() if self.zone in (None, member.zone)]
 
     def own_list(self, kind: EndpointListKind) -> None:
         """The list service has answered this proxy, or has not."""
@@ -72,7 +72,7 @@
             return
         listener = self.listener
         if kind is not EndpointListKind.FAILED:
-            self.progressed = self.node.loop.now
+            self.last_progress_at = self.node.loop.now
             listener.asked_itself()
             self.tell_drains()
         if self.teller is None:
@@ -114,11 +114,11 @@
             body = telling.pack(some)
             if len(body) == 1:
                 told = telling.Rows(self.duty, 0, self.source, self.discovery.version, 0, 0, 1, body[0])
-                self.node.swim.broadcast(LIST, telling.encode(told))
+                self.node.membership.broadcast(LIST, telling.encode(told))
 
     # heard
 
-    def heard(self, member: Member, body: bytes, now: float) -> None:
+    def on_message(self, member: Member, body: bytes, now: float) -> None:
         try:
             told = telling.MESSAGES.decode(body)
         except msgspec.DecodeError:
@@ -132,7 +132,7 @@
         self.listener.source = self.source
         if self.teller and self.still():
             if told.term > self.teller.term:
-                self.outdated = True
+                self.superseded = True
             return
         rested = self.listener.resting
         answer: telling.Take | telling.Want | None
@@ -151,7 +151,7 @@
             self.node.counts["list: told versions"] += 1
         if self.listener.resting and not rested:
             self.discovery.rest(True)
-            self.node.event(
+            self.node.log_event(
                 "list rests", duty=self.duty, term=self.listener.term, version=self.discovery.version
             )
 
@@ -168,7 +168,7 @@
             for rows in self.teller.wanted():
                 self.queue(member, rows)
 
-    def event(self, body: bytes, now: float) -> None:
+    def on_broadcast(self, body: bytes, now: float) -> None:
         """A drain told by anyone counts at once; the version stays, for other changes may be missing."""
         try:
             told = telling.MESSAGES.decode(body)
@@ -186,14 +186,14 @@
                 if row["host"] in known and known[row["host"]].get("health") not in (row["health"], "left")
             ]
             if fresh and self.take(telling.Take(fresh, None, False)):
-                self.node.event(
+                self.node.log_event(
                     "drains told", hosts=[row["host"] for row in fresh][:24], version=told.version
                 )
 
     # sending
 
     def say(self, member: Member, told: telling.Said) -> None:
-        self.node.swim.carry(member, LIST, telling.encode(told))
+        self.node.membership.send_payload(member, LIST, telling.encode(told))
 
     def queue(self, member: Member, told: telling.Said) -> None:
         """Paced: a whole list to a whole zone is thousands of datagrams."""
@@ -211,7 +211,7 @@
                     break
                 self.say(member, self.teller.beat())
             if self.discovery.call is not None and not self.teller.lost:
-                self.progressed = self.node.loop.now  # its watch is open
+                self.last_progress_at = self.node.loop.now  # its watch is open
         if self.waiting and now >= self.sends_at:
             self.sends_at = now + SENDS
             for _ in range(min(GROUP, len(self.waiting))):
@@ -228,11 +228,11 @@
             # answered at once, news or none: no watch is left open
             self.discovery.soon = self.listener.auditing
             self.discovery.rest(False)
-            self.node.event(
+            self.node.log_event(
                 "list asks", duty=self.duty, why=self.listener.why, version=self.discovery.version
             )
 
-    def due(self) -> float:
+    def next_due(self) -> float:
         beat = self.teller.next_beat if self.teller else math.inf
         return min(beat, self.sends_at, self.listener.due())
 
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -28,7 +28,7 @@
 from onyxhollow.fleet.file import Duty, Fleet
 from onyxhollow.fleet.lists import LIST, Lists
 from onyxhollow.fleet.shares import SHARE, Shares
-from onyxhollow.fleet.works import Calls, Work
+from onyxhollow.fleet.works import LeaderTask, WebhookTask
 from onyxhollow.interface import Endpoint, EndpointListKind
 from onyxhollow.leases import messages as said
 from onyxhollow.leases.change import Changer
@@ -38,9 +38,9 @@
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.loop import READ, Task
 from onyxhollow.management.api import PLAIN, Answer
-from onyxhollow.membership.messages import LARGEST, Life, Update
-from onyxhollow.membership.seal import Seal
-from onyxhollow.membership.swim import Member, Swim
+from onyxhollow.membership.messages import LARGEST, MemberState, Update
+from onyxhollow.membership.seal import DatagramAuthenticator
+from onyxhollow.membership.swim import Member, SwimMembership
 from onyxhollow.wire.channel import ListenError
 
 HOLDS, VOTES = 1, 2  # flags of a member: may hold duties; has a voter's memory
@@ -72,10 +72,10 @@
     return xxhash.xxh3_64_intdigest(f"{duty}\0{member}".encode())
 
 
-class Runner:
+class LeaseRunner:
     """One duty at this member: its claim, and the work while it is held."""
 
-    def __init__(self, claim: Claim, zone: str | None, work: Work | None) -> None:
+    def __init__(self, claim: Claim, zone: str | None, work: LeaderTask | None) -> None:
         self.claim, self.zone, self.work = claim, zone, work
         self.held_at = self.quiet_until = self.recorded = 0.0
         self.failures = 0
@@ -87,7 +87,7 @@
         self.loop, self.log, self.counters = proxy.loop, proxy.log, proxy.counters
         self.name, self.zone = proxy.config.name, proxy.config.settings.zone
         self.epoch = clock.new_epoch()
-        self.who = f"{self.name}~{self.epoch}"
+        self.process_id = f"{self.name}~{self.epoch}"
         self.rng = Random(proxy.config.seed ^ self.epoch)
         self.sock = socket.socket(
             socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC
@@ -102,10 +102,10 @@
         now = clock.now()
         self.started = self.trouble_at = now
         self.stalled_told = 0.0
-        self.seal = Seal(self.told.fleet, self.name, self.epoch, fleet.keys)
-        me = Update(self.name, self.epoch, 0, Life.ALIVE, fleet.advertise, self.zone, 0)
-        self.swim = Swim(me, self.told.terms(), self.rng, fleet.seeds, now)
-        self.council = Council(0, tuple(self.told.voters))
+        self.seal = DatagramAuthenticator(self.told.fleet, self.name, self.epoch, fleet.keys)
+        me = Update(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
+        self.membership = SwimMembership(me, self.told.terms(), self.rng, fleet.seeds, now)
+        self.voters = Council(0, tuple(self.told.voters))
         self.records: AppendLog | None = None
         self.voter: Voter | None = None
         self.records_at = now
@@ -122,7 +122,7 @@
         share = self.told.share()
         self.shares = Shares(self, share) if share else None
         self.closed = False
-        self.runners: dict[str, Runner] = {}
+        self.runners: dict[str, LeaseRunner] = {}
         self.add(VOTERS, None, None)
         for duty in self.told.duty:
             self.add_duty(duty)
@@ -140,7 +140,7 @@
         proxy.routes |= self.addresses.routes() if self.addresses else {}
         self.loop.watch(self.sock.fileno(), READ, self.ready)
         self.task: Task = self.loop.spawn(self.run())
-        self.event(
+        self.log_event(
             "fleet",
             listen=fleet.listen,
             advertise=fleet.advertise,
@@ -153,21 +153,21 @@
     def add_duty(self, duty: Duty) -> None:
         name = f"{duty.name}/{self.zone}" if duty.per == "zone" else duty.name
         zone = self.zone if duty.per == "zone" else None
-        work: Work
+        work: LeaderTask
         if duty.work == "list":
             work = self.lists = Lists(self, name, zone, duty.every, duty.service)
         else:
             host, _, port = duty.call.rpartition(":")
-            work = Calls(
-                self.loop, (host, int(port)), duty.path, name, self.who, duty.every, self.counters.add
+            work = WebhookTask(
+                self.loop, (host, int(port)), duty.path, name, self.process_id, duty.every, self.counters.add
             )
         self.add(name, zone, work)
 
-    def add(self, name: str, zone: str | None, work: Work | None) -> None:
-        claim = Claim(name, self.who, self.told.rules(), self.council, self.rng, clock.now())
-        self.runners[name] = Runner(claim, zone, work)
+    def add(self, name: str, zone: str | None, work: LeaderTask | None) -> None:
+        claim = Claim(name, self.process_id, self.told.rules(), self.voters, self.rng, clock.now())
+        self.runners[name] = LeaseRunner(claim, zone, work)
 
-    def event(self, event: str, **values: Any) -> None:
+    def log_event(self, event: str, **values: Any) -> None:
         self.log.event(event, at=round(time.monotonic(), 4), **values)
 
     # the loop
@@ -184,7 +184,7 @@
             self.counts["datagrams in"] += 1
             self.counts["bytes in"] += len(datagram)
             if packet := self.seal.open(datagram):
-                self.swim.heard(now, packet, (source[0], source[1]))
+                self.membership.on_message(now, packet, (source[0], source[1]))
         self.step()
 
     def run(self) -> Generator[float, None, None]:
@@ -194,18 +194,22 @@
             except Exception as error:  # leases run out by themselves; members and duties must go on
                 self.proxy.failed("fleet", error)
                 yield self.loop.now + LOOK
-            yield self.loop.now + max(0.001, self.due() - clock.now())
+            yield self.loop.now + max(0.001, self.next_due() - clock.now())
 
-    def due(self) -> float:
-        times = [self.swim.due, self.look_at, *(runner.claim.due() for runner in self.runners.values())]
+    def next_due(self) -> float:
+        times = [
+            self.membership.next_due,
+            self.look_at,
+            *(runner.claim.due() for runner in self.runners.values()),
+        ]
         if self.voter:
             times.append(self.voter.due())
         if self.lists:
-            times.append(self.lists.due())
+            times.append(self.lists.next_due())
         if self.shares:
-            times.append(self.shares.due)
+            times.append(self.shares.next_due)
         if self.addresses:
-            times.append(self.addresses.next())
+            times.append(self.addresses.next_due())
         return min(times)
 
     def step(self) -> None:
@@ -213,8 +217,8 @@
         if self.closed:
             return
         now = clock.now()
-        if now >= self.swim.due:
-            self.swim.tick(now)
+        if now >= self.membership.next_due:
+            self.membership.tick(now)
             self.tell_stalls()
         if now >= self.look_at:
             self.look_at = now + LOOK
@@ -230,17 +234,22 @@
             self.shares.tick(now)
         if self.addresses:
             self.addresses.tick(now)
-        while self.local or self.swim.changes or self.swim.carried or self.swim.events:
+        while (
+            self.local
+            or self.membership.changes
+            or self.membership.received_payloads
+            or self.membership.received_broadcasts
+        ):
             self.take_changes(now)
-            carried, self.swim.carried = self.swim.carried, []
+            carried, self.membership.received_payloads = self.membership.received_payloads, []
             for member, part in carried:
                 self.take(member, part.kind, part.body, now)
-            events, self.swim.events = self.swim.events, []
+            events, self.membership.received_broadcasts = self.membership.received_broadcasts, []
             for event in events:
                 self.take_event(event.kind, event.body, now)
             while self.local:
                 name, told = self.local.popleft()
-                self.duties_heard(self.who, name, told, now)
+                self.duties_heard(self.process_id, name, told, now)
         for runner in self.runners.values():
             self.settle(runner, now)
         self.flush()
@@ -249,7 +258,7 @@
         now = clock.now()
         self.level = min(BURST, self.level + (now - self.level_at) * RATE)
         self.level_at = now
-        out, self.swim.out = self.swim.out, []
+        out, self.membership.outbox = self.membership.outbox, []
         for one in out:
             if self.level < 1.0:
                 self.counts["not sent: too much at once"] += 1
@@ -269,26 +278,26 @@
     # members
 
     def tell_stalls(self) -> None:
-        if self.swim.stalled - self.stalled_told >= STALL_TOLD:
-            self.event("stalled", seconds=round(self.swim.stalled - self.stalled_told, 3))
-            self.stalled_told = self.swim.stalled
+        if self.membership.stalled - self.stalled_told >= STALL_TOLD:
+            self.log_event("stalled", seconds=round(self.membership.stalled - self.stalled_told, 3))
+            self.stalled_told = self.membership.stalled
 
     def take_changes(self, now: float) -> None:
-        changes, self.swim.changes = self.swim.changes, []
+        changes, self.membership.changes = self.membership.changes, []
         for change in changes:
             member = change.member
             self.ranks.clear()
             if self.shares:
                 self.shares.changed = True
-            if member.life in (Life.SUSPECT, Life.DEAD):
+            if member.state in (MemberState.SUSPECT, MemberState.DEAD):
                 self.trouble_at = now
-            self.event(
+            self.log_event(
                 "member",
                 member=member.name,
                 epoch=member.epoch,
-                life=member.life.name.lower(),
+                life=member.state.name.lower(),
                 why=change.why,
-                there=self.swim.size(),
+                there=self.membership.live_count(),
             )
 
     def fit(self) -> bool:
@@ -296,75 +305,75 @@
         service = self.proxy.service
         return service.ready and not service.replaced and not self.closed
 
-    def rank(self, runner: Runner, now: float) -> int | None:
+    def rank(self, runner: LeaseRunner, now: float) -> int | None:
         if not self.fit() or now < runner.quiet_until:
             return None
         order = self.order(runner)
-        return order.index(self.who) if self.who in order else None
+        return order.index(self.process_id) if self.process_id in order else None
 
-    def order(self, runner: Runner) -> list[str]:
+    def order(self, runner: LeaseRunner) -> list[str]:
         """Who may hold a duty, the preferred first: by rendezvous hashing (Thaler, Ravishankar, 1998)."""
         duty = runner.claim.duty
         if (known := self.ranks.get(duty)) is not None:
             return known
         now = clock.now()
-        damped = self.swim.damping.damped
+        damped = self.membership.damping.damped
         able = {
             (
-                member.life is Life.SUSPECT,
+                member.state is MemberState.SUSPECT,
                 damped(member.name, now),
                 member.name,
                 who_is(member),
             )
-            for member in self.swim.there()
+            for member in self.membership.live_members()
             if member.flags & HOLDS and runner.zone in (None, member.zone)
         }
         if self.fit():
-            able.add((False, False, self.name, self.who))
+            able.add((False, False, self.name, self.process_id))
         # Those suspected, and those that come and go, rank last: a duty must not wait for them nor lack them.
 
         order = sorted(able, key=lambda one: (*one[:2], place(duty, one[2])))
         self.ranks[duty] = [one[3] for one in order]
         return self.ranks[duty]
 
-    def member(self, who: str) -> Member | None:
+    def find_member(self, who: str) -> Member | None:
         name, _, epoch = who.rpartition("~")
-        return self.swim.members.get((name, int(epoch))) if epoch.isdigit() else None
+        return self.membership.members.get((name, int(epoch))) if epoch.isdigit() else None
 
     # what duties say
 
-    def say(self, runner: Runner, told: Said) -> None:
+    def say(self, runner: LeaseRunner, told: Said) -> None:
         for voter, message in told:
-            self.to_name(voter, message)
+            self.send_to_voter(voter, message)
 
-    def to_name(self, name: str, message: Any) -> None:
+    def send_to_voter(self, name: str, message: Any) -> None:
         """To the process of that name that has a voter's memory."""
         if name == self.name and self.voter is not None:
             self.local.append((self.name, message))
             return
-        found = [member for member in self.swim.there() if member.name == name]
+        found = [member for member in self.membership.live_members() if member.name == name]
         voting = [member for member in found if member.flags & VOTES]
         for member in voting or found[:1]:
-            self.swim.carry(member, DUTIES, said.encode(message))
+            self.membership.send_payload(member, DUTIES, said.encode(message))
 
-    def to_who(self, who: str, message: Any) -> None:
-        if who == self.who:
+    def send_to_process(self, who: str, message: Any) -> None:
+        if who == self.process_id:
             self.local.append((self.name, message))
-        elif member := self.member(who):
-            self.swim.carry(member, DUTIES, said.encode(message))
+        elif member := self.find_member(who):
+            self.membership.send_payload(member, DUTIES, said.encode(message))
 
     def take(self, member: Member, kind: int, body: bytes, now: float) -> None:
         if kind == LIST:
             if self.lists:
-                self.lists.heard(member, body, now)
+                self.lists.on_message(member, body, now)
             return
         if kind == SHARE:
             if self.shares:
-                self.shares.heard(member, body, now)
+                self.shares.on_message(member, body, now)
             return
         if kind == ADDRESSES:
             if self.addresses:
-                self.addresses.heard(member, body, now)
+                self.addresses.on_message(member, body, now)
             return
         try:
             told = said.MESSAGES.decode(body)
@@ -376,11 +385,11 @@
     def take_event(self, kind: int, body: bytes, now: float) -> None:
         if kind == LIST:
             if self.lists:
-                self.lists.event(body, now)
+                self.lists.on_broadcast(body, now)
             return
         if kind == ADDRESSES:
             if self.addresses:
-                self.addresses.event(body)
+                self.addresses.on_broadcast(body)
             return
         with contextlib.suppress(msgspec.DecodeError):
             told = said.MESSAGES.decode(body)
@@ -402,8 +411,8 @@
         elif isinstance(told, said.Command):
             if (runner := self.runners.get(told.duty)) and runner.claim.holds(now):
                 self.obey(runner, told.to, now)
-            elif not told.passed and (known := self.holder(told.duty)) not in ("", self.who):
-                self.to_who(known, said.Command(told.duty, told.to, True))
+            elif not told.passed and (known := self.holder(told.duty)) not in ("", self.process_id):
+                self.send_to_process(known, said.Command(told.duty, told.to, True))
         elif isinstance(told, said.Change):
             self.start_change(told, now)
         elif isinstance(told, said.Accepted):
@@ -429,14 +438,14 @@
         """Who holds a duty, by the newest that is known here: by itself, by news, as a voter."""
         runner = self.runners.get(duty)
         if runner and runner.claim.holds(clock.now()):
-            return self.who
+            return self.process_id
         found = [self.holders.get(duty, (0, ""))]
         if self.voter and (seat := self.voter.seats.get(duty)):
             found.append((seat.term, seat.holder))
         if runner and runner.claim.holder:
             found.append((runner.claim.highest, runner.claim.holder))
         who = max(found)[1]
-        return who if who != self.who and self.member(who) else ""
+        return who if who != self.process_id and self.find_member(who) else ""
 
     # this member as a voter
 
@@ -448,18 +457,18 @@
         except AppendLogError as error:
             if str(error) != self.waits_for:
                 self.waits_for = str(error)
-                self.event("voter waits", why=self.waits_for[:200])
+                self.log_event("voter waits", why=self.waits_for[:200])
             return
-        voter = Voter(self.name, self.council, self.told.leases.lease, now)
+        voter = Voter(self.name, self.voters, self.told.leases.lease, now)
         try:
             voter.remember([said.ROWS.decode(row) for row in records.rows], now)
         except msgspec.DecodeError as error:
-            self.event("voter waits", why=f"{records.path}: not a voter's records: {error}"[:200])
+            self.log_event("voter waits", why=f"{records.path}: not a voter's records: {error}"[:200])
             records.close()
             return
         self.records, self.voter = records, voter
         self.learn(voter.council, now)
-        self.event(
+        self.log_event(
             "voter",
             blank=voter.blank,
             records=len(records.rows),
@@ -480,11 +489,11 @@
         except OSError as error:
             self.counts["voter: disk failures"] += 1
             if not self.disk_fails:
-                self.event("voter disk", why=f"{error.strerror}"[:200])
+                self.log_event("voter disk", why=f"{error.strerror}"[:200])
             self.disk_fails = True
             return False
         if self.disk_fails:
-            self.event("voter disk", why="")
+            self.log_event("voter disk", why="")
         self.disk_fails = False
         return True
 
@@ -496,38 +505,38 @@
             self.voter.undo()
             return
         for answer in answers:
-            self.to_who(who, answer)
+            self.send_to_process(who, answer)
 
     def tick_voter(self, now: float) -> None:
         assert self.voter is not None
         told, rows = self.voter.tick(now)
         if rows:
             if self.write(rows):
-                self.event("voter remembers", duties=len(self.voter.seats))
+                self.log_event("voter remembers", duties=len(self.voter.seats))
             else:
                 self.voter.blank = True
         for name, message in told:
-            self.to_name(name, message)
+            self.send_to_voter(name, message)
 
     def learn(self, council: Council, now: float) -> None:
-        if council.version <= self.council.version:
+        if council.version <= self.voters.version:
             return
-        self.council = council
+        self.voters = council
         for runner in self.runners.values():
             if runner.claim.council.version < council.version:
                 runner.claim.council = council
-        self.event("voters", version=council.version, names=council.names)
+        self.log_event("voters", version=council.version, names=council.names)
         if self.voter and self.voter.council.version < council.version:
             _, rows = self.voter.heard(now, self.name, said.Learn(council))
             self.write(rows)
-        self.swim.broadcast(DUTIES, said.encode(said.Learn(council)))
+        self.membership.broadcast(DUTIES, said.encode(said.Learn(council)))
 
     # holding
 
     def look(self, now: float) -> None:
         flags = (HOLDS if self.fit() else 0) | (VOTES if self.voter else 0)
-        if flags != self.swim.me.flags:
-            self.swim.tell(flags)
+        if flags != self.membership.local.flags:
+            self.membership.set_flags(flags)
             self.ranks.clear()
         if self.fleet.folder and self.voter is None and now >= self.records_at:
             self.open_records(now)
@@ -542,9 +551,9 @@
                 self.hand_over(
                     runner, "replaced" if self.proxy.service.replaced else "leaving", self.successor(runner)
                 )
-            elif runner.work and runner.work.outdated:
+            elif runner.work and runner.work.superseded:
                 self.give_up(runner, "a newer term was seen", now)
-            elif runner.work and self.loop.now - runner.work.progressed > self.told.leases.patience:
+            elif runner.work and self.loop.now - runner.work.last_progress_at > self.told.leases.patience:
                 self.give_up(runner, "no progress", now)
             else:
                 if now - runner.held_at > self.told.leases.patience:
@@ -553,32 +562,38 @@
         if self.changer.busy or self.runners[VOTERS].claim.pending:
             self.propose(now)
 
-    def successor(self, runner: Runner) -> str:
+    def successor(self, runner: LeaseRunner) -> str:
         """Who is to follow: a new process of this name, else the first of the others."""
         order = self.order(runner)
-        own = [who for who in order if name_of(who) == self.name and who != self.who]
-        return own[-1] if own else next((who for who in order if who != self.who), "")
+        own = [who for who in order if name_of(who) == self.name and who != self.process_id]
+        return own[-1] if own else next((who for who in order if who != self.process_id), "")
 
-    def give_back(self, runner: Runner, now: float) -> None:
+    def give_back(self, runner: LeaseRunner, now: float) -> None:
         """To the preferred member, once it has been steady for long enough and all have been quiet."""
         steady, order = self.told.leases.steady, self.order(runner)
-        if not order or order[0] == self.who or min(now - self.trouble_at, now - runner.held_at) < steady:
+        if (
+            not order
+            or order[0] == self.process_id
+            or min(now - self.trouble_at, now - runner.held_at) < steady
+        ):
             return
-        first = self.member(order[0])
+        first = self.find_member(order[0])
         if first and now - first.since >= steady:
             self.hand_over(runner, "preferred", order[0])
 
-    def give_up(self, runner: Runner, cause: str, now: float) -> None:
+    def give_up(self, runner: LeaseRunner, cause: str, now: float) -> None:
         runner.failures = min(runner.failures + 1, 6)
         runner.quiet_until = now + NEVER_AGAIN * runner.failures
         self.hand_over(runner, cause, self.successor(runner))
 
-    def obey(self, runner: Runner, to: str, now: float) -> None:
+    def obey(self, runner: LeaseRunner, to: str, now: float) -> None:
         """An operator's word."""
         found = [who for who in self.order(runner) if name_of(who) == to] if to else []
         if to and not found:
             claim = runner.claim
-            self.event("duty", duty=claim.duty, change="kept", term=claim.term, cause=f"{to} can't hold it")
+            self.log_event(
+                "duty", duty=claim.duty, change="kept", term=claim.term, cause=f"{to} can't hold it"
+            )
             return
         if not to:
             runner.quiet_until = now + NEVER_AGAIN
@@ -586,19 +601,19 @@
             runner.held_at = now
         self.hand_over(runner, "operator", found[-1] if found else self.successor(runner))
 
-    def hand_over(self, runner: Runner, cause: str, to: str) -> None:
+    def hand_over(self, runner: LeaseRunner, cause: str, to: str) -> None:
         """The work ends first, then the voters are told, then the one who is to follow: a gap, never an
         overlap."""
         claim = runner.claim
-        if claim.state is not State.HOLDING or to == self.who:
+        if claim.state is not State.HOLDING or to == self.process_id:
             return
         if runner.work:
-            runner.work.end()
+            runner.work.stop()
         self.say(runner, claim.end(clock.now(), cause))
         if to:
-            self.to_who(to, said.Offer(claim.duty, claim.term))
+            self.send_to_process(to, said.Offer(claim.duty, claim.term))
 
-    def settle(self, runner: Runner, now: float) -> None:
+    def settle(self, runner: LeaseRunner, now: float) -> None:
         """What has become of a claim: the work begins or ends."""
         claim = runner.claim
         turns, claim.turns = claim.turns, []
@@ -607,18 +622,18 @@
                 self.begin(runner, turn, now)
             else:
                 if runner.work:
-                    runner.work.end()
-                self.event("duty", duty=claim.duty, change="ended", term=turn.term, cause=turn.cause)
+                    runner.work.stop()
+                self.log_event("duty", duty=claim.duty, change="ended", term=turn.term, cause=turn.cause)
         if self.told.record and claim.state is State.HOLDING and claim.until != runner.recorded:
             runner.recorded = claim.until
             left = claim.until - clock.now()
-            self.event("lease", duty=claim.duty, term=claim.term, left=round(left, 4))
+            self.log_event("lease", duty=claim.duty, term=claim.term, left=round(left, 4))
 
-    def begin(self, runner: Runner, turn: Turn, now: float) -> None:
+    def begin(self, runner: LeaseRunner, turn: Turn, now: float) -> None:
         claim, term = runner.claim, turn.term
         runner.held_at = now
         left = claim.until - clock.now()
-        self.event(
+        self.log_event(
             "duty",
             duty=claim.duty,
             change="held",
@@ -627,10 +642,10 @@
             gap=round(turn.waited, 4),
             left=round(left, 4),
         )
-        self.heard_of(claim.duty, term, self.who, now)
-        self.swim.broadcast(DUTIES, said.encode(said.Held(claim.duty, term, self.who)))
+        self.heard_of(claim.duty, term, self.process_id, now)
+        self.membership.broadcast(DUTIES, said.encode(said.Held(claim.duty, term, self.process_id)))
         if runner.work:
-            runner.work.begin(term, lambda: claim.term == term and claim.holds(clock.now()))
+            runner.work.start(term, lambda: claim.term == term and claim.holds(clock.now()))
 
     # changing the voters
 
@@ -641,14 +656,14 @@
 
     def propose(self, now: float) -> None:
         runner = self.runners[VOTERS]
-        self.say(runner, self.changer.propose(now, runner.claim, self.council))
+        self.say(runner, self.changer.propose(now, runner.claim, self.voters))
 
     def accepted(self, name: str, told: said.Accepted, now: float) -> None:
-        before = self.council
+        before = self.voters
         if council := self.changer.accepted(now, self.runners[VOTERS].claim, before, name, told):
             self.learn(council, now)
             for each in {*before.names, *council.names}:
-                self.to_name(each, said.Learn(council))
+                self.send_to_voter(each, said.Learn(council))
 
     # operators
 
@@ -658,16 +673,16 @@
             {
                 "name": m.name,
                 "epoch": m.epoch,
-                "life": m.life.name.lower(),
+                "life": m.state.name.lower(),
                 "zone": m.zone,
                 "address": f"{m.address[0]}:{m.address[1]}",
                 "incarnation": m.incarnation,
                 "for": round(now - m.since, 1),
                 "votes": bool(m.flags & VOTES),
                 "holds": bool(m.flags & HOLDS),
-                "damped": self.swim.damping.damped(m.name, now),
+                "damped": self.membership.damping.damped(m.name, now),
             }
-            for m in sorted(self.swim.members.values(), key=lambda m: m.who)
+            for m in sorted(self.membership.members.values(), key=lambda m: m.who)
         ]
         duties = []
         for duty, runner in sorted(self.runners.items()):
@@ -695,24 +710,26 @@
                 "changing": self.voter.pending is not None,
             }
         told = {
-            "me": self.who,
+            "me": self.process_id,
             "zone": self.zone,
-            "there": self.swim.size(),
-            "health": self.swim.health,
-            "stalled": round(self.swim.stalled, 3),
-            "stalls": self.swim.counts["stalls"],
-            "stalled_ago": round(now - self.swim.stalled_at, 2) if self.swim.stalls_seen else None,
+            "there": self.membership.live_count(),
+            "health": self.membership.health,
+            "stalled": round(self.membership.stalled, 3),
+            "stalls": self.membership.counts["stalls"],
+            "stalled_ago": round(now - self.membership.stalled_at, 2)
+            if self.membership.stalls_seen
+            else None,
             "version": __version__,
             "service": self.proxy.service.state.value,
             "links": self.links(now),
             "servers": self.servers(),
             "members": members,
             "duties": duties,
-            "voters": {"version": self.council.version, "names": self.council.names},
+            "voters": {"version": self.voters.version, "names": self.voters.names},
             "voter": voter,
             "list": self.lists.state() if self.lists else None,
             "sharing": self.shares.state(now) if self.shares else None,
-            "counts": dict(self.counts + self.swim.counts),
+            "counts": dict(self.counts + self.membership.counts),
             "dropped": dict(self.seal.dropped),
         }
         return 200, orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE), JSON
@@ -729,12 +746,12 @@
                 "lost": round(link.lost, 3),
                 "rtt_ms": round(1000 * link.rtt, 2),
             }
-            for (name, epoch), link in sorted(self.swim.links.items())
+            for (name, epoch), link in sorted(self.membership.links.items())
         ]
 
     def servers(self) -> list[dict[str, Any]]:
         """What this process holds of the servers: own connections, load and how old that is."""
-        balancer = self.proxy.facade.balancer
+        balancer = self.proxy.decisions.balancer
         at = self.loop.now
         return [
             {
@@ -763,11 +780,11 @@
         runner = self.runners.get(duty)
         if runner is None and duty not in self.holders:
             return 404, f"name: expected a duty, got {duty[:80]!r}\n".encode(), PLAIN
-        if to and not any(member.name == to for member in self.swim.there()) and to != self.name:
+        if to and not any(member.name == to for member in self.membership.live_members()) and to != self.name:
             return 404, f"to: expected a member that is there, got {to[:80]!r}\n".encode(), PLAIN
         if not (who := self.holder(duty)):
             return 409, f"{duty}: no holder is known\n".encode(), PLAIN
-        self.to_who(who, said.Command(duty, to))
+        self.send_to_process(who, said.Command(duty, to))
         self.task.wake()
         return 200, f"told {who}\n".encode(), PLAIN
 
@@ -775,10 +792,12 @@
         """voters?remove=NAME&add=NAME: passed on to the holder of VOTERS."""
         asked = dict(parse_qsl(query))
         remove, add = asked.get("remove", ""), asked.get("add", "")
-        names = self.council.names
+        names = self.voters.names
         if remove not in names:
             return 404, f"remove: expected one of {', '.join(names)}, got {remove[:80]!r}\n".encode(), PLAIN
-        if add in names or not (add == self.name or any(m.name == add for m in self.swim.there())):
+        if add in names or not (
+            add == self.name or any(m.name == add for m in self.membership.live_members())
+        ):
             return (
                 404,
                 f"add: expected a member that is there and no voter, got {add[:80]!r}\n".encode(),
@@ -786,7 +805,7 @@
             )
         if not (who := self.holder(VOTERS)):
             return 409, b"no holder of the duty of changing voters is known\n", PLAIN
-        self.to_who(who, said.Change(remove, add))
+        self.send_to_process(who, said.Change(remove, add))
         self.task.wake()
         return 200, f"told {who}\n".encode(), PLAIN
 
@@ -803,7 +822,7 @@
         for runner in self.runners.values():
             self.hand_over(runner, "stopped", self.successor(runner))
         self.step()
-        self.swim.leave()
+        self.membership.leave()
         self.flush()
         self.closed = True
         self.loop.watch(self.sock.fileno(), 0, None)
--- a/onyxhollow/fleet/shares.py
+++ b/onyxhollow/fleet/shares.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from onyxhollow.fleet import clock
-from onyxhollow.gossip.core import Sharing, Terms
+from onyxhollow.gossip.core import GossipConfig, LoadGossip
 from onyxhollow.gossip.messages import MESSAGES, encode
 from onyxhollow.interface import AttemptOutcome
 from onyxhollow.membership.swim import Member
@@ -21,15 +21,15 @@
 
 
 class Shares:
-    def __init__(self, node: Node, terms: Terms) -> None:
-        self.node, self.facade = node, node.proxy.facade
-        self.core = Sharing(node.name, node.epoch, node.zone, terms, node.rng, clock.now())
+    def __init__(self, node: Node, terms: GossipConfig) -> None:
+        self.node, self.decisions = node, node.proxy.decisions
+        self.core = LoadGossip(node.name, node.epoch, node.zone, terms, node.rng, clock.now())
         self.there: dict[int, Member] = {}  # by epoch
         self.changed = True
         self.lives = False  # whether others' rows stand for own questions, as last logged
-        self.probe_server: Callable[[str], None] = self.facade.probe
-        self.facade.probe = self.probe
-        self.facade.dial_failed = lambda server: self.core.failed(server, clock.now())
+        self.probe_server: Callable[[str], None] = self.decisions.check_health
+        self.decisions.check_health = self.probe
+        self.decisions.dial_failed = lambda server: self.core.failed(server, clock.now())
         node.proxy.probes.told, node.proxy.probes.most = self.probed, STANDING
 
     # what the module asks for, and what it is told
@@ -46,7 +46,7 @@
     def answer(self, server: str, load: float, age: float) -> Any:
         """In a turn of its own: the module is in the middle of asking."""
         yield self.node.loop.now
-        self.facade.balancer.probed(server, AttemptOutcome.OK, 0.0, load, age)
+        self.decisions.balancer.probed(server, AttemptOutcome.OK, 0.0, load, age)
 
     def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.node.proxy.probe_told(server, end, took, load)
@@ -59,11 +59,11 @@
     def deliver(self) -> None:
         news, self.core.news = self.core.news, []
         for one in news:
-            self.facade.report_shared(one)
+            self.decisions.report_shared(one)
 
     # the fleet
 
-    def heard(self, member: Member, body: bytes, now: float) -> None:
+    def on_message(self, member: Member, body: bytes, now: float) -> None:
         try:
             told = MESSAGES.decode(body)
         except (msgspec.DecodeError, RecursionError):
@@ -78,10 +78,10 @@
             return
         if self.changed:
             self.changed = False
-            self.there = {member.epoch: member for member in self.node.swim.there()}
+            self.there = {member.epoch: member for member in self.node.membership.live_members()}
             core.meet([(member.epoch, member.name, member.zone) for member in self.there.values()])
-        core.listed({server.name: server.zone for server in self.facade.balancer.fleet})
-        core.tick(self.facade.own(), now)
+        core.listed({server.name: server.zone for server in self.decisions.balancer.fleet})
+        core.tick(self.decisions.own(), now)
         asks, core.ask = core.ask, []
         if self.node.proxy.config.settings.health_checks:
             for server in asks:
@@ -89,17 +89,17 @@
                 self.probe_server(server)
         for epoch, message in core.out:
             if member := self.there.get(epoch):
-                self.node.swim.carry(member, SHARE, encode(message))
+                self.node.membership.send_payload(member, SHARE, encode(message))
         core.out = []
         self.deliver()
         lives = any(now - known.at < 4 * core.terms.renew for known in core.table.values())
         if lives != self.lives:
             self.lives = lives
             known_of = len(core.table)
-            self.node.event("sharing", on=lives, servers=known_of, members=len(core.members) + 1)
+            self.node.log_event("sharing", on=lives, servers=known_of, members=len(core.members) + 1)
 
     @property
-    def due(self) -> float:
+    def next_due(self) -> float:
         return self.core.due
 
     def state(self, now: float) -> dict[str, Any]:
--- a/onyxhollow/fleet/works.py
+++ b/onyxhollow/fleet/works.py
@@ -19,13 +19,13 @@
 ANSWER = 1.0  # seconds for a called address to answer
 
 
-class Work(Protocol):
-    progressed: float  # when it last got something done, on the loop's clock
-    outdated: bool  # what it acts on has seen a newer term
+class LeaderTask(Protocol):
+    last_progress_at: float  # when it last got something done, on the loop's clock
+    superseded: bool  # what it acts on has seen a newer term
 
-    def begin(self, term: int, still: Callable[[], bool]) -> None: ...
+    def start(self, term: int, still: Callable[[], bool]) -> None: ...
 
-    def end(self) -> None: ...
+    def stop(self) -> None: ...
 
 
 class Caller:
@@ -37,7 +37,7 @@
         self.caller: Call | None = None
         self.task: Task | None = None
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.running += 1
         self.hang_up()
 
@@ -51,7 +51,7 @@
             self.task.wake()
 
 
-class Calls(Caller):
+class WebhookTask(Caller):
     """Calls an address over and over while the duty is held: POST PATH?duty=..&term=..&member=..&number=...
 
     200: done. 409: it has seen a newer term, and this holder gives up. Anything else, and silence: no
@@ -71,11 +71,11 @@
         self.loop, self.address, self.every, self.count = loop, address, every, count
         self.target = f"{path}?duty={quote(duty)}&member={quote(member)}"
         super().__init__()
-        self.progressed, self.outdated = loop.now, False
+        self.last_progress_at, self.superseded = loop.now, False
 
-    def begin(self, term: int, still: Callable[[], bool]) -> None:
+    def start(self, term: int, still: Callable[[], bool]) -> None:
         self.running += 1
-        self.progressed, self.outdated = self.loop.now, False
+        self.last_progress_at, self.superseded = self.loop.now, False
         self.task = self.loop.spawn(self.run(self.running, term, still))
 
     def run(self, this: int, term: int, still: Callable[[], bool]) -> Generator[float, None, None]:
@@ -86,7 +86,7 @@
                 yield from self.act(this, f"{self.target}&term={term}&number={number}", still)
             except StatusError as error:
                 self.hang_up()
-                self.outdated = error.status == 409
+                self.superseded = error.status == 409
             except (ListError, OSError, h11.ProtocolError):
                 if self.running == this:
                     self.hang_up()
@@ -107,4 +107,4 @@
             self.count("acts not done: the lease had ended")
             return
         yield from caller.get(target, until, lambda: self.running != this, "POST")
-        self.progressed = self.loop.now
+        self.last_progress_at = self.loop.now
--- a/onyxhollow/gossip/core.py
+++ b/onyxhollow/gossip/core.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class GossipConfig:
     every: float = 0.25  # seconds from telling to telling
     fan: int = 2  # members told each time
     report: float = 6.0  # seconds from question to question to a kept server
@@ -96,8 +96,10 @@
         return max(min(self.load, 0), min(MOST_LOAD, round(self.load + more)))
 
 
-class Sharing:
-    def __init__(self, name: str, epoch: int, zone: str, terms: Terms, rng: Random, now: float) -> None:
+class LoadGossip:
+    def __init__(
+        self, name: str, epoch: int, zone: str, terms: GossipConfig, rng: Random, now: float
+    ) -> None:
         self.name, self.epoch, self.zone, self.terms, self.rng = name, epoch, zone, terms, rng
         self.out: list[tuple[int, Page | Counts]] = []  # to a member, by epoch
         self.ask: list[str] = []
--- a/onyxhollow/lab/baselines.py
+++ b/onyxhollow/lab/baselines.py
@@ -60,10 +60,10 @@
             balancer: Plain,
             token: Hashable,
             listener: Listener,
-            customer: Tenant | None,
+            tenant: Tenant | None,
             give_up: float,
         ) -> None:
-            self.balancer, self.token, self.listener, self.customer = balancer, token, listener, customer
+            self.balancer, self.token, self.listener, self.tenant = balancer, token, listener, tenant
             self.give_up = give_up
             self.tried: list[Known] = []
             self.dialling = self.standing = self.answered = False
@@ -104,7 +104,7 @@
         self.counter, self.look_at = 0, 0.0
         self.budget = ColdBudget(host.now)
         self.budget.settle(settings)
-        host.wake_at(host.now + TICK)
+        host.set_timer(host.now + TICK)
 
     # the module's door
 
@@ -132,12 +132,12 @@
         self,
         token: Hashable,
         listener: Listener,
-        customer: Tenant | None,
+        tenant: Tenant | None,
         group: Hashable,
         time_left: float,
         load: float | None,
     ) -> Plain.Session:
-        sess = Plain.Session(self, token, listener, customer, self.host.now + time_left)
+        sess = Plain.Session(self, token, listener, tenant, self.host.now + time_left)
         self.budget.arrived(self.host.now)
         self.dial(sess)
         return sess
@@ -146,14 +146,14 @@
         self,
         token: Hashable,
         listener: Listener,
-        customer: Tenant | None,
+        tenant: Tenant | None,
         group: Hashable,
         load: float | None,
         name: str,
     ) -> Plain.Session | None:
         if (server := self.servers.get(name)) is None:
             return None
-        sess = Plain.Session(self, token, listener, customer, float("inf"))
+        sess = Plain.Session(self, token, listener, tenant, float("inf"))
         sess.server, sess.dialling, sess.standing, sess.answered = server, True, True, True
         server.open[sess] = None
         return sess
@@ -164,7 +164,7 @@
         now = self.host.now
         if self.lost and now >= self.ask_at:
             self.ask_at = now + self.settings.max_poll_interval / 2
-            self.host.watch()
+            self.host.poll_endpoint_list()
         while self.due and self.due[0][0] <= now:
             heapq.heappop(self.due)[2]()
         if self.waiting and now >= self.look_at:
@@ -172,7 +172,7 @@
             waiting, self.waiting = self.waiting, []
             for sess in waiting:
                 self.dial(sess)
-        self.host.wake_at(now + TICK)
+        self.host.set_timer(now + TICK)
 
     # within
 
@@ -187,7 +187,7 @@
         if sess.standing and sess.server is not None:
             sess.standing = False
             sess.server.open.pop(sess, None)
-            self.host.move(sess.token)
+            self.host.migrate(sess.token)
 
     def allowed(self, sess: Plain.Session, server: Known) -> bool:
         """Rules 2 and 3, and the cold budget."""
@@ -243,7 +243,7 @@
             len(sess.tried) >= self.settings.max_attempts
             or sess.listener.idempotency is Idempotency.NON_IDEMPOTENT
         )
-        self.host.dial(
+        self.host.start_attempt(
             sess.token, server.name, left if last else min(left, sess.listener.handshake_objective)
         )
 
@@ -253,7 +253,7 @@
             repeat is Idempotency.KEYED and sess.listener.deduplication_scope is DeduplicationScope.ALL
         )
         if sess.ran_at is None or repeat is Idempotency.IDEMPOTENT or everywhere:
-            self.host.refuse(sess.token, self.settings.max_retry_after * self.rng.random())
+            self.host.reject(sess.token, self.settings.max_retry_after * self.rng.random())
         else:
             self.host.tear_down(sess.token)
 
--- a/onyxhollow/lab/together.py
+++ b/onyxhollow/lab/together.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from onyxhollow.decision_adapter import report_shared
-from onyxhollow.gossip.core import Sharing, Terms
+from onyxhollow.gossip.core import GossipConfig, LoadGossip
 from onyxhollow.gossip.messages import Counts, Page
 
 if TYPE_CHECKING:
@@ -33,10 +33,10 @@
 
 
 class Talk:
-    def __init__(self, engine: Virtual, terms: Terms, trouble: Trouble) -> None:
+    def __init__(self, engine: Virtual, terms: GossipConfig, trouble: Trouble) -> None:
         self.engine, self.terms, self.trouble = engine, terms, trouble
         self.world = engine.world
-        self.cores: dict[int, Sharing] = {}  # by proxy
+        self.cores: dict[int, LoadGossip] = {}  # by proxy
         self.where: dict[int, int] = {}  # by epoch: proxy
         self.rng = Random(engine.world.seed * 7 + 5)
         self.messages = self.rows = 0
@@ -44,7 +44,7 @@
     def joined(self, instance: Instance, epoch: int) -> None:
         """A proxy has started."""
         now, zone = self.world.agenda.now, self.world.zone_name(instance.zone)
-        core = Sharing(f"n{instance.number}", epoch, zone, self.terms, Random(epoch * 31 + 7), now)
+        core = LoadGossip(f"n{instance.number}", epoch, zone, self.terms, Random(epoch * 31 + 7), now)
         self.cores[instance.number], self.where[epoch] = core, instance.number
         self.world.agenda.after(SEEN if now else 0.0, self.meet)
         self.world.agenda.at(core.due, self.tick, instance, core)
@@ -58,7 +58,7 @@
         for core in self.cores.values():
             core.meet(there)
 
-    def tick(self, instance: Instance, core: Sharing) -> None:
+    def tick(self, instance: Instance, core: LoadGossip) -> None:
         if not instance.alive or self.cores.get(instance.number) is not core:
             return
         now, balancer = self.world.agenda.now, instance.balancer
@@ -73,10 +73,10 @@
         self.pass_on(instance, core)
         self.world.agenda.at(core.due, self.tick, instance, core)
 
-    def pass_on(self, instance: Instance, core: Sharing) -> None:
+    def pass_on(self, instance: Instance, core: LoadGossip) -> None:
         """What a core has left to be done."""
         for server in core.ask:
-            instance.probe(server, shared=True)
+            instance.check_health(server, shared=True)
         for epoch, message in core.out:
             other = self.where.get(epoch)
             if other is None or self.cut(instance.number, other):
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from onyxhollow.decision_adapter import WELL
-from onyxhollow.gossip.core import Terms
+from onyxhollow.gossip.core import GossipConfig
 from onyxhollow.interface import (
     AttemptOutcome,
     DeduplicationScope,
@@ -89,7 +89,7 @@
 
     # what the module asks
 
-    def dial(self, token: Hashable, server: str, timeout: float) -> None:
+    def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
         assert isinstance(token, Held)
         now, target, engine = self.now, self.world.by_name[server], self.engine
         token.dial, token.out, token.server, token.sent_at = token.dial + 1, True, target, now
@@ -101,11 +101,11 @@
         self.agenda.after(3 * one_way, self.reach, token, token.dial, one_way)
         self.later(min(timeout, max(0.0, token.sess.deadline - now)), self.timed_out, token, token.dial)
 
-    def cancel(self, token: Hashable, dial: int) -> None:
+    def cancel_attempt(self, token: Hashable, dial: int) -> None:
         assert isinstance(token, Held)
         self.later(0.0, self.dial_over, token, token.dial, AttemptOutcome.CANCELLED)
 
-    def refuse(self, token: Hashable, retry_after: float) -> None:
+    def reject(self, token: Hashable, retry_after: float) -> None:
         assert isinstance(token, Held)
         self.answer(token, "refused")
         self.agenda.after(self.world.network.client, self.world.refused, token.sess, retry_after)
@@ -115,14 +115,14 @@
         self.answer(token, "failed")
         self.agenda.after(self.world.network.client, self.world.failed, token.sess)
 
-    def move(self, token: Hashable) -> None:
+    def migrate(self, token: Hashable) -> None:
         assert isinstance(token, Held)
         if token.standing and not token.sess.over:
             self.world.ledger.count("moves")
             self.world.cut(token.sess, Cause.MOVED)
             self.later(0.0, self.dial_over, token, token.dial, AttemptOutcome.CANCELLED)
 
-    def probe(self, server: str, shared: bool = False) -> None:
+    def check_health(self, server: str, shared: bool = False) -> None:
         """shared: asked for all members, and not by the module."""
         target, now = self.world.by_name[server], self.now
         if self.talk and not shared and (known := self.talk.cores[self.number].report(server, now)):
@@ -148,11 +148,11 @@
             core.asked(server, load, self.now)
             self.talk.pass_on(self, core)
 
-    def watch(self) -> None:
+    def poll_endpoint_list(self) -> None:
         self.world.referee.asks(self.now, self.number)
         self.world.list.watch(self.number, self.seen, self.list_news, self.list_answer, self.list_ended)
 
-    def wake_at(self, when: float) -> None:
+    def set_timer(self, when: float) -> None:
         self.agenda.at(when, self.when_able, self.tick, ())
 
     def log(self, line: str) -> None:
@@ -210,9 +210,9 @@
             self.now, self.number, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
         )
         held = self.held[sess.number] = Held(sess)
-        listener, customer, group = self.engine.describe(sess)
+        listener, tenant, group = self.engine.describe(sess)
         held.handle = self.balancer.take(
-            held, listener, customer, group, max(0.0, sess.deadline - self.now), None
+            held, listener, tenant, group, max(0.0, sess.deadline - self.now), None
         )
 
     def adopt(self, sess: Session) -> None:
@@ -221,8 +221,8 @@
         held.out = held.standing = held.answered = True
         held.server = sess.server
         assert sess.server is not None
-        listener, customer, group = self.engine.describe(sess)
-        held.handle = self.balancer.adopt(held, listener, customer, group, None, sess.server.name)
+        listener, tenant, group = self.engine.describe(sess)
+        held.handle = self.balancer.adopt(held, listener, tenant, group, None, sess.server.name)
 
     def answer(self, held: Held, how: str) -> None:
         held.answered = True
@@ -320,7 +320,7 @@
         share = STOP_STEP / max(STOP_STEP, last - self.now)
         for held in open_ones[: math.ceil(len(open_ones) * share)]:
             self.gone(held)
-            self.move(held)
+            self.migrate(held)
         if self.now < last:
             self.later(STOP_STEP, self.stop_step, last)
             return
@@ -340,7 +340,7 @@
         scenario: Scenario,
         seed: int,
         maker: Maker,
-        terms: Terms | None = None,
+        terms: GossipConfig | None = None,
         trouble: Trouble | None = None,
     ) -> None:
         """terms: the members tell one another of servers; trouble: what is done to that."""
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -113,7 +113,7 @@
             config.probe_time,
             told=self.probe_told,
         )
-        self.facade = DecisionAdapter(
+        self.decisions = DecisionAdapter(
             lambda: self.loop.now,
             settings,
             config.seed,
@@ -122,13 +122,13 @@
             probe=self.probes.probe,
             watch=self.discovery.ask,
         )
-        self.facade.report_list(EndpointListKind.CACHED, config.known.entries)
+        self.decisions.report_list(EndpointListKind.CACHED, config.known.entries)
         self.sessions = Sessions(
             self.loop,
             self.pool,
             self.counters,
             self.addresses,
-            self.facade,
+            self.decisions,
             settings.listeners,
             settings.tenants,
             settings.load_field,
@@ -181,7 +181,7 @@
 
     def tell_figures(self, _: str) -> Answer:
         counts = self.counters.counts
-        listed, down = self.facade.avoided()
+        listed, down = self.decisions.avoided()
         refused = counts["reloads refused"]
         values = (
             ("backend_calls_total", counts["dials written whole"]),
@@ -260,7 +260,7 @@
             if self.follower:
                 self.follower.wake()
         try:
-            self.facade.report_list(kind, entries)
+            self.decisions.report_list(kind, entries)
             for part in self.parts:
                 part.list_told(kind, entries)
         except Exception as error:  # the list must go on being followed
@@ -268,18 +268,18 @@
 
     def probe_told(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.log.event("probe", server=server, end=end.value, took=round(took, 4), load=load)
-        self.facade.report_probe(server, end, took, load)
+        self.decisions.report_probe(server, end, took, load)
 
     def ticks(self) -> Generator[float, None, None]:
         """The module's one timer. A failure in it is logged, and the timer goes on."""
         while True:
-            while self.loop.now < self.facade.due:
-                yield self.facade.due
+            while self.loop.now < self.decisions.due:
+                yield self.decisions.due
             try:
-                self.facade.tick()
+                self.decisions.tick()
             except Exception as error:
                 self.failed("tick", error)
-                self.facade.due = self.loop.now + 0.05
+                self.decisions.due = self.loop.now + 0.05
 
     def take_clients(self) -> None:
         """Begins to accept, or ceases to, as the state says."""
@@ -374,7 +374,7 @@
                 self.discovery.clock.take_over(common["starts"])
                 if not self.list_heard and common["discovery"] == list(self.config.discovery):
                     self.take_list(read_list(common["list"], self.discovery.clock, self.loop.now))
-                servers = self.facade.take_back(common, records)
+                servers = self.decisions.take_back(common, records)
                 self.log.event("taken over", servers=servers, version=common["list"]["seq"])
                 return
             except StateError as error:
@@ -391,11 +391,11 @@
         for name, address in told.addresses.items():
             self.addresses.learn(name, address)
         self.discovery.version = told.version
-        self.facade.report_list(EndpointListKind.CACHED, told.entries)
+        self.decisions.report_list(EndpointListKind.CACHED, told.entries)
 
     def hand_over(self, handover: Handover, token: str) -> None:
         try:
-            common, records = self.facade.describe()
+            common, records = self.decisions.describe()
             common |= {"discovery": self.discovery.address, "list": self.discovery.known()}
             common["starts"] = self.discovery.clock.starts
             handover.write_state(token, common, records)
@@ -405,7 +405,9 @@
 
     def receive(self, handover: Handover) -> Receiver | None:
         try:
-            return Receiver(self.loop, handover.passing_path, self.sessions.receive, self.facade.all_adopted)
+            return Receiver(
+                self.loop, handover.passing_path, self.sessions.receive, self.decisions.all_adopted
+            )
         except OSError as error:  # a path too long, perhaps: its clients are moved then
             self.log.event("nothing passed on", why=str(error))
             return None
@@ -510,7 +512,7 @@
         self.probes.settle(settings.load_field, config.probe_time)
         wait = watch_wait(settings.max_poll_interval, settings.instance_count)
         self.discovery.settle(wait, pushed=not settings.list_is_polled)
-        self.facade.resettle(settings)
+        self.decisions.resettle(settings)
 
     def print_counters(self) -> None:
         gauges = {
--- a/onyxhollow/membership/messages.py
+++ b/onyxhollow/membership/messages.py
@@ -15,7 +15,7 @@
 Address = tuple[str, int]
 
 
-class Life(IntEnum):
+class MemberState(IntEnum):
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
@@ -56,7 +56,7 @@
     name: str
     epoch: int
     incarnation: int
-    life: Life
+    life: MemberState
     address: Address
     zone: str
     flags: int
--- a/onyxhollow/membership/seal.py
+++ b/onyxhollow/membership/seal.py
@@ -40,7 +40,7 @@
     return keys
 
 
-class Seal:
+class DatagramAuthenticator:
     def __init__(self, fleet: str, name: str, epoch: int, keys: list[bytes]) -> None:
         self.fleet, self.name, self.epoch, self.keys = fleet, name, epoch, keys
         self.number = 0
--- a/onyxhollow/membership/swim.py
+++ b/onyxhollow/membership/swim.py
@@ -31,7 +31,7 @@
     Address,
     Carried,
     Event,
-    Life,
+    MemberState,
     Nack,
     Packet,
     Part,
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class ProtocolConfig:
     period: float = 1.0  # seconds from question to question
     timeout: float = 0.3  # seconds for an answer before others are asked to ask
     helpers: int = 3  # others who ask for us
@@ -74,7 +74,7 @@
     name: str
     epoch: int
     incarnation: int
-    life: Life
+    state: MemberState
     address: Address
     zone: str
     flags: int
@@ -87,8 +87,8 @@
         return self.name, self.epoch
 
     @property
-    def there(self) -> bool:
-        return self.life in (Life.ALIVE, Life.SUSPECT)
+    def is_live(self) -> bool:
+        return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
 @dataclass(frozen=True, slots=True)
 class Change:
     member: Member
-    before: Life | None  # None: new here
+    before: MemberState | None  # None: new here
     why: str = ""
 
 
@@ -159,19 +159,21 @@
         return name in self.names and self.names[name][2] and self.level(name, now) > FLAP_UNDER
 
 
-class Swim:
-    def __init__(self, me: Update, terms: Terms, rng: Random, seeds: list[Address], now: float) -> None:
+class SwimMembership:
+    def __init__(
+        self, me: Update, terms: ProtocolConfig, rng: Random, seeds: list[Address], now: float
+    ) -> None:
         self.terms, self.rng, self.seeds = terms, rng, seeds
-        self.me = me
+        self.local = me
         self.members: dict[Who, Member] = {}
         # Parts of it, kept beside it: with hundreds of members to go through all for each datagram takes more
         # than all else together.
         self.present: dict[Who, Member] = {}
         self.suspects: dict[Who, Member] = {}
-        self.out: list[Out] = []
+        self.outbox: list[Out] = []
         self.changes: list[Change] = []
-        self.events: list[Event] = []
-        self.carried: list[tuple[Member, Carried]] = []
+        self.received_broadcasts: list[Event] = []
+        self.received_payloads: list[tuple[Member, Carried]] = []
         self.counts: Counter[str] = Counter()
         self.links: dict[Who, Link] = {}
         self.health = 0  # 0: well; each step makes this member ask less often and wait longer
@@ -187,13 +189,13 @@
         self.replies, self.replies_at = REPLIES_AT_ONCE, now
         self.number = 0
         self.left = self.joined = False
-        self.due = now
+        self.next_due = now
         self.stalled = 0.0  # seconds for which this process stood still
         self.stalled_at, self.stalls_seen = now, False  # when it last did
 
     # who is there
 
-    def there(self) -> Iterator[Member]:
+    def live_members(self) -> Iterator[Member]:
         return iter(self.present.values())
 
     def newest(self, name: str) -> Member | None:
@@ -201,14 +203,14 @@
         found = [member for member in self.present.values() if member.name == name]
         return max(found, key=lambda member: member.epoch, default=None)
 
-    def size(self) -> int:
+    def live_count(self) -> int:
         return 1 + len(self.present)
 
     # asked by the shell
 
     def awake(self, now: float) -> None:
         """Before anything else: has this process stood still? Then it was not the others that were silent."""
-        late = now - self.due
+        late = now - self.next_due
         if late > self.terms.period / 2:
             self.stalled += late
             self.stalled_at, self.stalls_seen = now, True
@@ -219,12 +221,12 @@
             if self.probe:
                 self.probe.void = True
             self.asked_for.clear()
-            self.due = now
+            self.next_due = now
 
     def tick(self, now: float) -> None:
         self.awake(now)
         if self.left:
-            self.due = math.inf
+            self.next_due = math.inf
             return
         probe, slow = self.probe, self.health + 1
         if probe and not probe.answered and not probe.void and not probe.helpers:
@@ -237,7 +239,7 @@
             self.begin_probe(now, self.terms.period * slow)
             self.next_probe = now + self.terms.period * slow
         for member in [m for m in self.suspects.values() if m.deadline <= now]:
-            self.become(member, Life.DEAD, member.incarnation, now, "no word")
+            self.become(member, MemberState.DEAD, member.incarnation, now, "no word")
         while self.asked_for:
             nonce, (who, theirs, until) = next(iter(self.asked_for.items()))
             if until > now:
@@ -249,7 +251,7 @@
             self.sync(now)
         if now >= self.next_clean:
             self.clean(now)
-        self.due = self.when()
+        self.next_due = self.when()
 
     def when(self) -> float:
         """The next time that something is to be done."""
@@ -260,32 +262,32 @@
         times += [until for _, _, until in self.asked_for.values()][:1]
         return min(times)
 
-    def tell(self, flags: int) -> None:
+    def set_flags(self, flags: int) -> None:
         """Other flags of this member, for all to know."""
-        if flags != self.me.flags:
-            self.renew(self.me.incarnation + 1, flags)
+        if flags != self.local.flags:
+            self.renew(self.local.incarnation + 1, flags)
 
     def leave(self) -> None:
         """This process ends: a few are told at once, and tell the others."""
-        self.left, self.due = True, math.inf
-        gone = encode(replace(self.me, life=Life.LEFT))
-        others = list(self.there())
+        self.left, self.next_due = True, math.inf
+        gone = encode(replace(self.local, life=MemberState.LEFT))
+        others = list(self.live_members())
         for member in self.rng.sample(others, min(len(others), 2 * self.terms.helpers)):
-            self.out.append(Out(member.address, member.epoch, [gone]))
+            self.outbox.append(Out(member.address, member.epoch, [gone]))
 
-    def carry(self, member: Member, kind: int, body: bytes) -> None:
+    def send_payload(self, member: Member, kind: int, body: bytes) -> None:
         self.send(member, Carried(kind, body))
 
     def broadcast(self, kind: int, body: bytes) -> None:
         """To all, along with what is sent anyhow; it arrives within some periods and may come late."""
         self.number += 1
-        event = Event(self.me.name, self.me.epoch, self.number, kind, body)
+        event = Event(self.local.name, self.local.epoch, self.number, kind, body)
         self.seen[event.name, event.epoch, event.number] = None
         self.spread((event.name, event.epoch, event.number), event)
 
     # told by the shell
 
-    def heard(self, now: float, packet: Packet, source: Address) -> None:
+    def on_message(self, now: float, packet: Packet, source: Address) -> None:
         self.awake(now)
         if self.left:
             return
@@ -295,10 +297,10 @@
                 self.learn(part, now)
         sender = self.members.get(who)
         if sender is None:  # it has not said who it is: it is asked
-            self.reply(now, Out(source, packet.epoch, [encode(self.me), encode(Sync(0, joining=True))]))
+            self.reply(now, Out(source, packet.epoch, [encode(self.local), encode(Sync(0, joining=True))]))
             return
-        if not sender.there:  # held for dead here: it is told, and says that it is not
-            if sender.life is Life.DEAD:
+        if not sender.is_live:  # held for dead here: it is told, and says that it is not
+            if sender.state is MemberState.DEAD:
                 self.reply(now, Out(source, packet.epoch, [encode(self.row(sender))]))
             return
         self.links.setdefault(sender.who, Link()).heard_at = now
@@ -327,10 +329,10 @@
                 nonce = self.rng.getrandbits(32)
                 self.asked_for[nonce] = sender.who, part.nonce, now + self.terms.timeout * 0.8
                 known = self.members.get((part.name, part.epoch))
-                self.out.append(
+                self.outbox.append(
                     Out(known.address if known else part.address, part.epoch, [encode(Ping(nonce))])
                 )
-                self.due = min(self.due, now + self.terms.timeout * 0.8)
+                self.next_due = min(self.next_due, now + self.terms.timeout * 0.8)
         elif isinstance(part, Nack):
             if self.probe and self.probe.nonce == part.nonce:
                 self.probe.nacks += 1
@@ -338,17 +340,17 @@
             self.answer_sync(part, sender, now)
         elif isinstance(part, Event):
             key = part.name, part.epoch, part.number
-            if key not in self.seen and part.name != self.me.name:
+            if key not in self.seen and part.name != self.local.name:
                 self.seen[key] = None
                 if len(self.seen) > SEEN_EVENTS:
                     self.seen.popitem(last=False)
-                self.events.append(part)
+                self.received_broadcasts.append(part)
                 self.spread(key, part)
         elif isinstance(part, Carried):
-            if to != self.me.epoch:
+            if to != self.local.epoch:
                 self.counts["carried to an unknown epoch"] += 1  # it may be a repeat from an earlier life
             else:
-                self.carried.append((sender, part))
+                self.received_payloads.append((sender, part))
 
     # asking one after another
 
@@ -356,10 +358,10 @@
         self.probe = None
         while self.order:
             member = self.members.get(self.order.pop())
-            if member and member.there:
+            if member and member.is_live:
                 break
         else:
-            self.order = [member.who for member in self.there()]
+            self.order = [member.who for member in self.live_members()]
             if not self.order:
                 return
             self.rng.shuffle(self.order)
@@ -369,12 +371,12 @@
         self.probe = Probe(member, nonce, now + wait, now + span)
         self.links.setdefault(member.who, Link()).asked_at = now
         parts: list[Part] = [Ping(nonce)]
-        if member.life is Life.SUSPECT:
+        if member.state is MemberState.SUSPECT:
             parts.append(self.row(member))  # it must hear of it, to say that it is not
-        self.out.append(self.filled(member, parts))
+        self.outbox.append(self.filled(member, parts))
 
     def ask_others(self, probe: Probe) -> None:
-        others = [m for m in self.there() if m is not probe.member and m.life is Life.ALIVE]
+        others = [m for m in self.live_members() if m is not probe.member and m.state is MemberState.ALIVE]
         chosen = self.rng.sample(others, min(len(others), self.terms.helpers))
         probe.helpers = len(chosen) or -1
         for helper in chosen:
@@ -393,18 +395,18 @@
         if probe.nacks < max(0, probe.helpers) or probe.helpers < 0:  # it may be us who can't be heard
             self.health = min(self.terms.healths, self.health + 1)
         member = probe.member
-        if self.members.get(member.who) is member and member.there:
-            self.suspect(member, member.incarnation, self.me.name, now)
+        if self.members.get(member.who) is member and member.is_live:
+            self.suspect(member, member.incarnation, self.local.name, now)
 
     # what is held of the members
 
     def row(self, member: Member) -> Update:
-        by = min(member.suspected_by, default="") if member.life is Life.SUSPECT else ""
+        by = min(member.suspected_by, default="") if member.state is MemberState.SUSPECT else ""
         return Update(
             member.name,
             member.epoch,
             member.incarnation,
-            member.life,
+            member.state,
             member.address,
             member.zone,
             member.flags,
@@ -412,25 +414,25 @@
         )
 
     def renew(self, incarnation: int, flags: int) -> None:
-        self.me = replace(self.me, incarnation=incarnation, flags=flags)
-        self.spread((self.me.name, self.me.epoch), self.me)
+        self.local = replace(self.local, incarnation=incarnation, flags=flags)
+        self.spread((self.local.name, self.local.epoch), self.local)
 
     def learn(self, told: Update, now: float) -> None:
         """What someone says of a member: the higher incarnation goes first; at the same one, the worse
         news."""
         who = told.name, told.epoch
-        if who == (self.me.name, self.me.epoch):
-            if told.life is not Life.ALIVE and told.incarnation >= self.me.incarnation:
+        if who == (self.local.name, self.local.epoch):
+            if told.life is not MemberState.ALIVE and told.incarnation >= self.local.incarnation:
                 self.counts["refuted"] += 1
                 self.health = min(self.terms.healths, self.health + 1)
-                self.renew(told.incarnation + 1, self.me.flags)
+                self.renew(told.incarnation + 1, self.local.flags)
             return
         if not 0 < len(told.name) <= NAME or len(told.zone) > NAME or told.epoch <= 0:
             self.counts["bad news"] += 1
             return
         member = self.members.get(who)
         if member is None:
-            if told.life in (Life.DEAD, Life.LEFT):
+            if told.life in (MemberState.DEAD, MemberState.LEFT):
                 return  # nothing was held of it
             if len(self.members) >= MOST_MEMBERS and not self.forget_one():
                 self.counts["members not taken in"] += 1
@@ -439,7 +441,7 @@
                 told.name,
                 told.epoch,
                 told.incarnation,
-                Life.ALIVE,
+                MemberState.ALIVE,
                 told.address,
                 told.zone,
                 told.flags,
@@ -450,27 +452,27 @@
             self.changes.append(Change(member, None))
             self.spread(who, self.row(member))
             self.doubt_older(member)
-        if told.life is Life.ALIVE:
-            if told.incarnation > member.incarnation and member.life is not Life.LEFT:
+        if told.life is MemberState.ALIVE:
+            if told.incarnation > member.incarnation and member.state is not MemberState.LEFT:
                 member.address, member.zone, member.flags = told.address, told.zone, told.flags
-                self.become(member, Life.ALIVE, told.incarnation, now)
-            elif member.life is Life.DEAD:  # whoever says so has not heard
+                self.become(member, MemberState.ALIVE, told.incarnation, now)
+            elif member.state is MemberState.DEAD:  # whoever says so has not heard
                 self.reply(now, Out(member.address, member.epoch, [encode(self.row(member))]))
-        elif told.life is Life.SUSPECT:
+        elif told.life is MemberState.SUSPECT:
             self.suspect(member, told.incarnation, told.by, now)
-        elif member.there and (told.life is Life.LEFT or told.incarnation >= member.incarnation):
+        elif member.is_live and (told.life is MemberState.LEFT or told.incarnation >= member.incarnation):
             self.become(member, told.life, max(told.incarnation, member.incarnation), now, "told so")
 
     def doubt_older(self, member: Member) -> None:
         """A new process of a name: the one before it has ended, as a rule, and is asked next."""
-        for older in list(self.there()):
+        for older in list(self.live_members()):
             if older.name == member.name and older.epoch < member.epoch:
                 self.order.append(older.who)
 
     def suspect(self, member: Member, incarnation: int, by: str, now: float) -> None:
-        if not member.there or incarnation < member.incarnation:
+        if not member.is_live or incarnation < member.incarnation:
             return
-        if member.life is Life.SUSPECT and incarnation == member.incarnation:
+        if member.state is MemberState.SUSPECT and incarnation == member.incarnation:
             if by in member.suspected_by or len(member.suspected_by) > self.terms.helpers:
                 return
             member.suspected_by.add(by)
@@ -478,13 +480,13 @@
             self.news[member.who] = News(encode(again))
         else:
             member.suspected_by = {by}
-            self.become(member, Life.SUSPECT, incarnation, now, f"by {by}")
+            self.become(member, MemberState.SUSPECT, incarnation, now, f"by {by}")
         member.deadline = member.since + self.suspicion(len(member.suspected_by) - 1)
-        self.due = min(self.due, max(now, member.deadline))
+        self.next_due = min(self.next_due, max(now, member.deadline))
 
     def suspicion(self, confirmed: int) -> float:
         """Seconds from suspicion to death: shorter the more members say the same of their own (Lifeguard)."""
-        size = self.size()
+        size = self.live_count()
         low = self.terms.suspicion * max(1.0, math.log10(size)) * self.terms.period
         most = min(self.terms.helpers, size - 2)
         if most < 1:
@@ -492,19 +494,22 @@
         high = low * self.terms.suspicion_most
         return max(low, high - (high - low) * math.log(confirmed + 1) / math.log(most + 1))
 
-    def become(self, member: Member, life: Life, incarnation: int, now: float, why: str = "") -> None:
-        before, member.incarnation = member.life, incarnation
+    def become(self, member: Member, life: MemberState, incarnation: int, now: float, why: str = "") -> None:
+        before, member.incarnation = member.state, incarnation
         if life is not before:
-            member.life, member.since = life, now
-            for part, within in ((self.present, member.there), (self.suspects, life is Life.SUSPECT)):
+            member.state, member.since = life, now
+            for part, within in (
+                (self.present, member.is_live),
+                (self.suspects, life is MemberState.SUSPECT),
+            ):
                 if within:
                     part[member.who] = member
                 else:
                     part.pop(member.who, None)
-            if life is Life.DEAD:
+            if life is MemberState.DEAD:
                 self.damping.gone(member.name, now)
             self.changes.append(Change(member, before, why))
-        if life is not Life.SUSPECT:
+        if life is not MemberState.SUSPECT:
             member.deadline = math.inf
             member.suspected_by = set()
         self.spread(member.who, self.row(member))
@@ -512,12 +517,12 @@
     def clean(self, now: float) -> None:
         self.next_clean = now + self.terms.keep_dead / 4
         for who, member in list(self.members.items()):
-            if not member.there and now - member.since > self.terms.keep_dead:
+            if not member.is_live and now - member.since > self.terms.keep_dead:
                 del self.members[who]
         self.links = {who: link for who, link in self.links.items() if who in self.members}
 
     def forget_one(self) -> bool:
-        gone = [member for member in self.members.values() if not member.there]
+        gone = [member for member in self.members.values() if not member.is_live]
         if gone:
             del self.members[min(gone, key=lambda member: member.since).who]
         return bool(gone)
@@ -532,12 +537,12 @@
     def filled(self, member: Member, parts: list[Part]) -> Out:
         """A datagram with these parts, and as much news as has room, the least told first."""
         told = [encode(part) for part in parts]
-        if member.life is not Life.ALIVE or not self.joined:
-            told.append(encode(self.me))
+        if member.state is not MemberState.ALIVE or not self.joined:
+            told.append(encode(self.local))
         room = ROOM - sum(map(len, told))
         most = max(
-            math.ceil(self.terms.retold * max(1.0, math.log10(self.size() + 1))),
-            min(self.size() - 1, ALL_TOLD),
+            math.ceil(self.terms.retold * max(1.0, math.log10(self.live_count() + 1))),
+            min(self.live_count() - 1, ALL_TOLD),
         )
         for key, news in sorted(self.news.items(), key=lambda row: len(row[1].told)):
             if len(news.text) > room or member.address in news.told:
@@ -552,7 +557,7 @@
         return Out(member.address, member.epoch, told)
 
     def send(self, member: Member, part: Part) -> None:
-        self.out.append(self.filled(member, [part]))
+        self.outbox.append(self.filled(member, [part]))
 
     def reply(self, now: float, out: Out) -> None:
         """What others can cause is bounded."""
@@ -562,13 +567,13 @@
             self.counts["answers held back"] += 1
             return
         self.replies -= 1.0
-        self.out.append(out)
+        self.outbox.append(out)
 
     # comparing all that is held
 
     def digest(self) -> int:
-        rows = [(m.name, m.epoch, m.incarnation) for m in self.there()]
-        rows.append((self.me.name, self.me.epoch, self.me.incarnation))
+        rows = [(m.name, m.epoch, m.incarnation) for m in self.live_members()]
+        rows.append((self.local.name, self.local.epoch, self.local.incarnation))
         found = 0
         for row in rows:
             found ^= xxhash.xxh3_64_intdigest(encode(row))
@@ -576,30 +581,32 @@
 
     def sync(self, now: float) -> None:
         """With one that is there, or that is held for dead, or a seed: so that two halves find each other."""
-        there = list(self.there())
+        there = list(self.live_members())
         self.joined = self.joined or bool(there)
         self.next_sync = now + self.terms.sync_every * self.rng.uniform(0.5, 1.0)
         lost = [
-            m.address for m in self.members.values() if m.life is Life.DEAD and self.newest(m.name) is None
+            m.address
+            for m in self.members.values()
+            if m.state is MemberState.DEAD and self.newest(m.name) is None
         ]
         known = {m.address for m in there}
-        lost += [seed for seed in self.seeds if seed not in known and seed != self.me.address]
+        lost += [seed for seed in self.seeds if seed not in known and seed != self.local.address]
         ask = encode(Sync(self.digest(), joining=not there))
         if there and (not lost or self.rng.random() < 0.5):
             member = self.rng.choice(there)
-            self.out.append(Out(member.address, member.epoch, [encode(self.me), ask]))
+            self.outbox.append(Out(member.address, member.epoch, [encode(self.local), ask]))
         elif lost:
             for address in lost if not there else [self.rng.choice(lost)]:
-                self.out.append(Out(address, 0, [encode(self.me), ask]))
+                self.outbox.append(Out(address, 0, [encode(self.local), ask]))
         if not there:
             self.next_sync = now + self.terms.period * self.rng.uniform(0.5, 1.0)
 
     def answer_sync(self, part: Sync, sender: Member, now: float) -> None:
         if part.digest == self.digest():
             return
-        rows = [encode(self.row(member)) for member in self.there() if member is not sender]
+        rows = [encode(self.row(member)) for member in self.live_members() if member is not sender]
         self.rng.shuffle(rows)
-        pages, page, size = 0, [encode(self.me)], len(encode(self.me))
+        pages, page, size = 0, [encode(self.local)], len(encode(self.local))
         for row in [*rows, None]:
             if row is None or size + len(row) > ROOM:
                 self.reply(now, Out(sender.address, sender.epoch, page))
--- a/onyxhollow/policy.py
+++ b/onyxhollow/policy.py
@@ -132,13 +132,13 @@
         balancer: Balancer,
         token: Hashable,
         listener: Listener,
-        customer: Tenant | None,
+        tenant: Tenant | None,
         group: Hashable,
         give_up: float,
         load: float | None,
     ) -> None:
-        self.balancer, self.token, self.listener, self.customer = balancer, token, listener, customer
-        self.payer = customer.name if customer else ""
+        self.balancer, self.token, self.listener, self.tenant = balancer, token, listener, tenant
+        self.payer = tenant.name if tenant else ""
         self.group, self.give_up, self.load, self.most_dials = group, give_up, load, balancer.most_dials
         self.server: Server | None = None
         self.tried, self.drawn, self.asks = list[Server](), list[Server](), 0
@@ -171,7 +171,7 @@
     def client_gone(self) -> None:
         self.answered = self.left = True  # nothing is owed; a dial still out is called back where allowed
         if self.dialling and not self.standing and self.balancer.cancelling:
-            self.balancer.host.cancel(self.token, len(self.tried) - 1)
+            self.balancer.host.cancel_attempt(self.token, len(self.tried) - 1)
 
     def dial_ended(self, end: AttemptOutcome, final: bool, took: float, load: float | None = None) -> None:
         if not self.dialling or self.server is None:
@@ -307,7 +307,7 @@
         self.settle(settings)
         self.ask_at = host.now + first_call * min(self.callers, self.ask_within / 2)
         self.review()
-        host.wake_at(host.now + TICK)
+        host.set_timer(host.now + TICK)
 
     def settle(self, settings: Settings) -> None:
         """Takes over settings, at the start or later: sessions, hand-offs and timers go on."""
@@ -354,11 +354,11 @@
         now = self.host.now
         if self.list_lost and now >= self.ask_at:
             self.ask_at = now + self.ask_within / 2  # no word at all counts as a failure
-            self.host.watch()
+            self.host.poll_endpoint_list()
         while self.due and self.due[0][0] <= now:
             heapq.heappop(self.due)[2]()
         self.serve()
-        self.host.wake_at(now + TICK)
+        self.host.set_timer(now + TICK)
 
     def serve(self) -> None:
         waiting, self.waiting = sorted(self.waiting, key=self.value, reverse=True), []
@@ -371,11 +371,11 @@
             due = self.host.now - s.probed_at >= 2 * ASK_FOR and len(s.connections) > GROWN * s.load_count
             if due and s.load < FULL_LOAD <= self.load_of(s):  # full by a guess alone, as many have come
                 s.probed_at = self.host.now
-                self.host.probe(s.name)
+                self.host.check_health(s.name)
 
     def value(self, sess: Session) -> tuple[bool, float]:
         """Overload: those of most utility first, less if their customer holds more than its share."""
-        who = sess.customer
+        who = sess.tenant
         over = who is not None and 0 < who.connection_quota < self.balancers * self.held[who.name]
         return self.host.now >= sess.hold_until, sess.listener.utility * (self.overage_utility if over else 1)
 
@@ -556,7 +556,7 @@
         for sess in own[:allowed]:
             sess.standing = False
             source.release(sess)
-            self.host.move(sess.token)
+            self.host.migrate(sess.token)
         self.later(1.0, lambda: self.step_hand_off(source, pace))
 
     def eased(self, server: Server, sess: Session) -> bool:
@@ -644,12 +644,12 @@
         self,
         token: Hashable,
         listener: Listener,
-        customer: Tenant | None,
+        tenant: Tenant | None,
         group: Hashable,
         time_left: float,
         load: float | None,
     ) -> Session:
-        sess = Session(self, token, listener, customer, group, self.host.now + time_left, load)
+        sess = Session(self, token, listener, tenant, group, self.host.now + time_left, load)
         self.budget.arrived(self.host.now)
         if self.share_groups:
             self.demand.setdefault(group, Rate(self.budget.since)).arrived(self.host.now)
@@ -662,7 +662,7 @@
         self,
         token: Hashable,
         listener: Listener,
-        customer: Tenant | None,
+        tenant: Tenant | None,
         group: Hashable,
         load: float | None,
         name: str,
@@ -670,7 +670,7 @@
         """A connection that stood before this balancer started: counted, but not moved off a drain."""
         if (server := self.servers.get(name)) is None:
             return None
-        sess = Session(self, token, listener, customer, group, math.inf, load)
+        sess = Session(self, token, listener, tenant, group, math.inf, load)
         sess.server, sess.dialling, sess.standing, sess.answered = server, True, True, True
         server.hold(sess)
         return sess
@@ -703,7 +703,7 @@
         sess.tried.append(server)
         sess.may_run_since = sess.may_run_since if sess.may_run_at else now
         server.hold(sess)
-        self.host.dial(sess.token, server.name, self.dial_time(sess, left))
+        self.host.start_attempt(sess.token, server.name, self.dial_time(sess, left))
 
     def asking(self, sess: Session, server: Server, now: float) -> bool:
         """Where own connections are few the one picked is asked before a dial; one silent is passed over."""
@@ -720,7 +720,7 @@
             server.strained_at = now
         elif now - server.probed_at >= REPORT_AGE and sess.asks < 4:
             sess.asks, server.probed_at = sess.asks + 1, now
-            self.host.probe(server.name)
+            self.host.check_health(server.name)
         elif now - server.probed_at >= ASK_FOR:
             server.strained_at = now
         return True
@@ -738,7 +738,7 @@
             repeat is Idempotency.KEYED and sess.listener.deduplication_scope is DeduplicationScope.ALL
         )
         if sess.may_run_at is None or repeat is Idempotency.IDEMPOTENT or everywhere:  # rule 2
-            self.host.refuse(sess.token, self.retry_after * self.rng.uniform(0.3, 1.0))
+            self.host.reject(sess.token, self.retry_after * self.rng.uniform(0.3, 1.0))
         else:
             self.host.tear_down(sess.token)
 
@@ -788,7 +788,7 @@
         if self.working:  # the longest unprobed first, distrusted ones sooner
             server = max(self.working, key=lambda s: (now - s.probed_at) * (1.0 + s.score(now)))
             server.probed_at = now
-            self.host.probe(server.name)
+            self.host.check_health(server.name)
         self.later(1.0 / min(1.0 / TICK, max(rate, 0.2)), self.probe_round)
 
     def probed(
--- a/onyxhollow/wire/messages.py
+++ b/onyxhollow/wire/messages.py
@@ -24,7 +24,7 @@
     line: bytes  # with its line end
     name: str
     listener: str
-    customer: str
+    tenant: str
     group: str | None
     left: float  # seconds that the client waits
     load: float | None
@@ -56,7 +56,7 @@
         line=line,
         name=name,
         listener=values["c"],
-        customer=values.get("t", ""),
+        tenant=values.get("t", ""),
         group=values.get("g"),
         left=figure(values["d"], "d", 1.0, LONGEST_WAIT) / 1000 if "d" in values else math.inf,
         load=figure(values["h"], "h", 0.0, LARGEST_LOAD) / 1e6 if "h" in values else None,
--- a/onyxhollow/wire/sessions.py
+++ b/onyxhollow/wire/sessions.py
@@ -64,7 +64,7 @@
         pool: BufferPool,
         counters: Counters,
         addresses: Addresses,
-        facade: DecisionAdapter,
+        decisions: DecisionAdapter,
         listeners: dict[str, Listener],
         customers: dict[str, Tenant],
         load_field: str,
@@ -73,7 +73,7 @@
         log: Callable[..., None],
     ) -> None:
         self.loop, self.pool, self.counters, self.service = loop, pool, counters, service
-        self.facade, self.listeners, self.customers, self.log = facade, listeners, customers, log
+        self.decisions, self.listeners, self.tenants, self.log = decisions, listeners, customers, log
         self.servers = Servers(loop, pool, counters, addresses, load_field, connect_time, self.malformed)
         self.dropped: dict[str, tuple[Listener, float]] = {}  # by the last reloads; until when they are taken
         self.taken = 0  # sessions taken and not ended
@@ -95,7 +95,7 @@
         now, old = self.loop.now, self.listeners
         self.dropped = {name: kept for name, kept in self.dropped.items() if now < kept[1]}
         self.dropped |= {name: (row, now + DROPPED) for name, row in old.items() if name not in listeners}
-        self.listeners, self.customers = listeners, customers
+        self.listeners, self.tenants = listeners, customers
         self.counters.open_listeners(listeners)
         self.servers.settle(load_field, connect_time)
 
@@ -336,10 +336,10 @@
             raise MalformedError("the id of another session")
         self.opening = opening
         shared.taken += 1
-        customer = shared.customers.get(opening.customer)
+        tenant = shared.tenants.get(opening.tenant)
         self.counters.add("sessions taken")
         if opening.at is not None:
-            yield from self.adopt(opening, listener, customer)
+            yield from self.adopt(opening, listener, tenant)
             return
         shared.adopts_until = -math.inf  # the run has begun: all from before it are up
         if not shared.make_room():
@@ -351,8 +351,8 @@
         left = opening.left - min(HURRY, opening.left / 10)
         if shared.service.is_any(ServicePhase.OUT_OF_SERVICE):
             left = -math.inf  # the module refuses it
-        handle = self.handle = shared.facade.take(
-            self.wake, listener, customer, opening.group, left, opening.load
+        handle = self.handle = shared.decisions.take(
+            self.wake, listener, tenant, opening.group, left, opening.load
         )
         errors = 0
         while True:
@@ -464,7 +464,7 @@
             return AttemptOutcome.CANCELLED
         return AttemptOutcome.CANCELLED if self.stopping else None
 
-    def adopt(self, opening: Opening, listener: Listener, customer: Tenant | None) -> Steps:
+    def adopt(self, opening: Opening, listener: Listener, tenant: Tenant | None) -> Steps:
         """A connection that was open before the run: to that server and no other, until it is up."""
         name, until = opening.at or "", self.loop.now + ADOPTED
         self.name = name
@@ -478,8 +478,8 @@
                 return
             yield from self.loop.sleep(ADOPT_AGAIN)
         self.counters.add("sessions adopted")
-        handle = self.handle = self.shared.facade.adopt(
-            self.wake, listener, customer, opening.group, opening.load, name
+        handle = self.handle = self.shared.decisions.adopt(
+            self.wake, listener, tenant, opening.group, opening.load, name
         )
         yield from self.relay(handle)
 
@@ -524,10 +524,10 @@
         self.name, self.last = carried.server, carried.last
         self.out.extend(Moment(at, self.loop.stalled) for at in carried.out)
         self.counters.add("connections taken over")
-        handle = self.handle = self.shared.facade.adopt(
+        handle = self.handle = self.shared.decisions.adopt(
             self.wake,
             carried.listener,
-            self.shared.customers.get(opening.customer),
+            self.shared.tenants.get(opening.tenant),
             opening.group,
             carried.load,
             carried.server,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -40,7 +40,7 @@
             raise AttributeError(name)
         return lambda *values: self.did.append((name, *values))
 
-    def wake_at(self, when):
+    def set_timer(self, when):
         self.wake.append(when)
 
     def wait(self, span):
@@ -63,10 +63,10 @@
         for name, load in reported.items():
             self.balancer.probed(name, AttemptOutcome.OK, 0.01, load)
 
-    def take(self, listener=CALLS, group=None, stands=True, customer=None, took=0.01):
+    def take(self, listener=CALLS, group=None, stands=True, tenant=None, took=0.01):
         self.taken += 1
         token = 10000 + self.taken
-        sess = self.balancer.take(token, listener, customer, group, listener.attempt_timeout, None)
+        sess = self.balancer.take(token, listener, tenant, group, listener.attempt_timeout, None)
         if stands and sess.dialling:
             sess.accepted(took)
         return sess
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -67,7 +67,7 @@
     ]
     proxy.answer_list(json.dumps(whole(8, *rows)).encode())
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
-    balancer, now = proxy.proxy.facade.balancer, proxy.proxy.loop.now
+    balancer, now = proxy.proxy.decisions.balancer, proxy.proxy.loop.now
     cold = [name for name, server in balancer.servers.items() if balancer.budget.cold(server, now)]
     assert cold == ["b"] and balancer.servers["b"].started == pytest.approx(now, abs=0.5)
     # Started anew, it is cold again; the same start told once more changes nothing.
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -282,7 +282,7 @@
             server.sock.sendall(line)
         except TimeoutError:
             proxy.idle(0.01)
-    live.handle.facade.move(live.handle)
+    live.handle.decisions.move(live.handle)
     proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.leaving)
     monkeypatch.setattr(sessions, "YOUNG", 0.0)
     others = [proxy.client(b"PING\r\n") for _ in range(40)]
--- a/tests/test_fleet_cores.py
+++ b/tests/test_fleet_cores.py
@@ -36,9 +36,9 @@
     Remembers,
 )
 from onyxhollow.leases.voter import Voter
-from onyxhollow.membership.messages import LARGEST, Life, Packet, Ping, Update
-from onyxhollow.membership.seal import Seal, read_keys
-from onyxhollow.membership.swim import Swim, Terms
+from onyxhollow.membership.messages import LARGEST, MemberState, Packet, Ping, Update
+from onyxhollow.membership.seal import DatagramAuthenticator, read_keys
+from onyxhollow.membership.swim import ProtocolConfig, SwimMembership
 
 KEYS = [b"k" * 16]
 COUNCIL = Council(0, ("a", "b", "c"))
@@ -49,7 +49,7 @@
 
     def __init__(self, count, seed=1, terms=None):
         self.now, self.rng, self.due, self.number = 100.0, Random(seed), [], 0
-        self.terms = terms or Terms()
+        self.terms = terms or ProtocolConfig()
         self.swims, self.seals, self.down, self.stalled, self.cut = {}, {}, set(), set(), set()
         self.sent, self.largest = 0, 0
         for number in range(count):
@@ -58,9 +58,11 @@
     def add(self, name, epoch=1, address=None):
         key = f"{name}~{epoch}"
         address = address or (key, 1)
-        me = Update(name, epoch, 0, Life.ALIVE, address, "z", 3)
-        self.swims[key] = Swim(me, self.terms, Random(hash_of(key)), [("m0~1", 1), ("m1~1", 1)], self.now)
-        self.seals[key] = Seal("f", name, epoch, KEYS)
+        me = Update(name, epoch, 0, MemberState.ALIVE, address, "z", 3)
+        self.swims[key] = SwimMembership(
+            me, self.terms, Random(hash_of(key)), [("m0~1", 1), ("m1~1", 1)], self.now
+        )
+        self.seals[key] = DatagramAuthenticator("f", name, epoch, KEYS)
         return self.swims[key]
 
     def flush(self, key):
@@ -86,7 +88,9 @@
             if self.now >= until:
                 for swim in self.swims.values():  # what is kept beside the members is a part of them
                     assert swim.present == {m.who: m for m in swim.members.values() if m.there}
-                    assert swim.suspects == {w: m for w, m in swim.present.items() if m.life is Life.SUSPECT}
+                    assert swim.suspects == {
+                        w: m for w, m in swim.present.items() if m.life is MemberState.SUSPECT
+                    }
                 return
             while self.due and self.due[0][0] <= self.now:
                 _, _, source, target, datagram = heapq.heappop(self.due)
@@ -145,7 +149,7 @@
         net = Net(1)
         swim = net.swims["m0~1"]
         for number in range(1, count):
-            swim.learn(Update(f"m{number}", 1, 0, Life.ALIVE, (f"a{number}", 1), "z", 3), net.now)
+            swim.learn(Update(f"m{number}", 1, 0, MemberState.ALIVE, (f"a{number}", 1), "z", 3), net.now)
         swim.news.clear()
         packet = Packet("f", "m1", 1, 1, 1, [Ping(1)])
         spans = []
@@ -172,7 +176,7 @@
     swim.awake(net.now)
     assert swim.counts["stalls"] == 1 and swim.health >= 1
     net.run(20.0)
-    assert not [change for change in swim.changes if change.member.life is Life.DEAD]
+    assert not [change for change in swim.changes if change.member.life is MemberState.DEAD]
     assert all_see_all(net)
 
 
@@ -195,7 +199,7 @@
     member = swim.members["m2", 1]
     swim.suspect(member, member.incarnation, "m1", net.now)
     net.run(10.0)
-    assert member.life is Life.ALIVE and member.incarnation == 1
+    assert member.life is MemberState.ALIVE and member.incarnation == 1
     assert net.swims["m2~1"].counts["refuted"] == 1
 
 
@@ -252,12 +256,15 @@
 
 
 def test_what_is_foreign_repeated_or_rubbish_is_counted_and_dropped(tmp_path):
-    one, other = Seal("f", "a", 5, KEYS), Seal("f", "b", 7, [b"n" * 16, *KEYS])
+    one, other = (
+        DatagramAuthenticator("f", "a", 5, KEYS),
+        DatagramAuthenticator("f", "b", 7, [b"n" * 16, *KEYS]),
+    )
     datagram = one.close([], 0)
     assert other.open(datagram).name == "a"  # the old key still opens
     assert other.open(datagram) is None and one.open(other.close([], 0)) is None
     assert other.open(datagram[:-1] + b"x") is None and other.open(b"x" * 2000) is None
-    assert Seal("g", "c", 1, KEYS).open(datagram) is None
+    assert DatagramAuthenticator("g", "c", 1, KEYS).open(datagram) is None
     assert other.open(one.close([], 6)) is None  # meant for the process before this one
     assert other.open(one.close([], 7)) is not None
     late = [one.close([], 0) for _ in range(1100)]
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -144,7 +144,7 @@
     proxy = loopback()
     client, server = proxy.standing()
     (live,) = proxy.proxy.sessions.table.live
-    live.handle.facade.move(live.handle)
+    live.handle.decisions.move(live.handle)
     client.say(b"m 1\r\n" * 50)
     proxy.until(lambda: client.read() == b"MOVE\r\n" and client.end == "closed")
 
@@ -199,7 +199,7 @@
 def test_late_echoes_are_told_once_a_second_a_server_and_not_for_this_process_own_pause(loopback):
     proxy = loopback()
     both = [proxy.standing(), proxy.standing()]
-    late = proxy.proxy.facade.balancer.servers["a"]
+    late = proxy.proxy.decisions.balancer.servers["a"]
     for client, server in both:
         client.say(b"m 1\r\n")
         proxy.until(lambda server=server: server.read())
@@ -231,7 +231,7 @@
     assert server.got == b"OPEN 9b1f 7f3a c=calls,d=2000,at=a\r\n"
     server.say(b"UP r9\r\n")
     proxy.until(lambda: client.read() == b"UP r9\r\n")
-    assert len(proxy.proxy.facade.balancer.servers["a"].connections) == 1
+    assert len(proxy.proxy.decisions.balancer.servers["a"].connections) == 1
 
 
 def test_a_client_from_before_the_start_that_leaves_meanwhile_is_not_waited_on(loopback):
@@ -301,7 +301,7 @@
     client.say(b"OPEN 5 6 c=calls,d=9\r\n" * 300)
     proxy.until(lambda: client.read() == b"ERR\r\n" and client.end == "closed")
     proxy.until(lambda: server.read() and server.end and not proxy.proxy.sessions.table.live)
-    told = proxy.proxy.facade.balancer.servers["a"]
+    told = proxy.proxy.decisions.balancer.servers["a"]
     assert told.distrust == 0.0 and not told.connections and proxy.counts["dials"] == 1
 
 
@@ -313,7 +313,7 @@
     first.say(b"ERR\r\n")
     proxy.until(lambda: other.asked()).say(b"ERR\r\n")
     proxy.until(lambda: client.read() == b"BUSY\r\n")
-    assert sorted(s.distrust for s in proxy.proxy.facade.balancer.servers.values()) == [0.0, 1.0]
+    assert sorted(s.distrust for s in proxy.proxy.decisions.balancer.servers.values()) == [0.0, 1.0]
 
 
 def test_twenty_megabytes_are_thrown_away_while_others_are_served(loopback):
@@ -366,7 +366,7 @@
     proxy.until(lambda: client.read() is not None and client.end)
     proxy.until(lambda: server.read() is not None and server.end)
     assert proxy.counts["malformed lines"] == 2 and not proxy.counts["failures"]
-    assert not proxy.proxy.facade.balancer.servers["a"].connections
+    assert not proxy.proxy.decisions.balancer.servers["a"].connections
 
 
 def test_a_client_whose_server_sends_what_is_no_line_is_moved(loopback):
@@ -375,7 +375,7 @@
     client, server = proxy.standing()
     server.say(b"x" * 5000)
     proxy.until(lambda: client.read() == b"MOVE\r\n" and client.end == "closed")
-    assert not proxy.proxy.facade.balancer.servers["a"].connections
+    assert not proxy.proxy.decisions.balancer.servers["a"].connections
 
 
 def test_half_a_line_or_a_line_that_may_be_on_its_way_is_not_cut_off_to_make_room(loopback, monkeypatch):
@@ -423,7 +423,7 @@
     standing = [proxy.standing() for _ in range(6)]
     client = proxy.open()
     proxy.until(lambda: client.read() == b"BUSY\r\n")
-    assert proxy.counts["dials"] == 6 and proxy.proxy.facade.balancer.servers["a"].distrust == 0.0
+    assert proxy.counts["dials"] == 6 and proxy.proxy.decisions.balancer.servers["a"].distrust == 0.0
     assert not any(peer.read() or peer.end for peer, _ in standing)
 
 
@@ -436,7 +436,7 @@
     monkeypatch.setattr(Channel, "dial", none_left)
     proxy.until(lambda: client.read() == b"BUSY\r\n")
     proxy.until(lambda: proxy.counts["probes without a descriptor"])
-    assert proxy.counts["dials not sent"] == 2 and proxy.proxy.facade.balancer.servers["a"].distrust == 0.0
+    assert proxy.counts["dials not sent"] == 2 and proxy.proxy.decisions.balancer.servers["a"].distrust == 0.0
 
 
 def test_shares_of_few_descriptors_and_little_memory_are_taken_anew_by_a_reload(loopback):
@@ -546,7 +546,7 @@
     proxy.proxy.probes.probe("a")
     proxy.until(lambda: proxy.toys["a"].asked()).say(b"PONG x0=" + load + b"\r\n")
     proxy.until(lambda: proxy.counts["probes ok"] == 1)
-    assert proxy.proxy.facade.balancer.servers["a"].load_at == -math.inf
+    assert proxy.proxy.decisions.balancer.servers["a"].load_at == -math.inf
 
 
 @pytest.mark.parametrize(
@@ -593,12 +593,12 @@
     proxy.until(lambda: proxy.list.asked())
     came = time.monotonic()
     proxy.until(lambda: proxy.list.asked(2), within=2.4)  # of a wait of 0.5 s; told 2 s after it
-    assert time.monotonic() - came > 1.0 and proxy.proxy.facade.balancer.list_failures == 0
+    assert time.monotonic() - came > 1.0 and proxy.proxy.decisions.balancer.list_failures == 0
     came = time.monotonic()
     proxy.until(
         lambda: proxy.list.asked(3), within=1.9
     )  # silent twice: a failure, and no pause before the next
-    assert time.monotonic() - came > 1.0 and proxy.proxy.facade.balancer.list_failures == 1
+    assert time.monotonic() - came > 1.0 and proxy.proxy.decisions.balancer.list_failures == 1
 
 
 def test_watches_that_began_together_end_apart(loopback):
@@ -629,7 +629,7 @@
         old.say(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
     proxy.answer_list(whole(proxy, 2, ("a",), ("b", "leaving")), toy=new)
     proxy.until(lambda: peer.read().startswith(b"GET /v1/endpoints?index=2&wait=5000"))
-    balancer = proxy.proxy.facade.balancer
+    balancer = proxy.proxy.decisions.balancer
     assert [s.name for s in balancer.fleet] == ["a"] and not proxy.counts["list failures"]
     assert old.read() is not None and old.end and not client.end
 
@@ -647,7 +647,7 @@
     nobody.sock.close()
     proxy.reload_to(nobody)
     proxy.until(lambda: proxy.counts["list failures"] >= 2)  # unreachable: asked again
-    assert not proxy.proxy.facade.balancer.fleet and len(proxy.proxy.facade.balancer.servers) == 1
+    assert not proxy.proxy.decisions.balancer.fleet and len(proxy.proxy.decisions.balancer.servers) == 1
 
 
 def test_reloads_in_a_row_end_at_the_last_address_and_a_bad_file_changes_nothing(loopback):
@@ -671,7 +671,7 @@
     slow = replace(CALLS, handshake_objective=5.0, attempt_timeout=5.0)
     proxy = loopback("abc", listeners={"calls": slow})
     proxy.answer_list(whole(proxy, 8, ("a",), ("b",), ("c",)))
-    old, balancer = proxy.config.settings, proxy.proxy.facade.balancer
+    old, balancer = proxy.config.settings, proxy.proxy.decisions.balancer
 
     def dialled():
         peer = proxy.until(lambda: next((p for t in proxy.toys.values() if (p := t.accept())), None))
@@ -739,7 +739,7 @@
     server = proxy.until(lambda: proxy.toys["a"].asked())
     assert server.got == b"STATS\r\n"
     server.say(b"PONG qps=3,x0=0.5\r\n")
-    balancer = proxy.proxy.facade.balancer
+    balancer = proxy.proxy.decisions.balancer
     proxy.until(lambda: balancer.servers["a"].load == 0.5)
     assert list(proxy.proxy.probes.standing) == ["a"]
     server.sock.close()
@@ -754,7 +754,7 @@
     proxy.until(lambda: server.read() == b"STATS\r\nSTATS\r\n", within=9)  # on the same connection
     server.say(b"PONG x0=0.2\r\n")
     proxy.until(lambda: proxy.counts["probes ok"] == 1)
-    assert proxy.proxy.facade.balancer.servers["a"].load == 0.2
+    assert proxy.proxy.decisions.balancer.servers["a"].load == 0.2
 
 
 def test_a_stop_moves_the_open_ones_answers_the_waiting_and_serves_late_comers(loopback):
@@ -779,7 +779,7 @@
     proxy.proxy.loop.spawn(proxy.proxy.stop())
     proxy.until(lambda: not proxy.proxy.loop.running, within=3)
     assert client.read() == b"ERR\r\n" and server.read() and server.end == "closed"
-    assert not proxy.proxy.facade.balancer.servers["a"].connections and not proxy.counts["failures"]
+    assert not proxy.proxy.decisions.balancer.servers["a"].connections and not proxy.counts["failures"]
 
 
 def test_the_program_reloads_on_sighup_and_stops_on_sigterm_without_an_error(tmp_path):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -485,7 +485,7 @@
         overlap.until(lambda s=server: s.read().endswith(b"m 3\r\n"))
         server.say(b"m 3\r\n")
         overlap.until(lambda c=client: c.read() == b"m 3\r\n")
-    balancer = new.proxy.facade.balancer
+    balancer = new.proxy.decisions.balancer
     (held,) = (len(s.connections) for s in balancer.servers.values())
     assert held == 42 and all(sess.placed for s in balancer.servers.values() for sess in s.connections)
     assert new.counts["dials"] == 0  # nothing was dialled anew
@@ -597,11 +597,11 @@
     rows = [old.row("a"), old.row("a", "leaving") | {"host": "b"}]
     whole = {"seq": 41, "whole": True, "hosts": rows}
     old.answer_list(json.dumps(whole).encode())
-    overlap.until(lambda: len(old.proxy.facade.balancer.servers) == 2)
+    overlap.until(lambda: len(old.proxy.decisions.balancer.servers) == 2)
     new = overlap.start(known=False)
     old.proxy.discovery.address = new.config.discovery  # one service for both
     overlap.until(lambda: new.proxy.service.ready, within=1.0)
-    told = {server.name: server.readiness.value for server in new.proxy.facade.balancer.servers.values()}
+    told = {server.name: server.readiness.value for server in new.proxy.decisions.balancer.servers.values()}
     assert told == {"a": "in service", "b": "draining"} and new.proxy.discovery.version == 41
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -10,13 +10,13 @@
 from onyxhollow.counters import Counters
 from onyxhollow.decision_adapter import DecisionAdapter, report_shared
 from onyxhollow.gossip import messages
-from onyxhollow.gossip.core import News, Sharing, Terms
+from onyxhollow.gossip.core import GossipConfig, LoadGossip, News
 from onyxhollow.gossip.messages import Counts, Page, Row
 from onyxhollow.interface import AttemptOutcome, Endpoint, EndpointListKind, EndpointState
 from onyxhollow.lab import decisions, scenario, virtual
 from onyxhollow.lab.together import Trouble
 
-TERMS = Terms(every=0.25, report=2.0, renew=1.0)
+TERMS = GossipConfig(every=0.25, report=2.0, renew=1.0)
 
 
 class Fleet:
@@ -28,7 +28,8 @@
         self.dead, self.cut, self.asked, self.bytes, self.lies = set(), set(), [], {}, {}
         zone = {n: zones[n % len(zones)] for n in range(count)}
         self.cores = {
-            n: Sharing(f"n{n}", n + 1, zone[n], TERMS, Random(seed * 99 + n), self.now) for n in range(count)
+            n: LoadGossip(f"n{n}", n + 1, zone[n], TERMS, Random(seed * 99 + n), self.now)
+            for n in range(count)
         }
         self.own = {n: {} for n in range(count)}
         self.news = {n: {} for n in range(count)}
@@ -237,13 +238,13 @@
     for name, load in (("a", 0.5), ("b", 0.1)):
         report_shared(host.balancer, News(name, load, 1.0, round(load * 100), 0.5, 0.0))
     host.balancer.budget.since -= 20.0  # so few come that the room is hardly ever shared out
-    assert host.take().server is b and not host.asked("probe")
+    assert host.take().server is b and not host.asked("check_health")
     report_shared(host.balancer, News("b", None, 3.0, 40, 0.0, 0.0))  # many have come since that report
     assert host.balancer.load_of(b) == pytest.approx(0.4, abs=0.01)
     host.wait(9.0)  # nobody tells any more
-    before = len(host.asked("probe"))
+    before = len(host.asked("check_health"))
     host.take(stands=False)
-    assert len(host.asked("probe")) > before
+    assert len(host.asked("check_health")) > before
 
 
 def test_evidence_of_others_turns_traffic_away_and_bars_nobody_by_itself(start):
@@ -258,16 +259,16 @@
 
 def test_a_server_passed_over_by_chance_has_room_for_a_sites_health_and_a_full_one_has_not():
     told = replace(PLAIN, **FEW)
-    facade = DecisionAdapter(
+    decisions = DecisionAdapter(
         lambda: 100.0, told, 1, Counters(), lambda line: None, lambda name: None, lambda: None
     )
     entries = [Endpoint(name, EndpointState.IN_SERVICE, zone="a") for name in "xy"]
-    facade.report_list(EndpointListKind.SNAPSHOT, entries)
-    servers = facade.balancer.servers
+    decisions.report_list(EndpointListKind.SNAPSHOT, entries)
+    servers = decisions.balancer.servers
     servers["x"].strained_at = 100.0
-    assert not facade.balancer.well(servers["x"]) and facade.room("a") == (2, 2)
-    facade.report_probe("y", AttemptOutcome.OK, 0.0, 0.9)
-    assert facade.room("a") == (2, 1)
+    assert not decisions.balancer.well(servers["x"]) and decisions.room("a") == (2, 2)
+    decisions.report_probe("y", AttemptOutcome.OK, 0.0, 0.9)
+    assert decisions.room("a") == (2, 1)
 
 
 # in virtual time
@@ -277,7 +278,11 @@
     day = scenario.read("many-20x50")
     day = msgspec.structs.replace(day, seconds=12.0)
     probes = []
-    for terms, trouble in ((None, None), (Terms(), None), (Terms(), Trouble(4.0, 8.0, liars=3))):
+    for terms, trouble in (
+        (None, None),
+        (GossipConfig(), None),
+        (GossipConfig(), Trouble(4.0, 8.0, liars=3)),
+    ):
         engine = virtual.Virtual(day, 1, decisions.find("module"), terms, trouble)
         world = engine.run()
         assert world.referee.verdict()["clean"] and world.ledger.figures()["service"] > 0.9
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -29,7 +29,7 @@
 
 
 def placed(host):
-    return Counter(server for _, server, _ in host.asked("dial"))
+    return Counter(server for _, server, _ in host.asked("start_attempt"))
 
 
 def test_own_connections_even_out_per_registered_size(host):
@@ -96,7 +96,7 @@
     host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
     assert host.take(stands=False).server is not a
     host.wait(2.2)
-    moved = [token for (token,) in host.asked("move")]
+    moved = [token for (token,) in host.asked("migrate")]
     assert moved[:6] == [s.token for s in sessions[:-7:-1]] and 7 not in moved
     sessions[0].dial_ended(AttemptOutcome.OK, True, 9.0)
     assert a.leaving.moved == len(moved) + 1
@@ -107,10 +107,10 @@
     for _ in range(80):
         host.take(took=0.01)
     host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
-    first = len(host.asked("move"))
+    first = len(host.asked("migrate"))
     b.set_up.add(0.1, host.now)
     host.wait(2.2)
-    assert first and len(host.asked("move")) - first <= first
+    assert first and len(host.asked("migrate")) - first <= first
 
 
 def test_a_cold_joiner_takes_no_more_than_its_own_share_of_the_fleets_budget(start):
@@ -120,11 +120,11 @@
         host.wait(0.25)
         host.take()
     host.servers("d", kind=EndpointListKind.DELTA, started_at=host.now)
-    before = len(host.asked("dial"))
+    before = len(host.asked("start_attempt"))
     for _ in range(8):
         host.wait(0.25)
         host.take()
-    cold = [s for _, s, _ in host.asked("dial")[before:]].count("d")
+    cold = [s for _, s, _ in host.asked("start_attempt")[before:]].count("d")
     assert cold <= 2  # a warm server takes 1 a second from this balancer; a quarter of that, twice, for 2 s
     for _ in range(160):
         host.wait(0.25)
@@ -146,7 +146,7 @@
         else:
             host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)  # as in the design
         host.wait(1.5)
-        assert bool(host.asked("move")) is gone
+        assert bool(host.asked("migrate")) is gone
 
 
 def test_an_overfull_source_counts_as_slow_where_no_server_tells_how_long_messages_take(start):
@@ -163,7 +163,7 @@
         host.wait(0.6)
         a.load, a.load_at, a.load_count = load, host.now, len(a.connections)
         host.balancer.hand_off(a, "the story")
-        moved.append(len(host.asked("move")))
+        moved.append(len(host.asked("migrate")))
     assert moved == [2, 0] and len(a.connections) >= 18
 
 
@@ -189,11 +189,11 @@
     host.balancer.budget.seen = 0.0
     sess = host.take()
     host.wait(0.9)
-    assert not host.asked("dial") and not host.asked("refuse")
+    assert not host.asked("start_attempt") and not host.asked("reject")
     host.wait(0.3)
-    assert host.asked("refuse")[0][0] == sess.token
+    assert host.asked("reject")[0][0] == sess.token
     host.wait(5.0)
-    assert len(host.asked("refuse")) == 1 and not host.asked("dial")
+    assert len(host.asked("reject")) == 1 and not host.asked("start_attempt")
 
 
 def test_rule_1_one_answer_and_nothing_after_it(host):
@@ -201,11 +201,11 @@
     sess = host.take(stands=False)
     for _ in range(3):
         sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
-    assert not host.asked("refuse")
+    assert not host.asked("reject")
     sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
-    assert len(host.asked("refuse")) == 1 and len(host.asked("dial")) == 4
+    assert len(host.asked("reject")) == 1 and len(host.asked("start_attempt")) == 4
     sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
-    assert len(host.asked("refuse")) == 1
+    assert len(host.asked("reject")) == 1
 
 
 def test_rule_1_nothing_is_sent_for_a_session_whose_client_is_gone(start):
@@ -213,22 +213,22 @@
     a, b = host.servers("a", "b")
     gone = host.take(stands=False)
     gone.client_gone()
-    assert host.asked("cancel") == [(gone.token, 0)]
+    assert host.asked("cancel_attempt") == [(gone.token, 0)]
     gone.dial_ended(AttemptOutcome.TIMEOUT, False, 0.3)
     a.strained_at = b.strained_at = host.now
     host.take(stands=False).client_gone()
     host.wait(5.0)
-    assert len(host.asked("dial")) == 1 and not host.asked("refuse")
+    assert len(host.asked("start_attempt")) == 1 and not host.asked("reject")
 
 
 def test_rule_2_once_only_is_redialled_only_if_it_never_ran(host, lost):
     host.servers("a", "b")
     sess = host.take(ONCE, stands=False)
     lost(sess, AttemptOutcome.CONNECT_FAILED)
-    assert len(host.asked("dial")) == 2
+    assert len(host.asked("start_attempt")) == 2
     lost(sess, AttemptOutcome.UNKNOWN)
-    assert len(host.asked("dial")) == 2
-    assert host.asked("tear_down") == [(sess.token,)] and not host.asked("refuse")
+    assert len(host.asked("start_attempt")) == 2
+    assert host.asked("tear_down") == [(sess.token,)] and not host.asked("reject")
 
 
 SAME, OTHER = (1, 1), (1, 2)
@@ -243,7 +243,7 @@
     host.balancer.servers["b"].arrival = None
     host.wait(later)
     lost(sess, AttemptOutcome.TIMEOUT)
-    assert (len(host.asked("dial")) == 2) is again
+    assert (len(host.asked("start_attempt")) == 2) is again
     assert host.asked("tear_down") == ([] if again else [(sess.token,)])
 
 
@@ -257,16 +257,16 @@
     host = start(list_is_polled=True, max_poll_interval=10.0)
     host.servers("a", kind=EndpointListKind.CACHED)
     host.wait(0.5)
-    assert len(host.asked("watch")) == 1
+    assert len(host.asked("poll_endpoint_list")) == 1
     for _ in range(6):
         host.servers(kind=EndpointListKind.FAILED)
-        asked = len(host.asked("watch"))
+        asked = len(host.asked("poll_endpoint_list"))
         host.wait(2.6)
-        assert len(host.asked("watch")) > asked
+        assert len(host.asked("poll_endpoint_list")) > asked
     host.servers("a", kind=EndpointListKind.SNAPSHOT)
-    asked = len(host.asked("watch"))
+    asked = len(host.asked("poll_endpoint_list"))
     host.wait(20.0)
-    assert len(host.asked("watch")) == asked
+    assert len(host.asked("poll_endpoint_list")) == asked
 
 
 def test_many_balancers_ask_a_list_that_fails_no_more_often_than_it_can_answer_and_go_on_asking(start):
@@ -280,7 +280,7 @@
             host.did.clear()
             for _ in range(100):
                 host.wait(0.05)
-                if host.asked("watch"):
+                if host.asked("poll_endpoint_list"):
                     made += 1
                     host.did.clear()
                     host.wait(2.0)
@@ -291,12 +291,12 @@
     host = start(list_is_polled=True, instance_count=40)  # from the first second on, and never answered
     for _ in range(20):
         host.wait(6.5)
-        assert host.asked("watch")  # the first within 5 s, the others within 6 s of a failure
+        assert host.asked("poll_endpoint_list")  # the first within 5 s, the others within 6 s of a failure
         host.did.clear()
         host.balancer.server_list(EndpointListKind.FAILED, [])
     sess = host.take(stands=False)
     host.wait(2.0)
-    assert sess.answered and len(host.asked("refuse")) == 1
+    assert sess.answered and len(host.asked("reject")) == 1
 
 
 def test_a_sick_server_nobody_drains_gets_nothing_and_is_handed_off(host, lost):
@@ -310,7 +310,7 @@
         host.balancer.review()
     before = placed(host)["a"]
     host.wait(1.2)
-    assert {token for (token,) in host.asked("move")} <= {s.token for s in mine} and host.asked("move")
+    assert {token for (token,) in host.asked("migrate")} <= {s.token for s in mine} and host.asked("migrate")
     for _ in range(10):
         host.take()
     assert placed(host)["a"] == before
@@ -373,7 +373,7 @@
         host.take()
     host.loads(b=0.5, a=1.2)
     host.wait(20.0)
-    moved = len(host.asked("move"))
+    moved = len(host.asked("migrate"))
     assert 4 <= moved < 30 and a.leaving is None
 
 
@@ -382,15 +382,15 @@
     host = start(tenants={"over": over, "within": within}, over_quota_utility=0.2)
     host.servers("a", "b")
     for _ in range(6):
-        host.take(customer=over)
+        host.take(tenant=over)
     low, high = replace(CALLS, utility=2.0), replace(CALLS, utility=5.0)
     host.wait(1.0)
     host.loads(a=0.9, b=0.9)
     order = [(low, within), (high, over), (high, within)]
-    waiting = [host.take(listener, customer=who) for listener, who in order]
+    waiting = [host.take(listener, tenant=who) for listener, who in order]
     host.loads(a=0.1, b=0.1)
     host.wait(0.1)
-    assert [token for token, *_ in host.asked("dial")[-3:]] == [waiting[n].token for n in (2, 0, 1)]
+    assert [token for token, *_ in host.asked("start_attempt")[-3:]] == [waiting[n].token for n in (2, 0, 1)]
 
 
 def test_servers_are_probed_often_only_while_one_is_strained(start):
@@ -399,11 +399,11 @@
     a, *_ = host.servers(*"abcdefgh")
 
     def probes():
-        before = len(host.asked("probe"))
+        before = len(host.asked("check_health"))
         for _ in range(40):
             host.take()
             host.wait(0.25)
-        return len(host.asked("probe")) - before
+        return len(host.asked("check_health")) - before
 
     calm = probes()
     a.strained_at = host.now
@@ -415,11 +415,11 @@
     mine = next(sess for sess in [host.take() for _ in range(50)] if sess.server is a)
     mine.delay_news(1.0)
     host.wait(0.5)
-    assert not host.asked("move")
+    assert not host.asked("migrate")
     host.wait(0.5)
     mine.delay_news(1.0)
     host.wait(0.1)
-    assert host.asked("move")
+    assert host.asked("migrate")
     host.wait(5.0)
     assert a.leaving is None and a.connections
 
@@ -427,9 +427,9 @@
 def test_a_store_too_slow_for_any_dial_stretches_the_dial_times_too(host, lost):
     host.servers("a", "b")
     lost(host.take(stands=False), AttemptOutcome.TIMEOUT)
-    assert [timeout for *_, timeout in host.asked("dial")] == pytest.approx([0.3, 0.3])
+    assert [timeout for *_, timeout in host.asked("start_attempt")] == pytest.approx([0.3, 0.3])
     host.take(stands=False).dial_ended(AttemptOutcome.TIMEOUT, False, 0.3)
-    assert host.asked("dial")[-1][-1] > 0.4
+    assert host.asked("start_attempt")[-1][-1] > 0.4
 
 
 def test_a_slow_store_stretches_the_dial_times(host):
@@ -437,7 +437,7 @@
     host.take(took=0.01)
     host.take(took=0.5)
     host.take(stands=False)
-    times = [timeout for *_, timeout in host.asked("dial")]
+    times = [timeout for *_, timeout in host.asked("start_attempt")]
     assert times == pytest.approx([0.3, 0.3, 3 * (0.01 + 0.3 * 0.49)])
 
 
@@ -448,8 +448,8 @@
     host = start(seed=4, **FEW)  # whose chance for the room at the second is good
     a, b = host.servers("a", "b")
     sess = host.take()
-    asked = host.asked("probe")[0][0]
-    assert sess.server is None and not host.asked("dial")
+    asked = host.asked("check_health")[0][0]
+    assert sess.server is None and not host.asked("start_attempt")
     host.wait(0.2)
     host.loads(**{name: 0.1 for name in "ab" if name != asked})
     host.wait(0.2)
@@ -459,7 +459,7 @@
 def test_a_balancer_restarted_on_a_small_fleet_dials_at_once(start):
     host = start(health_checks=True, health_check_price=0.001, instance_count=4)
     host.servers(*"abcd")
-    assert host.take().server and not host.asked("probe")
+    assert host.take().server and not host.asked("check_health")
 
 
 def test_a_group_whose_homes_are_full_waits_and_is_not_strewn(start):
@@ -472,10 +472,10 @@
         if home is not None:
             home.strained_at = host.now
             stretch.add(home)
-    before = len(host.asked("dial"))
+    before = len(host.asked("start_attempt"))
     host.balancer.asking = lambda *_: False
     sess = host.take(group="g", stands=False)
-    assert 4 <= len(stretch) <= 16 and sess.server is None and len(host.asked("dial")) == before
+    assert 4 <= len(stretch) <= 16 and sess.server is None and len(host.asked("start_attempt")) == before
 
 
 def test_a_cold_server_is_home_to_its_groups_as_far_as_its_budget_goes(start):
@@ -505,7 +505,7 @@
             host.balancer.look()
             host.balancer.budget.seen, host.balancer.fill = 1.0, 2.0
             host.take()
-            placed += len(host.asked("dial"))
+            placed += len(host.asked("start_attempt"))
         return placed
 
     assert 0 < dials(100) < 25
@@ -539,7 +539,7 @@
         host.balancer.look()
         assert host.balancer.fill == pytest.approx(600 / 100 / 48)  # nothing open here: the fleet's as told
         host.take(group="g", stands=False)
-        placed.append(len(host.asked("dial")))
+        placed.append(len(host.asked("start_attempt")))
     assert sum(placed) > 12  # by own connections alone, none, it would be a few
 
 
@@ -554,7 +554,7 @@
     assert len(host.balancer.working) == 16 and not gone & {s.name for s in host.balancer.working}
     before = set(host.balancer.working)
     host.wait(60.0)
-    assert set(host.balancer.working) != before and not host.asked("move")
+    assert set(host.balancer.working) != before and not host.asked("migrate")
 
 
 def test_the_work_for_a_session_does_not_grow_with_the_fleet(start):
@@ -582,13 +582,15 @@
         host.wait(1.0)
         host.servers("c", "d", kind=EndpointListKind.DELTA, started_at=host.now)
     # 50 connections stand on a warm server at half load: 100 fill it over 10 s, a cold one takes a quarter.
-    before = [len(host.asked("dial")) for host in hosts]
+    before = [len(host.asked("start_attempt")) for host in hosts]
     for second in range(1, 11):
         for host in hosts:
             host.wait(1.0)
             host.loads(c=0.3, d=0.3)
             host.take()
-        sent = sum(s == "c" for h, n in zip(hosts, before, strict=True) for _, s, _ in h.asked("dial")[n:])
+        sent = sum(
+            s == "c" for h, n in zip(hosts, before, strict=True) for _, s, _ in h.asked("start_attempt")[n:]
+        )
         warmth = 0.25 * second + 0.75 * second * second / 20.0
         assert sent <= 2.0 * 10.0 * warmth + 5
     assert sent >= 20
@@ -612,7 +614,7 @@
             for _ in range(max(1, 200 // count) if step % 3 == 0 else 0):
                 host.take(stands=False)
             host.wait(0.1)
-    sent = sum(server == "c" for host in hosts for _, server, _ in host.asked("dial"))
+    sent = sum(server == "c" for host in hosts for _, server, _ in host.asked("start_attempt"))
     # 200 connections fill it over 10 s, a quarter at first; twice that for 2 s.
     allowed = 2.0 * 2.0 * 20.0 * (0.25 + 0.75 * (hosts[0].now - began) / 10.0)
     assert 0 < sent <= allowed + 2.0 * math.sqrt(allowed) + 2.0
@@ -635,7 +637,7 @@
         a.strained_at = host.now
         host.take(low if step < 10 else high, stands=False)
         host.wait(0.1)
-    assert [token for token, _ in host.asked("refuse")][:18] == [10001 + n for n in range(18)]
+    assert [token for token, _ in host.asked("reject")][:18] == [10001 + n for n in range(18)]
 
 
 def test_a_list_with_a_server_twice_a_thousand_or_none_and_one_back_with_another_size(host):
@@ -711,7 +713,7 @@
             for _ in range(others):
                 host.balancer.demand["one"].arrived(host.now)
             host.take(group="one")
-            placed[-1] += len(host.asked("dial"))
+            placed[-1] += len(host.asked("start_attempt"))
     assert 0 < placed[0] < placed[1] / 2
 
 
@@ -730,7 +732,7 @@
     assert not host.balancer.brims and host.balancer.load_of(a) == pytest.approx(0.5)
     host.servers("a", "b", weight=2.0, machine_type="m")
     assert (a.size, a.held, b.size) == (2.0, 0.0, 2.0)
-    assert sess.server in (a, b) and sess in sess.server.connections and len(host.asked("dial")) == 1
+    assert sess.server in (a, b) and sess in sess.server.connections and len(host.asked("start_attempt")) == 1
 
 
 def test_servers_full_by_a_guess_alone_are_asked_while_sessions_wait(start):
@@ -743,13 +745,13 @@
     host.wait(0.6)
     host.loads(a=0.4, b=0.4)
     held = [len(server.connections) for server in host.balancer.servers.values()]
-    asked = len(host.asked("probe"))
+    asked = len(host.asked("check_health"))
     while not host.balancer.waiting:
         host.take()
     host.wait(0.45)
     grown = [len(server.connections) for server in host.balancer.servers.values()]
     assert any(new > 1.5 * old for new, old in zip(grown, held, strict=True))
-    assert 2 <= len(host.asked("probe")) - asked <= 6
+    assert 2 <= len(host.asked("check_health")) - asked <= 6
     host.loads(a=0.4, b=0.4)
     host.wait(0.1)
     assert not host.balancer.waiting
@@ -760,7 +762,7 @@
     host.servers(*(f"s{n}" for n in range(10)), weight=4.0)
     for _ in range(40):
         host.take()
-    old, before = {f"s{n}" for n in range(6)}, len(host.asked("dial"))
+    old, before = {f"s{n}" for n in range(6)}, len(host.asked("start_attempt"))
     host.balancer.server_list(
         EndpointListKind.DELTA,
         [
@@ -772,10 +774,10 @@
     for _ in range(40):
         late.append(host.take())
         host.wait(0.2)
-    fresh = [server for _, server, _ in host.asked("dial")[before:]]
+    fresh = [server for _, server, _ in host.asked("start_attempt")[before:]]
     assert not old & set(fresh) and any(name.startswith("t") for name in fresh)
     assert all(sess.standing or sess.answered for sess in late)
-    assert len(fresh) + len(host.asked("refuse")) == 40
+    assert len(fresh) + len(host.asked("reject")) == 40
 
 
 @pytest.mark.parametrize("span", [5.0, 600.0])
@@ -785,10 +787,10 @@
     host.wake.clear()
     host.now += span
     host.balancer.tick()
-    assert all(sess.answered for sess in waiting) and len(host.asked("refuse")) == 5
+    assert all(sess.answered for sess in waiting) and len(host.asked("reject")) == 5
     host.servers("a", "b")
     host.wait(1.0)
-    assert host.take().standing and len(host.asked("refuse")) == 5
+    assert host.take().standing and len(host.asked("reject")) == 5
 
 
 def test_a_load_beyond_all_measure_keeps_its_server_out_and_all_figures_finite(start):
@@ -831,7 +833,7 @@
     left.dial_ended(AttemptOutcome.CANCELLED, True, 20.0)
     moved.server.strained_at = host.now
     host.balancer.hand_off(moved.server, "a story")
-    assert host.asked("move")
+    assert host.asked("migrate")
     moved.dial_ended(AttemptOutcome.CANCELLED, True, 20.0)
     assert moved.server.score(host.now) == 0.0
 
@@ -852,7 +854,7 @@
     counts = placed(host)
     assert set(counts.values()) == {13} and len(counts) == 4  # 0.65 of 20 each, and nothing past it
     host.wait(3.0)
-    assert len(host.asked("refuse")) == 200 - 52
+    assert len(host.asked("reject")) == 200 - 52
     host.loads(a=0.1)  # the first report that is heard ends the guessing
     host.balancer.look()
     assert not host.balancer.blind and host.balancer.well(servers[0])
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -224,7 +224,7 @@
     whose = fault_of(OSError(error, "")) if call != "connect_ex" else fault_of_connect(OSError(error, ""))
     if call in ("accept", "poll", "unregister", "register", "modify", "setsockopt", "getsockopt", "socket"):
         whose = Fault.SHORTAGE  # whatever it says: no client is at fault
-    balancer = shimmed.proxy.facade.balancer
+    balancer = shimmed.proxy.decisions.balancer
     index = 0
     while True:
         shimmed.plan.fail(call, error, index, times)
