--- a/onyxhollow/topology/compare.py
+++ b/onyxhollow/topology/compare.py
@@ -16,8 +16,8 @@
         elif b is None:
             found.append(f"went: member {name}")
         elif a is not None:
-            if a.state != b.state:
-                found.append(f"member {name}: {a.state}, now {b.state}")
+            if a.life != b.life:
+                found.append(f"member {name}: {a.life}, now {b.life}")
             if a.epoch != b.epoch:
                 found.append(f"member {name}: another process")
             if a.zone != b.zone:
--- a/onyxhollow/topology/draw.py
+++ b/onyxhollow/topology/draw.py
@@ -50,7 +50,7 @@
                     told.setdefault(name, "draining")
     for view in snapshot.views:
         for row in view.members:
-            if row.state == "suspect":
+            if row.life == "suspect":
                 told.setdefault(row.name, "suspect")
             if row.damped:
                 told.setdefault(row.name, "comes and goes")
--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -167,7 +167,7 @@
             for other in now_by.values()
             if life.name in other.members and other.members[life.name].epoch == life.epoch
         ]
-        dead = bool(seen) and all(row.state in ("dead", "left") for row in seen)
+        dead = bool(seen) and all(row.life in ("dead", "left") for row in seen)
         if life.ended or dead:
             why = "stopped in order" if life.ended else "held for dead by all that speak of it"
             who = f"{life.name} ({life.where})"
--- a/onyxhollow/topology/model.py
+++ b/onyxhollow/topology/model.py
@@ -17,7 +17,7 @@
 class Member(msgspec.Struct, frozen=True):
     name: str
     epoch: int = 0
-    state: str = "alive"
+    life: str = "alive"
     zone: str = ""
     votes: bool = False
     holds: bool = False
@@ -118,7 +118,7 @@
         for view in self.views:
             for row in view.members:
                 known = found.get(row.name)
-                if known is None or (row.epoch, row.state == "alive") > (known.epoch, known.state == "alive"):
+                if known is None or (row.epoch, row.life == "alive") > (known.epoch, known.life == "alive"):
                     found[row.name] = row
         for view in self.views:
             epoch = int(view.me.rpartition("~")[2]) if view.me.rpartition("~")[2].isdigit() else 0
--- a/onyxhollow/topology/trouble.py
+++ b/onyxhollow/topology/trouble.py
@@ -33,8 +33,8 @@
 
 def dead_in(view: View) -> set[str]:
     """Names no process of which this member holds for there."""
-    alive = {row.name for row in view.members if row.state not in GONE} | {view.name}
-    return {row.name for row in view.members if row.state == "dead"} - alive
+    alive = {row.name for row in view.members if row.life not in GONE} | {view.name}
+    return {row.name for row in view.members if row.life == "dead"} - alive
 
 
 def named(names: set[str] | list[str]) -> str:
--- a/tests/test_fleet_cores.py
+++ b/tests/test_fleet_cores.py
@@ -67,7 +67,7 @@
 
     def flush(self, key):
         swim = self.swims[key]
-        for out in swim.out:
+        for out in swim.outbox:
             datagram = self.seals[key].close(out.parts, out.to)
             self.largest = max(self.largest, len(datagram))
             self.sent += len(datagram)
@@ -77,19 +77,19 @@
                 heapq.heappush(
                     self.due, (self.now + self.rng.uniform(0.001, 0.01), self.number, key, target, datagram)
                 )
-        swim.out.clear()
+        swim.outbox.clear()
 
     def run(self, seconds):
         until = self.now + seconds
         while True:
             runs = [key for key in self.swims if key not in self.down and key not in self.stalled]
-            ticks = min((self.swims[key].due for key in runs), default=until)
+            ticks = min((self.swims[key].next_due for key in runs), default=until)
             self.now = max(self.now, min(until, ticks, self.due[0][0] if self.due else until))
             if self.now >= until:
                 for swim in self.swims.values():  # what is kept beside the members is a part of them
-                    assert swim.present == {m.who: m for m in swim.members.values() if m.there}
+                    assert swim.present == {m.who: m for m in swim.members.values() if m.is_live}
                     assert swim.suspects == {
-                        w: m for w, m in swim.present.items() if m.life is MemberState.SUSPECT
+                        w: m for w, m in swim.present.items() if m.state is MemberState.SUSPECT
                     }
                 return
             while self.due and self.due[0][0] <= self.now:
@@ -97,15 +97,15 @@
                 if target in self.down or target in self.stalled:
                     continue
                 if packet := self.seals[target].open(datagram):
-                    self.swims[target].heard(self.now, packet, (source, 1))
+                    self.swims[target].on_message(self.now, packet, (source, 1))
                 self.flush(target)
             for key in runs:
-                if self.swims[key].due <= self.now:
+                if self.swims[key].next_due <= self.now:
                     self.swims[key].tick(self.now)
                     self.flush(key)
 
     def sees(self, key):
-        return {f"{member.name}~{member.epoch}" for member in self.swims[key].there()}
+        return {f"{member.name}~{member.epoch}" for member in self.swims[key].live_members()}
 
 
 def test_news_reaches_all_though_most_datagrams_go_to_one():
@@ -115,12 +115,14 @@
     net.run(5.0)
     one = net.swims["m0~1"]
     one.broadcast(7, b"a drain")
-    voter = next(member for member in one.there() if member.name == "m1")
+    voter = next(member for member in one.live_members() if member.name == "m1")
     for _ in range(40):
-        one.carry(voter, 1, b"give me your word")
-    one.out.clear()  # and none of these arrives
+        one.send_payload(voter, 1, b"give me your word")
+    one.outbox.clear()  # and none of these arrives
     net.run(4.0)
-    heard = {key for key, swim in net.swims.items() if any(event.kind == 7 for event in swim.events)}
+    heard = {
+        key for key, swim in net.swims.items() if any(event.kind == 7 for event in swim.received_broadcasts)
+    }
     assert heard >= {"m2~1", "m3~1", "m4~1"}
 
 
@@ -156,8 +158,8 @@
         for _ in range(9):
             began = time.perf_counter()
             for _ in range(200):
-                swim.heard(net.now, packet, ("a1", 1))
-                swim.due = swim.when()
+                swim.on_message(net.now, packet, ("a1", 1))
+                swim.next_due = swim.when()
             spans.append(time.perf_counter() - began)
         return min(spans)
 
@@ -176,7 +178,7 @@
     swim.awake(net.now)
     assert swim.counts["stalls"] == 1 and swim.health >= 1
     net.run(20.0)
-    assert not [change for change in swim.changes if change.member.life is MemberState.DEAD]
+    assert not [change for change in swim.changes if change.member.state is MemberState.DEAD]
     assert all_see_all(net)
 
 
@@ -199,7 +201,7 @@
     member = swim.members["m2", 1]
     swim.suspect(member, member.incarnation, "m1", net.now)
     net.run(10.0)
-    assert member.life is MemberState.ALIVE and member.incarnation == 1
+    assert member.state is MemberState.ALIVE and member.incarnation == 1
     assert net.swims["m2~1"].counts["refuted"] == 1
 
 
@@ -227,7 +229,7 @@
     net.run(8.0)
     swim = net.swims["m0~1"]
     monkeypatch.setattr(clock, "now", lambda: net.now)
-    for member in swim.there():
+    for member in swim.live_members():
         member.flags = 1
     runner = SimpleNamespace(zone=None, claim=SimpleNamespace(duty="d"))
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -132,7 +132,7 @@
             if live.client.full:
                 break
     assert live.client.out and len(live.client.out) < 100_000  # bounded: the server is not read on
-    live.handle.sess.balancer.host.move(live.handle)
+    live.handle.sess.balancer.host.migrate(live.handle)
     proxy.until(lambda: not proxy.proxy.sessions.table.live)
     proxy.until(lambda: client.read().endswith(b"MOVE\r\n") and client.end == "closed")
     assert set(client.got.split(b"\r\n")) == {line[:-2], b"MOVE", b""}
@@ -144,7 +144,7 @@
     proxy = loopback()
     client, server = proxy.standing()
     (live,) = proxy.proxy.sessions.table.live
-    live.handle.decisions.move(live.handle)
+    live.handle.decisions.migrate(live.handle)
     client.say(b"m 1\r\n" * 50)
     proxy.until(lambda: client.read() == b"MOVE\r\n" and client.end == "closed")
 
@@ -705,7 +705,7 @@
     for count, settings, size, held in ((2, live, 4.0, 7.0), (3, old, 0.5, 0.0)):
         proxy.config = replace(proxy.config, settings=settings)
         proxy.proxy.reload()
-        assert balancer.live_sizes is settings.live_sizes and source.leaving in (pace, None)
+        assert balancer.live_sizes is settings.live_weights and source.leaving in (pace, None)
         peer = proxy.until(lambda n=count: proxy.list.asked(n))
         assert peer.got.startswith(b"GET /v1/endpoints HTTP")  # whole: weights mean another thing now
         proxy.answer_list(body, count=count)
