--- /dev/null
+++ b/tests/test_compatibility_fleet.py
@@ -0,0 +1,446 @@
+"""Bytes of the fleet that other versions have sent or stored: read, and written again as they were.
+
+The recordings in data/compatibility/fleet are frozen: they are what version 0.2.0 wrote, and no change of
+the code may touch them. Names of the code stand in the tables below and in `read_values`: a renaming changes
+those.
+"""
+
+import pathlib
+import shutil
+import socket
+import tomllib
+import zlib
+from typing import get_args
+from unittest.mock import MagicMock
+
+import msgspec
+import orjson
+import pytest
+
+from onyxhollow.addresses import messages as addressing
+from onyxhollow.addresses import table as standing
+from onyxhollow.addresses.announcer import Announcer
+from onyxhollow.addresses.keeper import Keeper
+from onyxhollow.addresses.rules import Standing
+from onyxhollow.duties import messages as duties
+from onyxhollow.duties.voter import Seat, Voter
+from onyxhollow.fleet import advertise, gate, lists, node, shares, telling
+from onyxhollow.fleet.file import read_fleet
+from onyxhollow.membership import messages as members
+from onyxhollow.membership.seal import Seal
+from onyxhollow.records import Records
+from onyxhollow.sharing import messages as sharing
+
+DATA = pathlib.Path(__file__).parent / "data" / "compatibility" / "fleet"
+
+# What the recordings say. Within one struct no two values are alike, and none is its field's default.
+COUNCIL = duties.Council(version=31, names=("voter-a", "voter-b", "voter-c"))
+LATER = duties.Council(version=32, names=("voter-a", "voter-b", "voter-d"))
+PENDING = duties.Proposal(term=63, council=LATER)
+DUTIES = {
+    "ask": duties.Ask(duty="d1", term=101, who="m~1", round=102, lease=3.5, version=103, look=True),
+    "answer": duties.Answer(
+        duty="d2", term=111, round=112, yes=True, highest=113, holder="m~2", left=2.5, why="held",
+        council=COUNCIL, pending=PENDING,
+    ),
+    "release": duties.Release(duty="d3", term=121, who="m~3"),
+    "offer": duties.Offer(duty="d4", term=131),
+    "recall": duties.Recall(round=141),
+    "recalled": duties.Recalled(round=151, blank=True, terms={"d5": (152, "m~5")}, council=COUNCIL),
+    "propose": duties.Propose(term=161, round=162, council=LATER),
+    "accepted": duties.Accepted(round=171, yes=True, highest=172, version=173),
+    "learn": duties.Learn(council=COUNCIL),
+    "command": duties.Command(duty="d6", to="m6", passed=True),
+    "held": duties.Held(duty="d7", term=181, who="m~7"),
+    "change": duties.Change(remove="voter-c", add="voter-d"),
+}  # fmt: skip
+VOTER_ROWS = [
+    duties.Seated(council=COUNCIL),
+    duties.Granted(duty="list-east", term=41, who="m~41", lease=3.75),
+    duties.Granted(duty="call-out", term=52, who="m~52", lease=3.75),
+    duties.Released(duty="call-out", term=52),
+    duties.Granted(duty="known", term=9, who="", lease=0.0),
+    duties.Accepting(proposal=PENDING),
+    duties.Remembers(),
+]
+ORDER = addressing.Order(
+    id="1f-2", number=21, verb="drain", address="address-a", site="east", who="operator-a", why="works",
+    given=1700000001.5, until=1700003601.5,
+)  # fmt: skip
+FOR_ALL = addressing.Order(
+    id="1f-3", number=22, verb="pin", address="", site="west", who="operator-b", why="full",
+    given=1700000002.5, until=0.0,
+)  # fmt: skip
+DECIDED = addressing.Decided(
+    term=71, number=72, at=1700000003.5, address="address-a", site="east", standing=1, cause="order",
+    why="operator-a: works", evidence="health 0.9",
+)  # fmt: skip
+ROW = addressing.Row(
+    address="address-a", standing=1, cause="ill", age=12.5, flaps=1.5, last=True, carried_out=False
+)
+SEEN = addressing.Seen(address="address-a", health=0.75, reason="servers", load=40.0, coming=2.5)
+ADDRESSES = {
+    "grant": addressing.Grant(term=201, number=202, site="east", rows=[ROW]),
+    "report": addressing.Report(site="east", term=211, number=212, announcer=213, gate=True, rows=[ROW]),
+    "evidence": addressing.Evidence(site="east", rows=[SEEN]),
+    "keep": addressing.Keep(rows=[ORDER, DECIDED]),
+    "kept": addressing.Kept(voter="voter-a", ids=["1f-2", "71.72"]),
+    "want": addressing.Want(known=221),
+    "have": addressing.Have(voter="voter-a", known=231, count=232, orders=[ORDER, FOR_ALL]),
+    "hello": addressing.Hello(term=241, who="m~8"),
+    "ask": addressing.Ask(id="1f-4", what="plan", order=ORDER),
+    "told": addressing.Told(id="1f-5", part=251, parts=252, body=b"body"),
+    "leave": addressing.Leave(site="east", addresses=["address-a", "address-b"]),
+}
+GATE_ROWS = [
+    standing.Term(term=81, member="m~9"),
+    standing.Stands(name="address-a", standing=1, keeper=82, number=83),
+]
+SHARING = {
+    "page": sharing.Page(rows=[
+        sharing.Row(server="s1", by=301, number=302, age=303, load=304, load_age=305, held=306, doubters=307)
+    ]),
+    "counts": sharing.Counts(number=311, rows=[("s2", 312, 313)]),
+}  # fmt: skip
+LIST_ROWS = [
+    {"host": "s3", "health": "leaving", "zone": "east"},
+    {"host": "s4", "health": "in", "zone": "w"},
+]
+BODY = bytes.fromhex((DATA / "list-rows.hex").read_text())  # another zlib may pack them otherwise
+LISTS = {
+    "beat": telling.Beat(duty="list-east", term=401, source="lists", version=402, lost=True),
+    "rows": telling.Rows(
+        duty="list-east", term=411, source="lists", version=412, base=413, part=414, parts=415, body=BODY
+    ),
+    "want": telling.Want(duty="list-east", term=421, source="lists", have=422),
+    "doubt": telling.Doubt(duty="list-east", term=431, source="lists", version=432),
+}  # fmt: skip
+PARTS = {
+    "ping": members.Ping(nonce=501),
+    "ack": members.Ack(nonce=511),
+    "ping-for": members.PingFor(nonce=521, name="m3", epoch=522, address=("192.0.2.3", 523)),
+    "nack": members.Nack(nonce=531),
+    "update": members.Update(
+        name="m4", epoch=541, incarnation=542, life=members.Life.DEAD, address=("192.0.2.4", 543),
+        zone="east", flags=node.HOLDS | node.VOTES, by="m5",
+    ),
+    "sync": members.Sync(digest=551, joining=True),
+    "event": members.Event(name="m6", epoch=561, number=562, kind=lists.LIST, body=b"event"),
+    "carried": members.Carried(kind=advertise.ADDRESSES, body=b"carried"),
+}  # fmt: skip
+
+
+def packet(part):
+    return members.Packet(fleet="fleet-one", name="m1", epoch=11, number=12, to=13, parts=[part])
+
+
+PACKETS = {name: packet(part) for name, part in PARTS.items()}
+# file: what it says, its decoder, its encoder, the kinds that it has to have
+SAID = {
+    "duties": (DUTIES, duties.MESSAGES, duties.encode, duties.Messages),
+    "addresses": (ADDRESSES, addressing.MESSAGES, addressing.encode, addressing.MESSAGES.type),
+    "sharing": (SHARING, sharing.MESSAGES, sharing.encode, sharing.MESSAGES.type),
+    "lists": (LISTS, telling.MESSAGES, telling.encode, telling.Messages),
+    "packets": (PACKETS, members.PACKETS, members.encode, members.Parts),
+}
+STORED = {
+    "voter": (VOTER_ROWS, duties.ROWS, duties.encode, duties.Rows),
+    "addresses": ([ORDER, DECIDED, FOR_ALL], addressing.WRITTEN, addressing.encode, addressing.Written),
+    "gate": (GATE_ROWS, standing.RECORDS, standing.encode, standing.RECORDS.type),
+}
+MODULES = duties, addressing, sharing, telling, members, standing
+
+
+def structs(value):
+    """Every struct in a value, itself among them."""
+    if isinstance(value, msgspec.Struct):
+        yield value
+        value = [getattr(value, name) for name in value.__struct_fields__]
+    elif isinstance(value, dict):
+        value = list(value.values())
+    if isinstance(value, list | tuple):
+        for one in value:
+            yield from structs(one)
+
+
+def stored(name, folder):
+    """A recorded store, in a folder of its own."""
+    folder.mkdir(exist_ok=True)
+    shutil.copy(DATA / name, folder / name)
+    return str(folder)
+
+
+def read_values(fleet):
+    """Each value of a fleet file and of its file of addresses, by its key in the file."""
+    told, shared = fleet.told, fleet.addresses
+    timing, leases, share, policy = told.membership, told.leases, told.sharing, shared.policy
+    main = {
+        "fleet": told.fleet, "key_file": told.key_file, "listen": told.listen, "voters": told.voters,
+        "advertise": told.advertise, "folder": told.folder, "seeds": told.seeds, "addresses": told.addresses,
+        "record": told.record,
+        "membership": {"period": timing.period, "timeout": timing.timeout, "sync": timing.sync},
+        "leases": {
+            "lease": leases.lease, "rate_bound": leases.rate_bound, "steady": leases.steady,
+            "patience": leases.patience,
+        },
+        "sharing": {
+            "on": share.on, "every": share.every, "fan": share.fan, "report": share.report,
+            "renew": share.renew, "audit": share.audit,
+        },
+        "duty": [
+            {
+                "name": d.name, "work": d.work, "per": d.per, "call": d.call, "path": d.path,
+                "service": d.service, "every": d.every,
+            }
+            for d in told.duty
+        ],
+    }  # fmt: skip
+    addresses = {
+        "every": shared.every, "synthetic": shared.synthetic,
+        "service": [
+            {
+                "name": s.name, "prefix": s.prefix, "listeners": s.listeners, "customers": s.customers,
+                "owner": s.owner, "note": s.note,
+            }
+            for s in shared.service
+        ],
+        "site": [
+            {
+                "name": s.name, "gate": s.gate, "next_hop": s.next_hop, "capacity": s.capacity,
+                "preference": s.preference, "cut_off": s.cut_off,
+            }
+            for s in shared.site
+        ],
+        "policy": {
+            "least": policy.least, "most_at_once": policy.most_at_once, "window": policy.window,
+            "ill": policy.ill, "dead": policy.dead, "well": policy.well, "ill_for": policy.ill_for,
+            "dead_for": policy.dead_for, "well_for": policy.well_for, "well_most": policy.well_most,
+            "flap_half_life": policy.flap_half_life, "step": policy.step, "fill": policy.fill,
+            "drain_for": policy.drain_for, "drained": policy.drained,
+            "cut_off_after": policy.cut_off_after, "fresh": policy.fresh,
+        },
+    }  # fmt: skip
+    return main, addresses
+
+
+def keys(table):
+    """The keys that a table of a file may have, and those of the tables in it."""
+    found = {}
+    for field in msgspec.structs.fields(table):
+        inner = [one for one in (field.type, *get_args(field.type)) if hasattr(one, "__struct_fields__")]
+        found[field.encode_name] = keys(inner[0]) if inner else None
+    return found
+
+
+def keys_of(value):
+    """The same of what a file says."""
+    if isinstance(value, list):
+        merged = {}
+        for one in value:
+            if isinstance(one, dict):
+                merged |= keys_of(one)
+        return merged or None
+    return {key: keys_of(one) for key, one in value.items()} if isinstance(value, dict) else None
+
+
+@pytest.mark.parametrize("name", SAID)
+def test_messages_are_read_and_sent_as_recorded(name):
+    said, decoder, encode, _ = SAID[name]
+    recorded = dict(line.split() for line in (DATA / f"{name}.hex").read_text().splitlines())
+    assert list(recorded) == list(said)
+    for kind, value in said.items():
+        body = bytes.fromhex(recorded[kind])
+        assert decoder.decode(body) == value, kind
+        assert encode(value) == encode(decoder.decode(body)) == body, kind
+
+
+@pytest.mark.parametrize("name", STORED)
+def test_stores_are_read_and_written_as_recorded(name, tmp_path):
+    rows, decoder, encode, _ = STORED[name]
+    old = Records(stored(name, tmp_path / "old"), name)
+    assert (old.cut, old.fresh) == ("", False)
+    assert [decoder.decode(body) for body in old.rows] == rows
+    for way in ("append", "rewrite"):
+        new = Records(str(tmp_path / way), name)
+        bodies = [encode(row) for row in rows]
+        new.append(*bodies) if way == "append" else new.rewrite(bodies)
+        assert (tmp_path / way / name).read_bytes() == (DATA / name).read_bytes()
+        new.close()
+    old.close()
+
+
+def test_every_kind_is_recorded_with_values_that_tell_its_fields_apart():
+    seen = [
+        one
+        for said, *_ in [*SAID.values(), *STORED.values()]
+        for one in structs(list(said.values()) if isinstance(said, dict) else said)
+    ]
+    recorded = {type(one) for one in seen}
+    for *_, kinds in [*SAID.values(), *STORED.values()]:
+        assert set(get_args(kinds)) <= recorded, f"not recorded: {set(get_args(kinds)) - recorded}"
+        tags = [kind.__struct_config__.tag for kind in get_args(kinds)]
+        assert len(tags) == len(set(tags))
+    for module in MODULES:
+        for kind in vars(module).values():
+            array = getattr(getattr(kind, "__struct_config__", None), "array_like", False)
+            assert not array or kind.__subclasses__() or kind in recorded, f"{kind} has no recording"
+    for one in seen:
+        values = [getattr(one, name) for name in one.__struct_fields__]
+        assert len({repr(value) for value in values}) == len(values), one
+        for field, value in zip(msgspec.structs.fields(one), values, strict=True):
+            assert value != field.default, f"{one}: {field.name} has its default"
+
+
+def test_numbers_and_words_that_members_send_and_keep():
+    assert (node.DUTIES, lists.LIST, shares.SHARE, advertise.ADDRESSES) == (1, 2, 3, 4)
+    assert (node.HOLDS, node.VOTES) == (1, 2)
+    life = members.Life
+    assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
+    assert [int(one) for one in (Standing.WITHDRAWN, Standing.LESSER, Standing.ADVERTISED)] == [0, 1, 2]
+    assert (duties.VOTERS, advertise.KEEPER) == ("voters", "addresses")
+    assert advertise.announcer_of("east") == "announcer/east"
+
+
+def test_rows_of_a_list_are_packed_as_recorded():
+    assert telling.unpack([BODY]) == LIST_ROWS
+    assert zlib.decompress(b"".join(telling.pack(LIST_ROWS))) == zlib.decompress(BODY)
+    assert telling.drains(telling.unpack([BODY])) == LIST_ROWS[:1]
+
+
+def test_a_sealed_packet_opens_and_is_sealed_again_as_recorded():
+    datagram = bytes.fromhex((DATA / "sealed.hex").read_text())
+    ours, second = read_fleet(str(DATA / "fleet.toml"), {}.get).keys
+    assert (ours, second) == (bytes(range(24)), bytes(range(0xF0, 0x100)))
+    sender = Seal("fleet-one", "m1", 11, [ours])
+    sender.number = 11
+    assert sender.close([members.encode(part) for part in PARTS.values()], 13) == datagram
+    for held in ([ours], [second, ours]):
+        opened = Seal("fleet-one", "m2", 13, held).open(datagram)
+        assert opened == msgspec.structs.replace(packet(None), parts=list(PARTS.values()))
+    assert Seal("fleet-one", "m2", 13, [second]).open(datagram) is None
+
+
+def test_a_voter_starts_from_its_recorded_memory(tmp_path):
+    mine = MagicMock()
+    mine.fleet.folder, mine.name, mine.council = stored("voter", tmp_path), "voter-b", LATER
+    mine.told.leases.lease = 3.75
+    node.Node.open_records(mine, 1000.0)
+    voter = mine.voter
+    assert isinstance(voter, Voter)
+    assert voter.seats == {
+        "list-east": Seat(41, "m~41", 1003.75),
+        "call-out": Seat(52),
+        "known": Seat(9),
+    }
+    assert (voter.council, voter.pending, voter.blank) == (COUNCIL, PENDING, False)
+    mine.records.rewrite([duties.encode(row) for row in voter.rows()])
+    assert (tmp_path / "voter").read_bytes() == (DATA / "voter-anew").read_bytes()
+    mine.records.close()
+
+
+def test_orders_and_history_are_kept_and_told_as_recorded(tmp_path):
+    store = advertise.Store(stored("addresses", tmp_path / "old"))
+    assert (store.orders(), store.decided()) == ([ORDER, FOR_ALL], [DECIDED])
+    new = advertise.Store(str(tmp_path / "new"))
+    assert new.keep([ORDER, DECIDED, FOR_ALL]) == ["1f-2", "71.72", "1f-3"]
+    assert (tmp_path / "new" / "addresses").read_bytes() == (DATA / "addresses").read_bytes()
+    mine = MagicMock()
+    mine.store = store
+    advertise.Addresses.answer(mine, addressing.Ask("1f-6", "history"), "m~1", 1000.0)
+    told = b"".join(call.args[1].body for call in mine.to_who.call_args_list)
+    assert zlib.decompress(told) == (DATA / "history.json").read_bytes()
+    for one in (store, new):
+        one.records.close()
+
+
+def test_a_gate_starts_from_its_recorded_memory_and_answers_as_recorded(tmp_path):
+    told, addresses, site = gate.read_gate(str(DATA / "gate.toml"))
+    said = tomllib.loads((DATA / "gate.toml").read_text())
+    assert (told.addresses, told.site, told.listen, told.speaker, told.folder) == (
+        said["addresses"], said["site"], said["listen"], said["speaker"], said["folder"],
+    )  # fmt: skip
+    assert (told.own_as, told.orphaned_after, site.name) == (64999, 16.5, "east")
+    assert keys(type(told)).keys() == said.keys()
+    with socket.create_server(("127.0.0.1", 0)) as free:
+        port = free.getsockname()[1]
+    told = msgspec.structs.replace(told, listen=f"127.0.0.1:{port}")
+    with open(tmp_path / "log", "wb") as log:
+        mine = gate.Gate(told, addresses, site, stored("gate", tmp_path), log.fileno())
+        table = mine.table
+        assert (table.term, table.member, table.keeper, table.number) == (81, "m~9", 82, 83)
+        assert table.stands == {"address-a": Standing.LESSER}
+        answers = [
+            mine.tell(),
+            mine.claim("term=91&member=m~10"),
+            mine.put("term=91&number=92&keeper=93&name=address-a&as=2"),
+            mine.alive("term=91&last=address-a"),
+            mine.seen("member=m1&address-a=0.5"),
+        ]
+        mine.records.close()
+        mine.management.listener.close()
+    assert [status for status, *_ in answers] == [200] * 5
+    assert (table.last, table.stands) == ({"address-a"}, {"address-a": Standing.ADVERTISED})
+    assert b"".join(body for _, body, _ in answers) == (DATA / "gate.json").read_bytes()
+
+
+def test_the_files_of_a_fleet_say_what_they_said():
+    fleet = read_fleet(str(DATA / "fleet.toml"), {}.get)
+    for told, values, name in zip(
+        (fleet.told, fleet.addresses), read_values(fleet), ("fleet", "addresses"), strict=True
+    ):
+        said = tomllib.loads((DATA / f"{name}.toml").read_text())
+        given = orjson.loads(orjson.dumps(values))
+        if name == "fleet":  # each duty has the keys of its own work only
+            given["duty"] = [
+                {key: given["duty"][place][key] for key in duty} for place, duty in enumerate(said["duty"])
+            ]
+        assert given == said
+        assert keys_of(said) == keys(type(told)), "a key has no recording"
+    assert (fleet.listen, fleet.advertise) == (("192.0.2.10", 7101), ("198.51.100.20", 7102))
+    assert fleet.seeds == [("192.0.2.31", 7103), ("192.0.2.32", 7104)]
+    assert fleet.folder == str(DATA / "remembered")
+    elsewhere = read_fleet(str(DATA / "fleet.toml"), {"LB_FLEET_LISTEN": "192.0.2.99:7199"}.get)
+    assert elsewhere.listen == elsewhere.advertise == ("192.0.2.99", 7199)
+    timing, rules, share = fleet.told.terms(), fleet.told.rules(), fleet.told.share()
+    assert (timing.period, timing.timeout, timing.sync_every) == (1.25, 0.45, 11.5)
+    assert (rules.lease, rules.rate_bound) == (3.75, 0.015)
+    assert (share.every, share.fan, share.report, share.renew, share.audit) == (0.35, 3, 6.5, 1.75, 31.5)
+
+
+def test_the_keepers_view_and_plan_are_told_as_recorded():
+    addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
+    core = Keeper(addresses, COUNCIL.names, 71, 1000.0, 1700000000.0)
+    stands = msgspec.structs.replace(ROW, standing=2, last=False, carried_out=True)
+    for voter in COUNCIL.names:
+        core.heard(addressing.Have(voter, 0, 0, []), voter, 1000.0, 1700000004.0)
+    for site in ("east", "west", "north"):
+        core.heard(addressing.Report(site, 71, 1, 7, True, [stands]), f"m-{site}", 1000.5, 1700000004.5)
+        core.heard(addressing.Evidence(site, [SEEN]), f"m-{site}", 1000.5, 1700000004.5)
+    exclude = msgspec.structs.replace(FOR_ALL, verb="exclude")
+    east = msgspec.structs.replace(exclude, site="east")
+    core.tick(1000.5, 1700000004.5)
+    told = [core.plan(east, 1000.5, 1700000004.5)]
+    core.heard(addressing.Have("voter-a", 0, 1, [ORDER]), "voter-a", 1000.5, 1700000004.5)
+    core.tick(1001.0, 1700000005.0)
+    told += [core.view(1002.0), core.plan(exclude, 1002.0, 1700000006.0)]
+    assert orjson.dumps(told) == (DATA / "keeper.json").read_bytes()
+
+
+def test_an_announcer_calls_its_gate_as_recorded():
+    addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
+    core = Announcer(addresses, addresses.site[0], 91, 1000.0)
+    mine, calls = MagicMock(), []
+    mine.running, mine.shared.node.who = 1, "m~10"
+    mine.shared.node.loop.now, mine.shared.told.every = 1000.0, 0.625
+    mine.act = lambda this, core, target, still: calls.append(target) or iter(())
+    for stands in ({}, {"address-a": (2, 2)}):
+        if stands:
+            core.stands(stands, 82, True, 1000.0)
+            core.granted(addressing.Grant(82, 84, "east", [ROW]), 1000.0)
+        next(advertise.AnnouncerWork.run(mine, 1, core, lambda: True))
+    assert calls == [
+        "/claim?term=91&member=m~10",
+        "/alive?term=91&last=",
+        "/set?term=91&number=1&name=address-a&as=1&keeper=82",
+        "/alive?term=91&last=address-a",
+    ]
