--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -22,14 +22,14 @@
 from onyxhollow.addresses.announcer import Announcer
 from onyxhollow.addresses.keeper import Keeper
 from onyxhollow.addresses.rules import Standing
-from onyxhollow.duties import messages as duties
-from onyxhollow.duties.voter import Seat, Voter
+from onyxhollow.append_log import AppendLog
 from onyxhollow.fleet import advertise, gate, lists, node, shares, telling
 from onyxhollow.fleet.file import read_fleet
+from onyxhollow.gossip import messages as sharing
+from onyxhollow.leases import messages as duties
+from onyxhollow.leases.voter import Seat, Voter
 from onyxhollow.membership import messages as members
-from onyxhollow.membership.seal import Seal
-from onyxhollow.records import Records
-from onyxhollow.sharing import messages as sharing
+from onyxhollow.membership.seal import DatagramAuthenticator
 
 DATA = pathlib.Path(__file__).parent / "data" / "compatibility" / "fleet"
 
@@ -121,7 +121,7 @@
     "ping-for": members.PingFor(nonce=521, name="m3", epoch=522, address=("192.0.2.3", 523)),
     "nack": members.Nack(nonce=531),
     "update": members.Update(
-        name="m4", epoch=541, incarnation=542, life=members.Life.DEAD, address=("192.0.2.4", 543),
+        name="m4", epoch=541, incarnation=542, life=members.MemberState.DEAD, address=("192.0.2.4", 543),
         zone="east", flags=node.HOLDS | node.VOTES, by="m5",
     ),
     "sync": members.Sync(digest=551, joining=True),
@@ -257,11 +257,11 @@
 @pytest.mark.parametrize("name", STORED)
 def test_stores_are_read_and_written_as_recorded(name, tmp_path):
     rows, decoder, encode, _ = STORED[name]
-    old = Records(stored(name, tmp_path / "old"), name)
+    old = AppendLog(stored(name, tmp_path / "old"), name)
     assert (old.cut, old.fresh) == ("", False)
     assert [decoder.decode(body) for body in old.rows] == rows
     for way in ("append", "rewrite"):
-        new = Records(str(tmp_path / way), name)
+        new = AppendLog(str(tmp_path / way), name)
         bodies = [encode(row) for row in rows]
         new.append(*bodies) if way == "append" else new.rewrite(bodies)
         assert (tmp_path / way / name).read_bytes() == (DATA / name).read_bytes()
@@ -294,7 +294,7 @@
 def test_numbers_and_words_that_members_send_and_keep():
     assert (node.DUTIES, lists.LIST, shares.SHARE, advertise.ADDRESSES) == (1, 2, 3, 4)
     assert (node.HOLDS, node.VOTES) == (1, 2)
-    life = members.Life
+    life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
     assert [int(one) for one in (Standing.WITHDRAWN, Standing.LESSER, Standing.ADVERTISED)] == [0, 1, 2]
     assert (duties.VOTERS, advertise.KEEPER) == ("voters", "addresses")
@@ -311,18 +311,18 @@
     datagram = bytes.fromhex((DATA / "sealed.hex").read_text())
     ours, second = read_fleet(str(DATA / "fleet.toml"), {}.get).keys
     assert (ours, second) == (bytes(range(24)), bytes(range(0xF0, 0x100)))
-    sender = Seal("fleet-one", "m1", 11, [ours])
+    sender = DatagramAuthenticator("fleet-one", "m1", 11, [ours])
     sender.number = 11
     assert sender.close([members.encode(part) for part in PARTS.values()], 13) == datagram
     for held in ([ours], [second, ours]):
-        opened = Seal("fleet-one", "m2", 13, held).open(datagram)
+        opened = DatagramAuthenticator("fleet-one", "m2", 13, held).open(datagram)
         assert opened == msgspec.structs.replace(packet(None), parts=list(PARTS.values()))
-    assert Seal("fleet-one", "m2", 13, [second]).open(datagram) is None
+    assert DatagramAuthenticator("fleet-one", "m2", 13, [second]).open(datagram) is None
 
 
 def test_a_voter_starts_from_its_recorded_memory(tmp_path):
     mine = MagicMock()
-    mine.fleet.folder, mine.name, mine.council = stored("voter", tmp_path), "voter-b", LATER
+    mine.fleet.folder, mine.name, mine.voters = stored("voter", tmp_path), "voter-b", LATER
     mine.told.leases.lease = 3.75
     node.Node.open_records(mine, 1000.0)
     voter = mine.voter
@@ -430,7 +430,7 @@
     addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
     core = Announcer(addresses, addresses.site[0], 91, 1000.0)
     mine, calls = MagicMock(), []
-    mine.running, mine.shared.node.who = 1, "m~10"
+    mine.running, mine.shared.node.process_id = 1, "m~10"
     mine.shared.node.loop.now, mine.shared.told.every = 1000.0, 0.625
     mine.act = lambda this, core, target, still: calls.append(target) or iter(())
     for stands in ({}, {"address-a": (2, 2)}):
--- a/tests/test_fleet_cores.py
+++ b/tests/test_fleet_cores.py
@@ -234,7 +234,7 @@
     runner = SimpleNamespace(zone=None, claim=SimpleNamespace(duty="d"))
 
     def order():
-        node = SimpleNamespace(swim=swim, ranks={}, fit=lambda: True, name="m0", who="m0~1")
+        node = SimpleNamespace(membership=swim, ranks={}, fit=lambda: True, name="m0", process_id="m0~1")
         return Node.order(node, runner)
 
     first = next(who for who in order() if who != "m0~1")
