--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -63,11 +63,11 @@
     if told.command in ("members", "duties", "voters", "addresses", "gate"):
         try:
             if told.command == "gate":
-                from onyxhollow.fleet.gate import main as stand
+                from onyxhollow.fleet.route_guard import main as stand
 
                 return stand(told.config)
             if told.command == "addresses":
-                from onyxhollow.fleet.addressing import main as ask
+                from onyxhollow.fleet.address_commands import main as ask
 
                 return ask(told.words)
             from onyxhollow.fleet.commands import main as call
@@ -143,8 +143,8 @@
         )
         print(f"duties: {duties or 'none'}")
         if shared := fleet.addresses:
-            names, sites = (", ".join(row.name for row in some) for some in (shared.service, shared.site))
-            print(f"addresses: {names} at {sites}, at least {shared.policy.least}")
+            names, sites = (", ".join(row.name for row in some) for some in (shared.services, shared.sites))
+            print(f"addresses: {names} at {sites}, at least {shared.policy.min_sites}")
     return 0
 
 
--- a/onyxhollow/addresses/file.py
+++ b/onyxhollow/addresses/file.py
@@ -1,4 +1,8 @@
-"""The file of addresses: TOML, typed by msgspec, checked whole. All members have the same one."""
+"""The addresses file: shared addresses, the sites that advertise them, and the policy.
+
+All members read the same file. It is TOML, decoded by msgspec into frozen structs, then checked as a
+whole. Attributes carry the names of the code; where the operators' key differs, the field names it.
+"""
 
 from __future__ import annotations
 
@@ -6,145 +10,194 @@
 import ipaddress
 import os
 import re
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from typing import Annotated, Literal
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
-Share = Annotated[float, Meta(ge=0, le=1)]
-NAME = 64  # bytes
+Ratio = Annotated[float, Meta(ge=0, le=1)]
+MAX_NAME_BYTES = 64
+FORBIDDEN_IN_NAMES = "/ &=?#"  # names appear in paths, queries and comma-separated lists
 
 
 class AddressesError(ValueError):
-    """A file that can't be used; the text says where, what was expected and what was got."""
+    """A file that cannot be used; the text says where, what was expected and what was found."""
 
 
-class Table(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A table of the file; a key that it does not know is an error."""
+class TomlTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+    """A table of the file; an unknown key is an error."""
 
 
-class Service(Table, frozen=True):
+class Service(TomlTable, frozen=True):
     """A shared address and who uses it."""
 
     name: str
-    prefix: str  # as it is announced, 198.51.100.7/32
-    listeners: list[str] = []  # that are served under it; none told: all
-    customers: list[str] = []
+    prefix: str  # as it is announced, for example 198.51.100.7/32
+    listeners: list[str] = []  # served under this address; empty: all
+    tenants: list[str] = field(default_factory=list, name="customers")
     owner: str = ""
     note: str = ""
 
 
-class Site(Table, frozen=True):
-    """Where addresses are advertised from: the members of a zone, with one gate to one speaker."""
+class Site(TomlTable, frozen=True):
+    """Where addresses are advertised from: the members of a zone, one route guard, one routing daemon."""
 
     name: str  # the zone
-    gate: str  # HOST:PORT
+    route_guard: str = field(name="gate")  # HOST:PORT
     next_hop: str = "self"
-    capacity: Positive = 1000.0  # open sessions that it can bear
-    preference: Annotated[int, Meta(ge=0, le=1000)] = 100  # told as MED: the lower is preferred
-    cut_off: Literal["keep", "withdraw"] = "keep"  # once it has heard no keeper for `cut_off_after`
-
-
-class Policy(Table, frozen=True):
-    least: Annotated[int, Meta(ge=1)] = 1  # sites that advertise an address, at the least
-    most_at_once: Annotated[int, Meta(ge=1)] = 1  # sites withdrawn for health within `window`
-    window: Positive = 30.0  # seconds
-    ill: Share = 0.6  # health under which a site is ill ...
-    dead: Share = 0.1  # ... and under which it is as good as dead
-    well: Share = 0.85  # from here on it is well
-    ill_for: NotNegative = 10.0  # seconds ill before it is withdrawn ...
-    dead_for: NotNegative = 2.0  # ... and dead
-    well_for: NotNegative = 15.0  # seconds well before it is restored; twice as long with each flap
-    well_most: NotNegative = 600.0  # at the most
-    flap_half_life: Positive = 300.0  # seconds in which a flap is half forgotten
-    step: NotNegative = 5.0  # seconds at a lesser preference on the way back
-    fill: Share = 0.9  # of a site's capacity that may be used by what is moved there
-    drain_for: Positive = 60.0  # seconds after which a drain is a withdrawal, whatever still comes
-    drained: Share = 0.1  # of the new sessions from before under which a drain is done
-    cut_off_after: Positive = 10.0  # seconds without a word of the keeper
-    fresh: Positive = 3.0  # seconds for which evidence counts
-
-
-class AddressesFile(Table, frozen=True):
-    service: list[Service]
-    site: list[Site]
+    capacity: Positive = 1000.0  # open sessions that the site can serve
+    med: Annotated[int, Meta(ge=0, le=1000)] = field(
+        default=100, name="preference"
+    )  # BGP MED: lower is preferred
+    cut_off: Literal["keep", "withdraw"] = "keep"  # after `cut_off_after` without a controller
+
+
+class Policy(TomlTable, frozen=True):
+    """When routes are withdrawn and restored. Health runs from 0 to 1; times are seconds."""
+
+    min_sites: Annotated[int, Meta(ge=1)] = field(default=1, name="least")  # that must advertise an address
+    # Sites withdrawn for health within `withdrawal_window`.
+    max_concurrent_withdrawals: Annotated[int, Meta(ge=1)] = field(default=1, name="most_at_once")
+    withdrawal_window: Positive = field(default=30.0, name="window")
+    unhealthy_below: Ratio = field(default=0.6, name="ill")
+    dead_below: Ratio = field(default=0.1, name="dead")
+    healthy_from: Ratio = field(default=0.85, name="well")
+    unhealthy_for: NotNegative = field(default=10.0, name="ill_for")  # before a withdrawal ...
+    dead_for: NotNegative = 2.0  # ... and the same for a dead site
+    healthy_for: NotNegative = field(
+        default=15.0, name="well_for"
+    )  # before a restore; doubles with each flap
+    max_healthy_for: NotNegative = field(default=600.0, name="well_most")
+    flap_half_life: Positive = 300.0
+    recovery_step: NotNegative = field(default=5.0, name="step")  # at the lowered preference on the way back
+    max_utilization: Ratio = field(default=0.9, name="fill")  # of a site's capacity, with moved sessions
+    drain_for: Positive = 60.0  # after which a drain becomes a withdrawal, whatever still arrives
+    drained_ratio: Ratio = field(
+        default=0.1, name="drained"
+    )  # of the earlier arrival rate: the drain is done
+    cut_off_after: Positive = 10.0  # without an assignment from a controller
+    max_evidence_age: Positive = field(default=3.0, name="fresh")
+
+
+class AddressesFile(TomlTable, frozen=True):
+    """The whole file."""
+
+    services: list[Service] = field(name="service")
+    sites: list[Site] = field(name="site")
     policy: Policy = Policy()
-    every: Positive = 0.5  # seconds from word to word
-    synthetic: NotNegative = 2.0  # seconds from a member's session of its own to the next; 0: none
+    interval: Positive = field(default=0.5, name="every")  # seconds between messages
+    probe_interval: NotNegative = field(
+        default=2.0, name="synthetic"
+    )  # seconds between own sessions; 0: none
 
 
 def read_address(text: str, key: str) -> tuple[str, int]:
+    """Host and port of `HOST:PORT`.
+
+    Raises:
+        AddressesError: it is something else; the text names `key`.
+    """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise AddressesError(f"{key}: expected HOST:PORT, got {text[:80]!r}")
     return host, int(port)
 
 
-def explained(error: msgspec.ValidationError) -> str:
-    """The key's path, what was expected, what was got."""
+def describe(error: msgspec.ValidationError) -> str:
+    """A validation error as `key: expected ..., got ...`."""
     what, _, where = str(error).partition(" - at `$")
     where = where.strip("`").lstrip(".") or "top"
     return f"{where}: {re.sub(r'^Expected', 'expected', what)}"
 
 
-def check(told: AddressesFile) -> None:
-    for key, rows in (("service", told.service), ("site", told.site)):
-        names = [row.name for row in rows]
-        for place, name in enumerate(names):
-            size = len(name.encode(errors="replace"))
-            if not 0 < size <= NAME or not name.isprintable() or any(sign in name for sign in "/ &=?#"):
-                what = f"expected 1 to {NAME} bytes of printable characters, no space and none of /&=?#"
-                raise AddressesError(f"{key}[{place}].name: {what}, got {name[:80]!r}")
-        if len(set(names)) != len(names) or not names:
-            raise AddressesError(f"{key}: expected names that differ, got {', '.join(names) or 'none'}")
-    prefixes: dict[str, int] = {}
-    for place, service in enumerate(told.service):
+def check(config: AddressesFile) -> None:
+    """Checks what types alone do not say.
+
+    Raises:
+        AddressesError: the first fault found, by its key in the file.
+    """
+    check_names("service", config.services)
+    check_names("site", config.sites)
+    check_prefixes(config.services)
+    for index, site in enumerate(config.sites):
+        check_site(index, site)
+    check_policy(config)
+
+
+def check_names(key: str, rows: Sequence[Service | Site]) -> None:
+    """Names are present, short, printable and distinct."""
+    names = [row.name for row in rows]
+    for index, name in enumerate(names):
+        size = len(name.encode(errors="replace"))
+        forbidden = any(sign in name for sign in FORBIDDEN_IN_NAMES)
+        if not 0 < size <= MAX_NAME_BYTES or not name.isprintable() or forbidden:
+            what = f"expected 1 to {MAX_NAME_BYTES} bytes of printable characters, no space and none of /&=?#"
+            raise AddressesError(f"{key}[{index}].name: {what}, got {name[:80]!r}")
+    if len(set(names)) != len(names) or not names:
+        raise AddressesError(f"{key}: expected names that differ, got {', '.join(names) or 'none'}")
+
+
+def check_prefixes(services: Sequence[Service]) -> None:
+    """Each prefix is a network and occurs once."""
+    seen: set[str] = set()
+    for index, service in enumerate(services):
         try:
             prefix = str(ipaddress.ip_network(service.prefix))
         except ValueError as error:
             raise AddressesError(
-                f"service[{place}].prefix: expected a prefix, got {service.prefix[:60]!r}: {error}"
+                f"service[{index}].prefix: expected a prefix, got {service.prefix[:60]!r}: {error}"
             ) from None
-        if prefix in prefixes:
-            raise AddressesError(f"service[{place}].prefix: expected one that no other has, got {prefix}")
-        prefixes[prefix] = place
-    for place, site in enumerate(told.site):
-        read_address(site.gate, f"site[{place}].gate")
-        if site.next_hop != "self":
-            try:
-                ipaddress.ip_address(site.next_hop)
-            except ValueError:
-                raise AddressesError(
-                    f"site[{place}].next_hop: expected self or an address, got {site.next_hop[:60]!r}"
-                ) from None
-    policy = told.policy
-    if policy.least > len(told.site):
+        if prefix in seen:
+            raise AddressesError(f"service[{index}].prefix: expected one that no other has, got {prefix}")
+        seen.add(prefix)
+
+
+def check_site(index: int, site: Site) -> None:
+    """A site's route guard and next hop are addresses."""
+    read_address(site.route_guard, f"site[{index}].gate")
+    if site.next_hop == "self":
+        return
+    try:
+        ipaddress.ip_address(site.next_hop)
+    except ValueError:
+        raise AddressesError(
+            f"site[{index}].next_hop: expected self or an address, got {site.next_hop[:60]!r}"
+        ) from None
+
+
+def check_policy(config: AddressesFile) -> None:
+    """The policy can be met by the sites, and its thresholds are in order."""
+    policy = config.policy
+    if policy.min_sites > len(config.sites):
         raise AddressesError(
-            f"policy.least: expected at most {len(told.site)}, as many as there are sites, got {policy.least}"
+            f"policy.least: expected at most {len(config.sites)}, as many as there are sites, "
+            f"got {policy.min_sites}"
         )
-    if (stay := sum(site.cut_off == "keep" for site in told.site)) < policy.least:
+    keeping = sum(site.cut_off == "keep" for site in config.sites)
+    if keeping < policy.min_sites:
         raise AddressesError(
-            f'site: expected at least {policy.least} with cut_off = "keep" (policy.least), '
-            f"got {stay}: without voters every gate would withdraw"
+            f'site: expected at least {policy.min_sites} with cut_off = "keep" (policy.least), '
+            f"got {keeping}: without voters every gate would withdraw"
         )
-    if not policy.dead <= policy.ill <= policy.well:
+    if not policy.dead_below <= policy.unhealthy_below <= policy.healthy_from:
         raise AddressesError(
-            f"policy: expected dead <= ill <= well, got {policy.dead:g}, {policy.ill:g}, {policy.well:g}"
+            f"policy: expected dead <= ill <= well, got {policy.dead_below:g}, {policy.unhealthy_below:g}, "
+            f"{policy.healthy_from:g}"
         )
 
 
 @contextlib.contextmanager
-def one_line(path: str) -> Iterator[None]:
-    """What goes wrong with a file, as one AddressesError that names it."""
+def one_line_errors(path: str) -> Iterator[None]:
+    """Turns whatever is wrong with a file into one AddressesError of one line that names the file."""
     try:
         yield
     except OSError as error:
         raise AddressesError(f"{path}: {error.strerror}") from None
     except msgspec.ValidationError as error:
-        raise AddressesError(f"{path}: {explained(error)}") from None
+        raise AddressesError(f"{path}: {describe(error)}") from None
     except msgspec.DecodeError as error:
         raise AddressesError(f"{path}: expected TOML, got something else: {error}") from None
     except AddressesError as error:
@@ -152,7 +205,12 @@
 
 
 def read_addresses(path: str) -> AddressesFile:
-    with one_line(os.fspath(path)), open(path, "rb") as file:
-        told = msgspec.toml.decode(file.read(), type=AddressesFile, strict=True)
-        check(told)
-    return told
+    """Reads and checks an addresses file.
+
+    Raises:
+        AddressesError: it cannot be read or used; one line that names the file.
+    """
+    with one_line_errors(os.fspath(path)), open(path, "rb") as file:
+        config = msgspec.toml.decode(file.read(), type=AddressesFile, strict=True)
+        check(config)
+    return config
--- a/onyxhollow/addresses/health.py
+++ b/onyxhollow/addresses/health.py
@@ -11,7 +11,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from onyxhollow.addresses.messages import Evidence, Seen
+from onyxhollow.addresses.messages import AddressHealth, HealthReport
 
 MOST = 1e9  # a count past it is none
 FEW = 5  # sessions under which their share in time says nothing
@@ -20,39 +20,41 @@
 
 
 @dataclass(slots=True)
-class Door:
+class ProbeTarget:
     """What one member sees at its own door, for each address."""
 
-    ends: deque[tuple[float, float, float]] = field(
+    outcomes: deque[tuple[float, float, float]] = field(
         default_factory=deque
     )  # time, sessions ended well, and all
-    tries: deque[bool] = field(default_factory=lambda: deque(maxlen=SYNTHETIC))
+    probe_results: deque[bool] = field(default_factory=lambda: deque(maxlen=SYNTHETIC))
 
-    def counted(self, now: float, well: float, everything: float) -> None:
+    def record_outcomes(self, now: float, well: float, everything: float) -> None:
         """Counters of answers so far: accepted, and all."""
-        self.ends.append((now, well, everything))
-        while self.ends and now - self.ends[0][0] > SPAN:
-            self.ends.popleft()
+        self.outcomes.append((now, well, everything))
+        while self.outcomes and now - self.outcomes[0][0] > SPAN:
+            self.outcomes.popleft()
 
-    def tried(self, went: bool) -> None:
-        self.tries.append(went)
+    def record_probe(self, went: bool) -> None:
+        self.probe_results.append(went)
 
-    def share(self) -> float | None:
+    def success_ratio(self) -> float | None:
         """Of the sessions answered of late, those put up; None where there were few."""
-        if len(self.ends) < 2:
+        if len(self.outcomes) < 2:
             return None
-        (_, well, every), (_, well_now, every_now) = self.ends[0], self.ends[-1]
+        (_, well, every), (_, well_now, every_now) = self.outcomes[0], self.outcomes[-1]
         if every_now - every < FEW:
             return None
         return max(0.0, min(1.0, (well_now - well) / (every_now - every)))
 
-    def coming(self) -> float:
+    def arrival_rate(self) -> float:
         """New sessions a second."""
-        if len(self.ends) < 2 or self.ends[-1][0] <= self.ends[0][0]:
+        if len(self.outcomes) < 2 or self.outcomes[-1][0] <= self.outcomes[0][0]:
             return 0.0
-        return max(0.0, self.ends[-1][2] - self.ends[0][2]) / (self.ends[-1][0] - self.ends[0][0])
+        return max(0.0, self.outcomes[-1][2] - self.outcomes[0][2]) / (
+            self.outcomes[-1][0] - self.outcomes[0][0]
+        )
 
-    def see(self, ready: bool, servers: int, with_room: int) -> tuple[float, str]:
+    def assess(self, ready: bool, servers: int, with_room: int) -> tuple[float, str]:
         """Health from 0 to 1, the least of all, and what it was. servers: that this site may use; with_room:
         of them those that take something new."""
         if not ready:
@@ -63,56 +65,60 @@
             found.append((min(1.0, 4.0 * with_room / servers), f"{with_room} of {servers} servers have room"))
         else:
             found.append((0.0, "no server is listed"))
-        if (share := self.share()) is not None:
+        if (share := self.success_ratio()) is not None:
             found.append((share, f"{share:.0%} of sessions were put up"))
-        if self.tries:
-            went = sum(self.tries) / len(self.tries)
-            found.append((went, f"{sum(self.tries)} of {len(self.tries)} own sessions went through"))
+        if self.probe_results:
+            went = sum(self.probe_results) / len(self.probe_results)
+            found.append(
+                (went, f"{sum(self.probe_results)} of {len(self.probe_results)} own sessions went through")
+            )
         return min(found)
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class SiteHealth:
     health: float | None  # None: nobody has said anything of late
     reason: str
     load: float
-    coming: float
+    arrival_rate: float
     members: int
 
 
-class Witnesses:
+class HealthAggregator:
     """The evidence that has come, by site and member."""
 
-    def __init__(self, fresh: float) -> None:
-        self.fresh = fresh
-        self.heard: dict[str, dict[str, tuple[float, dict[str, Seen]]]] = {}
-        self.last: dict[str, dict[str, float]] = {}  # by site and member: when it last said anything
+    def __init__(self, max_age: float) -> None:
+        self.max_age = max_age
+        self.reports: dict[str, dict[str, tuple[float, dict[str, AddressHealth]]]] = {}
+        self.last_report_at: dict[
+            str, dict[str, float]
+        ] = {}  # by site and member: when it last said anything
 
-    def take(self, member: str, evidence: Evidence, now: float) -> None:
+    def record(self, member: str, evidence: HealthReport, now: float) -> None:
         rows = {
             row.address: row
             for row in evidence.rows
-            if 0.0 <= row.health <= 1.0 and 0.0 <= min(row.load, row.coming) < MOST
+            if 0.0 <= row.health <= 1.0 and 0.0 <= min(row.load, row.arrival_rate) < MOST
         }
-        self.heard.setdefault(evidence.site, {})[member] = now, rows
-        self.last.setdefault(evidence.site, {})[member] = now
+        self.reports.setdefault(evidence.site, {})[member] = now, rows
+        self.last_report_at.setdefault(evidence.site, {})[member] = now
 
-    def judge(self, site: str, address: str, now: float) -> Judged:
-        by = self.heard.get(site, {})
-        for member in [name for name, (at, _) in by.items() if now - at > self.fresh]:
+    def assess(self, site: str, address: str, now: float) -> SiteHealth:
+        by = self.reports.get(site, {})
+        for member in [name for name, (at, _) in by.items() if now - at > self.max_age]:
             del by[member]
         rows = [(rows[address], member) for member, (_, rows) in sorted(by.items()) if address in rows]
         if not rows:
-            return Judged(None, "no word of any member there", 0.0, 0.0, 0)
-        last = self.last[site]
+            return SiteHealth(None, "no word of any member there", 0.0, 0.0, 0)
+        last = self.last_report_at[site]
         for member in [name for name, at in last.items() if now - at > SPAN]:
             del last[member]
         if len(rows) == 1 and len(last) > 1 and rows[0][0].health < 1.0:
-            return Judged(
+            return SiteHealth(
                 None,
                 f"only {rows[0][1]} speaks, of {len(last)} of late",
                 rows[0][0].load,
-                rows[0][0].coming,
+                rows[0][0].arrival_rate,
                 1,
             )
         # With two, both have to be ill: the better one counts. Past that the middle one does.
@@ -120,10 +126,10 @@
         health = max(all_say) if len(rows) == 2 else statistics.median_low(all_say)
         worst = sorted(rows, key=lambda row: row[0].health)[:3]
         reason = "; ".join(f"{member} {row.health:.2f} {row.reason}" for row, member in worst)
-        return Judged(
+        return SiteHealth(
             health,
             f"{len(rows)} said: {reason}"[:240],
             sum(row.load for row, _ in rows),
-            sum(row.coming for row, _ in rows),
+            sum(row.arrival_rate for row, _ in rows),
             len(rows),
         )
--- a/onyxhollow/addresses/messages.py
+++ b/onyxhollow/addresses/messages.py
@@ -15,54 +15,54 @@
     """One thing said."""
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
+class RouteStatus(msgspec.Struct, array_like=True, frozen=True):
     """One address at one site."""
 
     address: str
-    standing: int
+    preference: int
     cause: str
     age: float  # seconds that it has stood so
     flaps: float
-    last: bool = False  # it must stay, whatever is seen at the site alone
-    carried_out: bool = True  # the speaker has been told, and has taken it
+    is_last: bool = False  # it must stay, whatever is seen at the site alone
+    installed: bool = True  # the speaker has been told, and has taken it
 
 
-class Grant(Message, frozen=True, tag=1):
+class RouteAssignment(Message, frozen=True, tag=1):
     """From the keeper to a site's announcer: all its addresses. Also the keeper's word that it is there."""
 
     term: int  # of the keeper
     number: int
     site: str
-    rows: list[Row]
+    rows: list[RouteStatus]
 
 
-class Report(Message, frozen=True, tag=2):
+class SiteReport(Message, frozen=True, tag=2):
     """From a site's announcer to the keeper, in answer to each grant and by itself."""
 
     site: str
-    term: int  # of the keeper whose word is the newest here
-    number: int
-    announcer: int  # term of the announcer
-    gate: bool  # whether its gate answers, with a speaker
-    rows: list[Row]
+    controller_term: int  # of the keeper whose word is the newest here
+    assignment_number: int
+    announcer_term: int  # term of the announcer
+    guard_ready: bool  # whether its gate answers, with a speaker
+    rows: list[RouteStatus]
 
 
-class Seen(msgspec.Struct, array_like=True, frozen=True):
+class AddressHealth(msgspec.Struct, array_like=True, frozen=True):
     """What one member says of an address at its site."""
 
     address: str
     health: float  # 0 to 1: the least of what follows
     reason: str
     load: float  # open sessions
-    coming: float  # new sessions a second
+    arrival_rate: float  # new sessions a second
 
 
-class Evidence(Message, frozen=True, tag=3):
+class HealthReport(Message, frozen=True, tag=3):
     site: str
-    rows: list[Seen]
+    rows: list[AddressHealth]
 
 
-class Order(msgspec.Struct, array_like=True, frozen=True, tag=11):
+class Override(msgspec.Struct, array_like=True, frozen=True, tag=11):
     """An operator's word; the newest of a kind for an address at a site counts."""
 
     id: str
@@ -70,78 +70,78 @@
     verb: str  # drain, undrain, pin, unpin, exclude, include
     address: str  # "": all
     site: str
-    who: str
-    why: str
-    given: float  # Unix seconds
-    until: float  # Unix seconds; 0: until it is taken back
+    operator: str
+    reason: str
+    given_at: float  # Unix seconds
+    expires_at: float  # Unix seconds; 0: until it is taken back
 
 
-class Decided(msgspec.Struct, array_like=True, frozen=True, tag=12):
+class DecisionRecord(msgspec.Struct, array_like=True, frozen=True, tag=12):
     """A line of the history."""
 
     term: int
     number: int
-    at: float  # Unix seconds
+    decided_at: float  # Unix seconds
     address: str
     site: str
-    standing: int
+    preference: int
     cause: str
-    why: str
+    reason: str
     evidence: str
 
 
-Written = Order | Decided
+StoredRecord = Override | DecisionRecord
 
 
-class Keep(Message, frozen=True, tag=4):
+class StoreRequest(Message, frozen=True, tag=4):
     """Please write these down, for good."""
 
-    rows: list[Written]
+    rows: list[StoredRecord]
 
 
-class Kept(Message, frozen=True, tag=5):
+class StoreAcknowledgement(Message, frozen=True, tag=5):
     """They are on this voter's disk: ids of orders, term and number of decisions."""
 
     voter: str
     ids: list[str]
 
 
-class Want(Message, frozen=True, tag=6):
+class OverrideQuery(Message, frozen=True, tag=6):
     """The keeper asks for the orders that a voter has; known: a digest of its own."""
 
-    known: int
+    digest: int
 
 
-class Have(Message, frozen=True, tag=7):
+class OverrideResponse(Message, frozen=True, tag=7):
     voter: str
-    known: int  # a digest of what it has
+    digest: int  # a digest of what it has
     count: int  # how many it has
-    orders: list[Order]  # some of them; none if the asker has the same
+    orders: list[Override]  # some of them; none if the asker has the same
 
 
-class Hello(Message, frozen=True, tag=8):
+class ControllerAnnouncement(Message, frozen=True, tag=8):
     """The keeper is here: for those who came after it."""
 
     term: int
-    who: str
+    process_id: str
 
 
-class Ask(Message, frozen=True, tag=9):
+class QueryRequest(Message, frozen=True, tag=9):
     """A member asks the keeper, or for the history a voter, on behalf of an operator."""
 
     id: str
-    what: str  # view, plan, history
-    order: Order | None = None
+    kind: str  # view, plan, history
+    override: Override | None = None
 
 
-class Told(Message, frozen=True, tag=10):
+class QueryResponsePart(Message, frozen=True, tag=10):
     id: str
     part: int
     parts: int
     body: bytes  # of a compressed JSON text
 
 
-class Leave(Message, frozen=True, tag=13):
+class DrainRequest(Message, frozen=True, tag=13):
     """From a site's announcer to its members: these are withdrawn by an order, and open connections go."""
 
     site: str
@@ -149,13 +149,23 @@
 
 
 MESSAGES = msgspec.msgpack.Decoder(
-    Grant | Report | Evidence | Keep | Kept | Want | Have | Hello | Ask | Told | Leave
+    RouteAssignment
+    | SiteReport
+    | HealthReport
+    | StoreRequest
+    | StoreAcknowledgement
+    | OverrideQuery
+    | OverrideResponse
+    | ControllerAnnouncement
+    | QueryRequest
+    | QueryResponsePart
+    | DrainRequest
 )
-WRITTEN = msgspec.msgpack.Decoder(Written)
+STORED_RECORDS = msgspec.msgpack.Decoder(StoredRecord)
 encode = msgspec.msgpack.Encoder().encode
 
 
-def pages(rows: Iterable[T], room: int = ROOM) -> Iterator[list[T]]:
+def paginate(rows: Iterable[T], room: int = ROOM) -> Iterator[list[T]]:
     """Rows in messages that fit into a datagram each: a larger one is never sent, however often it is tried.
     A row by itself is bounded where it is made."""
     page: list[T] = []
@@ -171,11 +181,11 @@
         yield page
 
 
-def short(text: str, most: int) -> str:
+def truncate_utf8(text: str, most: int) -> str:
     """The beginning of a text that takes at most so many bytes."""
     return text.encode()[:most].decode(errors="ignore")
 
 
-def mark(row: Written) -> str:
+def record_id(row: StoredRecord) -> str:
     """How a row is called when it is said to be kept."""
-    return row.id if isinstance(row, Order) else f"{row.term}.{row.number}"
+    return row.id if isinstance(row, Override) else f"{row.term}.{row.number}"
--- a/onyxhollow/addresses/rules.py
+++ b/onyxhollow/addresses/rules.py
@@ -13,37 +13,49 @@
 from onyxhollow.addresses.file import Policy
 
 
-class Standing(IntEnum):
+class Preference(IntEnum):
     WITHDRAWN = 0
-    LESSER = 1  # advertised, and less preferred: RFC 8326's graceful shutdown, on the way out or back
+    LOWERED = 1  # advertised, and less preferred: RFC 8326's graceful shutdown, on the way out or back
     ADVERTISED = 2
 
+    @property
+    def label(self) -> str:
+        """Its name in answers and log lines for operators."""
+        return LABELS[self]
+
+
+LABELS = {
+    Preference.WITHDRAWN: "withdrawn",
+    Preference.LOWERED: "lesser",
+    Preference.ADVERTISED: "advertised",
+}
+
 
 # Why a site is not advertised, or only just is again. ASIDE: ill with those that were withdrawn, and waiting.
 HEALTH, ORDER, BACK, ASIDE = "health", "order", "back", "aside"
 
 
 @dataclass(slots=True)
-class Cell:
+class RouteState:
     """One address at one site, as the keeper knows it. Times on the keeper's clock."""
 
     address: str
     site: str
-    standing: Standing = Standing.WITHDRAWN
+    preference: Preference = Preference.WITHDRAWN
     cause: str = ""
     since: float = -math.inf  # of its standing
     flaps: float = 0.0  # withdrawals for health, fading
     flaps_at: float = 0.0
-    reached: bool = False  # its announcer has answered this keeper, lately, and its gate has a speaker
-    carried: bool = False  # the speaker has taken this standing
+    reachable: bool = False  # its announcer has answered this keeper, lately, and its gate has a speaker
+    installed: bool = False  # the speaker has taken this standing
     health: float | None = None  # None: no fresh evidence
-    reason: str = ""
+    health_reason: str = ""
     load: float = 0.0  # open sessions there
-    coming: float = 0.0  # new sessions a second
+    arrival_rate: float = 0.0  # new sessions a second
     capacity: float = 0.0  # of the site, sessions
-    ill_since: float = math.inf
-    well_since: float = math.inf
-    coming_before: float = 0.0  # new sessions a second when its drain began
+    unhealthy_since: float = math.inf
+    healthy_since: float = math.inf
+    arrival_rate_before_drain: float = 0.0  # new sessions a second when its drain began
 
     @property
     def key(self) -> tuple[str, str]:
@@ -51,42 +63,42 @@
 
     def observe(self, health: float | None, reason: str, policy: Policy, now: float) -> None:
         """How long it has been ill or well, on the keeper's own clock: no step of the wall clock counts."""
-        self.health, self.reason = health, reason
+        self.health, self.health_reason = health, reason
         if health is None:
-            self.ill_since = self.well_since = math.inf  # nothing is known: neither has lasted
+            self.unhealthy_since = self.healthy_since = math.inf  # nothing is known: neither has lasted
             return
-        self.ill_since = min(self.ill_since, now) if health < policy.ill else math.inf
-        self.well_since = min(self.well_since, now) if health >= policy.well else math.inf
+        self.unhealthy_since = min(self.unhealthy_since, now) if health < policy.unhealthy_below else math.inf
+        self.healthy_since = min(self.healthy_since, now) if health >= policy.healthy_from else math.inf
 
-    def flapped(self, policy: Policy, now: float) -> float:
+    def flap_penalty(self, policy: Policy, now: float) -> float:
         return self.flaps * math.exp2(-max(0.0, now - self.flaps_at) / policy.flap_half_life)
 
 
 @dataclass(frozen=True, slots=True)
-class Decision:
+class RouteChange:
     address: str
     site: str
-    standing: Standing
+    preference: Preference
     cause: str
-    why: str  # in plain words, with figures
+    reason: str  # in plain words, with figures
     evidence: str
 
 
 @dataclass(frozen=True, slots=True)
-class Stays:
+class SuppressedChange:
     """What was not done, and why: one of a few words, for counters and operators."""
 
     address: str
     site: str
     rule: str
-    why: str
+    reason: str
 
 
 LAST, ALL_ILL, NO_ROOM, TOO_MANY, PINNED = "last", "all ill", "no room", "too many at once", "pinned"
 
 
 @dataclass(frozen=True, slots=True)
-class Orders:
+class ActiveOverrides:
     """What operators' orders in force say of one address at one site."""
 
     drain: str = ""  # who and why; "": no such order
@@ -94,215 +106,245 @@
     exclude: str = ""
 
 
-NONE = Orders()
+NONE = ActiveOverrides()
 
 
-def dwell(policy: Policy, cell: Cell, now: float) -> float:
+def restore_delay(policy: Policy, cell: RouteState, now: float) -> float:
     """Seconds that a site has to be well before it is restored (rule 2): longer with each flap, capped."""
-    return min(policy.well_most, policy.well_for * math.exp2(max(0.0, cell.flapped(policy, now) - 1.0)))
+    return min(
+        policy.max_healthy_for, policy.healthy_for * math.exp2(max(0.0, cell.flap_penalty(policy, now) - 1.0))
+    )
 
 
-def ill_enough(policy: Policy, cell: Cell, now: float) -> bool:
-    if cell.health is None or cell.health >= policy.ill:
+def unhealthy_long_enough(policy: Policy, cell: RouteState, now: float) -> bool:
+    if cell.health is None or cell.health >= policy.unhealthy_below:
         return False
-    return now - cell.ill_since >= (policy.dead_for if cell.health < policy.dead else policy.ill_for)
+    return now - cell.unhealthy_since >= (
+        policy.dead_for if cell.health < policy.dead_below else policy.unhealthy_for
+    )
 
 
-class Round:
+class DecisionRound:
     """One look at everything. Decisions count on each other: each is made with those before it in mind."""
 
     def __init__(
-        self, policy: Policy, cells: Iterable[Cell], orders: Mapping[tuple[str, str], Orders], now: float
+        self,
+        policy: Policy,
+        cells: Iterable[RouteState],
+        orders: Mapping[tuple[str, str], ActiveOverrides],
+        now: float,
     ) -> None:
-        self.policy, self.rows, self.orders, self.now = policy, list(cells), orders, now
-        self.state = {cell.key: cell.standing for cell in self.rows}
-        self.decisions: list[Decision] = []
-        self.stays: list[Stays] = []
-        self.moved: dict[str, float] = {}  # sessions sent to each site by what is decided here
+        self.policy, self.routes, self.overrides, self.now = policy, list(cells), orders, now
+        self.preferences = {cell.key: cell.preference for cell in self.routes}
+        self.decisions: list[RouteChange] = []
+        self.suppressed: list[SuppressedChange] = []
+        self.moved_load: dict[str, float] = {}  # sessions sent to each site by what is decided here
         gone = [
             cell
-            for cell in self.rows
+            for cell in self.routes
             if cell.cause == HEALTH
-            and cell.standing is not Standing.ADVERTISED
-            and now - cell.since < policy.window
+            and cell.preference is not Preference.ADVERTISED
+            and now - cell.since < policy.withdrawal_window
         ]
-        self.lately = {cell.site for cell in gone}
-        self.first_gone = min((cell.since for cell in gone), default=now)
+        self.recently_withdrawn = {cell.site for cell in gone}
+        self.first_withdrawn_at = min((cell.since for cell in gone), default=now)
 
-    def put(self, cell: Cell, standing: Standing, cause: str, why: str) -> None:
+    def change(self, cell: RouteState, standing: Preference, cause: str, why: str) -> None:
         health = "unknown" if cell.health is None else f"{cell.health:.2f}"
-        evidence = f"health {health}: {cell.reason}"
-        self.decisions.append(Decision(cell.address, cell.site, standing, cause, why, evidence))
-        self.state[cell.key] = standing
+        evidence = f"health {health}: {cell.health_reason}"
+        self.decisions.append(RouteChange(cell.address, cell.site, standing, cause, why, evidence))
+        self.preferences[cell.key] = standing
 
-    def stay(self, cell: Cell, rule: str, why: str) -> None:
-        self.stays.append(Stays(cell.address, cell.site, rule, why))
+    def suppress(self, cell: RouteState, rule: str, why: str) -> None:
+        self.suppressed.append(SuppressedChange(cell.address, cell.site, rule, why))
 
-    def fit(self, cell: Cell) -> bool:
-        return cell.health is not None and cell.health >= self.policy.ill
+    def is_usable(self, cell: RouteState) -> bool:
+        return cell.health is not None and cell.health >= self.policy.unhealthy_below
 
-    def others(self, cell: Cell) -> list[Cell]:
+    def other_advertisers(self, cell: RouteState) -> list[RouteState]:
         """Sites that go on advertising the address without this one, as their speakers have taken it."""
         return [
             one
-            for one in self.rows
+            for one in self.routes
             if one.address == cell.address
             and one is not cell
-            and one.reached
-            and one.carried
-            and one.standing is self.state[one.key] is Standing.ADVERTISED
+            and one.reachable
+            and one.installed
+            and one.preference is self.preferences[one.key] is Preference.ADVERTISED
         ]
 
-    def able(self, cell: Cell) -> list[Cell]:
+    def usable_advertisers(self, cell: RouteState) -> list[RouteState]:
         """Those of them that are not ill: where its clients would go."""
-        return [one for one in self.others(cell) if self.fit(one)]
+        return [one for one in self.other_advertisers(cell) if self.is_usable(one)]
 
-    def room(self, cell: Cell) -> float:
+    def spare_capacity(self, cell: RouteState) -> float:
         """Sessions that those could still bear, all addresses of theirs counted."""
         free = 0.0
-        for one in self.able(cell):
-            held = sum(row.load for row in self.rows if row.site == one.site) + self.moved.get(one.site, 0.0)
-            free += max(0.0, self.policy.fill * one.capacity - held)
+        for one in self.usable_advertisers(cell):
+            held = sum(row.load for row in self.routes if row.site == one.site) + self.moved_load.get(
+                one.site, 0.0
+            )
+            free += max(0.0, self.policy.max_utilization * one.capacity - held)
         return free
 
-    def move(self, cell: Cell) -> None:
-        near = self.able(cell)
+    def account_for_move(self, cell: RouteState) -> None:
+        near = self.usable_advertisers(cell)
         for one in near:
-            self.moved[one.site] = self.moved.get(one.site, 0.0) + cell.load / len(near)
+            self.moved_load[one.site] = self.moved_load.get(one.site, 0.0) + cell.load / len(near)
 
-    def hindrance(self, cell: Cell, share: float = 1.0) -> tuple[str, str] | None:
+    def obstacle(self, cell: RouteState, share: float = 1.0) -> tuple[str, str] | None:
         """Rule 3: whether the last ones and room elsewhere forbid that it goes, or a share of it."""
-        others, able = self.others(cell), self.able(cell)
-        if len(others) < self.policy.least or not able:
-            return LAST, f"{len(others)} others advertise, {len(able)} not ill; least {self.policy.least}"
-        if (free := self.room(cell)) < cell.load * share:
+        others, able = self.other_advertisers(cell), self.usable_advertisers(cell)
+        if len(others) < self.policy.min_sites or not able:
+            return LAST, f"{len(others)} others advertise, {len(able)} not ill; least {self.policy.min_sites}"
+        if (free := self.spare_capacity(cell)) < cell.load * share:
             return NO_ROOM, f"{cell.load:.0f} sessions, room elsewhere for {free:.0f}"
         return None
 
     def decide(self) -> None:
-        self.hold_least()
-        worst_first = sorted(self.rows, key=lambda c: (c.health is None, c.health or 0.0, c.site, c.address))
+        self.restore_minimum()
+        worst_first = sorted(
+            self.routes, key=lambda c: (c.health is None, c.health or 0.0, c.site, c.address)
+        )
         for cell in worst_first:
-            if not cell.reached or self.state[cell.key] is not cell.standing:
+            if not cell.reachable or self.preferences[cell.key] is not cell.preference:
                 continue  # it can't be told, and follows its file (rule 4); or it is settled above
-            order = self.orders.get(cell.key, NONE)
+            order = self.overrides.get(cell.key, NONE)
             if order.pin:
-                self.pinned(cell, order)
+                self.apply_pin(cell, order)
             elif order.exclude or order.drain:
-                self.planned(cell, order)
-            elif cell.standing is not Standing.WITHDRAWN and ill_enough(self.policy, cell, self.now):
-                self.lost(cell)
-            elif cell.standing is Standing.WITHDRAWN:
-                self.back(cell)
-            elif cell.standing is Standing.LESSER:
-                self.whole(cell)
-
-    def hold_least(self) -> None:
+                self.apply_drain_or_exclusion(cell, order)
+            elif cell.preference is not Preference.WITHDRAWN and unhealthy_long_enough(
+                self.policy, cell, self.now
+            ):
+                self.withdraw_unhealthy(cell)
+            elif cell.preference is Preference.WITHDRAWN:
+                self.restore_lowered(cell)
+            elif cell.preference is Preference.LOWERED:
+                self.restore_fully(cell)
+
+    def restore_minimum(self) -> None:
         """Rule 3: too few that can serve advertise an address: the best of those out comes back at once."""
-        for address in sorted({cell.address for cell in self.rows}):
-            rows = [cell for cell in self.rows if cell.address == address and cell.reached]
-            serving = sum(cell.standing is Standing.ADVERTISED and self.fit(cell) for cell in rows)
-            out = [cell for cell in rows if cell.standing is not Standing.ADVERTISED and self.fit(cell)]
-            out.sort(key=lambda cell: (-(cell.health or 0.0), -cell.standing, cell.site))
-            for cell in out[: max(0, self.policy.least - serving)]:
-                why = f"{serving} that can serve advertise it, least {self.policy.least}"
-                self.put(cell, Standing.ADVERTISED, "", why)
-
-    def pinned(self, cell: Cell, order: Orders) -> None:
-        if cell.standing is not Standing.ADVERTISED:
-            self.put(cell, Standing.ADVERTISED, "", f"pinned: {order.pin}")
-        elif order.exclude or order.drain or ill_enough(self.policy, cell, self.now):
-            self.stay(cell, PINNED, order.pin)
-
-    def lost(self, cell: Cell) -> None:
+        for address in sorted({cell.address for cell in self.routes}):
+            rows = [cell for cell in self.routes if cell.address == address and cell.reachable]
+            serving = sum(cell.preference is Preference.ADVERTISED and self.is_usable(cell) for cell in rows)
+            out = [
+                cell for cell in rows if cell.preference is not Preference.ADVERTISED and self.is_usable(cell)
+            ]
+            out.sort(key=lambda cell: (-(cell.health or 0.0), -cell.preference, cell.site))
+            for cell in out[: max(0, self.policy.min_sites - serving)]:
+                why = f"{serving} that can serve advertise it, least {self.policy.min_sites}"
+                self.change(cell, Preference.ADVERTISED, "", why)
+
+    def apply_pin(self, cell: RouteState, order: ActiveOverrides) -> None:
+        if cell.preference is not Preference.ADVERTISED:
+            self.change(cell, Preference.ADVERTISED, "", f"pinned: {order.pin}")
+        elif order.exclude or order.drain or unhealthy_long_enough(self.policy, cell, self.now):
+            self.suppress(cell, PINNED, order.pin)
+
+    def withdraw_unhealthy(self, cell: RouteState) -> None:
         """Rules 1 to 3: ill for long enough; out if others can bear it."""
         policy, now = self.policy, self.now
-        if not any(self.fit(one) for one in self.rows if one.address == cell.address):
-            self.stay(cell, ALL_ILL, "no site is known to be better")
+        if not any(self.is_usable(one) for one in self.routes if one.address == cell.address):
+            self.suppress(cell, ALL_ILL, "no site is known to be better")
             return
-        if cell.site not in self.lately and len(self.lately) >= policy.most_at_once:
-            self.aside(cell)
+        if (
+            cell.site not in self.recently_withdrawn
+            and len(self.recently_withdrawn) >= policy.max_concurrent_withdrawals
+        ):
+            self.step_aside(cell)
             return
-        why = f"health {cell.health:.2f} for {now - cell.ill_since:.1f} s"
-        found = self.hindrance(cell)
+        why = f"health {cell.health:.2f} for {now - cell.unhealthy_since:.1f} s"
+        found = self.obstacle(cell)
         if found is None:
-            self.put(cell, Standing.WITHDRAWN, HEALTH, why)
-        elif found[0] == NO_ROOM and cell.standing is Standing.ADVERTISED and not self.hindrance(cell, 0.5):
-            self.put(cell, Standing.LESSER, HEALTH, f"{why}; {found[1]}: in part")
+            self.change(cell, Preference.WITHDRAWN, HEALTH, why)
+        elif (
+            found[0] == NO_ROOM and cell.preference is Preference.ADVERTISED and not self.obstacle(cell, 0.5)
+        ):
+            self.change(cell, Preference.LOWERED, HEALTH, f"{why}; {found[1]}: in part")
         else:
-            self.stay(cell, *found)
+            self.suppress(cell, *found)
             return
-        self.move(cell)
-        self.lately.add(cell.site)
+        self.account_for_move(cell)
+        self.recently_withdrawn.add(cell.site)
 
-    def aside(self, cell: Cell) -> None:
+    def step_aside(self, cell: RouteState) -> None:
         """Rule 3: as many are out as may be at a time. What was ill before the first of them went is not ill
         by their load: it steps back to a lesser preference, so that what leaves them does not come here
         first, and is still there if the others fall. What fell ill afterwards stays: that may be a wave."""
-        count, policy = len(self.lately), self.policy
-        why = f"{count} withdrawn within {policy.window:g} s, most {policy.most_at_once}"
-        before = cell.ill_since <= self.first_gone
-        if before and cell.standing is Standing.ADVERTISED and self.hindrance(cell) is None:
-            lasts = self.now - cell.ill_since
-            self.put(cell, Standing.LESSER, ASIDE, f"{why}; ill before that, for {lasts:.1f} s")
-            self.move(cell)
+        count, policy = len(self.recently_withdrawn), self.policy
+        limit = policy.max_concurrent_withdrawals
+        why = f"{count} withdrawn within {policy.withdrawal_window:g} s, most {limit}"
+        before = cell.unhealthy_since <= self.first_withdrawn_at
+        if before and cell.preference is Preference.ADVERTISED and self.obstacle(cell) is None:
+            lasts = self.now - cell.unhealthy_since
+            self.change(cell, Preference.LOWERED, ASIDE, f"{why}; ill before that, for {lasts:.1f} s")
+            self.account_for_move(cell)
         else:
-            self.stay(cell, TOO_MANY, why)
+            self.suppress(cell, TOO_MANY, why)
 
-    def planned(self, cell: Cell, order: Orders) -> None:
+    def apply_drain_or_exclusion(self, cell: RouteState, order: ActiveOverrides) -> None:
         """A drain or an exclusion (rules 3 and 6)."""
-        if cell.standing is Standing.WITHDRAWN:
+        if cell.preference is Preference.WITHDRAWN:
             return
         what = f"excluded: {order.exclude}" if order.exclude else f"drain: {order.drain}"
-        found, lasted = self.hindrance(cell), self.now - cell.since
+        found, lasted = self.obstacle(cell), self.now - cell.since
         if found is not None:
-            if cell.standing is Standing.LESSER and found[0] == LAST:
-                self.put(cell, Standing.ADVERTISED, "", f"{what}; but {found[1]}")
+            if cell.preference is Preference.LOWERED and found[0] == LAST:
+                self.change(cell, Preference.ADVERTISED, "", f"{what}; but {found[1]}")
             else:
-                self.stay(cell, *found)
-        elif cell.standing is Standing.ADVERTISED:
-            self.put(cell, Standing.LESSER, ORDER, what)
-            self.move(cell)
+                self.suppress(cell, *found)
+        elif cell.preference is Preference.ADVERTISED:
+            self.change(cell, Preference.LOWERED, ORDER, what)
+            self.account_for_move(cell)
         elif order.exclude:
-            self.put(cell, Standing.WITHDRAWN, ORDER, what)
+            self.change(cell, Preference.WITHDRAWN, ORDER, what)
         elif lasted >= self.policy.drain_for or (
-            lasted >= self.policy.step and cell.coming <= self.policy.drained * cell.coming_before
+            lasted >= self.policy.recovery_step
+            and cell.arrival_rate <= self.policy.drained_ratio * cell.arrival_rate_before_drain
         ):
-            why = f"{what}; {cell.coming:.1f} new sessions a second, {cell.coming_before:.1f} before"
-            self.put(cell, Standing.WITHDRAWN, ORDER, why)
+            before = cell.arrival_rate_before_drain
+            why = f"{what}; {cell.arrival_rate:.1f} new sessions a second, {before:.1f} before"
+            self.change(cell, Preference.WITHDRAWN, ORDER, why)
 
-    def back(self, cell: Cell) -> None:
+    def restore_lowered(self, cell: RouteState) -> None:
         """Rule 2: well again, it comes back in steps; later with each flap."""
-        if cell.health is None or cell.health < self.policy.well:
+        if cell.health is None or cell.health < self.policy.healthy_from:
             return
-        well_for = self.now - cell.well_since
-        needs = dwell(self.policy, cell, self.now) if cell.cause == HEALTH else self.policy.step
+        well_for = self.now - cell.healthy_since
+        needs = (
+            restore_delay(self.policy, cell, self.now) if cell.cause == HEALTH else self.policy.recovery_step
+        )
         if well_for >= needs:
-            self.put(cell, Standing.LESSER, BACK, f"well for {well_for:.1f} s, {needs:.1f} needed")
+            self.change(cell, Preference.LOWERED, BACK, f"well for {well_for:.1f} s, {needs:.1f} needed")
 
-    def whole(self, cell: Cell) -> None:
+    def restore_fully(self, cell: RouteState) -> None:
         """From a lesser preference to the full one."""
         lasted = self.now - cell.since
-        well = cell.health is not None and cell.health >= self.policy.well
-        if well and lasted >= self.policy.step and self.now - cell.well_since >= self.policy.step:
-            self.put(cell, Standing.ADVERTISED, "", f"well at a lesser preference for {lasted:.1f} s")
+        well = cell.health is not None and cell.health >= self.policy.healthy_from
+        if (
+            well
+            and lasted >= self.policy.recovery_step
+            and self.now - cell.healthy_since >= self.policy.recovery_step
+        ):
+            self.change(cell, Preference.ADVERTISED, "", f"well at a lesser preference for {lasted:.1f} s")
 
 
 def decide(
-    policy: Policy, cells: Iterable[Cell], orders: Mapping[tuple[str, str], Orders], now: float
-) -> tuple[list[Decision], list[Stays]]:
+    policy: Policy, cells: Iterable[RouteState], orders: Mapping[tuple[str, str], ActiveOverrides], now: float
+) -> tuple[list[RouteChange], list[SuppressedChange]]:
     """What is to change now, and what else would have, and why it does not."""
-    this = Round(policy, cells, orders, now)
+    this = DecisionRound(policy, cells, orders, now)
     this.decide()
-    return this.decisions, this.stays
+    return this.decisions, this.suppressed
 
 
-def apply(policy: Policy, cell: Cell, decision: Decision, now: float) -> None:
+def apply(policy: Policy, cell: RouteState, decision: RouteChange, now: float) -> None:
     """What a decision makes of its cell, once it is told to the site."""
     if decision.cause == HEALTH and cell.cause != HEALTH:
-        cell.flaps, cell.flaps_at = cell.flapped(policy, now) + 1.0, now
-    if decision.cause == ORDER and cell.standing is Standing.ADVERTISED:
-        cell.coming_before = cell.coming
-    if decision.standing is not cell.standing:
-        cell.since, cell.carried = now, False  # what the speaker had taken was the standing before
-    cell.standing, cell.cause = decision.standing, decision.cause
+        cell.flaps, cell.flaps_at = cell.flap_penalty(policy, now) + 1.0, now
+    if decision.cause == ORDER and cell.preference is Preference.ADVERTISED:
+        cell.arrival_rate_before_drain = cell.arrival_rate
+    if decision.preference is not cell.preference:
+        cell.since, cell.installed = now, False  # what the speaker had taken was the standing before
+    cell.preference, cell.cause = decision.preference, decision.cause
--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -18,35 +18,35 @@
 import orjson
 
 from onyxhollow.addresses.announcer import Announcer
+from onyxhollow.addresses.controller import Controller
 from onyxhollow.addresses.file import AddressesFile, Site, read_address
-from onyxhollow.addresses.health import Door
-from onyxhollow.addresses.keeper import Keeper
+from onyxhollow.addresses.health import ProbeTarget
 from onyxhollow.addresses.messages import (
     MESSAGES,
-    WRITTEN,
-    Ask,
-    Decided,
-    Evidence,
-    Grant,
-    Have,
-    Hello,
-    Keep,
-    Kept,
-    Leave,
+    STORED_RECORDS,
+    AddressHealth,
+    ControllerAnnouncement,
+    DecisionRecord,
+    DrainRequest,
+    HealthReport,
     Message,
-    Order,
-    Report,
-    Seen,
-    Told,
-    Want,
-    Written,
+    Override,
+    OverrideQuery,
+    OverrideResponse,
+    QueryRequest,
+    QueryResponsePart,
+    RouteAssignment,
+    SiteReport,
+    StoreAcknowledgement,
+    StoredRecord,
+    StoreRequest,
     encode,
-    mark,
-    pages,
+    paginate,
+    record_id,
 )
-from onyxhollow.addresses.orders import MOST as MOST_ORDERS
-from onyxhollow.addresses.orders import VERBS, WORDS, Book
-from onyxhollow.addresses.rules import Standing
+from onyxhollow.addresses.overrides import MOST as MOST_ORDERS
+from onyxhollow.addresses.overrides import VERBS, WORDS, OverrideLog
+from onyxhollow.addresses.rules import Preference
 from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.counters import ACCEPTED, ENDS
 from onyxhollow.fleet import clock
@@ -78,6 +78,34 @@
 JSON = "application/json"
 
 
+def decision_to_json(row: DecisionRecord) -> dict[str, Any]:
+    return {
+        "term": row.term,
+        "number": row.number,
+        "at": row.decided_at,
+        "address": row.address,
+        "site": row.site,
+        "standing": row.preference,
+        "cause": row.cause,
+        "why": row.reason,
+        "evidence": row.evidence,
+    }
+
+
+def override_to_json(row: Override) -> dict[str, Any]:
+    return {
+        "id": row.id,
+        "number": row.number,
+        "verb": row.verb,
+        "address": row.address,
+        "site": row.site,
+        "who": row.operator,
+        "why": row.reason,
+        "given": row.given_at,
+        "until": row.expires_at,
+    }
+
+
 def announcer_of(site: str) -> str:
     return f"announcer/{site}"
 
@@ -86,12 +114,12 @@
     return False
 
 
-class KeeperWork:
+class ControllerTask:
     """The duty of deciding for all sites."""
 
     def __init__(self, shared: Addresses) -> None:
         self.shared = shared
-        self.core: Keeper | None = None
+        self.core: Controller | None = None
         self.still: Callable[[], bool] = lambda: False
         self.last_progress_at, self.superseded = shared.node.loop.now, False
         self.hello_at = 0.0
@@ -99,15 +127,15 @@
     def start(self, term: int, still: Callable[[], bool]) -> None:
         shared, now = self.shared, clock.now()
         self.last_progress_at, self.still, self.hello_at = shared.node.loop.now, still, now
-        self.core = Keeper(shared.told, shared.node.voters.names, term, now, time.time())
-        self.core.due = now
+        self.core = Controller(shared.told, shared.node.voters.names, term, now, time.time())
+        self.core.next_due = now
 
     def stop(self) -> None:
         self.core, self.still = None, lambda: False
 
     def tick(self, now: float) -> None:
         core = self.core
-        if core is None or now < core.due:
+        if core is None or now < core.next_due:
             return
         if not self.still():
             return
@@ -115,7 +143,7 @@
         core.tick(now, time.time())
         if now >= self.hello_at:
             self.hello_at = now + HELLO
-            hello = Hello(core.term, self.shared.node.process_id)
+            hello = ControllerAnnouncement(core.term, self.shared.node.process_id)
             self.shared.hello(hello)
             self.shared.node.membership.broadcast(ADDRESSES, encode(hello))
         self.send(core)
@@ -123,25 +151,25 @@
     def heard(self, message: Message, member: str, now: float) -> None:
         if (core := self.core) is None:
             return
-        if isinstance(message, Have | Kept):
+        if isinstance(message, OverrideResponse | StoreAcknowledgement):
             self.last_progress_at = self.shared.node.loop.now
-        core.heard(message, member, now, time.time())
-        if core.out or core.log:
+        core.on_message(message, member, now, time.time())
+        if core.outbox or core.committed:
             self.send(core)
 
-    def send(self, core: Keeper) -> None:
+    def send(self, core: Controller) -> None:
         """The clock is looked at before what is decided goes out."""
-        out, core.out = core.out, []
-        log, core.log = core.log, []
+        out, core.outbox = core.outbox, []
+        log, core.committed = core.committed, []
         for row in log:
             self.shared.node.log_event(
                 "address",
                 address=row.address,
                 site=row.site,
                 term=row.term,
-                standing=Standing(row.standing).name.lower(),
+                standing=Preference(row.preference).label,
                 cause=row.cause,
-                why=row.why,
+                why=row.reason,
                 evidence=row.evidence,
             )
         for to, message in out:
@@ -150,13 +178,16 @@
             kind, _, name = to.partition(" ")
             if kind == "voter":
                 self.shared.to_name(name, message)
-            elif name in core.answered and clock.now() - core.answered[name] <= core.policy.fresh:
+            elif (
+                name in core.answered_at
+                and clock.now() - core.answered_at[name] <= core.policy.max_evidence_age
+            ):
                 self.shared.to_who(self.shared.announcers.get(name, ""), message)
             else:  # news of who announces may have missed this member: all there hear
                 self.shared.to_zone(name, message)
 
 
-class AnnouncerWork(Caller):
+class AnnouncerTask(Caller):
     """The duty of telling a site's gate."""
 
     def __init__(self, shared: Addresses, site: Site) -> None:
@@ -164,7 +195,7 @@
         self.shared, self.site = shared, site
         self.core: Announcer | None = None
         self.last_progress_at, self.superseded = shared.node.loop.now, False
-        self.address = read_address(site.gate, "gate")
+        self.address = read_address(site.route_guard, "gate")
 
     def start(self, term: int, still: Callable[[], bool]) -> None:
         self.running += 1
@@ -177,20 +208,20 @@
         self.core = None
 
     def run(self, this: int, core: Announcer, still: Callable[[], bool]) -> Generator[float, None, None]:
-        node, every = self.shared.node, self.shared.told.every
+        node, every = self.shared.node, self.shared.told.interval
         member = quote(node.process_id)
         while self.running == this:
             due = node.loop.now + every
             try:
-                if not core.read or not core.speaker:
+                if not core.synchronized or not core.daemon_connected:
                     yield from self.act(this, core, f"/claim?term={core.term}&member={member}", still)
                 for word in core.tick(clock.now()):
                     node.log_event("address alone", site=self.site.name, why=word)
-                for row in core.due():
-                    what = f"name={quote(row.name)}&as={int(row.wanted)}&keeper={core.keeper}"
-                    target = f"/set?term={core.term}&number={core.call()}&{what}"
+                for row in core.pending_routes():
+                    what = f"name={quote(row.name)}&as={int(row.desired)}&keeper={core.controller_term}"
+                    target = f"/set?term={core.term}&number={core.next_call_number()}&{what}"
                     yield from self.act(this, core, target, still)
-                last = quote(",".join(row.name for row in core.rows.values() if row.last))
+                last = quote(",".join(row.name for row in core.routes.values() if row.is_last))
                 yield from self.act(this, core, f"/alive?term={core.term}&last={last}", still)
             except StatusError as error:
                 self.hang_up()
@@ -200,14 +231,14 @@
                     self.hang_up()
             if self.running == this:
                 self.report(core)
-                for some in pages(core.left()):
-                    self.shared.to_zone(self.site.name, Leave(self.site.name, some))
+                for some in paginate(core.drained_addresses()):
+                    self.shared.to_zone(self.site.name, DrainRequest(self.site.name, some))
             while self.running == this and node.loop.now < due:
                 yield due
 
     def report(self, core: Announcer) -> None:
         if (report := core.report(clock.now())) is not None and self.shared.keeper[1]:
-            for rows in pages(report.rows):
+            for rows in paginate(report.rows):
                 self.shared.to_who(self.shared.keeper[1], msgspec.structs.replace(report, rows=rows))
 
     def act(
@@ -228,54 +259,54 @@
         body = yield from caller.get(target, until, lambda: self.running != this, "POST")
         told = orjson.loads(body)
         table = {name: (int(row["wanted"]), row["told"]) for name, row in told["rows"].items()}
-        core.stands(table, int(told["keeper"]), bool(told["speaker"]), clock.now())
+        core.on_guard_state(table, int(told["keeper"]), bool(told["speaker"]), clock.now())
         self.last_progress_at = loop.now
 
-    def granted(self, grant: Grant, now: float) -> None:
+    def granted(self, grant: RouteAssignment, now: float) -> None:
         if self.core is not None:
-            before = [row.wanted for row in self.core.rows.values()]
-            self.core.granted(grant, now)
+            before = [row.desired for row in self.core.routes.values()]
+            self.core.on_assignment(grant, now)
             self.report(self.core)
-            if before != [row.wanted for row in self.core.rows.values()]:
+            if before != [row.desired for row in self.core.routes.values()]:
                 self.wake()
 
 
-class Store:
+class OverrideStore:
     """What a voter keeps: orders and decisions, on its disk before it says so."""
 
     def __init__(self, folder: str) -> None:
         self.records = AppendLog(folder, "addresses")
-        self.rows: dict[str, Written] = {}
+        self.rows: dict[str, StoredRecord] = {}
         for body in self.records.rows:
-            row = WRITTEN.decode(body)
-            self.rows[mark(row)] = row
+            row = STORED_RECORDS.decode(body)
+            self.rows[record_id(row)] = row
 
-    def keep(self, rows: list[Written]) -> list[str]:
+    def store(self, rows: list[StoredRecord]) -> list[str]:
         """Names of those that are on the disk now."""
-        fresh = [row for row in rows if mark(row) not in self.rows]
+        fresh = [row for row in rows if record_id(row) not in self.rows]
         if fresh:
             if len(self.records.rows) + len(fresh) > COMPACT:
-                decided = [row for row in self.rows.values() if isinstance(row, Decided)][-HISTORY:]
-                orders = [row for row in self.rows.values() if isinstance(row, Order)][-MOST_ORDERS:]
-                kept: list[Written] = [*orders, *decided]
-                self.rows = {mark(row): row for row in kept}
+                decided = [row for row in self.rows.values() if isinstance(row, DecisionRecord)][-HISTORY:]
+                orders = [row for row in self.rows.values() if isinstance(row, Override)][-MOST_ORDERS:]
+                kept: list[StoredRecord] = [*orders, *decided]
+                self.rows = {record_id(row): row for row in kept}
                 self.records.rewrite([encode(row) for row in [*self.rows.values(), *fresh]])
             else:
                 self.records.append(*(encode(row) for row in fresh))
-            self.rows |= {mark(row): row for row in fresh}
-        return [mark(row) for row in rows]
+            self.rows |= {record_id(row): row for row in fresh}
+        return [record_id(row) for row in rows]
 
-    def orders(self) -> list[Order]:
-        return [row for row in self.rows.values() if isinstance(row, Order)]
+    def overrides(self) -> list[Override]:
+        return [row for row in self.rows.values() if isinstance(row, Override)]
 
-    def decided(self) -> list[Decided]:
-        return [row for row in self.rows.values() if isinstance(row, Decided)]
+    def decisions(self) -> list[DecisionRecord]:
+        return [row for row in self.rows.values() if isinstance(row, DecisionRecord)]
 
 
-class Pending:
+class PendingOverride:
     """An order on its way: what the voters know is asked first, so that its number is above theirs."""
 
-    def __init__(self, order: Order) -> None:
+    def __init__(self, order: Override) -> None:
         self.order = order
         self.heard: set[str] = set()
         self.numbered = False
@@ -285,17 +316,17 @@
 class Addresses:
     def __init__(self, node: Node, told: AddressesFile) -> None:
         self.node, self.told = node, told
-        self.site = next((site for site in told.site if site.name == node.zone), None)
+        self.site = next((site for site in told.sites if site.name == node.zone), None)
         self.keeper: tuple[int, str] = (0, "")  # term and who, as last heard
         self.announcers: dict[str, str] = {}  # by site: who announces
         self.announcer_terms: dict[str, int] = {}
-        self.keeper_work = KeeperWork(self)
-        self.announcer_work = AnnouncerWork(self, self.site) if self.site else None
-        self.doors = {service.name: Door() for service in told.service}
-        self.store: Store | None = None
+        self.keeper_work = ControllerTask(self)
+        self.announcer_work = AnnouncerTask(self, self.site) if self.site else None
+        self.doors = {service.name: ProbeTarget() for service in told.services}
+        self.store: OverrideStore | None = None
         self.store_at = clock.now()
-        self.book = Book()
-        self.pending: OrderedDict[str, Pending] = OrderedDict()
+        self.book = OverrideLog()
+        self.pending: OrderedDict[str, PendingOverride] = OrderedDict()
         self.done: deque[str] = deque(maxlen=256)
         self.asked: OrderedDict[str, dict[int, bytes]] = OrderedDict()
         self.answers: OrderedDict[str, bytes] = OrderedDict()
@@ -304,10 +335,10 @@
         self.leaving: dict[str, float] = {}  # addresses that an order has withdrawn here, and until when
         self.pace: Pace | None = None
         self.number = 0
-        self.seen: list[Seen] = []
+        self.seen: list[AddressHealth] = []
         if self.site:
             node.loop.spawn(self.tell_gate(self.site))
-            if told.synthetic:
+            if told.probe_interval:
                 node.loop.spawn(self.try_out())
 
     def duties(self) -> list[tuple[str, str | None, Any]]:
@@ -353,41 +384,41 @@
         except (msgspec.DecodeError, RecursionError):
             self.node.counts["addresses: rubbish"] += 1
             return
-        if isinstance(message, Hello):
+        if isinstance(message, ControllerAnnouncement):
             self.hello(message)
 
-    def hello(self, message: Hello) -> None:
+    def hello(self, message: ControllerAnnouncement) -> None:
         if message.term >= self.keeper[0]:
-            self.keeper = message.term, message.who
+            self.keeper = message.term, message.process_id
 
     def take(self, message: Message, name: str, who: str, now: float) -> None:
-        if isinstance(message, Grant):
+        if isinstance(message, RouteAssignment):
             if message.term >= self.keeper[0]:
                 self.keeper = message.term, who
             if self.announcer_work:
                 self.announcer_work.granted(message, now)
-        elif isinstance(message, Report):
-            if message.announcer >= self.announcer_terms.get(message.site, 0):
+        elif isinstance(message, SiteReport):
+            if message.announcer_term >= self.announcer_terms.get(message.site, 0):
                 self.announcers[message.site] = who
-                self.announcer_terms[message.site] = message.announcer
+                self.announcer_terms[message.site] = message.announcer_term
             self.keeper_work.heard(message, name, now)
-        elif isinstance(message, Evidence):
+        elif isinstance(message, HealthReport):
             self.keeper_work.heard(message, name, now)
-        elif isinstance(message, Keep):
+        elif isinstance(message, StoreRequest):
             self.keep(message, who)
-        elif isinstance(message, Want):
+        elif isinstance(message, OverrideQuery):
             self.tell_orders(message, who)
-        elif isinstance(message, Have):
+        elif isinstance(message, OverrideResponse):
             self.numbers(message, now)
             self.keeper_work.heard(message, name, now)
-        elif isinstance(message, Kept):
+        elif isinstance(message, StoreAcknowledgement):
             self.kept(message)
             self.keeper_work.heard(message, name, now)
-        elif isinstance(message, Ask):
+        elif isinstance(message, QueryRequest):
             self.answer(message, who, now)
-        elif isinstance(message, Told):
+        elif isinstance(message, QueryResponsePart):
             self.told_of(message)
-        elif isinstance(message, Leave) and self.site and message.site == self.site.name:
+        elif isinstance(message, DrainRequest) and self.site and message.site == self.site.name:
             self.leaving |= dict.fromkeys(message.addresses, now + LEAVING)
 
     def learn_holder(self, duty: str, term: int, who: str) -> None:
@@ -403,49 +434,49 @@
     def open_store(self, now: float) -> None:
         self.store_at = now + RECORDS_AGAIN
         try:
-            self.store = Store(self.node.fleet.folder)
+            self.store = OverrideStore(self.node.fleet.folder)
         except (AppendLogError, msgspec.DecodeError) as error:
             self.node.counts["addresses: store can't be had"] += 1
             self.node.log_event("store waits", why=str(error)[:200])
             self.store_at = now + 10 * RECORDS_AGAIN
             return
-        for order in self.store.orders():
+        for order in self.store.overrides():
             self.book.add(order, now, time.time())
         self.node.log_event(
             "store",
-            orders=len(self.store.orders()),
-            decided=len(self.store.decided()),
+            orders=len(self.store.overrides()),
+            decided=len(self.store.decisions()),
             cut=self.store.records.cut,
         )
 
-    def keep(self, message: Keep, who: str) -> None:
+    def keep(self, message: StoreRequest, who: str) -> None:
         if self.store is None or self.node.name not in self.node.voters.names:
             return
         try:
-            ids = self.store.keep(message.rows)
+            ids = self.store.store(message.rows)
         except OSError as error:
             self.node.counts["addresses: disk failures"] += 1
             self.node.log_event("store disk", why=f"{error.strerror}"[:200])
             return
         now, wall = clock.now(), time.time()
         for row in message.rows:
-            if isinstance(row, Order):
+            if isinstance(row, Override):
                 self.book.add(row, now, wall)
-        self.to_who(who, Kept(self.node.name, ids))
+        self.to_who(who, StoreAcknowledgement(self.node.name, ids))
 
-    def tell_orders(self, message: Want, who: str) -> None:
+    def tell_orders(self, message: OverrideQuery, who: str) -> None:
         if self.store is None or self.node.name not in self.node.voters.names:
             return
-        orders = sorted(self.book.rows.values(), key=lambda order: order.number)
+        orders = sorted(self.book.overrides.values(), key=lambda order: order.number)
         count = len(orders)
-        if message.known == self.book.digest:
+        if message.digest == self.book.digest:
             orders = []
-        for some in pages(orders) if orders else [orders]:
-            self.to_who(who, Have(self.node.name, self.book.digest, count, some))
+        for some in paginate(orders) if orders else [orders]:
+            self.to_who(who, OverrideResponse(self.node.name, self.book.digest, count, some))
 
     # operators' orders
 
-    def numbers(self, message: Have, now: float) -> None:
+    def numbers(self, message: OverrideResponse, now: float) -> None:
         """What voters know of earlier orders, for those that wait for their number."""
         for order in message.orders:
             self.book.add(order, now, time.time())
@@ -455,16 +486,16 @@
             pending.heard.add(message.voter)
             if len(pending.heard) >= self.node.voters.majority:
                 pending.numbered = True
-                pending.order = msgspec.structs.replace(pending.order, number=self.book.highest + 1)
+                pending.order = msgspec.structs.replace(pending.order, number=self.book.highest_number + 1)
                 self.push(pending)
 
-    def push(self, pending: Pending) -> None:
+    def push(self, pending: PendingOverride) -> None:
         for voter in self.node.voters.names:
             if voter not in pending.kept_by:
-                message = Keep([pending.order]) if pending.numbered else Want(0)
+                message = StoreRequest([pending.order]) if pending.numbered else OverrideQuery(0)
                 self.to_name(voter, message)
 
-    def kept(self, message: Kept) -> None:
+    def kept(self, message: StoreAcknowledgement) -> None:
         for name in message.ids:
             if (pending := self.pending.get(name)) is not None:
                 pending.kept_by.add(message.voter)
@@ -477,16 +508,16 @@
                         verb=pending.order.verb,
                         address=pending.order.address,
                         site=pending.order.site,
-                        who=pending.order.who,
-                        why=pending.order.why,
-                        until=pending.order.until,
+                        who=pending.order.operator,
+                        why=pending.order.reason,
+                        until=pending.order.expires_at,
                         kept_by=len(pending.kept_by),
                     )
 
-    def read_order(self, query: str) -> Order | str:
+    def read_order(self, query: str) -> Override | str:
         asked = dict(parse_qsl(query))
         verb, address, site = asked.get("verb", ""), asked.get("address", ""), asked.get("site", "")
-        sites = [row.name for row in self.told.site]
+        sites = [row.name for row in self.told.sites]
         if verb not in VERBS:
             return f"verb: expected one of {', '.join(VERBS)}, got {verb[:40]!r}"
         if site not in sites:
@@ -506,7 +537,7 @@
         self.number += 1
         wall = time.time()
         until = wall + span if span else 0.0
-        return Order(f"{self.node.epoch:x}-{self.number}", 0, verb, address, site, who, why, wall, until)
+        return Override(f"{self.node.epoch:x}-{self.number}", 0, verb, address, site, who, why, wall, until)
 
     def order(self, query: str) -> Answer:
         order = self.read_order(query)
@@ -514,7 +545,7 @@
             return 400, f"{order}\n".encode(), PLAIN
         if len(self.pending) >= MOST_ASKED:
             return 503, b"too many orders are on their way\n", PLAIN
-        pending = self.pending[order.id] = Pending(order)
+        pending = self.pending[order.id] = PendingOverride(order)
         self.push(pending)
         self.node.task.wake()
         return 202, orjson.dumps({"id": order.id}), JSON
@@ -552,7 +583,7 @@
         self.asked[id] = {}
         while len(self.asked) > MOST_ASKED:
             self.asked.popitem(last=False)
-        self.to_who(to[0], Ask(id, what, order))
+        self.to_who(to[0], QueryRequest(id, what, order))
         self.node.task.wake()
         return 202, orjson.dumps({"id": id}), JSON
 
@@ -565,29 +596,29 @@
             if m.name in self.node.voters.names
         ]
 
-    def answer(self, message: Ask, who: str, now: float) -> None:
+    def answer(self, message: QueryRequest, who: str, now: float) -> None:
         told: Any = None
         core = self.keeper_work.core
-        if message.what == "history" and self.store is not None:
-            rows = self.store.decided()[-100:]
-            orders = self.store.orders()[-100:]
+        if message.kind == "history" and self.store is not None:
+            rows = self.store.decisions()[-100:]
+            orders = self.store.overrides()[-100:]
             told = {
-                "decided": [msgspec.structs.asdict(row) for row in rows],
-                "orders": [msgspec.structs.asdict(row) for row in orders],
+                "decided": [decision_to_json(row) for row in rows],
+                "orders": [override_to_json(row) for row in orders],
             }
         elif core is not None and self.keeper_work.still():
-            if message.what == "view":
+            if message.kind == "view":
                 told = core.view(now) | {"keeper": self.node.process_id}
-            elif message.what == "plan" and message.order is not None:
-                told = core.plan(message.order, now, time.time())
+            elif message.kind == "plan" and message.override is not None:
+                told = core.plan(message.override, now, time.time())
         if told is None:
             return
         body = zlib.compress(orjson.dumps(told))
         parts = [body[at : at + PART] for at in range(0, len(body), PART)]
         for place, part in enumerate(parts):
-            self.to_who(who, Told(message.id, place, len(parts), part))
+            self.to_who(who, QueryResponsePart(message.id, place, len(parts), part))
 
-    def told_of(self, message: Told) -> None:
+    def told_of(self, message: QueryResponsePart) -> None:
         parts = self.asked.get(message.id)
         if parts is None or not 0 <= message.part < message.parts <= 256:
             return
@@ -604,7 +635,7 @@
     def tell_gate(self, site: Site) -> Generator[float, None, None]:
         """What this member sees, to its site's gate: for when no announcer can hold a lease there."""
         loop, pool = self.node.loop, BufferPool()
-        address = read_address(site.gate, "gate")
+        address = read_address(site.route_guard, "gate")
         while not self.node.closed:
             due = loop.now + GATE_TOLD * self.node.rng.uniform(0.8, 1.2)
             if self.seen:
@@ -631,14 +662,14 @@
         proxy, loop = self.node.proxy, self.node.loop
         pool, number = BufferPool(), 0
         while not self.node.closed:
-            due = loop.now + self.told.synthetic * self.node.rng.uniform(0.8, 1.2)
+            due = loop.now + self.told.probe_interval * self.node.rng.uniform(0.8, 1.2)
             while loop.now < due:
                 yield due
             if not proxy.service.ready:
                 continue
             number += 1
             listeners = proxy.config.settings.listeners
-            service = self.told.service[number % len(self.told.service)]
+            service = self.told.services[number % len(self.told.services)]
             name = next((name for name in service.listeners if name in listeners), next(iter(listeners)))
             within = listeners[name].attempt_timeout
             host, port = proxy.config.listen
@@ -648,7 +679,7 @@
                 at = ("127.0.0.1" if host == "0.0.0.0" else host, port)
                 channel = Channel.dial(loop, at, pool, lambda to=task: to[0].wake())  # type: ignore[misc]
             except OSError:
-                self.doors[service.name].tried(False)
+                self.doors[service.name].record_probe(False)
                 continue
             until = loop.now + within
             channel.write(
@@ -662,9 +693,9 @@
                 channel.settle(False)
                 yield min(until, loop.now + 0.05)
             channel.close()
-            self.doors[service.name].tried(went)
+            self.doors[service.name].record_probe(went)
 
-    def look(self, now: float) -> list[Seen]:
+    def look(self, now: float) -> list[AddressHealth]:
         proxy, rows = self.node.proxy, []
         service = proxy.service
         ready = service.ready and not service.replaced
@@ -673,14 +704,16 @@
         for sess in proxy.sessions.table.live:
             if sess.open and sess.opening is not None:
                 live[sess.opening.listener] = live.get(sess.opening.listener, 0) + 1
-        for told in self.told.service:
+        for told in self.told.services:
             door = self.doors[told.name]
             names = told.listeners or list(proxy.counters.ends[ACCEPTED])
             ends = {end: sum(proxy.counters.ends[end].get(name, 0) for name in names) for end in ENDS}
-            door.counted(now, ends[ACCEPTED], sum(ends.values()))
-            health, reason = door.see(ready, servers, with_room)
+            door.record_outcomes(now, ends[ACCEPTED], sum(ends.values()))
+            health, reason = door.assess(ready, servers, with_room)
             load = sum(live.get(name, 0) for name in names)
-            rows.append(Seen(told.name, round(health, 4), reason, float(load), round(door.coming(), 3)))
+            rows.append(
+                AddressHealth(told.name, round(health, 4), reason, float(load), round(door.arrival_rate(), 3))
+            )
         return rows
 
     def send_away(self, now: float) -> None:
@@ -692,13 +725,13 @@
             return
         stay = {
             name
-            for told in self.told.service
+            for told in self.told.services
             if told.name not in self.leaving
             for name in told.listeners or self.node.proxy.config.settings.listeners
         }
         go = {
             name
-            for told in self.told.service
+            for told in self.told.services
             if told.name in self.leaving
             for name in told.listeners or self.node.proxy.config.settings.listeners
         } - stay
@@ -724,25 +757,25 @@
             self.open_store(now)
         self.keeper_work.tick(now)
         if now >= self.due:
-            self.due = now + self.told.every
-            self.book.tidy(now)
+            self.due = now + self.told.interval
+            self.book.compact(now)
             for pending in self.pending.values():
                 self.push(pending)
             if self.site:
                 rows = self.seen = self.look(now)
                 if self.announcer_work and self.announcer_work.core:
                     for row in rows:
-                        self.announcer_work.core.seen(row.address, row.health, now)
+                        self.announcer_work.core.on_local_health(row.address, row.health, now)
                 if self.keeper[1]:
-                    for some in pages(rows):
-                        self.to_who(self.keeper[1], Evidence(self.site.name, some))
+                    for some in paginate(rows):
+                        self.to_who(self.keeper[1], HealthReport(self.site.name, some))
         while self.local:
             message = self.local.pop(0)
             self.take(message, self.node.name, self.node.process_id, clock.now())
 
     def next_due(self) -> float:
         keeper = self.keeper_work.core
-        return min(self.due, keeper.due if keeper else self.due)
+        return min(self.due, keeper.next_due if keeper else self.due)
 
     def routes(self) -> dict[str, dict[str, Callable[[str], Answer]]]:
         return {
--- a/onyxhollow/fleet/gate.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -41,14 +41,21 @@
     AddressesError,
     AddressesFile,
     Site,
-    one_line,
+    one_line_errors,
     read_address,
     read_addresses,
 )
-from onyxhollow.addresses.health import Witnesses
-from onyxhollow.addresses.messages import Evidence, Seen
-from onyxhollow.addresses.rules import Standing
-from onyxhollow.addresses.table import RECORDS, Refused, Stands, Table, Term, encode
+from onyxhollow.addresses.health import HealthAggregator
+from onyxhollow.addresses.messages import AddressHealth, HealthReport
+from onyxhollow.addresses.route_table import (
+    RECORDS,
+    ClaimedTerm,
+    InstalledRoute,
+    RouteTable,
+    StaleTermError,
+    encode,
+)
+from onyxhollow.addresses.rules import Preference
 from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.counters import Counters
 from onyxhollow.fleet import clock
@@ -65,7 +72,7 @@
 JSON = "application/json"
 
 
-class GateFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class RouteGuardConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     addresses: str  # the file of addresses
     site: str
     listen: str  # HOST:PORT where announcers call
@@ -75,9 +82,9 @@
     orphaned_after: float = 15.0  # seconds without an announcer after which the site's file counts
 
 
-def read_gate(path: str) -> tuple[GateFile, AddressesFile, Site]:
-    with one_line(path), open(path, "rb") as file:
-        told = msgspec.toml.decode(file.read(), type=GateFile, strict=True)
+def read_guard_config(path: str) -> tuple[RouteGuardConfig, AddressesFile, Site]:
+    with one_line_errors(path), open(path, "rb") as file:
+        told = msgspec.toml.decode(file.read(), type=RouteGuardConfig, strict=True)
         read_address(told.listen, "listen")
         read_address(told.speaker, "speaker")
         if not 0 < told.own_as < 1 << 32:
@@ -85,27 +92,31 @@
         if not 0.5 <= told.orphaned_after <= 3600:
             raise AddressesError(f"orphaned_after: expected 0.5 to 3600, got {told.orphaned_after:g}")
         addresses = read_addresses(os.path.join(os.path.dirname(os.path.abspath(path)), told.addresses))
-        site = next((site for site in addresses.site if site.name == told.site), None)
+        site = next((site for site in addresses.sites if site.name == told.site), None)
         if site is None:
-            names = ", ".join(site.name for site in addresses.site)
+            names = ", ".join(site.name for site in addresses.sites)
             raise AddressesError(f"site: expected one of {names}, got {told.site[:80]!r}")
     return told, addresses, site
 
 
-class Gate:
-    def __init__(self, told: GateFile, addresses: AddressesFile, site: Site, folder: str, out: int) -> None:
+class RouteGuard:
+    def __init__(
+        self, told: RouteGuardConfig, addresses: AddressesFile, site: Site, folder: str, out: int
+    ) -> None:
         self.told, self.log = told, Log(out, f"gate/{site.name}")
         self.loop = Loop(self.failed)
         self.pool, self.counters = BufferPool(), Counters()
-        self.table = Table(addresses.service, site, told.own_as)
+        self.table = RouteTable(addresses.services, site, told.own_as)
         self.records = AppendLog(folder, "gate")
-        self.table.remember([RECORDS.decode(row) for row in self.records.rows])
-        self.table.alive_at = clock.now()
-        self.taken: dict[str, Standing | None] = dict.fromkeys(self.table.stands)  # what the daemon has taken
+        self.table.restore([RECORDS.decode(row) for row in self.records.rows])
+        self.table.announcer_seen_at = clock.now()
+        self.taken: dict[str, Preference | None] = dict.fromkeys(
+            self.table.preferences
+        )  # what the daemon has taken
         self.channel: Channel | None = None
         self.speaker = False
         self.policy = addresses.policy
-        self.witnesses = Witnesses(max(3.0, addresses.policy.fresh))
+        self.witnesses = HealthAggregator(max(3.0, addresses.policy.max_evidence_age))
         self.dead_since: dict[str, float] = {}
         self.heard_at = clock.now()  # the last word of any member
         self.management = Management(
@@ -134,29 +145,29 @@
     # announcers
 
     def wanted(self) -> dict[str, int]:
-        return {name: int(standing) for name, standing in self.table.stands.items()}
+        return {name: int(standing) for name, standing in self.table.preferences.items()}
 
     def tell(self, status: int = 200) -> Answer:
         rows = {
             name: {"wanted": int(standing), "told": self.taken[name]}
-            for name, standing in self.table.stands.items()
+            for name, standing in self.table.preferences.items()
         }
         told = {
             "term": self.table.term,
             "member": self.table.member,
-            "keeper": self.table.keeper,
+            "keeper": self.table.controller_term,
             "speaker": self.speaker,
             "rows": rows,
         }
         return status, orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE), JSON
 
-    def keep(self, rows: list[Term | Stands]) -> bool:
+    def keep(self, rows: list[ClaimedTerm | InstalledRoute]) -> bool:
         """Whether it is on the disk; nothing is answered and nothing told before."""
         if not rows:
             return True
         try:
             if len(self.records.rows) + len(rows) > COMPACT:
-                self.records.rewrite([encode(row) for row in self.table.rows()])
+                self.records.rewrite([encode(row) for row in self.table.records()])
             else:
                 self.records.append(*(encode(row) for row in rows))
         except OSError as error:
@@ -164,24 +175,33 @@
             return False
         return True
 
-    def outcome(self, found: Refused | list[Term | Stands] | None, before: Table) -> Answer:
-        if isinstance(found, Refused):
+    def outcome(
+        self, found: StaleTermError | list[ClaimedTerm | InstalledRoute] | None, before: RouteTable
+    ) -> Answer:
+        if isinstance(found, StaleTermError):
             self.counters.add("calls of an older term")
             self.event("refused", seen=found.seen)
             return self.tell(409)
         if found and not self.keep(found):
             self.table.term, self.table.member = before.term, before.member  # nothing of it counts
-            self.table.stands, self.table.keeper = dict(before.stands), before.keeper
-            self.table.number = before.number
+            self.table.preferences, self.table.controller_term = (
+                dict(before.preferences),
+                before.controller_term,
+            )
+            self.table.call_number = before.call_number
             return 503, b"the disk fails\n", PLAIN
         if found:
             self.talker.wake()
         return self.tell()
 
-    def copy(self) -> Table:
-        before = Table(list(self.table.services.values()), self.table.site, self.table.own_as)
-        before.term, before.member, before.keeper = self.table.term, self.table.member, self.table.keeper
-        before.stands, before.number = dict(self.table.stands), self.table.number
+    def copy(self) -> RouteTable:
+        before = RouteTable(list(self.table.services.values()), self.table.site, self.table.own_as)
+        before.term, before.member, before.controller_term = (
+            self.table.term,
+            self.table.member,
+            self.table.controller_term,
+        )
+        before.preferences, before.call_number = dict(self.table.preferences), self.table.call_number
         return before
 
     @staticmethod
@@ -195,7 +215,7 @@
         if term < 1 or not member:
             return 400, b"claim: expected term and member\n", PLAIN
         found = self.table.claim(term, member, clock.now())
-        if found and not isinstance(found, Refused):
+        if found and not isinstance(found, StaleTermError):
             self.event("claimed", term=term, member=member)
         return self.outcome(found, before)
 
@@ -205,36 +225,41 @@
             self.number(asked, name) for name in ("term", "number", "keeper", "as")
         )
         name = asked.get("name", [""])[0]
-        if min(term, number) < 1 or keeper < 0 or standing not in (0, 1, 2) or name not in self.table.stands:
+        if (
+            min(term, number) < 1
+            or keeper < 0
+            or standing not in (0, 1, 2)
+            or name not in self.table.preferences
+        ):
             return 400, b"set: expected term, number, keeper, a known name, as from 0 to 2\n", PLAIN
-        found = self.table.put(term, number, keeper, name, Standing(standing), clock.now())
-        if found and not isinstance(found, Refused):
+        found = self.table.set_preference(term, number, keeper, name, Preference(standing), clock.now())
+        if found and not isinstance(found, StaleTermError):
             self.event("set", name=name, standing=standing, term=term, keeper=keeper)
         return self.outcome(found, before)
 
     def alive(self, query: str) -> Answer:
         asked = parse_qs(query)
         last = set(asked.get("last", [""])[0].split(","))
-        return self.outcome(self.table.alive(self.number(asked, "term"), last, clock.now()), self.table)
+        return self.outcome(self.table.heartbeat(self.number(asked, "term"), last, clock.now()), self.table)
 
     def seen(self, query: str) -> Answer:
         asked = dict(parse_qsl(query))
         member, rows = asked.pop("member", ""), []
         for name, word in asked.items():
             with contextlib.suppress(ValueError):
-                if name in self.table.stands:
-                    rows.append(Seen(name, float(word), "", 0.0, 0.0))
+                if name in self.table.preferences:
+                    rows.append(AddressHealth(name, float(word), "", 0.0, 0.0))
         if not member or not rows:
             return 400, b"seen: expected member, and addresses with their health\n", PLAIN
         self.heard_at = clock.now()
-        self.witnesses.take(member, Evidence(self.told.site, rows), self.heard_at)
+        self.witnesses.record(member, HealthReport(self.told.site, rows), self.heard_at)
         return self.tell()
 
     def dead(self, now: float) -> set[str]:
         """What the members here have seen as dead for long enough."""
-        for name in self.table.stands:
-            health = self.witnesses.judge(self.told.site, name, now).health
-            if health is None or health >= self.policy.dead:
+        for name in self.table.preferences:
+            health = self.witnesses.assess(self.told.site, name, now).health
+            if health is None or health >= self.policy.dead_below:
                 self.dead_since.pop(name, None)
             else:
                 self.dead_since.setdefault(name, now)
@@ -243,11 +268,11 @@
     def watch(self) -> Generator[float, None, None]:
         while True:
             now = clock.now()
-            fresh = max(self.policy.fresh, self.policy.dead_for)
+            fresh = max(self.policy.max_evidence_age, self.policy.dead_for)
             silent = now - self.heard_at
-            gone = self.table.orphaned(self.told.orphaned_after, self.dead(now), now, silent, fresh)
+            gone = self.table.withdraw_orphaned(self.told.orphaned_after, self.dead(now), now, silent, fresh)
             if gone:
-                alone = round(now - self.table.alive_at, 2)
+                alone = round(now - self.table.announcer_seen_at, 2)
                 for row in gone:
                     self.event("orphaned", name=row.name, after=alone, members_silent=round(silent, 2))
                 self.keep(list(gone))
@@ -277,7 +302,7 @@
             if self.speaker:
                 self.event("speaker", up=False)
             self.speaker, self.channel = False, None
-            self.taken = dict.fromkeys(self.table.stands)  # what it still knows, nobody can say
+            self.taken = dict.fromkeys(self.table.preferences)  # what it still knows, nobody can say
             until = self.loop.now + AGAIN
             while self.loop.now < until:
                 yield until
@@ -287,15 +312,17 @@
 
     def serve(self, channel: Channel) -> Generator[float, None, None]:
         while not channel.ended:
-            due = [name for name, standing in self.table.stands.items() if self.taken[name] is not standing]
-            due.sort(key=lambda name: -self.table.stands[name])
+            due = [
+                name for name, standing in self.table.preferences.items() if self.taken[name] is not standing
+            ]
+            due.sort(key=lambda name: -self.table.preferences[name])
             if not due:
                 channel.inbox.rest()  # nothing is owed: what comes says only that it lives
                 channel.settle(False)
                 yield self.loop.now + 1.0
                 continue
-            name, standing = due[0], self.table.stands[due[0]]
-            command = self.table.command(name)
+            name, standing = due[0], self.table.preferences[due[0]]
+            command = self.table.daemon_command(name)
             channel.write(command.encode() + b"\n")
             got, until = b"", self.loop.now + TAKES
             while b"\n" not in got and len(got) < LONGEST_LINE:  # ends with a bare LF, as its API does
@@ -319,9 +346,9 @@
 
 def main(path: str) -> int:
     try:
-        told, addresses, site = read_gate(path)
+        told, addresses, site = read_guard_config(path)
         folder = os.path.join(os.path.dirname(os.path.abspath(path)), told.folder)
-        gate = Gate(told, addresses, site, folder, sys.stdout.fileno())
+        gate = RouteGuard(told, addresses, site, folder, sys.stdout.fileno())
     except (AddressesError, AppendLogError, ListenError) as error:
         sys.stderr.write(f"onyxhollow: {error}\n")
         return 2
--- a/onyxhollow/lab/fleet/places.py
+++ b/onyxhollow/lab/fleet/places.py
@@ -17,7 +17,7 @@
 from itertools import combinations
 from random import Random
 
-from onyxhollow.addresses.messages import Evidence, Order
+from onyxhollow.addresses.messages import HealthReport, Override
 from onyxhollow.lab.fleet.wander import SITES, STEP, VOTERS, Member, World
 
 SETTLE = 24  # steps until all advertise all
@@ -46,7 +46,7 @@
 
 def told(verb: str, site: str, number: int) -> Callable[[World], None]:
     def change(world: World) -> None:
-        order = Order(f"o{number}", number, verb, "", site, "w", "y", world.now, world.now + 10.0)
+        order = Override(f"o{number}", number, verb, "", site, "w", "y", world.now, world.now + 10.0)
         for voter in VOTERS[:2]:
             world.books[voter].add(order, world.now, world.now)
 
@@ -99,7 +99,7 @@
     def send(self, call: Callable[[], None], cut: bool = False) -> None:
         if cut:
             return
-        evidence = any(isinstance(one, Evidence) for one in getattr(call, "args", ()))
+        evidence = any(isinstance(one, HealthReport) for one in getattr(call, "args", ()))
         fate = "" if evidence else self.fate()
         if fate != "lost":
             self.later(LATE if fate == "late" else 0.05, call)
--- a/onyxhollow/lab/fleet/wander.py
+++ b/onyxhollow/lab/fleet/wander.py
@@ -15,49 +15,49 @@
 from typing import Any
 from unittest import mock
 
-from onyxhollow.addresses import keeper as keeping
+from onyxhollow.addresses import controller as keeping
 from onyxhollow.addresses import rules
 from onyxhollow.addresses.announcer import Announcer
+from onyxhollow.addresses.controller import Controller
 from onyxhollow.addresses.file import AddressesFile, Policy, Service, Site
-from onyxhollow.addresses.keeper import Keeper
 from onyxhollow.addresses.messages import (
-    Decided,
-    Evidence,
-    Grant,
-    Have,
-    Keep,
-    Kept,
+    AddressHealth,
+    DecisionRecord,
+    HealthReport,
     Message,
-    Order,
-    Report,
-    Seen,
-    Want,
-    mark,
+    Override,
+    OverrideQuery,
+    OverrideResponse,
+    RouteAssignment,
+    SiteReport,
+    StoreAcknowledgement,
+    StoreRequest,
+    record_id,
 )
-from onyxhollow.addresses.orders import Book
-from onyxhollow.addresses.rules import HEALTH, Standing
-from onyxhollow.addresses.table import Refused, Stands, Table
+from onyxhollow.addresses.overrides import OverrideLog
+from onyxhollow.addresses.route_table import InstalledRoute, RouteTable, StaleTermError
+from onyxhollow.addresses.rules import HEALTH, Preference
 
 STEP = 0.25
 SITES, NAMES, VOTERS = ("a", "b", "c"), ("x", "y"), ("v0", "v1", "v2")
 POLICY = Policy(
-    least=1,
-    most_at_once=1,
-    window=4.0,
-    ill_for=1.5,
+    min_sites=1,
+    max_concurrent_withdrawals=1,
+    withdrawal_window=4.0,
+    unhealthy_for=1.5,
     dead_for=1.0,
-    well_for=2.0,
-    step=0.75,
+    healthy_for=2.0,
+    recovery_step=0.75,
     cut_off_after=4.0,
-    fresh=1.5,
+    max_evidence_age=1.5,
     drain_for=3.0,
     flap_half_life=20.0,
 )
 TOLD = AddressesFile(
-    service=[Service(name=name, prefix=f"198.51.100.{place}/32") for place, name in enumerate(NAMES)],
-    site=[Site(name=site, gate="127.0.0.1:1", capacity=100.0) for site in SITES],
+    services=[Service(name=name, prefix=f"198.51.100.{place}/32") for place, name in enumerate(NAMES)],
+    sites=[Site(name=site, route_guard="127.0.0.1:1", capacity=100.0) for site in SITES],
     policy=POLICY,
-    every=STEP,
+    interval=STEP,
 )
 QUIET = 60.0  # seconds without faults at the end, after which all has to be as it should
 
@@ -77,7 +77,7 @@
     """A site: what is true of it, its gate, and who announces."""
 
     name: str
-    table: Table
+    table: RouteTable
     health: float = 1.0
     load: float = 10.0
     cut: bool = False  # from keeper and voters
@@ -89,12 +89,14 @@
     def __init__(self, seed: int) -> None:
         self.rng, self.now, self.number = Random(seed), 0.0, 0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.places = {site.name: Place(site.name, Table(TOLD.service, site, 64512)) for site in TOLD.site}
+        self.places = {
+            site.name: Place(site.name, RouteTable(TOLD.services, site, 64512)) for site in TOLD.sites
+        }
         self.keepers: list[Member] = []
         self.keeper_term = self.announcer_term = 0
-        self.books = {voter: Book() for voter in VOTERS}
+        self.books = {voter: OverrideLog() for voter in VOTERS}
         self.decided: dict[str, set[str]] = {voter: set() for voter in VOTERS}
-        self.rows: dict[str, Decided] = {}
+        self.rows: dict[str, DecisionRecord] = {}
         self.away: set[str] = set()
         self.quiet = False
         self.broken: list[str] = []
@@ -131,13 +133,13 @@
     def new_keeper(self) -> None:
         """As the lease grants it: the one before has run out, on its own clock."""
         self.keeper_term += 1
-        core = Keeper(TOLD, VOTERS, self.keeper_term, self.now, self.now)
+        core = Controller(TOLD, VOTERS, self.keeper_term, self.now, self.now)
         self.keepers.append(Member(core, self.keeper_term, self.now + 2.0))
         self.keepers = self.keepers[-3:]
 
     def new_announcer(self, place: Place) -> None:
         self.announcer_term += 1
-        site = next(site for site in TOLD.site if site.name == place.name)
+        site = next(site for site in TOLD.sites if site.name == place.name)
         core = Announcer(TOLD, site, self.announcer_term, self.now)
         place.announcers = [*place.announcers, Member(core, self.announcer_term, self.now + 2.0)][-3:]
 
@@ -149,11 +151,11 @@
         self.carry(member)
 
     def carry(self, member: Member) -> None:
-        core: Keeper = member.core
-        out, core.out = core.out, []
-        for row in core.log:
-            self.rows[mark(row)] = row
-        core.log = []
+        core: Controller = member.core
+        out, core.outbox = core.outbox, []
+        for row in core.committed:
+            self.rows[record_id(row)] = row
+        core.committed = []
         for to, message in out:
             kind, _, name = to.partition(" ")
             if kind == "voter":
@@ -165,39 +167,39 @@
     def at_keeper(self, member: Member, message: Message, sender: str) -> None:
         if member.stopped_until > self.now or member.until <= self.now:
             return
-        member.core.heard(message, sender, self.now, self.now)
+        member.core.on_message(message, sender, self.now, self.now)
         self.carry(member)
 
     def at_voter(self, voter: str, message: Message, member: Member) -> None:
         if voter in self.away:
             return
         book = self.books[voter]
-        if isinstance(message, Want):
-            orders = list(book.rows.values())
-            answer: Message = Have(voter, book.digest, len(orders), orders)
-        elif isinstance(message, Keep):
+        if isinstance(message, OverrideQuery):
+            orders = list(book.overrides.values())
+            answer: Message = OverrideResponse(voter, book.digest, len(orders), orders)
+        elif isinstance(message, StoreRequest):
             for row in message.rows:
-                if isinstance(row, Order):
+                if isinstance(row, Override):
                     book.add(row, self.now, self.now)
                 else:
-                    self.decided[voter].add(mark(row))
-                    self.rows[mark(row)] = row
-            answer = Kept(voter, [mark(row) for row in message.rows])
+                    self.decided[voter].add(record_id(row))
+                    self.rows[record_id(row)] = row
+            answer = StoreAcknowledgement(voter, [record_id(row) for row in message.rows])
         else:
             return
         self.send(lambda: self.at_keeper(member, answer, voter))
 
     def at_site(self, place: Place, message: Message, member: Member) -> None:
-        if place.cut or not isinstance(message, Grant) or not place.announcers:
+        if place.cut or not isinstance(message, RouteAssignment) or not place.announcers:
             return
         holder = place.announcers[-1]
         if holder.stopped_until > self.now:
             return
-        holder.core.granted(message, self.now)
+        holder.core.on_assignment(message, self.now)
         self.report(place, holder, member)
 
     def report(self, place: Place, holder: Member, to: Member | None) -> None:
-        report: Report | None = holder.core.report(self.now)
+        report: SiteReport | None = holder.core.report(self.now)
         if report is not None and to is not None:
             self.send(lambda: self.at_keeper(to, report, f"{place.name}0"), place.cut)
 
@@ -205,15 +207,15 @@
         if holder.stopped_until > self.now or holder.until <= self.now:
             return
         core: Announcer = holder.core
-        if not core.read:
+        if not core.synchronized:
             self.call(place, holder, "claim")
             return
         for name in NAMES:
-            core.seen(name, place.health, self.now)
+            core.on_local_health(name, place.health, self.now)
         for word in core.tick(self.now):
             self.own_will.add((word.partition(":")[0], place.name))
-        for row in core.due():
-            self.call(place, holder, "set", row.name, row.wanted)
+        for row in core.pending_routes():
+            self.call(place, holder, "set", row.name, row.desired)
         self.call(place, holder, "alive")
         self.report(place, holder, self.keeper())
 
@@ -223,10 +225,10 @@
         holder: Member,
         what: str,
         name: str = "",
-        wanted: Standing = Standing.WITHDRAWN,
+        wanted: Preference = Preference.WITHDRAWN,
     ) -> None:
         """HTTP to the gate: it arrives as it was made, sooner or later."""
-        keeper, number = holder.core.keeper, holder.core.call()
+        keeper, number = holder.core.controller_term, holder.core.next_call_number()
         self.to_gate(holder, lambda: self.at_gate(place, holder, what, name, wanted, keeper, number))
 
     def to_gate(self, holder: Member, arrive: Callable[[], None]) -> None:
@@ -235,75 +237,83 @@
         self.later(late, arrive)
 
     def at_gate(
-        self, place: Place, holder: Member, what: str, name: str, wanted: Standing, keeper: int, number: int
+        self, place: Place, holder: Member, what: str, name: str, wanted: Preference, keeper: int, number: int
     ) -> None:
         table = place.table
         if what == "claim":
             found: Any = table.claim(holder.term, f"{place.name}{holder.term}", self.now)
         elif what == "set":
-            before = table.stands[name]
-            found = table.put(holder.term, number, keeper, name, wanted, self.now)
-            if not isinstance(found, Refused) and found:
+            before = table.preferences[name]
+            found = table.set_preference(holder.term, number, keeper, name, wanted, self.now)
+            if not isinstance(found, StaleTermError) and found:
                 self.carried_out(place, holder, name, before, wanted)
         else:
-            found = table.alive(holder.term, set(), self.now)
-        if isinstance(found, Refused):
+            found = table.heartbeat(holder.term, set(), self.now)
+        if isinstance(found, StaleTermError):
             return
         told = place.speaker
-        stands = {n: (int(s), int(s) if told else None) for n, s in table.stands.items()}
-        holder.core.stands(stands, table.keeper, place.speaker, self.now)
+        stands = {n: (int(s), int(s) if told else None) for n, s in table.preferences.items()}
+        holder.core.on_guard_state(stands, table.controller_term, place.speaker, self.now)
 
     # what must hold
 
-    def carried_out(self, place: Place, holder: Member, name: str, before: Standing, after: Standing) -> None:
+    def carried_out(
+        self, place: Place, holder: Member, name: str, before: Preference, after: Preference
+    ) -> None:
         if holder.term < self.terms.get(place.name, 0):
             self.breach(f"{place.name}: term {holder.term} after {self.terms[place.name]} at the speaker")
         self.terms[place.name] = max(holder.term, self.terms.get(place.name, 0))
-        by_itself = (name, place.name) in self.own_will and after is Standing.WITHDRAWN
+        by_itself = (name, place.name) in self.own_will and after is Preference.WITHDRAWN
         self.own_will.discard((name, place.name))
         kept = [
             row
             for row in self.rows.values()
-            if (row.address, row.site, row.standing) == (name, place.name, int(after))
-            and sum(mark(row) in told for told in self.decided.values()) >= 2
+            if (row.address, row.site, row.preference) == (name, place.name, int(after))
+            and sum(record_id(row) in told for told in self.decided.values()) >= 2
         ]
         if not kept and not by_itself:
             self.breach(f"{name} at {place.name}: {after.name} without a line on two voters' disks")
-        if after is not Standing.WITHDRAWN:
+        if after is not Preference.WITHDRAWN:
             self.out_at.pop((name, place.name), None)
             return
         others = sum(
-            one.table.stands[name] is not Standing.WITHDRAWN
+            one.table.preferences[name] is not Preference.WITHDRAWN
             for one in self.places.values()
             if one is not place
         )
-        if others < POLICY.least and not by_itself:
+        if others < POLICY.min_sites and not by_itself:
             self.breach(f"{name}: withdrawn at {place.name}, {others} others advertise it")
         if not by_itself and kept and max(kept, key=lambda row: (row.term, row.number)).cause == HEALTH:
             self.out_at[name, place.name] = self.now
             # Told and carried out are apart by what is late on the way: the window is looked at less that.
-            lately = {site for (_, site), at in self.out_at.items() if self.now - at < POLICY.window / 2}
-            if len(lately) > POLICY.most_at_once:
+            lately = {
+                site for (_, site), at in self.out_at.items() if self.now - at < POLICY.withdrawal_window / 2
+            }
+            if len(lately) > POLICY.max_concurrent_withdrawals:
                 self.breach(f"withdrawn for health at once: {sorted(lately)}")
 
     def settled(self) -> None:
         """At the end, quiet for long: every healthy site advertises all, an ill one nothing it need not."""
         for place in self.places.values():
             for name in NAMES:
-                stands = place.table.stands[name]
-                out = stands is not Standing.ADVERTISED and not self.ordered(name, place)
-                if place.health >= POLICY.well and out:
+                stands = place.table.preferences[name]
+                out = stands is not Preference.ADVERTISED and not self.ordered(name, place)
+                if place.health >= POLICY.healthy_from and out:
                     self.breach(f"{name} at {place.name}: healthy and {stands.name}")
-                able = [one for one in self.places.values() if one.health >= POLICY.ill and one is not place]
-                if place.health < POLICY.ill and able and stands is not Standing.WITHDRAWN:
+                able = [
+                    one
+                    for one in self.places.values()
+                    if one.health >= POLICY.unhealthy_below and one is not place
+                ]
+                if place.health < POLICY.unhealthy_below and able and stands is not Preference.WITHDRAWN:
                     self.breach(f"{name} at {place.name}: ill and {stands.name}")
 
     def ordered(self, name: str, place: Place) -> bool:
-        merged = Book()
+        merged = OverrideLog()
         for book in self.books.values():
-            for order in book.rows.values():
+            for order in book.overrides.values():
                 merged.add(order, 0.0, 0.0)
-        found = merged.in_force(NAMES, SITES, self.now).get((name, place.name), rules.NONE)
+        found = merged.active(NAMES, SITES, self.now).get((name, place.name), rules.NONE)
         return bool(found.drain or found.exclude)
 
     # the schedule
@@ -329,9 +339,9 @@
             for member in place.announcers:
                 self.turn_announcer(place, member)
             if (to := self.keeper()) is not None and to.stopped_until <= self.now:
-                rows = [Seen(name, place.health, "made up", place.load, 1.0) for name in NAMES]
+                rows = [AddressHealth(name, place.health, "made up", place.load, 1.0) for name in NAMES]
                 for number in range(3):
-                    evidence = Evidence(place.name, rows)
+                    evidence = HealthReport(place.name, rows)
                     self.send(partial(self.at_keeper, to, evidence, f"{place.name}{number}"), place.cut)
 
     def fault(self) -> None:
@@ -375,9 +385,9 @@
         elif kind == "order":
             verb = rng.choice(("drain", "drain", "undrain", "exclude", "include"))
             self.number += 1
-            top = max(book.highest for book in self.books.values())
+            top = max(book.highest_number for book in self.books.values())
             until = self.now + 20.0
-            order = Order(f"o{self.number}", top + 1, verb, "", place.name, "w", "y", self.now, until)
+            order = Override(f"o{self.number}", top + 1, verb, "", place.name, "w", "y", self.now, until)
             for voter in rng.sample(VOTERS, 2):
                 self.books[voter].add(order, self.now, self.now)
 
@@ -393,7 +403,7 @@
         self.quiet, self.away = True, set()
         for place in self.places.values():
             place.cut, place.speaker, place.load = False, True, 10.0
-            place.health = 1.0 if place.health >= POLICY.ill else 0.0
+            place.health = 1.0 if place.health >= POLICY.unhealthy_below else 0.0
         for _ in range(round(QUIET / STEP)):
             self.step()
         self.settled()
@@ -414,24 +424,26 @@
 
 def no_least() -> Any:
     """The last ones go like any other."""
-    true = rules.Round.hindrance
+    true = rules.DecisionRound.obstacle
 
-    def hindrance(self: rules.Round, cell: rules.Cell, share: float = 1.0) -> tuple[str, str] | None:
+    def hindrance(
+        self: rules.DecisionRound, cell: rules.RouteState, share: float = 1.0
+    ) -> tuple[str, str] | None:
         found = true(self, cell, share)
         return None if found and found[0] == rules.LAST else found
 
-    return mock.patch.object(rules.Round, "hindrance", hindrance)
+    return mock.patch.object(rules.DecisionRound, "obstacle", hindrance)
 
 
 def no_budget() -> Any:
     """Any number of sites at once."""
-    true = rules.Round.__init__
+    true = rules.DecisionRound.__init__
 
-    def start(self: rules.Round, *values: Any) -> None:
+    def start(self: rules.DecisionRound, *values: Any) -> None:
         true(self, *values)
-        self.lately = _Never()
+        self.recently_withdrawn = _Never()
 
-    return mock.patch.object(rules.Round, "__init__", start)
+    return mock.patch.object(rules.DecisionRound, "__init__", start)
 
 
 class _Never(set[str]):
@@ -443,53 +455,53 @@
     """A gate that looks at no term."""
 
     def put(
-        self: Table, term: int, number: int, keeper: int, name: str, standing: Standing, now: float
+        self: RouteTable, term: int, number: int, keeper: int, name: str, standing: Preference, now: float
     ) -> Any:
-        self.alive_at, self.keeper = now, max(self.keeper, keeper)
-        if self.stands[name] is standing:
+        self.announcer_seen_at, self.controller_term = now, max(self.controller_term, keeper)
+        if self.preferences[name] is standing:
             return []
-        self.stands[name] = standing
-        return [Stands(name, int(standing), keeper)]
+        self.preferences[name] = standing
+        return [InstalledRoute(name, int(standing), keeper)]
 
-    return mock.patch.object(Table, "put", put)
+    return mock.patch.object(RouteTable, "set_preference", put)
 
 
 def told_at_once() -> Any:
     """A decision is told before it is on a majority's disks."""
-    true = keeping.Keeper.decide
+    true = keeping.Controller.decide
 
-    def decide(self: Keeper, now: float, wall: float) -> None:
+    def decide(self: Controller, now: float, wall: float) -> None:
         true(self, now, wall)
-        for row in list(self.waiting.values()):
-            if row.decision is not None:
-                self.kept(self.waiting[mark(row.row)], now)
+        for row in list(self.pending.values()):
+            if row.change is not None:
+                self.on_committed(self.pending[record_id(row.record)], now)
 
-    return mock.patch.object(keeping.Keeper, "decide", decide)
+    return mock.patch.object(keeping.Controller, "decide", decide)
 
 
 def one_decides() -> Any:
     """A keeper that waits for no site's answer and takes what it knows of none for withdrawn."""
 
-    def ready(self: Keeper, now: float) -> bool:
+    def ready(self: Controller, now: float) -> bool:
         return True
 
-    def reported(self: Keeper, message: Report, now: float) -> None:
-        self.answered[message.site] = now
-        self.gates[message.site] = message.gate
+    def reported(self: Controller, message: SiteReport, now: float) -> None:
+        self.answered_at[message.site] = now
+        self.guard_ready[message.site] = message.guard_ready
         for row in message.rows:
-            self.cells[row.address, message.site].carried = True
+            self.routes[row.address, message.site].installed = True
 
-    return mock.patch.multiple(keeping.Keeper, ready=ready, reported=reported)
+    return mock.patch.multiple(keeping.Controller, ready=ready, on_site_report=reported)
 
 
 def overtaken() -> Any:
     """A gate that takes calls of one term in whatever order they come."""
-    true = Table.put
+    true = RouteTable.set_preference
 
-    def put(self: Table, term: int, number: int, *values: Any) -> Any:
-        return true(self, term, self.number + 1, *values)
+    def put(self: RouteTable, term: int, number: int, *values: Any) -> Any:
+        return true(self, term, self.call_number + 1, *values)
 
-    return mock.patch.object(Table, "put", put)
+    return mock.patch.object(RouteTable, "set_preference", put)
 
 
 BUGS: dict[str, Callable[[], Any]] = {
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -18,12 +18,12 @@
 import pytest
 
 from onyxhollow.addresses import messages as addressing
-from onyxhollow.addresses import table as standing
+from onyxhollow.addresses import route_table as standing
 from onyxhollow.addresses.announcer import Announcer
-from onyxhollow.addresses.keeper import Keeper
-from onyxhollow.addresses.rules import Standing
+from onyxhollow.addresses.controller import Controller
+from onyxhollow.addresses.rules import Preference
 from onyxhollow.append_log import AppendLog
-from onyxhollow.fleet import advertise, gate, lists, node, shares, telling
+from onyxhollow.fleet import advertise, lists, node, route_guard, shares, telling
 from onyxhollow.fleet.file import read_fleet
 from onyxhollow.gossip import messages as sharing
 from onyxhollow.leases import messages as duties
@@ -63,38 +63,47 @@
     duties.Accepting(proposal=PENDING),
     duties.Remembers(),
 ]
-ORDER = addressing.Order(
-    id="1f-2", number=21, verb="drain", address="address-a", site="east", who="operator-a", why="works",
-    given=1700000001.5, until=1700003601.5,
+ORDER = addressing.Override(
+    id="1f-2", number=21, verb="drain", address="address-a", site="east",
+    operator="operator-a", reason="works", given_at=1700000001.5, expires_at=1700003601.5,
 )  # fmt: skip
-FOR_ALL = addressing.Order(
-    id="1f-3", number=22, verb="pin", address="", site="west", who="operator-b", why="full",
-    given=1700000002.5, until=0.0,
+FOR_ALL = addressing.Override(
+    id="1f-3", number=22, verb="pin", address="", site="west", operator="operator-b", reason="full",
+    given_at=1700000002.5, expires_at=0.0,
 )  # fmt: skip
-DECIDED = addressing.Decided(
-    term=71, number=72, at=1700000003.5, address="address-a", site="east", standing=1, cause="order",
-    why="operator-a: works", evidence="health 0.9",
+DECIDED = addressing.DecisionRecord(
+    term=71, number=72, decided_at=1700000003.5, address="address-a", site="east", preference=1,
+    cause="order", reason="operator-a: works", evidence="health 0.9",
 )  # fmt: skip
-ROW = addressing.Row(
-    address="address-a", standing=1, cause="ill", age=12.5, flaps=1.5, last=True, carried_out=False
+ROW = addressing.RouteStatus(
+    address="address-a", preference=1, cause="ill", age=12.5, flaps=1.5, is_last=True, installed=False
+)
+SEEN = addressing.AddressHealth(
+    address="address-a", health=0.75, reason="servers", load=40.0, arrival_rate=2.5
 )
-SEEN = addressing.Seen(address="address-a", health=0.75, reason="servers", load=40.0, coming=2.5)
 ADDRESSES = {
-    "grant": addressing.Grant(term=201, number=202, site="east", rows=[ROW]),
-    "report": addressing.Report(site="east", term=211, number=212, announcer=213, gate=True, rows=[ROW]),
-    "evidence": addressing.Evidence(site="east", rows=[SEEN]),
-    "keep": addressing.Keep(rows=[ORDER, DECIDED]),
-    "kept": addressing.Kept(voter="voter-a", ids=["1f-2", "71.72"]),
-    "want": addressing.Want(known=221),
-    "have": addressing.Have(voter="voter-a", known=231, count=232, orders=[ORDER, FOR_ALL]),
-    "hello": addressing.Hello(term=241, who="m~8"),
-    "ask": addressing.Ask(id="1f-4", what="plan", order=ORDER),
-    "told": addressing.Told(id="1f-5", part=251, parts=252, body=b"body"),
-    "leave": addressing.Leave(site="east", addresses=["address-a", "address-b"]),
+    "grant": addressing.RouteAssignment(term=201, number=202, site="east", rows=[ROW]),
+    "report": addressing.SiteReport(
+        site="east",
+        controller_term=211,
+        assignment_number=212,
+        announcer_term=213,
+        guard_ready=True,
+        rows=[ROW],
+    ),
+    "evidence": addressing.HealthReport(site="east", rows=[SEEN]),
+    "keep": addressing.StoreRequest(rows=[ORDER, DECIDED]),
+    "kept": addressing.StoreAcknowledgement(voter="voter-a", ids=["1f-2", "71.72"]),
+    "want": addressing.OverrideQuery(digest=221),
+    "have": addressing.OverrideResponse(voter="voter-a", digest=231, count=232, orders=[ORDER, FOR_ALL]),
+    "hello": addressing.ControllerAnnouncement(term=241, process_id="m~8"),
+    "ask": addressing.QueryRequest(id="1f-4", kind="plan", override=ORDER),
+    "told": addressing.QueryResponsePart(id="1f-5", part=251, parts=252, body=b"body"),
+    "leave": addressing.DrainRequest(site="east", addresses=["address-a", "address-b"]),
 }
 GATE_ROWS = [
-    standing.Term(term=81, member="m~9"),
-    standing.Stands(name="address-a", standing=1, keeper=82, number=83),
+    standing.ClaimedTerm(term=81, member="m~9"),
+    standing.InstalledRoute(name="address-a", preference=1, controller_term=82, call_number=83),
 ]
 SHARING = {
     "page": sharing.Page(rows=[
@@ -145,7 +154,12 @@
 }
 STORED = {
     "voter": (VOTER_ROWS, duties.ROWS, duties.encode, duties.Rows),
-    "addresses": ([ORDER, DECIDED, FOR_ALL], addressing.WRITTEN, addressing.encode, addressing.Written),
+    "addresses": (
+        [ORDER, DECIDED, FOR_ALL],
+        addressing.STORED_RECORDS,
+        addressing.encode,
+        addressing.StoredRecord,
+    ),
     "gate": (GATE_ROWS, standing.RECORDS, standing.encode, standing.RECORDS.type),
 }
 MODULES = duties, addressing, sharing, telling, members, standing
@@ -196,28 +210,29 @@
         ],
     }  # fmt: skip
     addresses = {
-        "every": shared.every, "synthetic": shared.synthetic,
+        "every": shared.interval, "synthetic": shared.probe_interval,
         "service": [
             {
-                "name": s.name, "prefix": s.prefix, "listeners": s.listeners, "customers": s.customers,
+                "name": s.name, "prefix": s.prefix, "listeners": s.listeners, "customers": s.tenants,
                 "owner": s.owner, "note": s.note,
             }
-            for s in shared.service
+            for s in shared.services
         ],
         "site": [
             {
-                "name": s.name, "gate": s.gate, "next_hop": s.next_hop, "capacity": s.capacity,
-                "preference": s.preference, "cut_off": s.cut_off,
+                "name": s.name, "gate": s.route_guard, "next_hop": s.next_hop, "capacity": s.capacity,
+                "preference": s.med, "cut_off": s.cut_off,
             }
-            for s in shared.site
+            for s in shared.sites
         ],
         "policy": {
-            "least": policy.least, "most_at_once": policy.most_at_once, "window": policy.window,
-            "ill": policy.ill, "dead": policy.dead, "well": policy.well, "ill_for": policy.ill_for,
-            "dead_for": policy.dead_for, "well_for": policy.well_for, "well_most": policy.well_most,
-            "flap_half_life": policy.flap_half_life, "step": policy.step, "fill": policy.fill,
-            "drain_for": policy.drain_for, "drained": policy.drained,
-            "cut_off_after": policy.cut_off_after, "fresh": policy.fresh,
+            "least": policy.min_sites, "most_at_once": policy.max_concurrent_withdrawals,
+            "window": policy.withdrawal_window, "ill": policy.unhealthy_below, "dead": policy.dead_below,
+            "well": policy.healthy_from, "ill_for": policy.unhealthy_for, "dead_for": policy.dead_for,
+            "well_for": policy.healthy_for, "well_most": policy.max_healthy_for,
+            "flap_half_life": policy.flap_half_life, "step": policy.recovery_step,
+            "fill": policy.max_utilization, "drain_for": policy.drain_for, "drained": policy.drained_ratio,
+            "cut_off_after": policy.cut_off_after, "fresh": policy.max_evidence_age,
         },
     }  # fmt: skip
     return main, addresses
@@ -296,7 +311,11 @@
     assert (node.HOLDS, node.VOTES) == (1, 2)
     life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
-    assert [int(one) for one in (Standing.WITHDRAWN, Standing.LESSER, Standing.ADVERTISED)] == [0, 1, 2]
+    assert [int(one) for one in (Preference.WITHDRAWN, Preference.LOWERED, Preference.ADVERTISED)] == [
+        0,
+        1,
+        2,
+    ]
     assert (duties.VOTERS, advertise.KEEPER) == ("voters", "addresses")
     assert advertise.announcer_of("east") == "announcer/east"
 
@@ -339,14 +358,14 @@
 
 
 def test_orders_and_history_are_kept_and_told_as_recorded(tmp_path):
-    store = advertise.Store(stored("addresses", tmp_path / "old"))
-    assert (store.orders(), store.decided()) == ([ORDER, FOR_ALL], [DECIDED])
-    new = advertise.Store(str(tmp_path / "new"))
-    assert new.keep([ORDER, DECIDED, FOR_ALL]) == ["1f-2", "71.72", "1f-3"]
+    store = advertise.OverrideStore(stored("addresses", tmp_path / "old"))
+    assert (store.overrides(), store.decisions()) == ([ORDER, FOR_ALL], [DECIDED])
+    new = advertise.OverrideStore(str(tmp_path / "new"))
+    assert new.store([ORDER, DECIDED, FOR_ALL]) == ["1f-2", "71.72", "1f-3"]
     assert (tmp_path / "new" / "addresses").read_bytes() == (DATA / "addresses").read_bytes()
     mine = MagicMock()
     mine.store = store
-    advertise.Addresses.answer(mine, addressing.Ask("1f-6", "history"), "m~1", 1000.0)
+    advertise.Addresses.answer(mine, addressing.QueryRequest("1f-6", "history"), "m~1", 1000.0)
     told = b"".join(call.args[1].body for call in mine.to_who.call_args_list)
     assert zlib.decompress(told) == (DATA / "history.json").read_bytes()
     for one in (store, new):
@@ -354,7 +373,7 @@
 
 
 def test_a_gate_starts_from_its_recorded_memory_and_answers_as_recorded(tmp_path):
-    told, addresses, site = gate.read_gate(str(DATA / "gate.toml"))
+    told, addresses, site = route_guard.read_guard_config(str(DATA / "gate.toml"))
     said = tomllib.loads((DATA / "gate.toml").read_text())
     assert (told.addresses, told.site, told.listen, told.speaker, told.folder) == (
         said["addresses"], said["site"], said["listen"], said["speaker"], said["folder"],
@@ -365,10 +384,10 @@
         port = free.getsockname()[1]
     told = msgspec.structs.replace(told, listen=f"127.0.0.1:{port}")
     with open(tmp_path / "log", "wb") as log:
-        mine = gate.Gate(told, addresses, site, stored("gate", tmp_path), log.fileno())
+        mine = route_guard.RouteGuard(told, addresses, site, stored("gate", tmp_path), log.fileno())
         table = mine.table
-        assert (table.term, table.member, table.keeper, table.number) == (81, "m~9", 82, 83)
-        assert table.stands == {"address-a": Standing.LESSER}
+        assert (table.term, table.member, table.controller_term, table.call_number) == (81, "m~9", 82, 83)
+        assert table.preferences == {"address-a": Preference.LOWERED}
         answers = [
             mine.tell(),
             mine.claim("term=91&member=m~10"),
@@ -379,7 +398,7 @@
         mine.records.close()
         mine.management.listener.close()
     assert [status for status, *_ in answers] == [200] * 5
-    assert (table.last, table.stands) == ({"address-a"}, {"address-a": Standing.ADVERTISED})
+    assert (table.last_addresses, table.preferences) == ({"address-a"}, {"address-a": Preference.ADVERTISED})
     assert b"".join(body for _, body, _ in answers) == (DATA / "gate.json").read_bytes()
 
 
@@ -409,18 +428,20 @@
 
 def test_the_keepers_view_and_plan_are_told_as_recorded():
     addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
-    core = Keeper(addresses, COUNCIL.names, 71, 1000.0, 1700000000.0)
-    stands = msgspec.structs.replace(ROW, standing=2, last=False, carried_out=True)
+    core = Controller(addresses, COUNCIL.names, 71, 1000.0, 1700000000.0)
+    stands = msgspec.structs.replace(ROW, preference=2, is_last=False, installed=True)
     for voter in COUNCIL.names:
-        core.heard(addressing.Have(voter, 0, 0, []), voter, 1000.0, 1700000004.0)
+        core.on_message(addressing.OverrideResponse(voter, 0, 0, []), voter, 1000.0, 1700000004.0)
     for site in ("east", "west", "north"):
-        core.heard(addressing.Report(site, 71, 1, 7, True, [stands]), f"m-{site}", 1000.5, 1700000004.5)
-        core.heard(addressing.Evidence(site, [SEEN]), f"m-{site}", 1000.5, 1700000004.5)
+        core.on_message(
+            addressing.SiteReport(site, 71, 1, 7, True, [stands]), f"m-{site}", 1000.5, 1700000004.5
+        )
+        core.on_message(addressing.HealthReport(site, [SEEN]), f"m-{site}", 1000.5, 1700000004.5)
     exclude = msgspec.structs.replace(FOR_ALL, verb="exclude")
     east = msgspec.structs.replace(exclude, site="east")
     core.tick(1000.5, 1700000004.5)
     told = [core.plan(east, 1000.5, 1700000004.5)]
-    core.heard(addressing.Have("voter-a", 0, 1, [ORDER]), "voter-a", 1000.5, 1700000004.5)
+    core.on_message(addressing.OverrideResponse("voter-a", 0, 1, [ORDER]), "voter-a", 1000.5, 1700000004.5)
     core.tick(1001.0, 1700000005.0)
     told += [core.view(1002.0), core.plan(exclude, 1002.0, 1700000006.0)]
     assert orjson.dumps(told) == (DATA / "keeper.json").read_bytes()
@@ -428,16 +449,16 @@
 
 def test_an_announcer_calls_its_gate_as_recorded():
     addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
-    core = Announcer(addresses, addresses.site[0], 91, 1000.0)
+    core = Announcer(addresses, addresses.sites[0], 91, 1000.0)
     mine, calls = MagicMock(), []
     mine.running, mine.shared.node.process_id = 1, "m~10"
-    mine.shared.node.loop.now, mine.shared.told.every = 1000.0, 0.625
+    mine.shared.node.loop.now, mine.shared.told.interval = 1000.0, 0.625
     mine.act = lambda this, core, target, still: calls.append(target) or iter(())
     for stands in ({}, {"address-a": (2, 2)}):
         if stands:
-            core.stands(stands, 82, True, 1000.0)
-            core.granted(addressing.Grant(82, 84, "east", [ROW]), 1000.0)
-        next(advertise.AnnouncerWork.run(mine, 1, core, lambda: True))
+            core.on_guard_state(stands, 82, True, 1000.0)
+            core.on_assignment(addressing.RouteAssignment(82, 84, "east", [ROW]), 1000.0)
+        next(advertise.AnnouncerTask.run(mine, 1, core, lambda: True))
     assert calls == [
         "/claim?term=91&member=m~10",
         "/alive?term=91&last=",
--- a/tests/test_fleet_addresses.py
+++ b/tests/test_fleet_addresses.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from onyxhollow.fleet import addressing
+from onyxhollow.fleet import address_commands
 from onyxhollow.lab.fleet.rig import ROOT, text
 from onyxhollow.lab.fleet.sites import Sites
 from onyxhollow.lab.fleet.traffic import Client
@@ -236,7 +236,7 @@
     code, out = run("why", "addr1", "b")
     assert code == 0 and "addr1 at b: advertised" in out
     assert run("drain", "nowhere", "--why", "x", "--who", "op")[0] == 2
-    assert addressing.main(["list", "--at", "127.0.0.1:1"]) == 2
+    assert address_commands.main(["list", "--at", "127.0.0.1:1"]) == 2
     capfd.readouterr()
     sound(sites)
 
