--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -10,7 +10,7 @@
 import zlib
 from collections import OrderedDict, deque
 from collections.abc import Callable, Generator
-from typing import TYPE_CHECKING, Any
+from typing import Any
 from urllib.parse import parse_qsl, quote
 
 import h11
@@ -50,6 +50,7 @@
 from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.counters import ACCEPTED, ENDS
 from onyxhollow.fleet import clock
+from onyxhollow.fleet.context import MemberContext
 from onyxhollow.fleet.works import Caller
 from onyxhollow.loop import Task
 from onyxhollow.management.api import PLAIN, Answer
@@ -59,9 +60,6 @@
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.discovery import Call, ListError, StatusError
 
-if TYPE_CHECKING:
-    from onyxhollow.fleet.node import Node
-
 ADDRESSES = 4  # kind of what is carried
 KEEPER = "addresses"
 GATE_ANSWERS = 1.0  # seconds
@@ -283,7 +281,7 @@
 
 
 class Addresses:
-    def __init__(self, node: Node, told: AddressesFile) -> None:
+    def __init__(self, node: MemberContext, told: AddressesFile) -> None:
         self.node, self.told = node, told
         self.site = next((site for site in told.site if site.name == node.zone), None)
         self.keeper: tuple[int, str] = (0, "")  # term and who, as last heard
--- a/onyxhollow/fleet/lists.py
+++ b/onyxhollow/fleet/lists.py
@@ -6,18 +6,16 @@
 import math
 from collections import deque
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 
 from onyxhollow.fleet import clock, telling
+from onyxhollow.fleet.context import MemberContext
 from onyxhollow.interface import EndpointListKind
 from onyxhollow.membership.swim import Member
 from onyxhollow.wire.discovery import ListError, read_list
 
-if TYPE_CHECKING:
-    from onyxhollow.fleet.node import Node
-
 LIST = 2  # kind of what is carried
 WANTS_EVERY = 0.2  # seconds before one member is told the whole list again
 SENDS = 0.02  # seconds from one group of datagrams to the next ...
@@ -26,7 +24,7 @@
 
 
 class Lists:
-    def __init__(self, node: Node, duty: str, zone: str | None, every: float, service: str) -> None:
+    def __init__(self, node: MemberContext, duty: str, zone: str | None, every: float, service: str) -> None:
         self.node, self.duty, self.zone, self.every, self.service = node, duty, zone, every, service
         self.discovery = node.proxy.discovery
         self.address = self.discovery.address  # after a reload with another one, `service` says nothing of it
--- a/onyxhollow/fleet/shares.py
+++ b/onyxhollow/fleet/shares.py
@@ -3,25 +3,23 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 
 from onyxhollow.fleet import clock
+from onyxhollow.fleet.context import MemberContext
 from onyxhollow.gossip.core import GossipConfig, LoadGossip
 from onyxhollow.gossip.messages import MESSAGES, encode
 from onyxhollow.interface import AttemptOutcome
 from onyxhollow.membership.swim import Member
 
-if TYPE_CHECKING:
-    from onyxhollow.fleet.node import Node
-
 SHARE = 3  # kind of what is carried
 STANDING = 16  # connections for questions: a few servers are kept or looked at; alone all are asked
 
 
 class Shares:
-    def __init__(self, node: Node, terms: GossipConfig) -> None:
+    def __init__(self, node: MemberContext, terms: GossipConfig) -> None:
         self.node, self.decisions = node, node.proxy.decisions
         self.core = LoadGossip(node.name, node.epoch, node.zone, terms, node.rng, clock.now())
         self.there: dict[int, Member] = {}  # by epoch
--- /dev/null
+++ b/tests/test_fleet_file.py
@@ -0,0 +1,59 @@
+"""The fleet file: checked whole, with errors that say where."""
+
+import pytest
+
+from onyxhollow.__main__ import main
+from onyxhollow.fleet.file import FleetError, read_fleet
+
+GOOD = """fleet = "f"
+key_file = "key"
+listen = "127.0.0.1:7946"
+voters = ["a", "b", "c"]
+[[duty]]
+name = "list"
+work = "list"
+per = "zone"
+"""
+
+
+@pytest.mark.parametrize(
+    "change, told",
+    [
+        (("", ""), ""),
+        (('["a", "b", "c"]', '["a", "b"]'), "voters: expected 3, 5 or 7 different names, got a, b"),
+        (('per = "zone"', 'per = "town"'), "duty[0].per: expected one of fleet, zone, got 'town'"),
+        (('per = "zone"', "every = 100.0"), "duty[0].every: expected 0.02 to 60, got 100"),
+        (('work = "list"', 'work = "call"'), "duty[0].call: expected HOST:PORT, got ''"),
+        (('"f"', "3"), "fleet: expected `str`, got `int`"),
+        (('fleet = "f"', 'fleet = "f"\nfolders = 1'), "top: Object contains unknown field `folders`"),
+        (('"key"', '"keys"'), "keys: No such file"),
+        (('"127.0.0.1:7946"', '"here"'), "listen: expected HOST:PORT, got 'here'"),
+        (('name = "list"', 'name = "voters"'), "none of them 'voters'"),
+    ],
+)
+def test_the_fleet_file_is_checked_whole_and_says_where_it_is_wrong(tmp_path, change, told):
+    (tmp_path / "key").write_text("ab" * 16)
+    path = tmp_path / "fleet.toml"
+    path.write_text(GOOD.replace(*change))
+    if not told:
+        assert read_fleet(str(path), lambda _: None).told.duty[0].per == "zone"
+        assert read_fleet(str(path), lambda _: "127.0.0.1:1").listen == ("127.0.0.1", 1)
+        return
+    with pytest.raises(FleetError) as error:
+        read_fleet(str(path), lambda _: None)
+    assert (
+        told in str(error.value) and "\n" not in str(error.value) and str(error.value).startswith(str(path))
+    )
+
+
+def test_check_reads_the_fleet_file_too(tmp_path, capfd):
+    (tmp_path / "key").write_text("ab" * 16)
+    (tmp_path / "fleet.toml").write_text(GOOD)
+    words = ["check", "--config", "example/config.json", "--fleet", str(tmp_path / "fleet.toml")]
+    assert main(words) == 0
+    told = capfd.readouterr().out
+    assert "voters a, b, c, lease 3 s" in told and "list (list, one a zone)" in told
+    (tmp_path / "key").write_text("ab")
+    assert main(words) == 2
+    told = capfd.readouterr().err
+    assert "expected one or two keys of 16 bytes or more, got 1 of 1 bytes" in told and told.count("\n") == 1
--- /dev/null
+++ b/tests/test_membership.py
@@ -0,0 +1,145 @@
+"""Membership (SWIM) in simulated time, and the authentication of its datagrams."""
+
+import time
+
+from membership_network import KEYS, Net, all_see_all
+
+from onyxhollow.membership.messages import LARGEST, MemberState, Packet, Ping, Update
+from onyxhollow.membership.seal import DatagramAuthenticator, read_keys
+
+
+def test_news_reaches_all_though_most_datagrams_go_to_one():
+    """Leases are asked for at the same voters all the time: news rode there and was spent, and one member of
+    five did not hear of a drain."""
+    net = Net(5)
+    net.run(5.0)
+    one = net.swims["m0~1"]
+    one.broadcast(7, b"a drain")
+    voter = next(member for member in one.live_members() if member.name == "m1")
+    for _ in range(40):
+        one.send_payload(voter, 1, b"give me your word")
+    one.outbox.clear()  # and none of these arrives
+    net.run(4.0)
+    heard = {
+        key for key, swim in net.swims.items() if any(event.kind == 7 for event in swim.received_broadcasts)
+    }
+    assert heard >= {"m2~1", "m3~1", "m4~1"}
+
+
+def test_members_join_by_seeds_and_one_that_dies_is_known_dead_by_all():
+    net = Net(12)
+    net.run(8.0)
+    assert all_see_all(net)
+    net.down.add("m5~1")
+    net.run(30.0)
+    assert all_see_all(net)
+    assert net.largest <= LARGEST
+
+
+def test_a_datagram_costs_no_more_among_a_thousand_members_than_among_ten():
+    # All members were gone through several times for each: 300 processes took 8 cores and did not come up.
+    def cost(count):
+        net = Net(1)
+        swim = net.swims["m0~1"]
+        for number in range(1, count):
+            swim.learn(Update(f"m{number}", 1, 0, MemberState.ALIVE, (f"a{number}", 1), "z", 3), net.now)
+        swim.news.clear()
+        packet = Packet("f", "m1", 1, 1, 1, [Ping(1)])
+        spans = []
+        for _ in range(9):
+            began = time.perf_counter()
+            for _ in range(200):
+                swim.on_message(net.now, packet, ("a1", 1))
+                swim.next_due = swim.when()
+            spans.append(time.perf_counter() - began)
+        return min(spans)
+
+    assert cost(1000) < 4 * cost(10)  # 40 times as much before
+
+
+def test_a_stalled_member_declares_nobody_dead():
+    # Without a look at its own lateness it wakes to a world that was silent for 20 s, and says so.
+    net = Net(8)
+    net.run(8.0)
+    net.swims["m3~1"].changes.clear()
+    net.stalled.add("m3~1")
+    net.run(2.0)
+    net.stalled.clear()
+    swim = net.swims["m3~1"]
+    swim.awake(net.now)
+    assert swim.counts["stalls"] == 1 and swim.health >= 1
+    net.run(20.0)
+    assert not [change for change in swim.changes if change.member.state is MemberState.DEAD]
+    assert all_see_all(net)
+
+
+def test_two_halves_that_held_each_other_for_dead_find_each_other_again():
+    net = Net(8)
+    net.run(8.0)
+    keys = sorted(net.swims)
+    net.cut = {(a, b) for a in keys[:4] for b in keys[4:]} | {(b, a) for a in keys[:4] for b in keys[4:]}
+    net.run(40.0)
+    assert net.sees(keys[0]) == set(keys[1:4]) and net.sees(keys[7]) == set(keys[4:7])
+    net.cut = set()
+    net.run(40.0)
+    assert all_see_all(net)
+
+
+def test_one_that_is_suspected_by_mistake_says_so_and_stays():
+    net = Net(5)
+    net.run(8.0)
+    swim = net.swims["m1~1"]
+    member = swim.members["m2", 1]
+    swim.suspect(member, member.incarnation, "m1", net.now)
+    net.run(10.0)
+    assert member.state is MemberState.ALIVE and member.incarnation == 1
+    assert net.swims["m2~1"].counts["refuted"] == 1
+
+
+def test_two_processes_of_one_name_are_told_apart_and_one_that_flaps_is_damped():
+    net = Net(4)
+    net.run(8.0)
+    net.add("m2", epoch=2)
+    net.run(5.0)
+    assert {"m2~1", "m2~2"} <= net.sees("m0~1") and net.swims["m0~1"].newest("m2").epoch == 2
+    for epoch in (1, 2, 3, 4):
+        if epoch > 2:
+            net.add("m2", epoch=epoch)
+            net.run(4.0)
+        net.down.add(f"m2~{epoch}")
+        net.run(16.0)
+    assert net.swims["m0~1"].damping.damped("m2", net.now)
+    assert not net.swims["m0~1"].damping.damped("m1", net.now)
+    net.run(200.0)
+    assert not net.swims["m0~1"].damping.damped("m2", net.now)
+
+
+def test_bytes_of_a_member_hardly_grow_with_the_fleet():
+    told = []
+    for count in (10, 60):
+        net = Net(count)
+        net.run(10.0)
+        before = net.sent
+        net.run(20.0)
+        told.append((net.sent - before) / count / 20.0)
+    assert told[1] < 2.0 * told[0]
+
+
+def test_what_is_foreign_repeated_or_rubbish_is_counted_and_dropped(tmp_path):
+    one, other = (
+        DatagramAuthenticator("f", "a", 5, KEYS),
+        DatagramAuthenticator("f", "b", 7, [b"n" * 16, *KEYS]),
+    )
+    datagram = one.close([], 0)
+    assert other.open(datagram).name == "a"  # the old key still opens
+    assert other.open(datagram) is None and one.open(other.close([], 0)) is None
+    assert other.open(datagram[:-1] + b"x") is None and other.open(b"x" * 2000) is None
+    assert DatagramAuthenticator("g", "c", 1, KEYS).open(datagram) is None
+    assert other.open(one.close([], 6)) is None  # meant for the process before this one
+    assert other.open(one.close([], 7)) is not None
+    late = [one.close([], 0) for _ in range(1100)]
+    assert all(other.open(each) for each in reversed(late[100:]))  # any order within the window
+    assert other.open(late[0]) is None
+    assert other.dropped == {"repeated": 2, "seal": 1, "size": 1, "for another": 1}
+    (tmp_path / "key").write_text("00ff" * 8 + "\n" + "aa" * 16 + "\n")
+    assert [len(key) for key in read_keys(str(tmp_path / "key"))] == [16, 16]
