--- a/tests/test_append_log.py
+++ b/tests/test_append_log.py
@@ -1,8 +1,9 @@
 """The append log: failing I/O, and what a crash leaves behind."""
 
+import errno
+
 import pytest
 
-from onyxhollow import append_log as records_module
 from onyxhollow import append_log as records_module
 from onyxhollow.append_log import AppendLog, AppendLogError
 
