--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check, version, lab, gate; the others ask a running process."""
+"""The command line: serve, check, version, lab, route-guard; the others ask a running process."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
     from onyxhollow.lifecycle.config import Config
     from onyxhollow.lifecycle.signals import SignalQueue
 
+ROUTE_GUARD, OLD_ROUTE_GUARD = "route-guard", "gate"
+
 
 def lacks(extra: str, error: ImportError) -> int:
     """Its libraries are an extra: serve by itself needs none of them."""
@@ -40,8 +42,12 @@
     ):
         command = commands.add_parser(name, help=does, add_help=False)
         command.add_argument("words", nargs=argparse.REMAINDER)
-    gate = commands.add_parser("gate", help="stand between a site's announcers and its routing daemon")
-    gate.add_argument("--config", required=True, help="TOML")
+    for name, does in (
+        (ROUTE_GUARD, "stand between a site's announcers and its routing daemon"),
+        (OLD_ROUTE_GUARD, f"the former name of {ROUTE_GUARD}"),
+    ):
+        command = commands.add_parser(name, help=does)
+        command.add_argument("--config", required=True, help="TOML")
     told = parser.parse_args(words)
     if told.command == "version":
         print(__version__)
@@ -60,12 +66,15 @@
             return lacks("topology", error)
         return picture(told.words)
 
-    if told.command in ("members", "duties", "voters", "addresses", "gate"):
+    if told.command in ("members", "duties", "voters", "addresses", ROUTE_GUARD, OLD_ROUTE_GUARD):
+        if told.command == OLD_ROUTE_GUARD:
+            notice = f"{OLD_ROUTE_GUARD}: now called {ROUTE_GUARD}; this name goes with the next release"
+            sys.stderr.write(f"onyxhollow: {notice}\n")
         try:
-            if told.command == "gate":
-                from onyxhollow.fleet.route_guard import main as stand
+            if told.command in (ROUTE_GUARD, OLD_ROUTE_GUARD):
+                from onyxhollow.fleet.route_guard import main as guard
 
-                return stand(told.config)
+                return guard(told.config)
             if told.command == "addresses":
                 from onyxhollow.fleet.address_commands import main as ask
 
--- a/onyxhollow/addresses/announcer.py
+++ b/onyxhollow/addresses/announcer.py
@@ -1,133 +1,179 @@
-"""A site's announcer: takes the keeper's grants and makes the gate's table so. Pure.
+"""A site's announcer: carries the controller's assignments out at the site's route guard. Pure.
 
-It holds its own duty, and its term goes with all that it tells the gate. What stands at the gate is where it
-begins: a new holder changes nothing that is right. It never newly advertises without a grant.
+It holds its own lease, and its term goes with every call to the guard. It begins with the guard's state: a
+new holder changes nothing that is right. It never newly advertises an address without an assignment.
 """
 
 from __future__ import annotations
 
 import math
+from collections.abc import Mapping
 from dataclasses import dataclass
 
 from onyxhollow.addresses.file import AddressesFile, Site
 from onyxhollow.addresses.messages import RouteAssignment, RouteStatus, SiteReport
-from onyxhollow.addresses.rules import ORDER, Preference
+from onyxhollow.addresses.routes import MAX_AGE, Cause, Preference
+
+
+@dataclass(frozen=True, slots=True)
+class GuardedRoute:
+    """One address at the route guard."""
+
+    preference: Preference  # that the guard is to install
+    installed: Preference | None  # that the routing daemon has taken; None: not known
+
+
+UNKNOWN_ROUTE = GuardedRoute(Preference.WITHDRAWN, None)
+
+
+@dataclass(frozen=True, slots=True)
+class GuardState:
+    """The route guard's answer to a call."""
+
+    routes: Mapping[str, GuardedRoute]  # by address
+    controller_term: int  # the highest that the guard has seen
+    daemon_connected: bool
 
 
 @dataclass(slots=True)
 class AnnouncedRoute:
+    """One address at this site. Times are on the announcer's monotonic clock."""
+
     name: str
     desired: Preference
-    guarded: Preference  # what the gate holds it to be
-    installed: Preference | None  # what the speaker has taken, as the gate says; None: not known
-    cause: str = ""
-    since: float = -math.inf
+    guarded: Preference  # as the guard has it
+    installed: Preference | None  # as the routing daemon has taken it; None: not known
+    cause: str = Cause.NONE
+    since: float = -math.inf  # of the desired preference
     flaps: float = 0.0
-    is_last: bool = False
-    dead_since: float = math.inf  # what this site's own members see
+    is_last: bool = False  # it must stay, whatever is seen here alone
+    dead_since: float = math.inf  # as this site's own members see it
 
 
 class Announcer:
-    def __init__(self, told: AddressesFile, site: Site, term: int, now: float) -> None:
-        self.config, self.policy, self.site, self.term = told, told.policy, site, term
+    """One term of a site's announcer."""
+
+    def __init__(self, config: AddressesFile, site: Site, term: int, now: float) -> None:
+        self.config = config
+        self.policy = config.policy
+        self.site = site
+        self.term = term
         self.routes: dict[str, AnnouncedRoute] = {}
-        self.synchronized = False  # whether the gate has said what stands
-        self.controller_term, self.assignment_number = 0, 0  # term and number of the newest grant
+        self.synchronized = False  # the guard has answered once
+        self.controller_term = 0  # of the newest assignment
+        self.assignment_number = 0
         self.assignment_at = now
-        self.daemon_connected = False  # as the gate says
-        self.guard_answered_at = -math.inf  # when it last answered
-        self.call_number = 0  # to the gate, counted: it passes over what has been overtaken
-
-    def on_guard_state(
-        self, table: dict[str, tuple[int, int | None]], keeper: int, speaker: bool, now: float
-    ) -> None:
-        """The gate's answer: of each address what it holds it to be and what the speaker has taken; keeper:
-        the highest keeper's term that it knows of."""
-        self.guard_answered_at, self.daemon_connected = now, speaker
-        if keeper > self.controller_term:
-            self.controller_term, self.assignment_number = keeper, 0
+        self.daemon_connected = False  # as the guard says
+        self.guard_answered_at = -math.inf
+        self.call_number = 0  # of the last call to the guard, which drops overtaken ones
+
+    def on_guard_state(self, state: GuardState, now: float) -> None:
+        """Takes in the guard's answer."""
+        self.guard_answered_at = now
+        self.daemon_connected = state.daemon_connected
+        if state.controller_term > self.controller_term:
+            self.controller_term = state.controller_term
+            self.assignment_number = 0
         for service in self.config.services:
-            held, taken = table.get(service.name, (0, None))
-            found = Preference(held)
-            row = self.routes.get(service.name)
-            if row is None:
-                row = self.routes[service.name] = AnnouncedRoute(service.name, found, found, None, since=now)
-            row.guarded, row.installed = found, None if taken is None else Preference(taken)
+            guarded = state.routes.get(service.name, UNKNOWN_ROUTE)
+            route = self.routes.get(service.name)
+            if route is None:
+                preference = guarded.preference
+                route = AnnouncedRoute(service.name, preference, preference, None, since=now)
+                self.routes[service.name] = route
+            route.guarded = guarded.preference
+            route.installed = guarded.installed
         self.synchronized = True
 
-    def on_assignment(self, grant: RouteAssignment, now: float) -> None:
-        """Words of earlier keepers, and earlier words of this one, are passed over."""
-        if grant.site != self.site.name or (grant.term, grant.number) <= (
-            self.controller_term,
-            self.assignment_number,
-        ):
+    def on_assignment(self, assignment: RouteAssignment, now: float) -> None:
+        """Takes in an assignment; one of an earlier controller, or an earlier one of this, is dropped."""
+        newest = self.controller_term, self.assignment_number
+        if assignment.site != self.site.name or (assignment.term, assignment.number) <= newest:
             return
-        if grant.term > self.controller_term:
-            self.assignment_number = 0
-        self.controller_term, self.assignment_number, self.assignment_at = grant.term, grant.number, now
+        self.controller_term = assignment.term
+        self.assignment_number = assignment.number
+        self.assignment_at = now
         if not self.synchronized:
             return
-        for row in grant.rows:
-            if (known := self.routes.get(row.address)) is None:
+        for row in assignment.rows:
+            route = self.routes.get(row.address)
+            if route is None:
                 continue
-            known.desired, known.cause, known.is_last = Preference(row.preference), row.cause, row.is_last
-            known.since, known.flaps = now - row.age, row.flaps
+            route.desired = Preference(row.preference)
+            route.cause = row.cause
+            route.is_last = row.is_last
+            route.since = now - row.age
+            route.flaps = row.flaps
 
     def on_local_health(self, address: str, health: float | None, now: float) -> None:
-        """What this site's own members say of it."""
-        if (known := self.routes.get(address)) is not None:
-            dead = health is not None and health < self.policy.dead_below
-            known.dead_since = min(known.dead_since, now) if dead else math.inf
+        """Takes in what this site's own members see; health from 0 to 1, None if unknown."""
+        route = self.routes.get(address)
+        if route is not None:
+            is_dead = health is not None and health < self.policy.dead_below
+            route.dead_since = min(route.dead_since, now) if is_dead else math.inf
 
     def tick(self, now: float) -> list[str]:
-        """What it has decided by itself, in words (rule 4)."""
-        told = []
-        cut_off = now - self.assignment_at
-        for row in self.routes.values() if self.synchronized else ():
-            if row.desired is Preference.WITHDRAWN or row.is_last:
+        """Withdraws by itself what it must while cut off from the controller (rule 4); one log text each."""
+        if not self.synchronized:
+            return []
+        cut_off_for = now - self.assignment_at
+        if cut_off_for < self.policy.cut_off_after:
+            return []
+        texts = []
+        for route in self.routes.values():
+            if route.desired is Preference.WITHDRAWN or route.is_last:
                 continue
-            dead = now - row.dead_since >= self.policy.dead_for
-            if cut_off >= self.policy.cut_off_after and (self.site.cut_off == "withdraw" or dead):
-                why = "its service is dead" if dead else "its file says so"
-                told.append(f"{row.name}: withdrawn, no keeper for {cut_off:.1f} s and {why}")
-                row.desired, row.cause, row.since = Preference.WITHDRAWN, "health", now
-        return told
+            is_dead = now - route.dead_since >= self.policy.dead_for
+            if self.site.cut_off == "withdraw" or is_dead:
+                reason = "its service is dead" if is_dead else "its file says so"
+                texts.append(f"{route.name}: withdrawn, no keeper for {cut_off_for:.1f} s and {reason}")
+                route.desired = Preference.WITHDRAWN
+                route.cause = Cause.HEALTH
+                route.since = now
+        return texts
 
     def next_call_number(self) -> int:
+        """The number of the next call to the guard."""
         self.call_number += 1
         return self.call_number
 
     def pending_routes(self) -> list[AnnouncedRoute]:
-        """What the gate has to be told: the least that makes it right, what is newly advertised first."""
-        rows = (
-            [row for row in self.routes.values() if row.desired is not row.guarded]
-            if self.synchronized
-            else []
-        )
-        return sorted(rows, key=lambda row: (-row.desired, row.name))
+        """Routes that the guard has otherwise than desired; what is newly advertised comes first."""
+        if not self.synchronized:
+            return []
+        routes = [route for route in self.routes.values() if route.desired is not route.guarded]
+        return sorted(routes, key=lambda route: (-route.desired, route.name))
 
     def drained_addresses(self) -> list[str]:
-        """Addresses that an order has withdrawn, as the speaker has taken it."""
+        """Addresses that an override has withdrawn, as the routing daemon has taken it."""
         return [
-            row.name
-            for row in self.routes.values()
-            if row.cause == ORDER and row.desired is row.installed is Preference.WITHDRAWN
+            route.name
+            for route in self.routes.values()
+            if route.cause == Cause.OVERRIDE and route.desired is route.installed is Preference.WITHDRAWN
         ]
 
     def report(self, now: float) -> SiteReport | None:
+        """The report to the controller; None before the guard has answered."""
         if not self.synchronized:
             return None
         rows = [
             RouteStatus(
-                row.name,
-                int(row.desired),
-                row.cause,
-                max(0.0, min(1e9, now - row.since)),
-                row.flaps,
-                row.is_last,
-                row.desired is row.installed,
+                address=route.name,
+                preference=int(route.desired),
+                cause=route.cause,
+                age=max(0.0, min(MAX_AGE, now - route.since)),
+                flaps=route.flaps,
+                is_last=route.is_last,
+                installed=route.desired is route.installed,
             )
-            for row in self.routes.values()
+            for route in self.routes.values()
         ]
-        gate = self.daemon_connected and now - self.guard_answered_at <= self.policy.max_evidence_age
-        return SiteReport(self.site.name, self.controller_term, self.assignment_number, self.term, gate, rows)
+        return SiteReport(
+            site=self.site.name,
+            controller_term=self.controller_term,
+            assignment_number=self.assignment_number,
+            announcer_term=self.term,
+            guard_ready=self.daemon_connected
+            and now - self.guard_answered_at <= self.policy.max_evidence_age,
+            rows=rows,
+        )
--- a/onyxhollow/addresses/controller.py
+++ b/onyxhollow/addresses/controller.py
@@ -1,17 +1,16 @@
-"""The keeper: one process decides for all sites, under the term of its duty. Pure.
+"""The controller: one process decides for all sites, under the term of its lease. Pure.
 
-Before it decides anything it has heard a majority of the voters' orders, and each site either has answered
-under this term (from then on it takes no word of an earlier keeper) or has been asked for some time in vain.
-A decision is told to a site once a majority of the voters have it on their disks: no change without its line
-in the history.
+Before it decides anything it has the overrides of a majority of the voters, and each site either has
+answered under this term (from then on it accepts no assignment of an earlier controller) or has had time
+to. A change is sent to a site once a majority of the voters has stored it: no change without its line in
+the history.
 """
 
 from __future__ import annotations
 
 import math
 from collections import Counter
-from dataclasses import dataclass, field, replace
-from typing import Any
+from dataclasses import dataclass, field
 
 from onyxhollow.addresses.file import AddressesFile
 from onyxhollow.addresses.health import HealthAggregator
@@ -19,7 +18,6 @@
     DecisionRecord,
     HealthReport,
     Message,
-    Override,
     OverrideQuery,
     OverrideResponse,
     RouteAssignment,
@@ -33,309 +31,274 @@
     truncate_utf8,
 )
 from onyxhollow.addresses.overrides import OverrideLog
-from onyxhollow.addresses.rules import (
-    LAST,
-    NONE,
+from onyxhollow.addresses.routes import (
+    MAX_AGE,
     ActiveOverrides,
-    DecisionRound,
     Preference,
     RouteChange,
     RouteState,
     SuppressedChange,
-    apply,
-    decide,
+    SuppressionRule,
+    apply_change,
 )
+from onyxhollow.addresses.rules import DecisionRound, decide
 
-UNKNOWN = "unknown"  # for operators: the site has not told this keeper what stands there
-AGAIN = 2  # words to a voter without an answer until a row is sent again
-WHY = 220  # bytes of a reason, and of the evidence, in a decision
+RESEND_AFTER = 2  # ticks without an acknowledgement until a record is sent to a voter again
+MAX_TEXT_BYTES = 220  # of a reason, and of the evidence, in a decision
+MIN_WAIT_FOR_SITES = 2.0  # seconds that a new controller waits for sites that do not answer ...
+WAIT_INTERVALS = 4  # ... or so many intervals, if that is longer
+
+
+@dataclass(frozen=True, slots=True)
+class ToSite:
+    """A message for a site's announcer."""
+
+    site: str
+    message: Message
+
+
+@dataclass(frozen=True, slots=True)
+class ToVoter:
+    """A message for a voter."""
+
+    voter: str
+    message: Message
 
 
 @dataclass(slots=True)
 class PendingRecord:
-    """A row on its way to the voters' disks."""
+    """A decision that is not yet stored by a majority of the voters."""
 
-    record: StoredRecord
-    change: RouteChange | None
+    record: DecisionRecord
+    change: RouteChange
     stored_by: set[str] = field(default_factory=set)
-    sent: int = 0
+    ticks: int = 0  # since it was first sent
 
 
 class Controller:
-    def __init__(
-        self, told: AddressesFile, voters: tuple[str, ...], term: int, now: float, wall: float
-    ) -> None:
-        self.config, self.policy, self.voters, self.term = told, told.policy, voters, term
-        self.capacity = {site.name: site.capacity for site in told.sites}
+    """One term of the controller.
+
+    Attributes:
+        outbox: messages to send; the caller empties it.
+        committed: decisions that a majority has stored, for the log; the caller empties it.
+        next_due: monotonic time of the next tick.
+    """
+
+    def __init__(self, config: AddressesFile, voters: tuple[str, ...], term: int, now: float) -> None:
+        self.config = config
+        self.policy = config.policy
+        self.voters = voters
+        self.term = term
+        self.capacity = {site.name: site.capacity for site in config.sites}
         self.routes = {
             (service.name, site.name): RouteState(service.name, site.name, capacity=site.capacity)
-            for service in told.services
-            for site in told.sites
+            for service in config.services
+            for site in config.sites
         }
-        self.health = HealthAggregator(told.policy.max_evidence_age)
+        self.health = HealthAggregator(config.policy.max_evidence_age)
         self.overrides = OverrideLog()
         self.synchronized_voters: set[str] = set()
-        self.received_ids: dict[str, set[str]] = {}  # ids of the orders that a voter has told
-        self.answered_at: dict[str, float] = {}  # site: when its announcer last answered under this term
-        self.newest_report: dict[
-            str, tuple[int, int]
-        ] = {}  # site: announcer's term, and the grant it last answered
-        self.reported_routes: set[tuple[str, str]] = set()  # cells that it has answered for
-        self.assigned_in: dict[
-            tuple[str, str], int
-        ] = {}  # number of the grant that told a cell's last decision
-        self.pending: dict[str, PendingRecord] = {}
-        self.outbox: list[tuple[str, Message]] = []  # ("site NAME" or "voter NAME", message)
-        self.suppressed: list[SuppressedChange] = []
+        self.received_ids: dict[str, set[str]] = {}  # by voter: ids of its overrides received so far
+        self.answered_at: dict[str, float] = {}  # by site: its announcer's last answer under this term
+        self.newest_report: dict[str, tuple[int, int]] = {}  # by site: announcer's term, assignment answered
+        self.guard_ready: dict[str, bool] = {}  # by site
+        self.reported_routes: set[tuple[str, str]] = set()  # routes whose state their site has reported
+        self.assigned_in: dict[tuple[str, str], int] = {}  # by route: assignment with its last change
+        self.pending: dict[str, PendingRecord] = {}  # by record id
+        self.outbox: list[ToSite | ToVoter] = []
+        self.committed: list[DecisionRecord] = []
+        self.suppressed: list[SuppressedChange] = []  # of the last round
         self.counts: Counter[str] = Counter()
-        self.committed: list[
-            DecisionRecord
-        ] = []  # carried by a majority's disks, for the log and the history
-        self.last_number = 0
-        self.started_at, self.next_due = now, now
-        self.wall_time = wall
-        self.guard_ready: dict[str, bool] = {}
+        self.last_number = 0  # of a decision or an assignment
+        self.started_at = now
+        self.next_due = now
 
     @property
     def majority(self) -> int:
+        """How many voters must have stored a record."""
         return len(self.voters) // 2 + 1
 
     def ready(self, now: float) -> bool:
         """Whether it knows enough to decide."""
         if len(self.synchronized_voters) < self.majority:
             return False
-        waited = now - self.started_at >= max(2.0, 4 * self.config.interval)
+        wait = max(MIN_WAIT_FOR_SITES, WAIT_INTERVALS * self.config.interval)
+        waited = now - self.started_at >= wait
         return waited or all(site.name in self.answered_at for site in self.config.sites)
 
-    # heard
+    # messages
 
     def on_message(self, message: Message, sender: str, now: float, wall: float) -> None:
-        """sender: the member's name."""
+        """Takes in a message of the member named `sender`."""
         if isinstance(message, HealthReport):
             if message.site in self.capacity:
                 self.health.record(sender, message, now)
         elif isinstance(message, SiteReport):
             self.on_site_report(message, now)
         elif isinstance(message, OverrideResponse) and message.voter in self.voters:
-            for order in message.orders:
-                self.overrides.add(order, now, wall)
-            had = self.received_ids.setdefault(message.voter, set())
-            had |= {order.id for order in message.orders}
-            if message.digest == self.overrides.digest or len(had) >= message.count:
-                self.synchronized_voters.add(message.voter)
+            self.on_override_response(message, now, wall)
         elif isinstance(message, StoreAcknowledgement) and message.voter in self.voters:
-            for name in message.ids:
-                if (row := self.pending.get(name)) is not None:
-                    row.stored_by.add(message.voter)
-                    if len(row.stored_by) >= self.majority:
-                        self.on_committed(self.pending.pop(name), now)
+            self.on_store_acknowledgement(message, now)
+
+    def on_override_response(self, message: OverrideResponse, now: float, wall: float) -> None:
+        """Merges a voter's overrides; a voter counts once all of them have come."""
+        for override in message.overrides:
+            self.overrides.add(override, now, wall)
+        received = self.received_ids.setdefault(message.voter, set())
+        received |= {override.id for override in message.overrides}
+        if message.digest == self.overrides.digest or len(received) >= message.count:
+            self.synchronized_voters.add(message.voter)
+
+    def on_store_acknowledgement(self, message: StoreAcknowledgement, now: float) -> None:
+        """Counts a voter that has stored records."""
+        for name in message.ids:
+            pending = self.pending.get(name)
+            if pending is None:
+                continue
+            pending.stored_by.add(message.voter)
+            if len(pending.stored_by) >= self.majority:
+                del self.pending[name]
+                self.on_committed(pending, now)
 
     def on_site_report(self, message: SiteReport, now: float) -> None:
-        """What stands at a site is what its announcer says: taken over at its first word under this term."""
+        """Takes over a site's state at its first report under this term; later ones confirm."""
         if message.site not in self.capacity or message.controller_term != self.term:
             return
-        if (message.announcer_term, message.assignment_number) < self.newest_report.get(message.site, (0, 0)):
-            return  # it comes late
-        self.newest_report[message.site] = message.announcer_term, message.assignment_number
+        version = message.announcer_term, message.assignment_number
+        if version < self.newest_report.get(message.site, (0, 0)):
+            return  # overtaken by a later one
+        self.newest_report[message.site] = version
         self.answered_at[message.site] = now
         self.guard_ready[message.site] = message.guard_ready
         for row in message.rows:
-            cell = self.routes.get((row.address, message.site))
-            if cell is None:
-                continue
-            # A site that was out of reach may have done something by itself; but what it said before it heard
-            # of the last decision is old, unless it has not heard of it for long.
-            heard = (
-                message.assignment_number >= self.assigned_in.get(cell.key, 0)
-                or now - cell.since > self.policy.max_evidence_age
-            )
-            if cell.key not in self.reported_routes or not cell.reachable and heard:
-                self.reported_routes.add(cell.key)
-                cell.preference, cell.cause = Preference(row.preference), row.cause
-                cell.since, cell.flaps, cell.flaps_at = now - row.age, row.flaps, now
-            cell.installed = row.installed and row.preference == cell.preference
-
-    def order(self, order: Override, now: float, wall: float) -> None:
-        """Told by a member that has taken it; it counts once a majority has it."""
-        if (
-            order.id not in self.overrides.overrides
-            and order.id not in self.pending
-            and len(self.pending) < 1024
-        ):
-            self.pending[order.id] = PendingRecord(order, None)
-
-    def on_committed(self, row: PendingRecord, now: float) -> None:
-        if isinstance(row.record, Override):
-            self.overrides.add(row.record, now, self.wall_time)
-            return
-        self.committed.append(row.record)
-        assert row.change is not None
-        cell = self.routes[row.change.address, row.change.site]
-        apply(self.policy, cell, row.change, now)
-        self.assign(cell.site, now)
-        self.assigned_in[cell.key] = self.last_number
+            route = self.routes.get((row.address, message.site))
+            if route is not None:
+                self.on_route_status(route, row, message.assignment_number, now)
+
+    def on_route_status(self, route: RouteState, row: RouteStatus, answered: int, now: float) -> None:
+        """Takes in the state of one route, reported in answer to the assignment numbered `answered`."""
+        # A site that was out of reach may have withdrawn something by itself. But what it reports before it
+        # has received the last decision is old, unless it has not received it for long.
+        is_current = (
+            answered >= self.assigned_in.get(route.key, 0) or now - route.since > self.policy.max_evidence_age
+        )
+        if route.key not in self.reported_routes or (not route.reachable and is_current):
+            self.reported_routes.add(route.key)
+            route.preference = Preference(row.preference)
+            route.cause = row.cause
+            route.since = now - row.age
+            route.flaps = row.flaps
+            route.flaps_at = now
+        route.installed = row.installed and row.preference == route.preference
 
-    # time passes
+    def on_committed(self, pending: PendingRecord, now: float) -> None:
+        """A majority has stored a decision: it is applied, and its site is told."""
+        self.committed.append(pending.record)
+        route = self.routes[pending.change.address, pending.change.site]
+        apply_change(self.policy, route, pending.change, now)
+        self.assign(route.site, now)
+        self.assigned_in[route.key] = self.last_number
+
+    # time
 
     def tick(self, now: float, wall: float) -> None:
-        self.next_due, self.wall_time = now + self.config.interval, wall
+        """Looks at all routes, decides, and queues what is to be sent."""
+        self.next_due = now + self.config.interval
         self.overrides.compact(now)
         for voter in self.voters:
-            self.outbox.append((f"voter {voter}", OverrideQuery(self.overrides.digest)))
-        for (address, site), cell in self.routes.items():
-            judged = self.health.assess(site, address, now)
-            cell.load, cell.arrival_rate = judged.load, judged.arrival_rate
-            answers = now - self.answered_at.get(site, -math.inf) <= self.policy.max_evidence_age
-            cell.reachable = (
-                answers and self.guard_ready.get(site, False) and cell.key in self.reported_routes
-            )
-            cell.observe(judged.health, judged.reason, self.policy, now)
-            if answers and not cell.reachable:
-                cell.health_reason = f"its gate has no speaker; {cell.health_reason}"
+            self.outbox.append(ToVoter(voter, OverrideQuery(self.overrides.digest)))
+        for route in self.routes.values():
+            self.observe(route, now)
         if self.ready(now):
             self.decide(now, wall)
         for site in self.capacity:
             self.assign(site, now)
         self.send_store_requests()
 
+    def observe(self, route: RouteState, now: float) -> None:
+        """Brings a route's health, load and reachability up to date."""
+        health = self.health.assess(route.site, route.address, now)
+        route.load = health.load
+        route.arrival_rate = health.arrival_rate
+        answers = self.has_answered_lately(route.site, now)
+        has_daemon = self.guard_ready.get(route.site, False)
+        route.reachable = answers and has_daemon and route.key in self.reported_routes
+        route.observe(health.health, health.reason, self.policy, now)
+        if answers and not route.reachable:
+            route.health_reason = f"its gate has no speaker; {route.health_reason}"
+
+    def has_answered_lately(self, site: str, now: float) -> bool:
+        """Whether a site's announcer has reported under this term, and not long ago."""
+        return now - self.answered_at.get(site, -math.inf) <= self.policy.max_evidence_age
+
     def active_overrides(self, now: float) -> dict[tuple[str, str], ActiveOverrides]:
-        return self.overrides.active({a for a, _ in self.routes}, self.capacity, now)
+        """What operators' overrides say of each route."""
+        return self.overrides.active({address for address, _ in self.routes}, self.capacity, now)
 
     def decide(self, now: float, wall: float) -> None:
-        if any(row.change for row in self.pending.values()):
-            return  # the next is decided knowing that these stand
-        decisions, self.suppressed = decide(
-            self.policy, self.routes.values(), self.active_overrides(now), now
-        )
-        for stay in self.suppressed:
-            self.counts[f"stays: {stay.rule}"] += 1
-        for one in decisions:
+        """Decides the next changes, unless earlier ones are still being stored."""
+        if self.pending:
+            return  # the next are decided knowing that these are made
+        overrides = self.active_overrides(now)
+        changes, self.suppressed = decide(self.policy, self.routes.values(), overrides, now)
+        for suppressed in self.suppressed:
+            self.counts[f"stays: {suppressed.rule}"] += 1
+        for change in changes:
             self.last_number += 1
-            self.counts[f"decided: {one.preference.label}"] += 1
-            row = DecisionRecord(
-                self.term,
-                self.last_number,
-                wall,
-                one.address,
-                one.site,
-                int(one.preference),
-                one.cause,
-                truncate_utf8(one.reason, WHY),
-                truncate_utf8(one.evidence, WHY),
+            self.counts[f"decided: {change.preference.label}"] += 1
+            record = DecisionRecord(
+                term=self.term,
+                number=self.last_number,
+                decided_at=wall,
+                address=change.address,
+                site=change.site,
+                preference=int(change.preference),
+                cause=change.cause,
+                reason=truncate_utf8(change.reason, MAX_TEXT_BYTES),
+                evidence=truncate_utf8(change.evidence, MAX_TEXT_BYTES),
             )
-            self.pending[record_id(row)] = PendingRecord(row, one)
+            self.pending[record_id(record)] = PendingRecord(record, change)
 
-    def view(self, now: float) -> dict[str, Any]:
-        """For operators: everything that it goes by."""
-        stays = {(stay.address, stay.site): stay for stay in self.suppressed}
-        orders = self.active_overrides(now)
-        rows = []
-        for key, cell in sorted(self.routes.items()):
-            stay, order = stays.get(key), orders.get(key, NONE)
-            # A keeper that has just begun may never hear from a site whose members are all gone: what stands
-            # there is not known, which is not the same as withdrawn.
-            standing = cell.preference.label if key in self.reported_routes else UNKNOWN
-            rows.append(
-                {
-                    "address": cell.address,
-                    "site": cell.site,
-                    "standing": standing,
-                    "cause": cell.cause,
-                    "for": round(max(0.0, min(1e9, now - cell.since)), 1),
-                    "reached": cell.reachable,
-                    "carried": cell.installed,
-                    "health": None if cell.health is None else round(cell.health, 3),
-                    "evidence": cell.health_reason,
-                    "load": cell.load,
-                    "coming": round(cell.arrival_rate, 2),
-                    "capacity": cell.capacity,
-                    "flaps": round(cell.flap_penalty(self.policy, now), 2),
-                    "stays": f"{stay.rule}: {stay.reason}" if stay else "",
-                    "last": self.is_last(cell, now),
-                    "drain": order.drain,
-                    "pin": order.pin,
-                    "exclude": order.exclude,
-                }
-            )
-        return {
-            "term": self.term,
-            "ready": self.ready(now),
-            "rows": rows,
-            "counts": dict(self.counts),
-            "waiting": len(self.pending),
-        }
+    def is_last(self, route: RouteState, now: float) -> bool:
+        """Whether the route's site must not withdraw it by itself."""
+        obstacle = DecisionRound(self.policy, self.routes.values(), {}, now).obstacle(route)
+        return obstacle is not None and obstacle.rule is SuppressionRule.LAST_SITE
 
-    def plan(self, order: Override, now: float, wall: float) -> dict[str, Any]:
-        """What an order would bring, now and once sessions have moved; nothing is changed."""
-        book = OverrideLog()
-        for row in [*self.overrides.overrides.values(), order]:
-            book.add(row, now, wall)
-        found = book.active({a for a, _ in self.routes}, self.capacity, now)
-        cells = [replace(cell) for cell in self.routes.values()]
-        decisions, stays = decide(self.policy, cells, found, now)
-        anyhow = decide(self.policy, cells, self.active_overrides(now), now)[0]
-        before = {(one.address, one.site): one.preference for one in anyhow}
-        rows = []
-        for one in decisions:
-            if before.get((one.address, one.site)) is one.preference:
-                continue  # that comes anyhow
-            cell = self.routes[one.address, one.site]
-            to = DecisionRound(self.policy, cells, found, now).usable_advertisers(cell)
-            rows.append(
-                {
-                    "address": one.address,
-                    "site": one.site,
-                    "standing": one.preference.label,
-                    "why": one.reason,
-                    "load": cell.load,
-                    "goes_to": {row.site: round(cell.load / len(to), 1) for row in to}
-                    if one.preference is not Preference.ADVERTISED
-                    else {},
-                }
-            )
-        hindered = [
-            {"address": stay.address, "site": stay.site, "why": f"{stay.rule}: {stay.reason}"}
-            for stay in stays
-            if stay.site == order.site
-        ]
-        return {"would": rows, "hindered": hindered, "term": self.term}
-
-    def is_last(self, cell: RouteState, now: float) -> bool:
-        """Whether its site must not withdraw it by itself."""
-        found = DecisionRound(self.policy, self.routes.values(), {}, now).obstacle(cell)
-        return found is not None and found[0] == LAST
+    # what is sent
 
     def assign(self, site: str, now: float) -> None:
-        """To a site that has not answered, or not lately, the keeper only says that it is there: what stands
-        there is heard first."""
-        known = now - self.answered_at.get(site, -math.inf) <= self.policy.max_evidence_age
-        rows = (
-            [
-                RouteStatus(
-                    cell.address,
-                    int(cell.preference),
-                    cell.cause,
-                    max(0.0, min(1e9, now - cell.since)),
-                    cell.flap_penalty(self.policy, now),
-                    self.is_last(cell, now),
-                )
-                for (_, at), cell in self.routes.items()
-                if at == site
-            ]
-            if known
-            else []
-        )
+        """Queues a site's assignment.
+
+        A site that has not answered lately is only told that the controller is there: its state comes first.
+        """
+        rows = []
+        if self.has_answered_lately(site, now):
+            rows = [self.status(route, now) for route in self.routes.values() if route.site == site]
         for page in paginate(rows) if rows else [rows]:
             self.last_number += 1
-            self.outbox.append((f"site {site}", RouteAssignment(self.term, self.last_number, site, page)))
+            assignment = RouteAssignment(self.term, self.last_number, site, page)
+            self.outbox.append(ToSite(site, assignment))
+
+    def status(self, route: RouteState, now: float) -> RouteStatus:
+        """A route as its site is to have it."""
+        return RouteStatus(
+            address=route.address,
+            preference=int(route.preference),
+            cause=route.cause,
+            age=max(0.0, min(MAX_AGE, now - route.since)),
+            flaps=route.flap_penalty(self.policy, now),
+            is_last=self.is_last(route, now),
+        )
 
     def send_store_requests(self) -> None:
-        """What is not kept by a majority yet, to voters that have not said that they have it."""
+        """Queues pending records for the voters that have not acknowledged them."""
         for voter in self.voters:
-            rows = [
-                row for row in self.pending.values() if voter not in row.stored_by and row.sent % AGAIN == 0
+            due: list[StoredRecord] = [
+                pending.record
+                for pending in self.pending.values()
+                if voter not in pending.stored_by and pending.ticks % RESEND_AFTER == 0
             ]
-            for page in paginate(row.record for row in rows):
-                self.outbox.append((f"voter {voter}", StoreRequest(page)))
-        for row in self.pending.values():
-            row.sent += 1
+            for page in paginate(due):
+                self.outbox.append(ToVoter(voter, StoreRequest(page)))
+        for pending in self.pending.values():
+            pending.ticks += 1
--- a/onyxhollow/addresses/messages.py
+++ b/onyxhollow/addresses/messages.py
@@ -1,4 +1,7 @@
-"""What is said of addresses between members, and what is written down: MessagePack by msgspec, as arrays."""
+"""Messages about shared addresses between members, and the records that voters store.
+
+MessagePack by msgspec, structs as arrays: tags and the order of fields are fixed by the wire and the disk.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +10,12 @@
 
 import msgspec
 
-ROOM = 900  # bytes of rows in one message: a datagram less seal, names and what rides along
+PAGE_BYTES = 900  # of rows in one message: a datagram less seal, names and what shares it
 T = TypeVar("T")
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """One thing said."""
+    """One message between members."""
 
 
 class RouteStatus(msgspec.Struct, array_like=True, frozen=True):
@@ -21,63 +24,65 @@
     address: str
     preference: int
     cause: str
-    age: float  # seconds that it has stood so
+    age: float  # seconds since the preference last changed
     flaps: float
-    is_last: bool = False  # it must stay, whatever is seen at the site alone
-    installed: bool = True  # the speaker has been told, and has taken it
+    is_last: bool = False  # the site must not withdraw it by itself, whatever it sees
+    installed: bool = True  # the routing daemon has taken the preference
 
 
 class RouteAssignment(Message, frozen=True, tag=1):
-    """From the keeper to a site's announcer: all its addresses. Also the keeper's word that it is there."""
+    """From the controller to a site's announcer: its addresses; without rows: only that it lives."""
 
-    term: int  # of the keeper
-    number: int
+    term: int  # of the controller
+    number: int  # rises within a term
     site: str
     rows: list[RouteStatus]
 
 
 class SiteReport(Message, frozen=True, tag=2):
-    """From a site's announcer to the keeper, in answer to each grant and by itself."""
+    """From a site's announcer to the controller, in answer to each assignment and by itself."""
 
     site: str
-    controller_term: int  # of the keeper whose word is the newest here
+    controller_term: int  # of the newest assignment received
     assignment_number: int
-    announcer_term: int  # term of the announcer
-    guard_ready: bool  # whether its gate answers, with a speaker
+    announcer_term: int
+    guard_ready: bool  # the route guard answers, and has a routing daemon
     rows: list[RouteStatus]
 
 
 class AddressHealth(msgspec.Struct, array_like=True, frozen=True):
-    """What one member says of an address at its site."""
+    """How one member sees an address at its site."""
 
     address: str
-    health: float  # 0 to 1: the least of what follows
+    health: float  # 0 to 1: the least of all that the member looks at
     reason: str
     load: float  # open sessions
     arrival_rate: float  # new sessions a second
 
 
 class HealthReport(Message, frozen=True, tag=3):
+    """From each member to the controller."""
+
     site: str
     rows: list[AddressHealth]
 
 
 class Override(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """An operator's word; the newest of a kind for an address at a site counts."""
+    """An operator's override; the newest of a kind for an address at a site counts."""
 
     id: str
-    number: int  # higher than all that its taker knew of
-    verb: str  # drain, undrain, pin, unpin, exclude, include
+    number: int  # higher than all that its receiver knew of
+    verb: str  # a key of overrides.VERBS
     address: str  # "": all
     site: str
     operator: str
     reason: str
     given_at: float  # Unix seconds
-    expires_at: float  # Unix seconds; 0: until it is taken back
+    expires_at: float  # Unix seconds; 0: never
 
 
 class DecisionRecord(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """A line of the history."""
+    """A line of the history: one change that the controller has decided."""
 
     term: int
     number: int
@@ -94,40 +99,42 @@
 
 
 class StoreRequest(Message, frozen=True, tag=4):
-    """Please write these down, for good."""
+    """Asks a voter to store records durably."""
 
     rows: list[StoredRecord]
 
 
 class StoreAcknowledgement(Message, frozen=True, tag=5):
-    """They are on this voter's disk: ids of orders, term and number of decisions."""
+    """The records are on this voter's disk; see `record_id`."""
 
     voter: str
     ids: list[str]
 
 
 class OverrideQuery(Message, frozen=True, tag=6):
-    """The keeper asks for the orders that a voter has; known: a digest of its own."""
+    """Asks a voter for its overrides; an equal digest needs none of them."""
 
     digest: int
 
 
 class OverrideResponse(Message, frozen=True, tag=7):
+    """A voter's overrides, or a page of them; none if the digests are equal."""
+
     voter: str
-    digest: int  # a digest of what it has
-    count: int  # how many it has
-    orders: list[Override]  # some of them; none if the asker has the same
+    digest: int
+    count: int  # of all overrides that the voter has
+    overrides: list[Override]
 
 
 class ControllerAnnouncement(Message, frozen=True, tag=8):
-    """The keeper is here: for those who came after it."""
+    """Names the controller, for members that joined after it took over."""
 
     term: int
     process_id: str
 
 
 class QueryRequest(Message, frozen=True, tag=9):
-    """A member asks the keeper, or for the history a voter, on behalf of an operator."""
+    """A member asks the controller, or for the history a voter, on behalf of an operator."""
 
     id: str
     kind: str  # view, plan, history
@@ -135,14 +142,16 @@
 
 
 class QueryResponsePart(Message, frozen=True, tag=10):
+    """A part of the answer: compressed JSON, cut into pieces."""
+
     id: str
     part: int
     parts: int
-    body: bytes  # of a compressed JSON text
+    body: bytes
 
 
 class DrainRequest(Message, frozen=True, tag=13):
-    """From a site's announcer to its members: these are withdrawn by an order, and open connections go."""
+    """From a site's announcer to its members: move the open connections of what an override has withdrawn."""
 
     site: str
     addresses: list[str]
@@ -165,27 +174,30 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-def paginate(rows: Iterable[T], room: int = ROOM) -> Iterator[list[T]]:
-    """Rows in messages that fit into a datagram each: a larger one is never sent, however often it is tried.
-    A row by itself is bounded where it is made."""
+def paginate(rows: Iterable[T], page_bytes: int = PAGE_BYTES) -> Iterator[list[T]]:
+    """Rows in pages that fit into a datagram each; a larger message would never be sent.
+
+    A single row is bounded where it is made.
+    """
     page: list[T] = []
     size = 0
     for row in rows:
-        more = len(encode(row))
-        if page and size + more > room:
+        row_size = len(encode(row))
+        if page and size + row_size > page_bytes:
             yield page
-            page, size = [], 0
+            page = []
+            size = 0
         page.append(row)
-        size += more
+        size += row_size
     if page:
         yield page
 
 
-def truncate_utf8(text: str, most: int) -> str:
-    """The beginning of a text that takes at most so many bytes."""
-    return text.encode()[:most].decode(errors="ignore")
+def truncate_utf8(text: str, max_bytes: int) -> str:
+    """The longest beginning of a text that takes at most `max_bytes` in UTF-8."""
+    return text.encode()[:max_bytes].decode(errors="ignore")
 
 
-def record_id(row: StoredRecord) -> str:
-    """How a row is called when it is said to be kept."""
-    return row.id if isinstance(row, Override) else f"{row.term}.{row.number}"
+def record_id(record: StoredRecord) -> str:
+    """How a record is named when it is acknowledged."""
+    return record.id if isinstance(record, Override) else f"{record.term}.{record.number}"
--- a/onyxhollow/addresses/rules.py
+++ b/onyxhollow/addresses/rules.py
@@ -5,346 +5,285 @@
 
 from __future__ import annotations
 
-import math
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from enum import IntEnum
 
 from onyxhollow.addresses.file import Policy
+from onyxhollow.addresses.hysteresis import Hysteresis
+from onyxhollow.addresses.routes import (
+    NO_OVERRIDES,
+    ActiveOverrides,
+    Cause,
+    Preference,
+    RouteChange,
+    RouteState,
+    SuppressedChange,
+    SuppressionRule,
+)
 
-
-class Preference(IntEnum):
-    WITHDRAWN = 0
-    LOWERED = 1  # advertised, and less preferred: RFC 8326's graceful shutdown, on the way out or back
-    ADVERTISED = 2
-
-    @property
-    def label(self) -> str:
-        """Its name in answers and log lines for operators."""
-        return LABELS[self]
-
-
-LABELS = {
-    Preference.WITHDRAWN: "withdrawn",
-    Preference.LOWERED: "lesser",
-    Preference.ADVERTISED: "advertised",
-}
-
-
-# Why a site is not advertised, or only just is again. ASIDE: ill with those that were withdrawn, and waiting.
-HEALTH, ORDER, BACK, ASIDE = "health", "order", "back", "aside"
-
-
-@dataclass(slots=True)
-class RouteState:
-    """One address at one site, as the keeper knows it. Times on the keeper's clock."""
-
-    address: str
-    site: str
-    preference: Preference = Preference.WITHDRAWN
-    cause: str = ""
-    since: float = -math.inf  # of its standing
-    flaps: float = 0.0  # withdrawals for health, fading
-    flaps_at: float = 0.0
-    reachable: bool = False  # its announcer has answered this keeper, lately, and its gate has a speaker
-    installed: bool = False  # the speaker has taken this standing
-    health: float | None = None  # None: no fresh evidence
-    health_reason: str = ""
-    load: float = 0.0  # open sessions there
-    arrival_rate: float = 0.0  # new sessions a second
-    capacity: float = 0.0  # of the site, sessions
-    unhealthy_since: float = math.inf
-    healthy_since: float = math.inf
-    arrival_rate_before_drain: float = 0.0  # new sessions a second when its drain began
-
-    @property
-    def key(self) -> tuple[str, str]:
-        return self.address, self.site
-
-    def observe(self, health: float | None, reason: str, policy: Policy, now: float) -> None:
-        """How long it has been ill or well, on the keeper's own clock: no step of the wall clock counts."""
-        self.health, self.health_reason = health, reason
-        if health is None:
-            self.unhealthy_since = self.healthy_since = math.inf  # nothing is known: neither has lasted
-            return
-        self.unhealthy_since = min(self.unhealthy_since, now) if health < policy.unhealthy_below else math.inf
-        self.healthy_since = min(self.healthy_since, now) if health >= policy.healthy_from else math.inf
-
-    def flap_penalty(self, policy: Policy, now: float) -> float:
-        return self.flaps * math.exp2(-max(0.0, now - self.flaps_at) / policy.flap_half_life)
+PART = 0.5  # of a route's sessions that move when it is only lowered
 
 
 @dataclass(frozen=True, slots=True)
-class RouteChange:
-    address: str
-    site: str
-    preference: Preference
-    cause: str
-    reason: str  # in plain words, with figures
-    evidence: str
-
+class Obstacle:
+    """What forbids that a route is withdrawn or lowered."""
 
-@dataclass(frozen=True, slots=True)
-class SuppressedChange:
-    """What was not done, and why: one of a few words, for counters and operators."""
-
-    address: str
-    site: str
-    rule: str
+    rule: SuppressionRule
     reason: str
 
 
-LAST, ALL_ILL, NO_ROOM, TOO_MANY, PINNED = "last", "all ill", "no room", "too many at once", "pinned"
-
-
-@dataclass(frozen=True, slots=True)
-class ActiveOverrides:
-    """What operators' orders in force say of one address at one site."""
-
-    drain: str = ""  # who and why; "": no such order
-    pin: str = ""
-    exclude: str = ""
-
-
-NONE = ActiveOverrides()
-
-
-def restore_delay(policy: Policy, cell: RouteState, now: float) -> float:
-    """Seconds that a site has to be well before it is restored (rule 2): longer with each flap, capped."""
-    return min(
-        policy.max_healthy_for, policy.healthy_for * math.exp2(max(0.0, cell.flap_penalty(policy, now) - 1.0))
-    )
-
-
-def unhealthy_long_enough(policy: Policy, cell: RouteState, now: float) -> bool:
-    if cell.health is None or cell.health >= policy.unhealthy_below:
-        return False
-    return now - cell.unhealthy_since >= (
-        policy.dead_for if cell.health < policy.dead_below else policy.unhealthy_for
-    )
-
-
 class DecisionRound:
-    """One look at everything. Decisions count on each other: each is made with those before it in mind."""
+    """One pass over all routes. Decisions depend on each other: each is made knowing those before it."""
 
     def __init__(
         self,
         policy: Policy,
-        cells: Iterable[RouteState],
-        orders: Mapping[tuple[str, str], ActiveOverrides],
+        routes: Iterable[RouteState],
+        overrides: Mapping[tuple[str, str], ActiveOverrides],
         now: float,
     ) -> None:
-        self.policy, self.routes, self.overrides, self.now = policy, list(cells), orders, now
-        self.preferences = {cell.key: cell.preference for cell in self.routes}
+        self.policy = policy
+        self.hysteresis = Hysteresis(policy)
+        self.routes = list(routes)
+        self.overrides = overrides
+        self.now = now
+        self.preferences = {route.key: route.preference for route in self.routes}
         self.decisions: list[RouteChange] = []
         self.suppressed: list[SuppressedChange] = []
-        self.moved_load: dict[str, float] = {}  # sessions sent to each site by what is decided here
-        gone = [
-            cell
-            for cell in self.routes
-            if cell.cause == HEALTH
-            and cell.preference is not Preference.ADVERTISED
-            and now - cell.since < policy.withdrawal_window
+        self.moved_load: dict[str, float] = {}  # by site: sessions sent there by decisions of this round
+        withdrawn = [
+            route
+            for route in self.routes
+            if route.cause == Cause.HEALTH
+            and route.preference is not Preference.ADVERTISED
+            and now - route.since < policy.withdrawal_window
         ]
-        self.recently_withdrawn = {cell.site for cell in gone}
-        self.first_withdrawn_at = min((cell.since for cell in gone), default=now)
+        self.recently_withdrawn = {route.site for route in withdrawn}
+        self.first_withdrawn_at = min((route.since for route in withdrawn), default=now)
 
-    def change(self, cell: RouteState, standing: Preference, cause: str, why: str) -> None:
-        health = "unknown" if cell.health is None else f"{cell.health:.2f}"
-        evidence = f"health {health}: {cell.health_reason}"
-        self.decisions.append(RouteChange(cell.address, cell.site, standing, cause, why, evidence))
-        self.preferences[cell.key] = standing
+    # what other sites can serve
 
-    def suppress(self, cell: RouteState, rule: str, why: str) -> None:
-        self.suppressed.append(SuppressedChange(cell.address, cell.site, rule, why))
+    def is_usable(self, route: RouteState) -> bool:
+        """Whether a route's clients are known to be served there."""
+        return route.health is not None and route.health >= self.policy.unhealthy_below
 
-    def is_usable(self, cell: RouteState) -> bool:
-        return cell.health is not None and cell.health >= self.policy.unhealthy_below
-
-    def other_advertisers(self, cell: RouteState) -> list[RouteState]:
-        """Sites that go on advertising the address without this one, as their speakers have taken it."""
+    def other_advertisers(self, route: RouteState) -> list[RouteState]:
+        """Routes that still advertise the address without this one, as their daemons have taken it."""
         return [
-            one
-            for one in self.routes
-            if one.address == cell.address
-            and one is not cell
-            and one.reachable
-            and one.installed
-            and one.preference is self.preferences[one.key] is Preference.ADVERTISED
+            other
+            for other in self.routes
+            if other.address == route.address
+            and other is not route
+            and other.reachable
+            and other.installed
+            and other.preference is self.preferences[other.key] is Preference.ADVERTISED
         ]
 
-    def usable_advertisers(self, cell: RouteState) -> list[RouteState]:
-        """Those of them that are not ill: where its clients would go."""
-        return [one for one in self.other_advertisers(cell) if self.is_usable(one)]
+    def usable_advertisers(self, route: RouteState) -> list[RouteState]:
+        """Those of them that are healthy enough: where the route's clients would go."""
+        return [other for other in self.other_advertisers(route) if self.is_usable(other)]
 
-    def spare_capacity(self, cell: RouteState) -> float:
-        """Sessions that those could still bear, all addresses of theirs counted."""
+    def spare_capacity(self, route: RouteState) -> float:
+        """Sessions that those can still serve, with all addresses of their sites counted."""
         free = 0.0
-        for one in self.usable_advertisers(cell):
-            held = sum(row.load for row in self.routes if row.site == one.site) + self.moved_load.get(
-                one.site, 0.0
-            )
-            free += max(0.0, self.policy.max_utilization * one.capacity - held)
+        for other in self.usable_advertisers(route):
+            moved = self.moved_load.get(other.site, 0.0)
+            load = sum(one.load for one in self.routes if one.site == other.site) + moved
+            free += max(0.0, self.policy.max_utilization * other.capacity - load)
         return free
 
-    def account_for_move(self, cell: RouteState) -> None:
-        near = self.usable_advertisers(cell)
-        for one in near:
-            self.moved_load[one.site] = self.moved_load.get(one.site, 0.0) + cell.load / len(near)
-
-    def obstacle(self, cell: RouteState, share: float = 1.0) -> tuple[str, str] | None:
-        """Rule 3: whether the last ones and room elsewhere forbid that it goes, or a share of it."""
-        others, able = self.other_advertisers(cell), self.usable_advertisers(cell)
-        if len(others) < self.policy.min_sites or not able:
-            return LAST, f"{len(others)} others advertise, {len(able)} not ill; least {self.policy.min_sites}"
-        if (free := self.spare_capacity(cell)) < cell.load * share:
-            return NO_ROOM, f"{cell.load:.0f} sessions, room elsewhere for {free:.0f}"
+    def account_for_move(self, route: RouteState) -> None:
+        """Counts the route's sessions at the sites that they move to, for later decisions of this round."""
+        receivers = self.usable_advertisers(route)
+        for other in receivers:
+            moved = self.moved_load.get(other.site, 0.0)
+            self.moved_load[other.site] = moved + route.load / len(receivers)
+
+    def obstacle(self, route: RouteState, share: float = 1.0) -> Obstacle | None:
+        """Rule 3: whether the last sites, or capacity elsewhere, forbid that `share` of its sessions move."""
+        others = self.other_advertisers(route)
+        usable = self.usable_advertisers(route)
+        if len(others) < self.policy.min_sites or not usable:
+            counts = f"{len(others)} others advertise, {len(usable)} not ill"
+            return Obstacle(SuppressionRule.LAST_SITE, f"{counts}; least {self.policy.min_sites}")
+        free = self.spare_capacity(route)
+        if free < route.load * share:
+            reason = f"{route.load:.0f} sessions, room elsewhere for {free:.0f}"
+            return Obstacle(SuppressionRule.NO_CAPACITY, reason)
         return None
 
+    # what comes of it
+
+    def change(self, route: RouteState, preference: Preference, cause: Cause, reason: str) -> None:
+        """Decides a change."""
+        health = "unknown" if route.health is None else f"{route.health:.2f}"
+        evidence = f"health {health}: {route.health_reason}"
+        self.decisions.append(RouteChange(route.address, route.site, preference, cause, reason, evidence))
+        self.preferences[route.key] = preference
+
+    def suppress(self, route: RouteState, rule: SuppressionRule, reason: str) -> None:
+        """Notes a change that is not made."""
+        self.suppressed.append(SuppressedChange(route.address, route.site, rule, reason))
+
+    # the rules
+
     def decide(self) -> None:
+        """Decides for all routes, the least healthy first."""
         self.restore_minimum()
         worst_first = sorted(
-            self.routes, key=lambda c: (c.health is None, c.health or 0.0, c.site, c.address)
+            self.routes,
+            key=lambda route: (route.health is None, route.health or 0.0, route.site, route.address),
         )
-        for cell in worst_first:
-            if not cell.reachable or self.preferences[cell.key] is not cell.preference:
-                continue  # it can't be told, and follows its file (rule 4); or it is settled above
-            order = self.overrides.get(cell.key, NONE)
-            if order.pin:
-                self.apply_pin(cell, order)
-            elif order.exclude or order.drain:
-                self.apply_drain_or_exclusion(cell, order)
-            elif cell.preference is not Preference.WITHDRAWN and unhealthy_long_enough(
-                self.policy, cell, self.now
-            ):
-                self.withdraw_unhealthy(cell)
-            elif cell.preference is Preference.WITHDRAWN:
-                self.restore_lowered(cell)
-            elif cell.preference is Preference.LOWERED:
-                self.restore_fully(cell)
+        for route in worst_first:
+            if not route.reachable or self.preferences[route.key] is not route.preference:
+                continue  # it cannot be told, and follows its file (rule 4); or it is decided above
+            self.decide_route(route)
+
+    def decide_route(self, route: RouteState) -> None:
+        """Overrides come first, then health, then the way back."""
+        override = self.overrides.get(route.key, NO_OVERRIDES)
+        if override.pin:
+            self.apply_pin(route, override)
+        elif override.exclude or override.drain:
+            self.apply_drain_or_exclusion(route, override)
+        elif route.preference is not Preference.WITHDRAWN and self.is_lost(route):
+            self.withdraw_unhealthy(route)
+        elif route.preference is Preference.WITHDRAWN:
+            self.restore_lowered(route)
+        elif route.preference is Preference.LOWERED:
+            self.restore_fully(route)
+
+    def is_lost(self, route: RouteState) -> bool:
+        """Whether its health calls for a withdrawal."""
+        return self.hysteresis.is_unhealthy_long_enough(route, self.now)
 
     def restore_minimum(self) -> None:
-        """Rule 3: too few that can serve advertise an address: the best of those out comes back at once."""
-        for address in sorted({cell.address for cell in self.routes}):
-            rows = [cell for cell in self.routes if cell.address == address and cell.reachable]
-            serving = sum(cell.preference is Preference.ADVERTISED and self.is_usable(cell) for cell in rows)
-            out = [
-                cell for cell in rows if cell.preference is not Preference.ADVERTISED and self.is_usable(cell)
-            ]
-            out.sort(key=lambda cell: (-(cell.health or 0.0), -cell.preference, cell.site))
-            for cell in out[: max(0, self.policy.min_sites - serving)]:
-                why = f"{serving} that can serve advertise it, least {self.policy.min_sites}"
-                self.change(cell, Preference.ADVERTISED, "", why)
-
-    def apply_pin(self, cell: RouteState, order: ActiveOverrides) -> None:
-        if cell.preference is not Preference.ADVERTISED:
-            self.change(cell, Preference.ADVERTISED, "", f"pinned: {order.pin}")
-        elif order.exclude or order.drain or unhealthy_long_enough(self.policy, cell, self.now):
-            self.suppress(cell, PINNED, order.pin)
-
-    def withdraw_unhealthy(self, cell: RouteState) -> None:
-        """Rules 1 to 3: ill for long enough; out if others can bear it."""
-        policy, now = self.policy, self.now
-        if not any(self.is_usable(one) for one in self.routes if one.address == cell.address):
-            self.suppress(cell, ALL_ILL, "no site is known to be better")
+        """Rule 3: too few usable sites advertise an address: the best of the others comes back at once."""
+        for address in sorted({route.address for route in self.routes}):
+            routes = [route for route in self.routes if route.address == address and route.reachable]
+            usable = [route for route in routes if self.is_usable(route)]
+            serving = sum(route.preference is Preference.ADVERTISED for route in usable)
+            out = [route for route in usable if route.preference is not Preference.ADVERTISED]
+            out.sort(key=lambda route: (-(route.health or 0.0), -route.preference, route.site))
+            for route in out[: max(0, self.policy.min_sites - serving)]:
+                reason = f"{serving} that can serve advertise it, least {self.policy.min_sites}"
+                self.change(route, Preference.ADVERTISED, Cause.NONE, reason)
+
+    def apply_pin(self, route: RouteState, override: ActiveOverrides) -> None:
+        """A pinned route is advertised whatever its health."""
+        if route.preference is not Preference.ADVERTISED:
+            self.change(route, Preference.ADVERTISED, Cause.NONE, f"pinned: {override.pin}")
+        elif override.exclude or override.drain or self.is_lost(route):
+            self.suppress(route, SuppressionRule.PINNED, override.pin)
+
+    def withdraw_unhealthy(self, route: RouteState) -> None:
+        """Rules 1 to 3: unhealthy for long enough; withdrawn if other sites can take its sessions."""
+        if not any(self.is_usable(other) for other in self.routes if other.address == route.address):
+            self.suppress(route, SuppressionRule.ALL_UNHEALTHY, "no site is known to be better")
             return
-        if (
-            cell.site not in self.recently_withdrawn
-            and len(self.recently_withdrawn) >= policy.max_concurrent_withdrawals
-        ):
-            self.step_aside(cell)
+        is_new = route.site not in self.recently_withdrawn
+        if is_new and len(self.recently_withdrawn) >= self.policy.max_concurrent_withdrawals:
+            self.step_aside(route)
             return
-        why = f"health {cell.health:.2f} for {now - cell.unhealthy_since:.1f} s"
-        found = self.obstacle(cell)
-        if found is None:
-            self.change(cell, Preference.WITHDRAWN, HEALTH, why)
-        elif (
-            found[0] == NO_ROOM and cell.preference is Preference.ADVERTISED and not self.obstacle(cell, 0.5)
-        ):
-            self.change(cell, Preference.LOWERED, HEALTH, f"{why}; {found[1]}: in part")
+        reason = f"health {route.health:.2f} for {self.now - route.unhealthy_since:.1f} s"
+        obstacle = self.obstacle(route)
+        if obstacle is None:
+            self.change(route, Preference.WITHDRAWN, Cause.HEALTH, reason)
+        elif self.may_be_lowered(route, obstacle):
+            self.change(route, Preference.LOWERED, Cause.HEALTH, f"{reason}; {obstacle.reason}: in part")
         else:
-            self.suppress(cell, *found)
+            self.suppress(route, obstacle.rule, obstacle.reason)
             return
-        self.account_for_move(cell)
-        self.recently_withdrawn.add(cell.site)
-
-    def step_aside(self, cell: RouteState) -> None:
-        """Rule 3: as many are out as may be at a time. What was ill before the first of them went is not ill
-        by their load: it steps back to a lesser preference, so that what leaves them does not come here
-        first, and is still there if the others fall. What fell ill afterwards stays: that may be a wave."""
-        count, policy = len(self.recently_withdrawn), self.policy
-        limit = policy.max_concurrent_withdrawals
-        why = f"{count} withdrawn within {policy.withdrawal_window:g} s, most {limit}"
-        before = cell.unhealthy_since <= self.first_withdrawn_at
-        if before and cell.preference is Preference.ADVERTISED and self.obstacle(cell) is None:
-            lasts = self.now - cell.unhealthy_since
-            self.change(cell, Preference.LOWERED, ASIDE, f"{why}; ill before that, for {lasts:.1f} s")
-            self.account_for_move(cell)
+        self.account_for_move(route)
+        self.recently_withdrawn.add(route.site)
+
+    def may_be_lowered(self, route: RouteState, obstacle: Obstacle) -> bool:
+        """Whether part of its sessions fit elsewhere where all of them do not."""
+        return (
+            obstacle.rule is SuppressionRule.NO_CAPACITY
+            and route.preference is Preference.ADVERTISED
+            and not self.obstacle(route, PART)
+        )
+
+    def step_aside(self, route: RouteState) -> None:
+        """Rule 3: as many sites are withdrawn as may be at a time.
+
+        What was unhealthy before the first of them was withdrawn is not unhealthy by their load. It is
+        lowered, so that clients that leave them do not come here first, and it is still there if the others
+        fail. What became unhealthy afterwards stays: that may be a wave of load.
+        """
+        policy = self.policy
+        withdrawn = f"{len(self.recently_withdrawn)} withdrawn within {policy.withdrawal_window:g} s"
+        reason = f"{withdrawn}, most {policy.max_concurrent_withdrawals}"
+        was_unhealthy_before = route.unhealthy_since <= self.first_withdrawn_at
+        is_advertised = route.preference is Preference.ADVERTISED
+        if was_unhealthy_before and is_advertised and self.obstacle(route) is None:
+            lasted = self.now - route.unhealthy_since
+            reason = f"{reason}; ill before that, for {lasted:.1f} s"
+            self.change(route, Preference.LOWERED, Cause.STEPPED_ASIDE, reason)
+            self.account_for_move(route)
         else:
-            self.suppress(cell, TOO_MANY, why)
+            self.suppress(route, SuppressionRule.TOO_MANY, reason)
 
-    def apply_drain_or_exclusion(self, cell: RouteState, order: ActiveOverrides) -> None:
-        """A drain or an exclusion (rules 3 and 6)."""
-        if cell.preference is Preference.WITHDRAWN:
+    def apply_drain_or_exclusion(self, route: RouteState, override: ActiveOverrides) -> None:
+        """A drain or an exclusion, in two steps: lowered, then withdrawn (rules 3 and 6)."""
+        if route.preference is Preference.WITHDRAWN:
             return
-        what = f"excluded: {order.exclude}" if order.exclude else f"drain: {order.drain}"
-        found, lasted = self.obstacle(cell), self.now - cell.since
-        if found is not None:
-            if cell.preference is Preference.LOWERED and found[0] == LAST:
-                self.change(cell, Preference.ADVERTISED, "", f"{what}; but {found[1]}")
+        what = f"excluded: {override.exclude}" if override.exclude else f"drain: {override.drain}"
+        obstacle = self.obstacle(route)
+        if obstacle is not None:
+            if route.preference is Preference.LOWERED and obstacle.rule is SuppressionRule.LAST_SITE:
+                self.change(route, Preference.ADVERTISED, Cause.NONE, f"{what}; but {obstacle.reason}")
             else:
-                self.suppress(cell, *found)
-        elif cell.preference is Preference.ADVERTISED:
-            self.change(cell, Preference.LOWERED, ORDER, what)
-            self.account_for_move(cell)
-        elif order.exclude:
-            self.change(cell, Preference.WITHDRAWN, ORDER, what)
-        elif lasted >= self.policy.drain_for or (
-            lasted >= self.policy.recovery_step
-            and cell.arrival_rate <= self.policy.drained_ratio * cell.arrival_rate_before_drain
-        ):
-            before = cell.arrival_rate_before_drain
-            why = f"{what}; {cell.arrival_rate:.1f} new sessions a second, {before:.1f} before"
-            self.change(cell, Preference.WITHDRAWN, ORDER, why)
-
-    def restore_lowered(self, cell: RouteState) -> None:
-        """Rule 2: well again, it comes back in steps; later with each flap."""
-        if cell.health is None or cell.health < self.policy.healthy_from:
+                self.suppress(route, obstacle.rule, obstacle.reason)
+        elif route.preference is Preference.ADVERTISED:
+            self.change(route, Preference.LOWERED, Cause.OVERRIDE, what)
+            self.account_for_move(route)
+        elif override.exclude:
+            self.change(route, Preference.WITHDRAWN, Cause.OVERRIDE, what)
+        elif self.is_drained(route):
+            before = route.arrival_rate_before_drain
+            reason = f"{what}; {route.arrival_rate:.1f} new sessions a second, {before:.1f} before"
+            self.change(route, Preference.WITHDRAWN, Cause.OVERRIDE, reason)
+
+    def is_drained(self, route: RouteState) -> bool:
+        """Whether a lowered route has lost its new sessions, or has had the time to."""
+        lasted = self.now - route.since
+        if lasted >= self.policy.drain_for:
+            return True
+        few = route.arrival_rate <= self.policy.drained_ratio * route.arrival_rate_before_drain
+        return lasted >= self.policy.recovery_step and few
+
+    def restore_lowered(self, route: RouteState) -> None:
+        """Rule 2: a withdrawn route that is healthy again comes back lowered, later with each flap."""
+        if route.health is None or route.health < self.policy.healthy_from:
             return
-        well_for = self.now - cell.healthy_since
-        needs = (
-            restore_delay(self.policy, cell, self.now) if cell.cause == HEALTH else self.policy.recovery_step
-        )
-        if well_for >= needs:
-            self.change(cell, Preference.LOWERED, BACK, f"well for {well_for:.1f} s, {needs:.1f} needed")
+        healthy_for = self.now - route.healthy_since
+        if route.cause == Cause.HEALTH:
+            needed = self.hysteresis.restore_delay(route, self.now)
+        else:
+            needed = self.policy.recovery_step
+        if healthy_for >= needed:
+            reason = f"well for {healthy_for:.1f} s, {needed:.1f} needed"
+            self.change(route, Preference.LOWERED, Cause.RECOVERY, reason)
 
-    def restore_fully(self, cell: RouteState) -> None:
-        """From a lesser preference to the full one."""
-        lasted = self.now - cell.since
-        well = cell.health is not None and cell.health >= self.policy.healthy_from
-        if (
-            well
-            and lasted >= self.policy.recovery_step
-            and self.now - cell.healthy_since >= self.policy.recovery_step
-        ):
-            self.change(cell, Preference.ADVERTISED, "", f"well at a lesser preference for {lasted:.1f} s")
+    def restore_fully(self, route: RouteState) -> None:
+        """Rule 2: from the lowered preference to the full one."""
+        step = self.policy.recovery_step
+        lasted = self.now - route.since
+        is_healthy = route.health is not None and route.health >= self.policy.healthy_from
+        if is_healthy and lasted >= step and self.now - route.healthy_since >= step:
+            reason = f"well at a lesser preference for {lasted:.1f} s"
+            self.change(route, Preference.ADVERTISED, Cause.NONE, reason)
 
 
 def decide(
-    policy: Policy, cells: Iterable[RouteState], orders: Mapping[tuple[str, str], ActiveOverrides], now: float
+    policy: Policy,
+    routes: Iterable[RouteState],
+    overrides: Mapping[tuple[str, str], ActiveOverrides],
+    now: float,
 ) -> tuple[list[RouteChange], list[SuppressedChange]]:
-    """What is to change now, and what else would have, and why it does not."""
-    this = DecisionRound(policy, cells, orders, now)
-    this.decide()
-    return this.decisions, this.suppressed
-
-
-def apply(policy: Policy, cell: RouteState, decision: RouteChange, now: float) -> None:
-    """What a decision makes of its cell, once it is told to the site."""
-    if decision.cause == HEALTH and cell.cause != HEALTH:
-        cell.flaps, cell.flaps_at = cell.flap_penalty(policy, now) + 1.0, now
-    if decision.cause == ORDER and cell.preference is Preference.ADVERTISED:
-        cell.arrival_rate_before_drain = cell.arrival_rate
-    if decision.preference is not cell.preference:
-        cell.since, cell.installed = now, False  # what the speaker had taken was the standing before
-    cell.preference, cell.cause = decision.preference, decision.cause
+    """What is to change now, and what health or an override calls for and is not done."""
+    this_round = DecisionRound(policy, routes, overrides, now)
+    this_round.decide()
+    return this_round.decisions, this_round.suppressed
--- a/onyxhollow/fleet/address_commands.py
+++ b/onyxhollow/fleet/address_commands.py
@@ -1,7 +1,7 @@
-"""addresses: what is advertised where and why, orders to change it; asked of a running process.
+"""The command `addresses`: what is advertised where and why, and overrides; asked of a running process.
 
-Exit codes: 0 done; 2 could not be asked, or bad words; 3 an order that is not kept by a majority yet; 4 a
-plan that is hindered.
+Exit codes: 0 done; 2 the process could not be asked, or the arguments are wrong; 3 an override that is not
+yet stored by a majority; 4 a plan that something forbids.
 """
 
 from __future__ import annotations
@@ -19,210 +19,291 @@
 from rich.live import Live
 from rich.table import Table
 
+from onyxhollow.addresses.routes import Preference
 from onyxhollow.fleet.commands import CallError, call
 
-ANSWER = 4.0  # seconds for the keeper's answer, or for an order to be kept
-AGAIN = 0.1
-WATCH_EVERY = 1.0
-PIPED = 160  # columns where it is no terminal
-VERBS = ("drain", "undrain", "pin", "unpin", "exclude", "include")
-NOT_KEPT, HINDERED = 3, 4
+ANSWER_TIMEOUT = 4.0  # seconds for the controller's answer, or for an override to be stored
+POLL_INTERVAL = 0.1  # seconds
+WATCH_INTERVAL = 1.0  # seconds
+PIPED_WIDTH = 160  # columns where the output is no terminal
+ROOT = "/control/addresses"
+OVERRIDE_VERBS = ("drain", "undrain", "pin", "unpin", "exclude", "include")
+VIEW_COLUMNS = ("address", "site", "standing", "for", "health", "sessions", "of", "flaps", "notes")
+HISTORY_COLUMNS = ("when", "what", "address", "site", "why", "evidence")
+DONE, FAILED, NOT_STORED, HINDERED, INTERRUPTED = 0, 2, 3, 4, 130  # exit codes
+JsonObject = dict[str, Any]  # an answer of /control/addresses, whose keys docs/addresses.md gives
 
 
-def fetch(at: str, path: str, **query: str) -> Any:
-    """A question that another member may have to answer: called again until it has."""
-    id = json.loads(call(at, "GET", path, root="/control/addresses", **query))["id"]
-    until = time.monotonic() + ANSWER
+# calls
+
+
+def fetch(at: str, path: str, **query: str) -> JsonObject:
+    """A query that another member may have to answer: repeated until it has.
+
+    Raises:
+        CallError: no answer in time, or a refusal.
+    """
+    query_id = json.loads(call(at, "GET", path, root=ROOT, **query))["id"]
+    until = time.monotonic() + ANSWER_TIMEOUT
     while time.monotonic() < until:
-        told = json.loads(call(at, "GET", path, root="/control/addresses", id=id))
-        if "id" not in told:
-            return told
-        time.sleep(AGAIN)
-    raise CallError(f"{at}: expected an answer of the keeper or a voter within {ANSWER:g} s, got none")
+        answer: JsonObject = json.loads(call(at, "GET", path, root=ROOT, id=query_id))
+        if "id" not in answer:
+            return answer
+        time.sleep(POLL_INTERVAL)
+    raise CallError(
+        f"{at}: expected an answer of the keeper or a voter within {ANSWER_TIMEOUT:g} s, got none"
+    )
+
+
+def override_query(args: argparse.Namespace, verb: str) -> dict[str, str]:
+    """The parameters of an override, or of its plan."""
+    who = args.who or os.environ.get("SUDO_USER") or getpass.getuser()
+    query = {"verb": verb, "site": args.site, "address": args.address or "", "who": who, "why": args.why}
+    return query | ({"until": str(args.until)} if args.until else {})
+
+
+# texts
+
+
+def describe_time(unix: float) -> str:
+    """Local time; empty for 0."""
+    return datetime.datetime.fromtimestamp(unix).strftime("%Y-%m-%d %H:%M:%S") if unix else ""
+
+
+def describe_health(row: JsonObject, unknown: str) -> str:
+    """Health with two digits."""
+    return unknown if row["health"] is None else f"{row['health']:.2f}"
 
 
-def marks(row: dict[str, Any]) -> str:
-    found = [f"{kind}: {row[kind]}" for kind in ("pin", "exclude", "drain") if row[kind]]
+def describe_notes(row: JsonObject) -> str:
+    """Overrides, what is not done yet, and why a change is not made."""
+    notes = [f"{kind}: {row[kind]}" for kind in ("pin", "exclude", "drain") if row[kind]]
     if not row["reached"]:
-        found.append("not reached")
+        notes.append("not reached")
     elif not row["carried"]:
-        found.append("not carried out yet")
+        notes.append("not carried out yet")
     if row["stays"]:
-        found.append(f"stays, {row['stays']}")
-    return "; ".join(found)
+        notes.append(f"stays, {row['stays']}")
+    return "; ".join(notes)
 
 
-def table(told: dict[str, Any], name: str = "") -> Table:
-    caption = f"keeper {told['keeper']}, term {told['term']}" + ("" if told["ready"] else ", still listening")
-    shown = Table(box=None, caption=caption, caption_justify="left")
-    for head in ("address", "site", "standing", "for", "health", "sessions", "of", "flaps", "notes"):
-        shown.add_column(head, overflow="fold")
-    for row in told["rows"]:
-        if name in ("", row["address"]):
-            health = "?" if row["health"] is None else f"{row['health']:.2f}"
-            cause = f" ({row['cause']})" if row["cause"] else ""
-            figures = f"{row['load']:.0f}", f"{row['capacity']:.0f}", f"{row['flaps']:.1f}", marks(row)
-            standing = row["standing"] + cause
-            shown.add_row(row["address"], row["site"], standing, f"{row['for']:.0f} s", health, *figures)
-    return shown
-
-
-def why(told: dict[str, Any], name: str, site: str) -> str:
-    for row in told["rows"]:
+def describe_route(answer: JsonObject, name: str, site: str) -> str:
+    """Why an address is announced as it is at a site; CallError if there is no such route."""
+    for row in answer["rows"]:
         if (row["address"], row["site"]) == (name, site):
-            health = "unknown" if row["health"] is None else f"{row['health']:.2f}"
+            cause = f", cause {row['cause']}" if row["cause"] else ""
             lines = [
-                f"{name} at {site}: {row['standing']} for {row['for']:.0f} s"
-                + (f", cause {row['cause']}" if row["cause"] else ""),
-                f"health {health}: {row['evidence']}",
+                f"{name} at {site}: {row['standing']} for {row['for']:.0f} s{cause}",
+                f"health {describe_health(row, 'unknown')}: {row['evidence']}",
             ]
-            return "\n".join(lines + ([marks(row)] if marks(row) else []))
+            notes = describe_notes(row)
+            return "\n".join([*lines, notes] if notes else lines)
     raise CallError(f"why: expected an address and a site of the file, got {name} {site}")
 
 
-def moment(unix: float) -> str:
-    return datetime.datetime.fromtimestamp(unix).strftime("%Y-%m-%d %H:%M:%S") if unix else ""
+def view_table(answer: JsonObject, name: str = "") -> Table:
+    """All routes, or those of one address."""
+    pending = "" if answer["ready"] else ", still listening"
+    caption = f"keeper {answer['keeper']}, term {answer['term']}{pending}"
+    table = Table(box=None, caption=caption, caption_justify="left")
+    for head in VIEW_COLUMNS:
+        table.add_column(head, overflow="fold")
+    for row in answer["rows"]:
+        if name in ("", row["address"]):
+            table.add_row(*view_row(row))
+    return table
+
+
+def view_row(row: JsonObject) -> tuple[str, ...]:
+    """One route of the view."""
+    cause = f" ({row['cause']})" if row["cause"] else ""
+    return (
+        row["address"],
+        row["site"],
+        row["standing"] + cause,
+        f"{row['for']:.0f} s",
+        describe_health(row, "?"),
+        f"{row['load']:.0f}",
+        f"{row['capacity']:.0f}",
+        f"{row['flaps']:.1f}",
+        describe_notes(row),
+    )
 
 
-def history(told: dict[str, Any]) -> Table:
-    shown = Table(box=None)
-    for head in ("when", "what", "address", "site", "why", "evidence"):
-        shown.add_column(head, overflow="fold")
-    standings = ("withdrawn", "lesser", "advertised")
-    rows = [
-        (
-            row["at"],
-            standings[row["standing"]],
-            row["address"],
-            row["site"],
-            row["why"],
-            f"term {row['term']}; {row['evidence']}",
-        )
-        for row in told["decided"]
-    ]
-    for row in told["orders"]:
-        until = f" until {moment(row['until'])}" if row["until"] else ""
-        rows.append(
-            (
-                row["given"],
-                f"order: {row['verb']}",
-                row["address"] or "all",
-                row["site"],
-                f"{row['who']}: {row['why']}{until}",
-                row["id"],
-            )
-        )
+def history_table(answer: JsonObject) -> Table:
+    """Decisions and overrides, in the order of time."""
+    table = Table(box=None)
+    for head in HISTORY_COLUMNS:
+        table.add_column(head, overflow="fold")
+    rows = [decision_row(row) for row in answer["decided"]]
+    rows += [override_row(row) for row in answer["orders"]]
     for at, *rest in sorted(rows):
-        shown.add_row(moment(at), *rest)
-    return shown
+        table.add_row(describe_time(at), *rest)
+    return table
+
+
+def decision_row(row: JsonObject) -> tuple[float, str, str, str, str, str]:
+    """A decision: Unix time, and the columns after it."""
+    what = Preference(row["standing"]).label
+    evidence = f"term {row['term']}; {row['evidence']}"
+    return row["at"], what, row["address"], row["site"], row["why"], evidence
+
+
+def override_row(row: JsonObject) -> tuple[float, str, str, str, str, str]:
+    """An override: Unix time, and the columns after it."""
+    until = f" until {describe_time(row['until'])}" if row["until"] else ""
+    reason = f"{row['who']}: {row['why']}{until}"
+    return row["given"], f"order: {row['verb']}", row["address"] or "all", row["site"], reason, row["id"]
 
 
-def order(told: argparse.Namespace) -> dict[str, str]:
-    who = told.who or os.environ.get("SUDO_USER") or getpass.getuser()
-    found = {"verb": told.part, "site": told.site, "address": told.address or "", "who": who, "why": told.why}
-    return found | ({"until": str(told.until)} if told.until else {})
+# commands
 
 
-def give(told: argparse.Namespace) -> int:
-    answer = json.loads(call(told.at, "POST", "/order", root="/control/addresses", **order(told)))
-    until = time.monotonic() + ANSWER
-    state: dict[str, Any] = {}
+def give_override(args: argparse.Namespace, _: Console) -> int:
+    """Gives an override, and waits until a majority has stored it."""
+    query = override_query(args, args.part)
+    override_id = json.loads(call(args.at, "POST", "/order", root=ROOT, **query))["id"]
+    until = time.monotonic() + ANSWER_TIMEOUT
+    state: JsonObject = {}
     while time.monotonic() < until:
-        state = json.loads(call(told.at, "GET", "/order", root="/control/addresses", id=answer["id"]))
+        state = json.loads(call(args.at, "GET", "/order", root=ROOT, id=override_id))
         if state["done"]:
-            words = f"{answer['id']}: kept by {state['kept']} voters, in force"
-            print(json.dumps(state) if told.json else words)
-            return 0
-        time.sleep(AGAIN)
+            text = f"{override_id}: kept by {state['kept']} voters, in force"
+            print(json.dumps(state) if args.json else text)
+            return DONE
+        time.sleep(POLL_INTERVAL)
+    stored, needed = state.get("kept", 0), state.get("needed", "?")
     sys.stderr.write(
-        f"onyxhollow: order {answer['id']}: kept by {state.get('kept', 0)} voters, expected "
-        f"{state.get('needed', '?')}; {told.at} goes on trying\n"
+        f"onyxhollow: order {override_id}: kept by {stored} voters, expected {needed}; "
+        f"{args.at} goes on trying\n"
     )
-    return NOT_KEPT
+    return NOT_STORED
 
 
-def plan(told: argparse.Namespace, console: Console) -> int:
-    found = fetch(told.at, "/plan", **order(told))
-    if told.json:
-        print(json.dumps(found))
+def show_plan(args: argparse.Namespace, console: Console) -> int:
+    """What an override would do."""
+    answer = fetch(args.at, "/plan", **override_query(args, args.verb))
+    if args.json:
+        print(json.dumps(answer))
     else:
-        for row in found["would"]:
-            goes = ", ".join(f"{count:.0f} to {site}" for site, count in row["goes_to"].items())
-            there = f"{row['load']:.0f} sessions there" + (f", of them {goes}" if goes else "")
-            console.print(f"{row['address']} at {row['site']}: {row['standing']}; {there} ({row['why']})")
-        for row in found["hindered"]:
-            console.print(f"{row['address']} at {row['site']}: stays, {row['why']}")
-        if not found["would"] and not found["hindered"]:
-            console.print("nothing would change")
-    return HINDERED if found["hindered"] else 0
-
-
-def parser() -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(prog="onyxhollow addresses")
-    parts = top.add_subparsers(dest="part", required=True)
-
-    def add(name: str, does: str, watch: bool = False) -> argparse.ArgumentParser:
-        part = parts.add_parser(name, help=does)
-        part.add_argument(
-            "--at", default=os.environ.get("LB_MANAGEMENT", ""), help="HOST:PORT; else $LB_MANAGEMENT"
-        )
-        part.add_argument("--json", action="store_true", help="as the process tells it")
-        if watch:
-            part.add_argument("--watch", action="store_true", help="a live screen, until ended by hand")
-        return part
-
-    add("list", "every address at every site", watch=True)
-    add("show", "one address at every site", watch=True).add_argument("name")
-    reasons = add("why", "why an address stands as it does at a site")
+        print_plan(answer, console)
+    return HINDERED if answer["hindered"] else DONE
+
+
+def print_plan(answer: JsonObject, console: Console) -> None:
+    """A plan in words."""
+    for row in answer["would"]:
+        moves = ", ".join(f"{count:.0f} to {site}" for site, count in row["goes_to"].items())
+        sessions = f"{row['load']:.0f} sessions there" + (f", of them {moves}" if moves else "")
+        console.print(f"{row['address']} at {row['site']}: {row['standing']}; {sessions} ({row['why']})")
+    for row in answer["hindered"]:
+        console.print(f"{row['address']} at {row['site']}: stays, {row['why']}")
+    if not answer["would"] and not answer["hindered"]:
+        console.print("nothing would change")
+
+
+def show_history(args: argparse.Namespace, console: Console) -> int:
+    """The last decisions and overrides."""
+    answer = fetch(args.at, "/history")
+    if args.json:
+        console.print_json(data=answer)
+    else:
+        console.print(history_table(answer))
+    return DONE
+
+
+def show_reasons(args: argparse.Namespace, _: Console) -> int:
+    """Why an address is announced as it is at a site."""
+    answer = fetch(args.at, "")
+    print(json.dumps(answer) if args.json else describe_route(answer, args.name, args.site))
+    return DONE
+
+
+def show_routes(args: argparse.Namespace, console: Console) -> int:
+    """All routes, or those of one address; once, or live until interrupted."""
+    answer = fetch(args.at, "")
+    name = args.name if args.part == "show" else ""
+    if name and not any(row["address"] == name for row in answer["rows"]):
+        raise CallError(f"show: expected an address of the file, got {name}")
+    if args.watch:
+        with Live(view_table(answer, name), console=console, auto_refresh=False) as live:
+            while True:
+                time.sleep(WATCH_INTERVAL)
+                live.update(view_table(fetch(args.at, ""), name), refresh=True)
+    if args.json:
+        console.print_json(data=answer)
+    else:
+        console.print(view_table(answer, name))
+    return DONE
+
+
+COMMANDS = {
+    "list": show_routes,
+    "show": show_routes,
+    "why": show_reasons,
+    "history": show_history,
+    "plan": show_plan,
+    **dict.fromkeys(OVERRIDE_VERBS, give_override),
+}
+
+
+# arguments
+
+
+def make_parser() -> argparse.ArgumentParser:
+    """The parser of the arguments."""
+    parser = argparse.ArgumentParser(prog="onyxhollow addresses")
+    parts = parser.add_subparsers(dest="part", required=True)
+    add_watch(add_part(parts, "list", "every address at every site"))
+    show = add_part(parts, "show", "one address at every site")
+    add_watch(show)
+    show.add_argument("name")
+    reasons = add_part(parts, "why", "why an address stands as it does at a site")
     reasons.add_argument("name")
     reasons.add_argument("site")
-    add("history", "the last decisions and orders, with their evidence")
-    for verb in ("plan", *VERBS):
-        does = (
-            "a dry run: what an order would do, and where its sessions would go"
-            if verb == "plan"
-            else (f"order: {verb} a site's addresses, or one of them")
-        )
-        part = add(verb, does)
-        if verb == "plan":
-            part.add_argument("verb", choices=VERBS)
-        part.add_argument("site")
-        part.add_argument("address", nargs="?", help="else all")
-        part.add_argument("--why", required=verb != "plan", default="a plan")
-        part.add_argument("--who", help="else the user's name")
-        part.add_argument("--until", type=float, metavar="SECONDS", help="it ends by itself then")
-    return top
+    add_part(parts, "history", "the last decisions and orders, with their evidence")
+    does = "a dry run: what an order would do, and where its sessions would go"
+    plan = add_part(parts, "plan", does)
+    plan.add_argument("verb", choices=OVERRIDE_VERBS)
+    add_override(plan, "a plan")
+    for verb in OVERRIDE_VERBS:
+        add_override(add_part(parts, verb, f"order: {verb} a site's addresses, or one of them"), None)
+    return parser
+
+
+def add_part(
+    parts: argparse._SubParsersAction[argparse.ArgumentParser], name: str, does: str
+) -> argparse.ArgumentParser:
+    """A part of the command, with the arguments that all have."""
+    part = parts.add_parser(name, help=does)
+    management = os.environ.get("LB_MANAGEMENT", "")
+    part.add_argument("--at", default=management, help="HOST:PORT; else $LB_MANAGEMENT")
+    part.add_argument("--json", action="store_true", help="as the process tells it")
+    return part
+
+
+def add_watch(part: argparse.ArgumentParser) -> None:
+    """The argument of parts that may go on."""
+    part.add_argument("--watch", action="store_true", help="a live screen, until ended by hand")
+
+
+def add_override(part: argparse.ArgumentParser, default_reason: str | None) -> None:
+    """The arguments of an override; its reason is required if there is no default."""
+    part.add_argument("site")
+    part.add_argument("address", nargs="?", help="else all")
+    part.add_argument("--why", required=default_reason is None, default=default_reason)
+    part.add_argument("--who", help="else the user's name")
+    part.add_argument("--until", type=float, metavar="SECONDS", help="it ends by itself then")
 
 
 def main(words: list[str]) -> int:
-    told = parser().parse_args(words)
-    console = Console() if sys.stdout.isatty() else Console(width=PIPED)
+    """Runs the command; the exit code."""
+    args = make_parser().parse_args(words)
+    console = Console() if sys.stdout.isatty() else Console(width=PIPED_WIDTH)
     try:
-        if told.part in VERBS:
-            return give(told)
-        if told.part == "plan":
-            told.part = told.verb
-            return plan(told, console)
-        if told.part == "history":
-            found = fetch(told.at, "/history")
-            console.print_json(data=found) if told.json else console.print(history(found))
-            return 0
-        found = fetch(told.at, "")
-        if told.part == "why":
-            print(json.dumps(found) if told.json else why(found, told.name, told.site))
-            return 0
-        name = told.name if told.part == "show" else ""
-        if name and not any(row["address"] == name for row in found["rows"]):
-            raise CallError(f"show: expected an address of the file, got {name}")
-        if not told.watch:
-            console.print_json(data=found) if told.json else console.print(table(found, name))
-            return 0
-        with Live(table(found, name), console=console, auto_refresh=False) as live:
-            while True:
-                time.sleep(WATCH_EVERY)
-                live.update(table(fetch(told.at, ""), name), refresh=True)
+        return COMMANDS[args.part](args, console)
     except CallError as error:
         sys.stderr.write(f"onyxhollow: {error}\n")
-        return 2
+        return FAILED
     except KeyboardInterrupt:
-        return 130
+        return INTERRUPTED
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -24,9 +24,10 @@
 from onyxhollow import __version__
 from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.fleet import clock
-from onyxhollow.fleet.advertise import ADDRESSES, Addresses
 from onyxhollow.fleet.file import Duty, Fleet
 from onyxhollow.fleet.lists import LIST, Lists
+from onyxhollow.fleet.shared_addresses.messenger import ADDRESSES
+from onyxhollow.fleet.shared_addresses.service import SharedAddresses
 from onyxhollow.fleet.shares import SHARE, Shares
 from onyxhollow.fleet.works import LeaderTask, WebhookTask
 from onyxhollow.interface import Endpoint, EndpointListKind
@@ -126,9 +127,9 @@
         self.add(VOTERS, None, None)
         for duty in self.told.duty:
             self.add_duty(duty)
-        self.addresses = Addresses(self, fleet.addresses) if fleet.addresses else None
-        for name, zone, work in self.addresses.duties() if self.addresses else ():
-            self.add(name, zone, work)
+        self.addresses = SharedAddresses(self, fleet.addresses) if fleet.addresses else None
+        for role in self.addresses.roles() if self.addresses else ():
+            self.add(role.name, role.zone, role.task)
         proxy.parts.append(self)
         proxy.routes |= {
             "/control/fleet": {"GET": self.tell_fleet},
--- a/onyxhollow/fleet/route_guard.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -1,25 +1,24 @@
-"""The gate: stands between a site's announcers and its routing daemon, which knows no terms.
+"""The route guard: fences writes to a site's routing daemon, which knows no terms.
 
-    python -m onyxhollow gate --config gate.toml
+    python -m onyxhollow route-guard --config gate.toml
 
-It alone owns the daemon's local socket. An announcer calls it by HTTP with the term of its duty; a call under
-a lower term than one seen before is refused with 409, and terms are on the disk before they are answered. A
-command goes out whole or not at all: it is made here from a call that has been read to its end, so a holder
-stopped in the middle of a write leaves half a call, which is nothing. What stands is kept on disk and told
-again whenever the daemon or its connection has come back. If no announcer calls any more, as at a site that
-is cut off from the voters, the gate withdraws what the members there see as dead, or all if the site's file
-says so or if no member says a word either, unless an address is among the last.
+It alone uses the daemon's local socket. An announcer calls it by HTTP with the term of its lease; a call
+under a lower term than one seen before is refused with 409, and terms are on disk before they are answered.
+A command goes out complete or not at all: it is made here from a call that has been read to its end, so a
+holder stopped in the middle of a write leaves half a call, which is nothing. The route table is on disk,
+and sent again whenever the daemon or its connection has come back. If no announcer calls any more, as at a
+site that is cut off from the voters, the guard withdraws what the members there see as dead, or all if the
+site's file says so or if no member reports either, unless an address is among the last.
 
-    POST /claim?term=T&member=M                     take over; answered with what stands
-    POST /set?term=T&number=N&keeper=K&name=A&as=S  an address is to be withdrawn (0), lesser (1), advertised
-                                                    (2); N rises under T, an overtaken call is nothing
+    POST /claim?term=T&member=M                     take over; answered with the state
+    POST /set?term=T&number=N&keeper=K&name=A&as=S  an address is to be withdrawn (0), lowered (1), advertised
+                                                    (2); N rises under T, an overtaken call changes nothing
     POST /alive?term=T&last=A,B                     the announcer is there; these are among the last
     POST /seen?member=M&A=HEALTH&B=HEALTH           what a member sees; counts without an announcer
-    GET  /routes                                    what stands, for anyone
+    GET  /routes                                    the state, for anyone
 
-Each answers with JSON: term, keeper, speaker, and of each address what is wanted and what the daemon has
-taken (`told`; null: not known). The daemon is driven by published line commands, those of ExaBGP's text API:
-`announce route PREFIX next-hop ...`, `withdraw route PREFIX ...`; each is answered with `done` or `error`.
+Each answers with JSON: term, keeper (the controller's term), speaker (whether the daemon is connected), and
+of each address what is wanted and what the daemon has taken (`told`; null: not known).
 """
 
 from __future__ import annotations
@@ -37,318 +36,239 @@
 import msgspec
 import orjson
 
-from onyxhollow.addresses.file import (
-    AddressesError,
-    AddressesFile,
-    Site,
-    one_line_errors,
-    read_address,
-    read_addresses,
-)
+from onyxhollow.addresses.file import AddressesError, AddressesFile, Site, read_address
 from onyxhollow.addresses.health import HealthAggregator
 from onyxhollow.addresses.messages import AddressHealth, HealthReport
-from onyxhollow.addresses.route_table import (
-    RECORDS,
-    ClaimedTerm,
-    InstalledRoute,
-    RouteTable,
-    StaleTermError,
-    encode,
-)
-from onyxhollow.addresses.rules import Preference
+from onyxhollow.addresses.route_table import RECORDS, GuardRecord, RouteTable, StaleTermError, encode
+from onyxhollow.addresses.routes import Preference
 from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.counters import Counters
 from onyxhollow.fleet import clock
+from onyxhollow.fleet.route_guard_config import RouteGuardConfig, read_guard_config
+from onyxhollow.fleet.routing_daemon import RoutingDaemonClient
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.loop import Loop
 from onyxhollow.management.api import PLAIN, Answer, Management
-from onyxhollow.wire.buffers import LONGEST_LINE, BufferPool
-from onyxhollow.wire.channel import Channel, ListenError
+from onyxhollow.wire.channel import ListenError
 
-TAKES = 3.0  # seconds for the daemon to answer a command
-AGAIN = 0.3  # seconds until its socket is tried again
-LOOK = 0.2  # seconds between looks whether an announcer still calls
-COMPACT = 512  # records past which they are written anew
+CHECK_INTERVAL = 0.2  # seconds between checks whether an announcer still calls
+MIN_EVIDENCE_AGE = 3.0  # seconds for which a member's report counts, at the least
+MAX_RECORDS = 512  # in the store; past them it is rewritten
+MAX_NUMBER_DIGITS = 18  # of a number in a query
+MAX_TRACE = 1000  # characters of a traceback in the log
 JSON = "application/json"
 
 
-class RouteGuardConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    addresses: str  # the file of addresses
-    site: str
-    listen: str  # HOST:PORT where announcers call
-    speaker: str  # HOST:PORT of the daemon's local socket
-    folder: str  # what outlives this process
-    own_as: int = 64512
-    orphaned_after: float = 15.0  # seconds without an announcer after which the site's file counts
-
-
-def read_guard_config(path: str) -> tuple[RouteGuardConfig, AddressesFile, Site]:
-    with one_line_errors(path), open(path, "rb") as file:
-        told = msgspec.toml.decode(file.read(), type=RouteGuardConfig, strict=True)
-        read_address(told.listen, "listen")
-        read_address(told.speaker, "speaker")
-        if not 0 < told.own_as < 1 << 32:
-            raise AddressesError(f"own_as: expected 1 to {(1 << 32) - 1}, got {told.own_as}")
-        if not 0.5 <= told.orphaned_after <= 3600:
-            raise AddressesError(f"orphaned_after: expected 0.5 to 3600, got {told.orphaned_after:g}")
-        addresses = read_addresses(os.path.join(os.path.dirname(os.path.abspath(path)), told.addresses))
-        site = next((site for site in addresses.sites if site.name == told.site), None)
-        if site is None:
-            names = ", ".join(site.name for site in addresses.sites)
-            raise AddressesError(f"site: expected one of {names}, got {told.site[:80]!r}")
-    return told, addresses, site
+def read_number(query: dict[str, list[str]], name: str) -> int:
+    """A whole number of a query; -1 if it is missing or something else."""
+    text = query.get(name, [""])[0]
+    return int(text) if text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else -1
+
+
+def read_text(query: dict[str, list[str]], name: str) -> str:
+    """A text of a query; empty if it is missing."""
+    return query.get(name, [""])[0]
 
 
 class RouteGuard:
+    """One site's route guard: its route table, the store, the HTTP calls and the routing daemon's client."""
+
     def __init__(
-        self, told: RouteGuardConfig, addresses: AddressesFile, site: Site, folder: str, out: int
+        self, config: RouteGuardConfig, addresses: AddressesFile, site: Site, folder: str, log_fd: int
     ) -> None:
-        self.told, self.log = told, Log(out, f"gate/{site.name}")
-        self.loop = Loop(self.failed)
-        self.pool, self.counters = BufferPool(), Counters()
-        self.table = RouteTable(addresses.services, site, told.own_as)
+        self.config = config
+        self.policy = addresses.policy
+        self.log = Log(log_fd, f"gate/{site.name}")
+        self.loop = Loop(self.on_failure)
+        self.counters = Counters()
+        self.table = RouteTable(addresses.services, site, config.own_as)
         self.records = AppendLog(folder, "gate")
         self.table.restore([RECORDS.decode(row) for row in self.records.rows])
         self.table.announcer_seen_at = clock.now()
-        self.taken: dict[str, Preference | None] = dict.fromkeys(
-            self.table.preferences
-        )  # what the daemon has taken
-        self.channel: Channel | None = None
-        self.speaker = False
-        self.policy = addresses.policy
-        self.witnesses = HealthAggregator(max(3.0, addresses.policy.max_evidence_age))
-        self.dead_since: dict[str, float] = {}
-        self.heard_at = clock.now()  # the last word of any member
+        self.health = HealthAggregator(max(MIN_EVIDENCE_AGE, addresses.policy.max_evidence_age))
+        self.dead_since: dict[str, float] = {}  # by address
+        self.member_seen_at = clock.now()  # the last report of any member
         self.management = Management(
             self.loop,
-            read_address(told.listen, "listen"),
+            read_address(config.listen, "listen"),
             self.counters,
             {
-                "/routes": {"GET": lambda _: self.tell()},
+                "/routes": {"GET": lambda _: self.answer_state()},
                 "/claim": {"POST": self.claim},
-                "/set": {"POST": self.put},
-                "/alive": {"POST": self.alive},
-                "/seen": {"POST": self.seen},
+                "/set": {"POST": self.set_preference},
+                "/alive": {"POST": self.heartbeat},
+                "/seen": {"POST": self.report_health},
             },
         )
-        self.talker = self.loop.spawn(self.talk())
-        self.loop.spawn(self.watch())
-        self.event("gate", term=self.table.term, cut=self.records.cut, stands=self.wanted())
+        self.daemon = RoutingDaemonClient(
+            self.loop, read_address(config.speaker, "speaker"), self.table, self.log_event, self.counters
+        )
+        self.loop.spawn(self.watch_for_orphans())
+        stands = {name: int(preference) for name, preference in self.table.preferences.items()}
+        self.log_event("route guard", term=self.table.term, cut=self.records.cut, stands=stands)
 
-    def event(self, event: str, **values: Any) -> None:
+    def log_event(self, event: str, **values: Any) -> None:
+        """Writes one line to the log, with the monotonic time in `at`."""
         self.log.event(event, at=round(time.monotonic(), 4), **values)
 
-    def failed(self, where: str, error: BaseException) -> None:
-        trace = "".join(traceback.format_exception(error))[-1000:]
-        self.event("failure", where=where, error=repr(error)[:200], trace=trace)
+    def on_failure(self, where: str, error: BaseException) -> None:
+        """A coroutine of the loop has failed: it is logged, and the guard goes on."""
+        trace = "".join(traceback.format_exception(error))[-MAX_TRACE:]
+        self.log_event("failure", where=where, error=repr(error)[:200], trace=trace)
 
-    # announcers
+    def close(self) -> None:
+        """Closes the store and the listener."""
+        self.records.close()
+        self.management.listener.close()
 
-    def wanted(self) -> dict[str, int]:
-        return {name: int(standing) for name, standing in self.table.preferences.items()}
+    # answers
 
-    def tell(self, status: int = 200) -> Answer:
+    def answer_state(self, status: int = 200) -> Answer:
+        """The answer to every call that was understood."""
         rows = {
-            name: {"wanted": int(standing), "told": self.taken[name]}
-            for name, standing in self.table.preferences.items()
+            name: {"wanted": int(preference), "told": self.daemon.installed[name]}
+            for name, preference in self.table.preferences.items()
         }
-        told = {
+        state = {
             "term": self.table.term,
             "member": self.table.member,
             "keeper": self.table.controller_term,
-            "speaker": self.speaker,
+            "speaker": self.daemon.connected,
             "rows": rows,
         }
-        return status, orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE), JSON
+        return status, orjson.dumps(state, option=orjson.OPT_APPEND_NEWLINE), JSON
+
+    def answer_stale_term(self, error: StaleTermError) -> Answer:
+        """The answer to a call under an old term."""
+        self.counters.add("calls of an older term")
+        self.log_event("stale term", seen=error.expected)
+        return self.answer_state(409)
+
+    def answer_stored(self, records: list[GuardRecord], before: RouteTable) -> Answer:
+        """Stores what a call has changed, then answers; without the disk nothing of the call counts."""
+        if records and not self.store(records):
+            self.table.revert(before)
+            return 503, b"the disk fails\n", PLAIN
+        if records:
+            self.daemon.wake()
+        return self.answer_state()
 
-    def keep(self, rows: list[ClaimedTerm | InstalledRoute]) -> bool:
-        """Whether it is on the disk; nothing is answered and nothing told before."""
-        if not rows:
-            return True
+    def store(self, records: list[GuardRecord]) -> bool:
+        """Whether the records are on disk; nothing is answered or sent to the daemon before."""
         try:
-            if len(self.records.rows) + len(rows) > COMPACT:
-                self.records.rewrite([encode(row) for row in self.table.records()])
+            if len(self.records.rows) + len(records) > MAX_RECORDS:
+                self.records.rewrite([encode(record) for record in self.table.records()])
             else:
-                self.records.append(*(encode(row) for row in rows))
+                self.records.append(*(encode(record) for record in records))
         except OSError as error:
-            self.event("gate disk", why=str(error.strerror)[:200])
+            self.log_event("route guard disk", why=str(error.strerror)[:200])
             return False
         return True
 
-    def outcome(
-        self, found: StaleTermError | list[ClaimedTerm | InstalledRoute] | None, before: RouteTable
-    ) -> Answer:
-        if isinstance(found, StaleTermError):
-            self.counters.add("calls of an older term")
-            self.event("refused", seen=found.seen)
-            return self.tell(409)
-        if found and not self.keep(found):
-            self.table.term, self.table.member = before.term, before.member  # nothing of it counts
-            self.table.preferences, self.table.controller_term = (
-                dict(before.preferences),
-                before.controller_term,
-            )
-            self.table.call_number = before.call_number
-            return 503, b"the disk fails\n", PLAIN
-        if found:
-            self.talker.wake()
-        return self.tell()
-
-    def copy(self) -> RouteTable:
-        before = RouteTable(list(self.table.services.values()), self.table.site, self.table.own_as)
-        before.term, before.member, before.controller_term = (
-            self.table.term,
-            self.table.member,
-            self.table.controller_term,
-        )
-        before.preferences, before.call_number = dict(self.table.preferences), self.table.call_number
-        return before
-
-    @staticmethod
-    def number(asked: dict[str, list[str]], name: str) -> int:
-        word = asked.get(name, [""])[0]
-        return int(word) if word.isdigit() and len(word) < 19 else -1
+    # calls of announcers
 
     def claim(self, query: str) -> Answer:
-        asked, before = parse_qs(query), self.copy()
-        term, member = self.number(asked, "term"), asked.get("member", [""])[0]
+        """POST /claim."""
+        asked = parse_qs(query)
+        term = read_number(asked, "term")
+        member = read_text(asked, "member")
         if term < 1 or not member:
             return 400, b"claim: expected term and member\n", PLAIN
-        found = self.table.claim(term, member, clock.now())
-        if found and not isinstance(found, StaleTermError):
-            self.event("claimed", term=term, member=member)
-        return self.outcome(found, before)
-
-    def put(self, query: str) -> Answer:
-        asked, before = parse_qs(query), self.copy()
-        term, number, keeper, standing = (
-            self.number(asked, name) for name in ("term", "number", "keeper", "as")
-        )
-        name = asked.get("name", [""])[0]
-        if (
-            min(term, number) < 1
-            or keeper < 0
-            or standing not in (0, 1, 2)
-            or name not in self.table.preferences
-        ):
+        before = self.table.copy()
+        try:
+            records = self.table.claim(term, member, clock.now())
+        except StaleTermError as error:
+            return self.answer_stale_term(error)
+        if records:
+            self.log_event("claimed", term=term, member=member)
+        return self.answer_stored(records, before)
+
+    def set_preference(self, query: str) -> Answer:
+        """POST /set."""
+        asked = parse_qs(query)
+        term = read_number(asked, "term")
+        number = read_number(asked, "number")
+        controller_term = read_number(asked, "keeper")
+        preference = read_number(asked, "as")
+        name = read_text(asked, "name")
+        known = preference in (0, 1, 2) and name in self.table.preferences
+        if min(term, number) < 1 or controller_term < 0 or not known:
             return 400, b"set: expected term, number, keeper, a known name, as from 0 to 2\n", PLAIN
-        found = self.table.set_preference(term, number, keeper, name, Preference(standing), clock.now())
-        if found and not isinstance(found, StaleTermError):
-            self.event("set", name=name, standing=standing, term=term, keeper=keeper)
-        return self.outcome(found, before)
-
-    def alive(self, query: str) -> Answer:
+        before = self.table.copy()
+        try:
+            records = self.table.set_preference(
+                term, number, controller_term, name, Preference(preference), clock.now()
+            )
+        except StaleTermError as error:
+            return self.answer_stale_term(error)
+        if records:
+            self.log_event("set", name=name, standing=preference, term=term, keeper=controller_term)
+        return self.answer_stored(records, before)
+
+    def heartbeat(self, query: str) -> Answer:
+        """POST /alive."""
         asked = parse_qs(query)
-        last = set(asked.get("last", [""])[0].split(","))
-        return self.outcome(self.table.heartbeat(self.number(asked, "term"), last, clock.now()), self.table)
+        last_addresses = set(read_text(asked, "last").split(","))
+        try:
+            self.table.heartbeat(read_number(asked, "term"), last_addresses, clock.now())
+        except StaleTermError as error:
+            return self.answer_stale_term(error)
+        return self.answer_state()
+
+    # without an announcer
 
-    def seen(self, query: str) -> Answer:
+    def report_health(self, query: str) -> Answer:
+        """POST /seen: a member's health report."""
         asked = dict(parse_qsl(query))
-        member, rows = asked.pop("member", ""), []
-        for name, word in asked.items():
+        member = asked.pop("member", "")
+        rows = []
+        for name, text in asked.items():
             with contextlib.suppress(ValueError):
                 if name in self.table.preferences:
-                    rows.append(AddressHealth(name, float(word), "", 0.0, 0.0))
+                    rows.append(AddressHealth(name, float(text), "", 0.0, 0.0))
         if not member or not rows:
             return 400, b"seen: expected member, and addresses with their health\n", PLAIN
-        self.heard_at = clock.now()
-        self.witnesses.record(member, HealthReport(self.told.site, rows), self.heard_at)
-        return self.tell()
+        self.member_seen_at = clock.now()
+        self.health.record(member, HealthReport(self.config.site, rows), self.member_seen_at)
+        return self.answer_state()
 
-    def dead(self, now: float) -> set[str]:
+    def dead_addresses(self, now: float) -> set[str]:
         """What the members here have seen as dead for long enough."""
         for name in self.table.preferences:
-            health = self.witnesses.assess(self.told.site, name, now).health
+            health = self.health.assess(self.config.site, name, now).health
             if health is None or health >= self.policy.dead_below:
                 self.dead_since.pop(name, None)
             else:
                 self.dead_since.setdefault(name, now)
         return {name for name, since in self.dead_since.items() if now - since >= self.policy.dead_for}
 
-    def watch(self) -> Generator[float, None, None]:
+    def watch_for_orphans(self) -> Generator[float, None, None]:
+        """Withdraws what nobody looks after, as the file and the members say; forever."""
         while True:
-            now = clock.now()
-            fresh = max(self.policy.max_evidence_age, self.policy.dead_for)
-            silent = now - self.heard_at
-            gone = self.table.withdraw_orphaned(self.told.orphaned_after, self.dead(now), now, silent, fresh)
-            if gone:
-                alone = round(now - self.table.announcer_seen_at, 2)
-                for row in gone:
-                    self.event("orphaned", name=row.name, after=alone, members_silent=round(silent, 2))
-                self.keep(list(gone))
-                self.talker.wake()
-            yield self.loop.now + LOOK
-
-    # the daemon
-
-    def talk(self) -> Generator[float, None, None]:
-        """One command at a time; each is taken or failed before the next."""
-        while True:
-            try:
-                self.channel = Channel.dial(
-                    self.loop, read_address(self.told.speaker, ""), self.pool, self.wake
-                )
-                until = self.loop.now + TAKES
-                while self.channel.connecting and self.loop.now < until and not self.channel.ended:
-                    yield until
-                if not self.channel.connecting and not self.channel.ended:
-                    self.speaker = True
-                    self.event("speaker", up=True)
-                    yield from self.serve(self.channel)
-            except OSError:
-                pass
-            if self.channel:
-                self.channel.close()
-            if self.speaker:
-                self.event("speaker", up=False)
-            self.speaker, self.channel = False, None
-            self.taken = dict.fromkeys(self.table.preferences)  # what it still knows, nobody can say
-            until = self.loop.now + AGAIN
-            while self.loop.now < until:
-                yield until
-
-    def wake(self) -> None:
-        self.talker.wake()
-
-    def serve(self, channel: Channel) -> Generator[float, None, None]:
-        while not channel.ended:
-            due = [
-                name for name, standing in self.table.preferences.items() if self.taken[name] is not standing
-            ]
-            due.sort(key=lambda name: -self.table.preferences[name])
-            if not due:
-                channel.inbox.rest()  # nothing is owed: what comes says only that it lives
-                channel.settle(False)
-                yield self.loop.now + 1.0
-                continue
-            name, standing = due[0], self.table.preferences[due[0]]
-            command = self.table.daemon_command(name)
-            channel.write(command.encode() + b"\n")
-            got, until = b"", self.loop.now + TAKES
-            while b"\n" not in got and len(got) < LONGEST_LINE:  # ends with a bare LF, as its API does
-                got += channel.inbox.rest()
-                channel.settle(False)
-                if b"\n" not in got:
-                    if self.loop.now >= until or channel.ended:
-                        break
-                    yield until
-            answer = got.partition(b"\n")[0].strip() if b"\n" in got else b""
-            took = answer == b"done"
-            self.event("told", command=command, answer=answer.decode(errors="replace")[:80])
-            if took:
-                self.taken[name] = standing
-            elif answer:
-                self.counters.add("commands refused by the speaker")
-                yield from self.loop.sleep(AGAIN)
-            else:
-                return  # no answer: a new connection, and all of it once more
+            self.withdraw_orphaned(clock.now())
+            yield self.loop.now + CHECK_INTERVAL
+
+    def withdraw_orphaned(self, now: float) -> None:
+        """One check."""
+        max_age = max(self.policy.max_evidence_age, self.policy.dead_for)
+        silent_for = now - self.member_seen_at
+        dead = self.dead_addresses(now)
+        withdrawn = self.table.withdraw_orphaned(self.config.orphaned_after, dead, now, silent_for, max_age)
+        if not withdrawn:
+            return
+        alone_for = round(now - self.table.announcer_seen_at, 2)
+        for row in withdrawn:
+            self.log_event("orphaned", name=row.name, after=alone_for, members_silent=round(silent_for, 2))
+        self.store([*withdrawn])  # withdrawn without the disk too: nobody is there to try again
+        self.daemon.wake()
 
 
 def main(path: str) -> int:
+    """Runs a route guard until a signal; the exit code, 2 if it cannot start."""
     try:
-        told, addresses, site = read_guard_config(path)
-        folder = os.path.join(os.path.dirname(os.path.abspath(path)), told.folder)
-        gate = RouteGuard(told, addresses, site, folder, sys.stdout.fileno())
+        config, addresses, site = read_guard_config(path)
+        folder = os.path.join(os.path.dirname(os.path.abspath(path)), config.folder)
+        guard = RouteGuard(config, addresses, site, folder, sys.stdout.fileno())
     except (AddressesError, AppendLogError, ListenError) as error:
         sys.stderr.write(f"onyxhollow: {error}\n")
         return 2
@@ -357,10 +277,10 @@
         return 2
 
     def stop(*_: Any) -> None:
-        gate.loop.running = False
+        guard.loop.running = False
 
     signal.signal(signal.SIGTERM, stop)
     signal.signal(signal.SIGINT, stop)
-    gate.loop.run()
-    gate.records.close()
+    guard.loop.run()
+    guard.close()
     return 0
--- /dev/null
+++ b/onyxhollow/fleet/shared_addresses/announcer_task.py
@@ -0,0 +1,162 @@
+"""The leader task of a site's announcer: brings the controller's assignments to the site's route guard."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Generator
+from typing import Any
+from urllib.parse import quote
+
+import h11
+import msgspec
+import orjson
+
+from onyxhollow.addresses.announcer import Announcer, GuardedRoute, GuardState
+from onyxhollow.addresses.file import AddressesFile, Site, read_address
+from onyxhollow.addresses.messages import DrainRequest, RouteAssignment, paginate
+from onyxhollow.addresses.routes import Preference
+from onyxhollow.fleet import clock
+from onyxhollow.fleet.context import MemberContext
+from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
+from onyxhollow.fleet.works import Caller
+from onyxhollow.wire.discovery import Call, ListError, StatusError
+
+GUARD_TIMEOUT = 1.0  # seconds for the route guard to answer a call
+STALE_TERM_STATUS = 409  # of a call under a term older than the guard has seen
+
+
+def read_guard_state(body: bytes) -> GuardState:
+    """The route guard's answer.
+
+    Raises:
+        ValueError: it is not JSON, or a preference is out of range.
+        KeyError: a key is missing.
+    """
+    answer = orjson.loads(body)
+    routes = {name: read_guarded_route(row) for name, row in answer["rows"].items()}
+    return GuardState(routes, int(answer["keeper"]), bool(answer["speaker"]))
+
+
+def read_guarded_route(row: dict[str, Any]) -> GuardedRoute:
+    """One address of the answer."""
+    installed = row["told"]
+    return GuardedRoute(Preference(int(row["wanted"])), None if installed is None else Preference(installed))
+
+
+class AnnouncerTask(Caller):
+    """Calls the route guard while this process holds the site's lease.
+
+    Attributes:
+        core: the announcer of the present term; None while the lease is not held.
+        last_progress_at: when the guard last answered, on the loop's clock.
+        superseded: the guard has seen a newer term.
+    """
+
+    def __init__(
+        self, member: MemberContext, config: AddressesFile, messenger: AddressMessenger, site: Site
+    ) -> None:
+        super().__init__()
+        self.member = member
+        self.config = config
+        self.messenger = messenger
+        self.site = site
+        self.core: Announcer | None = None
+        self.last_progress_at = member.loop.now
+        self.superseded = False
+        self.address = read_address(site.route_guard, "gate")
+
+    def start(self, term: int, still: Callable[[], bool]) -> None:
+        """Begins a term; `still` says whether the lease is held, and is asked before each call."""
+        self.running += 1
+        self.last_progress_at = self.member.loop.now
+        self.superseded = False
+        self.core = Announcer(self.config, self.site, term, clock.now())
+        self.task = self.member.loop.spawn(self.run(self.running, self.core, still))
+
+    def stop(self) -> None:
+        """Ends the term."""
+        super().stop()
+        self.core = None
+
+    def run(self, this_run: int, core: Announcer, still: Callable[[], bool]) -> Generator[float, None, None]:
+        """Rounds of calls until the term ends."""
+        loop = self.member.loop
+        while self.running == this_run:
+            due = loop.now + self.config.interval
+            try:
+                yield from self.call_round(this_run, core, still)
+            except StatusError as error:
+                self.hang_up()
+                self.superseded = self.superseded or error.status == STALE_TERM_STATUS
+            except (ListError, OSError, h11.ProtocolError, ValueError, KeyError):
+                if self.running == this_run:
+                    self.hang_up()
+            if self.running == this_run:
+                self.report(core)
+                self.request_drains(core)
+            while self.running == this_run and loop.now < due:
+                yield due
+
+    def call_round(
+        self, this_run: int, core: Announcer, still: Callable[[], bool]
+    ) -> Generator[float, None, None]:
+        """Claims the guard if need be, sets what differs, and shows that the announcer is there."""
+        if not core.synchronized or not core.daemon_connected:
+            member = quote(self.member.process_id)
+            yield from self.call_guard(this_run, core, f"/claim?term={core.term}&member={member}", still)
+        for text in core.tick(clock.now()):
+            self.member.log_event("address cut off", site=self.site.name, why=text)
+        for route in core.pending_routes():
+            what = f"name={quote(route.name)}&as={int(route.desired)}&keeper={core.controller_term}"
+            target = f"/set?term={core.term}&number={core.next_call_number()}&{what}"
+            yield from self.call_guard(this_run, core, target, still)
+        last = quote(",".join(route.name for route in core.routes.values() if route.is_last))
+        yield from self.call_guard(this_run, core, f"/alive?term={core.term}&last={last}", still)
+
+    def call_guard(
+        self, this_run: int, core: Announcer, target: str, still: Callable[[], bool]
+    ) -> Generator[float, None, None]:
+        """One call; its answer goes to the core.
+
+        Raises:
+            ListError: no answer, or the lease has ended.
+            StatusError: another status than 200.
+        """
+        loop = self.member.loop
+        until = loop.now + GUARD_TIMEOUT
+        if self.caller is None or not self.caller.reusable:
+            self.hang_up()
+            self.caller = Call(loop, self.address, self.pool, self.wake)
+        caller = self.caller
+        while caller.channel.connecting:
+            if loop.now >= until or self.running != this_run:
+                raise ListError("not up")
+            yield until
+        if not still():  # the last thing before the act
+            raise ListError("the lease has ended")
+        body = yield from caller.get(target, until, lambda: self.running != this_run, "POST")
+        core.on_guard_state(read_guard_state(body), clock.now())
+        self.last_progress_at = loop.now
+
+    def report(self, core: Announcer) -> None:
+        """Reports the site's state to the controller, in pages."""
+        report = core.report(clock.now())
+        if report is None:
+            return
+        for rows in paginate(report.rows):
+            self.messenger.to_controller(msgspec.structs.replace(report, rows=rows))
+
+    def request_drains(self, core: Announcer) -> None:
+        """Has the site's members move the connections of what an override has withdrawn."""
+        for addresses in paginate(core.drained_addresses()):
+            self.messenger.to_zone(self.site.name, DrainRequest(self.site.name, addresses))
+
+    def on_assignment(self, assignment: RouteAssignment, now: float) -> None:
+        """Takes in an assignment and answers it; a change goes to the guard at once."""
+        core = self.core
+        if core is None:
+            return
+        before = [route.desired for route in core.routes.values()]
+        core.on_assignment(assignment, now)
+        self.report(core)
+        if before != [route.desired for route in core.routes.values()]:
+            self.wake()
--- a/onyxhollow/lab/fleet/sites.py
+++ b/onyxhollow/lab/fleet/sites.py
@@ -70,7 +70,7 @@
         self.path.write_text(tomli_w.dumps(self.told))
         with self.log.open("ab") as log:
             self.child = subprocess.Popen(
-                [sys.executable, "-O", "-m", "onyxhollow", "gate", "--config", str(self.path)],
+                [sys.executable, "-O", "-m", "onyxhollow", "route-guard", "--config", str(self.path)],
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=subprocess.STDOUT,
@@ -194,7 +194,9 @@
     def start(self) -> None:
         for gate in self.gates.values():
             gate.start()
-        self.rig.wait(lambda: all(gate.events("gate") for gate in self.gates.values()), 20, "gates are up")
+        self.rig.wait(
+            lambda: all(gate.events("route guard") for gate in self.gates.values()), 20, "guards are up"
+        )
         self.rig.start()
         self.rig.wait_members(within=40)
         self.rig.wait_holder("addresses", within=40)
--- a/onyxhollow/lab/fleet/wander.py
+++ b/onyxhollow/lab/fleet/wander.py
@@ -17,8 +17,8 @@
 
 from onyxhollow.addresses import controller as keeping
 from onyxhollow.addresses import rules
-from onyxhollow.addresses.announcer import Announcer
-from onyxhollow.addresses.controller import Controller
+from onyxhollow.addresses.announcer import Announcer, GuardedRoute, GuardState
+from onyxhollow.addresses.controller import Controller, ToVoter
 from onyxhollow.addresses.file import AddressesFile, Policy, Service, Site
 from onyxhollow.addresses.messages import (
     AddressHealth,
@@ -36,7 +36,7 @@
 )
 from onyxhollow.addresses.overrides import OverrideLog
 from onyxhollow.addresses.route_table import InstalledRoute, RouteTable, StaleTermError
-from onyxhollow.addresses.rules import HEALTH, Preference
+from onyxhollow.addresses.routes import NO_OVERRIDES, Cause, Preference, RouteState, SuppressionRule
 
 STEP = 0.25
 SITES, NAMES, VOTERS = ("a", "b", "c"), ("x", "y"), ("v0", "v1", "v2")
@@ -133,7 +133,7 @@
     def new_keeper(self) -> None:
         """As the lease grants it: the one before has run out, on its own clock."""
         self.keeper_term += 1
-        core = Controller(TOLD, VOTERS, self.keeper_term, self.now, self.now)
+        core = Controller(TOLD, VOTERS, self.keeper_term, self.now)
         self.keepers.append(Member(core, self.keeper_term, self.now + 2.0))
         self.keepers = self.keepers[-3:]
 
@@ -156,13 +156,12 @@
         for row in core.committed:
             self.rows[record_id(row)] = row
         core.committed = []
-        for to, message in out:
-            kind, _, name = to.partition(" ")
-            if kind == "voter":
-                self.send(partial(self.at_voter, name, message, member), name in self.away)
+        for to in out:
+            if isinstance(to, ToVoter):
+                self.send(partial(self.at_voter, to.voter, to.message, member), to.voter in self.away)
             else:
-                place = self.places[name]
-                self.send(partial(self.at_site, place, message, member), place.cut)
+                place = self.places[to.site]
+                self.send(partial(self.at_site, place, to.message, member), place.cut)
 
     def at_keeper(self, member: Member, message: Message, sender: str) -> None:
         if member.stopped_until > self.now or member.until <= self.now:
@@ -240,20 +239,20 @@
         self, place: Place, holder: Member, what: str, name: str, wanted: Preference, keeper: int, number: int
     ) -> None:
         table = place.table
-        if what == "claim":
-            found: Any = table.claim(holder.term, f"{place.name}{holder.term}", self.now)
-        elif what == "set":
-            before = table.preferences[name]
-            found = table.set_preference(holder.term, number, keeper, name, wanted, self.now)
-            if not isinstance(found, StaleTermError) and found:
-                self.carried_out(place, holder, name, before, wanted)
-        else:
-            found = table.heartbeat(holder.term, set(), self.now)
-        if isinstance(found, StaleTermError):
+        try:
+            if what == "claim":
+                table.claim(holder.term, f"{place.name}{holder.term}", self.now)
+            elif what == "set":
+                before = table.preferences[name]
+                if table.set_preference(holder.term, number, keeper, name, wanted, self.now):
+                    self.carried_out(place, holder, name, before, wanted)
+            else:
+                table.heartbeat(holder.term, set(), self.now)
+        except StaleTermError:
             return
         told = place.speaker
-        stands = {n: (int(s), int(s) if told else None) for n, s in table.preferences.items()}
-        holder.core.on_guard_state(stands, table.controller_term, place.speaker, self.now)
+        routes = {n: GuardedRoute(s, s if told else None) for n, s in table.preferences.items()}
+        holder.core.on_guard_state(GuardState(routes, table.controller_term, place.speaker), self.now)
 
     # what must hold
 
@@ -283,7 +282,7 @@
         )
         if others < POLICY.min_sites and not by_itself:
             self.breach(f"{name}: withdrawn at {place.name}, {others} others advertise it")
-        if not by_itself and kept and max(kept, key=lambda row: (row.term, row.number)).cause == HEALTH:
+        if not by_itself and kept and max(kept, key=lambda row: (row.term, row.number)).cause == Cause.HEALTH:
             self.out_at[name, place.name] = self.now
             # Told and carried out are apart by what is late on the way: the window is looked at less that.
             lately = {
@@ -313,7 +312,7 @@
         for book in self.books.values():
             for order in book.overrides.values():
                 merged.add(order, 0.0, 0.0)
-        found = merged.active(NAMES, SITES, self.now).get((name, place.name), rules.NONE)
+        found = merged.active(NAMES, SITES, self.now).get((name, place.name), NO_OVERRIDES)
         return bool(found.drain or found.exclude)
 
     # the schedule
@@ -426,11 +425,9 @@
     """The last ones go like any other."""
     true = rules.DecisionRound.obstacle
 
-    def hindrance(
-        self: rules.DecisionRound, cell: rules.RouteState, share: float = 1.0
-    ) -> tuple[str, str] | None:
+    def hindrance(self: rules.DecisionRound, cell: RouteState, share: float = 1.0) -> rules.Obstacle | None:
         found = true(self, cell, share)
-        return None if found and found[0] == rules.LAST else found
+        return None if found and found.rule is SuppressionRule.LAST_SITE else found
 
     return mock.patch.object(rules.DecisionRound, "obstacle", hindrance)
 
@@ -473,8 +470,7 @@
     def decide(self: Controller, now: float, wall: float) -> None:
         true(self, now, wall)
         for row in list(self.pending.values()):
-            if row.change is not None:
-                self.on_committed(self.pending[record_id(row.record)], now)
+            self.on_committed(self.pending[record_id(row.record)], now)
 
     return mock.patch.object(keeping.Controller, "decide", decide)
 
--- /dev/null
+++ b/tests/test_address_controller.py
@@ -0,0 +1,81 @@
+"""The controller's messages and its view."""
+
+from address_support import ADVERTISED, POLICY, WITHDRAWN
+
+from onyxhollow.addresses import file
+from onyxhollow.addresses.controller import Controller, ToVoter
+from onyxhollow.addresses.controller_views import view
+from onyxhollow.addresses.messages import (
+    AddressHealth,
+    HealthReport,
+    OverrideQuery,
+    OverrideResponse,
+    RouteStatus,
+    SiteReport,
+    StoreAcknowledgement,
+    StoreRequest,
+    encode,
+    paginate,
+    record_id,
+    truncate_utf8,
+)
+
+
+def test_every_message_fits_into_a_datagram_however_many_routes_there_are():
+    """Eight decisions in one message were never sent, and a controller waited for them for ever."""
+    name = "n" * 60
+    names = [f"{name}{number:02}" for number in range(24)]
+    config = file.AddressesFile(
+        services=[file.Service(name=one, prefix=f"198.51.100.{at}/32") for at, one in enumerate(names)],
+        sites=[file.Site(name=site, route_guard="127.0.0.1:1") for site in "ab"],
+        policy=POLICY,
+    )
+    controller = Controller(config, ("v0", "v1", "v2"), 1, 0.0)
+    for number in range(120):
+        now, out, controller.outbox = number * 0.5, controller.outbox, []
+        for to in out:
+            message = to.message
+            assert len(encode(message)) < 1000
+            voter = to.voter if isinstance(to, ToVoter) else ""
+            if isinstance(message, OverrideQuery):
+                controller.on_message(OverrideResponse(voter, message.digest, 0, []), voter, now, now)
+            elif isinstance(message, StoreRequest):
+                controller.on_message(
+                    StoreAcknowledgement(voter, [record_id(row) for row in message.rows]), voter, now, now
+                )
+        for site in "ab":
+            statuses = [
+                RouteStatus(key[0], int(route.preference), route.cause, 0.0, 0.0)
+                for key, route in controller.routes.items()
+                if key[1] == site
+            ]
+            for rows in paginate(statuses):
+                controller.on_message(SiteReport(site, 1, number, 1, True, rows), f"{site}0", now, now)
+                controller.tick(now, now)  # between two pages as well: what is not reported is not known
+            rows_of_member = [AddressHealth(one, 1.0, "w" * 200, 1.0, 1.0) for one in names]
+            for member in ("0", "1", "2"):
+                controller.on_message(HealthReport(site, rows_of_member), f"{site}{member}", now, now)
+        controller.tick(now, now)
+    assert {route.preference for route in controller.routes.values()} == {ADVERTISED}
+    assert not controller.pending
+    truncated = truncate_utf8("\N{LATIN SMALL LETTER U WITH DIAERESIS}" * 9, 5)
+    assert truncated == "\N{LATIN SMALL LETTER U WITH DIAERESIS}" * 2
+
+
+def test_a_new_controller_shows_a_route_as_unknown_until_its_site_has_reported():
+    """The members of a site were gone when the controller changed; its addresses were shown as withdrawn."""
+    config = file.AddressesFile(
+        services=[file.Service(name="x", prefix="198.51.100.1/32")],
+        sites=[file.Site(name=site, route_guard="127.0.0.1:1") for site in "ab"],
+        policy=POLICY,
+    )
+    controller = Controller(config, ("v0",), 2, 0.0)
+    controller.on_message(
+        SiteReport("a", 2, 1, 1, True, [RouteStatus("x", int(ADVERTISED), "", 0.0, 0.0)]), "a0", 1.0, 1.0
+    )
+    shown = {row["site"]: row["standing"] for row in view(controller, 1.0)["rows"]}
+    assert shown == {"a": "advertised", "b": "unknown"}
+    controller.on_message(
+        SiteReport("b", 2, 1, 1, True, [RouteStatus("x", int(WITHDRAWN), "health", 0.0, 0.0)]), "b0", 2.0, 2.0
+    )
+    assert {row["site"]: row["standing"] for row in view(controller, 2.0)["rows"]}["b"] == "withdrawn"
--- /dev/null
+++ b/tests/test_addresses_file.py
@@ -0,0 +1,43 @@
+"""The addresses file and the route guard's file."""
+
+import pytest
+
+from onyxhollow.addresses import file
+from onyxhollow.fleet.route_guard_config import read_guard_config
+
+GOOD = """
+[[service]]
+name = "voice"
+prefix = "198.51.100.7/32"
+[[site]]
+name = "north"
+gate = "127.0.0.1:7"
+"""
+
+
+@pytest.mark.parametrize(
+    ("change", "says"),
+    [
+        (("7/32", "7/33"), "service[0].prefix: expected a prefix"),
+        (('"127.0.0.1:7"', '"nowhere"'), "site[0].gate: expected HOST:PORT, got 'nowhere'"),
+        (("[[site]]", "[policy]\nleast = 3\n[[site]]"), "policy.least: expected at most 1"),
+        (('name = "north"', 'name = "north"\ncut_off = "withdraw"'), "site: expected at least 1 with"),
+        (('name = "north"', 'name = "no rth"'), "site[0].name: expected"),
+        (("gate =", "door ="), "site[0]"),
+        (("[[site]]", "[policy]\nill = 2\n[[site]]"), "policy.ill: expected"),
+        (("[[service]]", "[[service"), "expected TOML"),
+    ],
+)
+def test_an_addresses_file_is_checked_as_a_whole(tmp_path, change, says):
+    path = tmp_path / "addresses.toml"
+    path.write_text(GOOD)
+    assert file.read_addresses(str(path)).sites[0].capacity == 1000.0
+    path.write_text(GOOD.replace(*change))
+    with pytest.raises(file.AddressesError) as caught:
+        file.read_addresses(str(path))
+    assert says in str(caught.value) and str(path) in str(caught.value) and "\n" not in str(caught.value)
+
+
+def test_the_sample_files_are_valid():
+    told, addresses, site = read_guard_config("deploy/gate.toml")
+    assert site.name == "north" and addresses.policy.min_sites == 1 and told.own_as == 64512
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -19,12 +19,18 @@
 
 from onyxhollow.addresses import messages as addressing
 from onyxhollow.addresses import route_table as standing
-from onyxhollow.addresses.announcer import Announcer
+from onyxhollow.addresses.announcer import Announcer, GuardedRoute, GuardState
 from onyxhollow.addresses.controller import Controller
-from onyxhollow.addresses.rules import Preference
+from onyxhollow.addresses.controller_views import plan, view
+from onyxhollow.addresses.routes import Preference
 from onyxhollow.append_log import AppendLog
-from onyxhollow.fleet import advertise, lists, node, route_guard, shares, telling
+from onyxhollow.fleet import lists, node, route_guard, shares, telling
 from onyxhollow.fleet.file import read_fleet
+from onyxhollow.fleet.route_guard_config import read_guard_config
+from onyxhollow.fleet.shared_addresses import messenger
+from onyxhollow.fleet.shared_addresses.announcer_task import AnnouncerTask
+from onyxhollow.fleet.shared_addresses.override_store import OverrideStore
+from onyxhollow.fleet.shared_addresses.query_api import QueryApi
 from onyxhollow.gossip import messages as sharing
 from onyxhollow.leases import messages as duties
 from onyxhollow.leases.voter import Seat, Voter
@@ -95,7 +101,7 @@
     "keep": addressing.StoreRequest(rows=[ORDER, DECIDED]),
     "kept": addressing.StoreAcknowledgement(voter="voter-a", ids=["1f-2", "71.72"]),
     "want": addressing.OverrideQuery(digest=221),
-    "have": addressing.OverrideResponse(voter="voter-a", digest=231, count=232, orders=[ORDER, FOR_ALL]),
+    "have": addressing.OverrideResponse(voter="voter-a", digest=231, count=232, overrides=[ORDER, FOR_ALL]),
     "hello": addressing.ControllerAnnouncement(term=241, process_id="m~8"),
     "ask": addressing.QueryRequest(id="1f-4", kind="plan", override=ORDER),
     "told": addressing.QueryResponsePart(id="1f-5", part=251, parts=252, body=b"body"),
@@ -135,7 +141,7 @@
     ),
     "sync": members.Sync(digest=551, joining=True),
     "event": members.Event(name="m6", epoch=561, number=562, kind=lists.LIST, body=b"event"),
-    "carried": members.Carried(kind=advertise.ADDRESSES, body=b"carried"),
+    "carried": members.Carried(kind=messenger.ADDRESSES, body=b"carried"),
 }  # fmt: skip
 
 
@@ -307,7 +313,7 @@
 
 
 def test_numbers_and_words_that_members_send_and_keep():
-    assert (node.DUTIES, lists.LIST, shares.SHARE, advertise.ADDRESSES) == (1, 2, 3, 4)
+    assert (node.DUTIES, lists.LIST, shares.SHARE, messenger.ADDRESSES) == (1, 2, 3, 4)
     assert (node.HOLDS, node.VOTES) == (1, 2)
     life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
@@ -316,8 +322,8 @@
         1,
         2,
     ]
-    assert (duties.VOTERS, advertise.KEEPER) == ("voters", "addresses")
-    assert advertise.announcer_of("east") == "announcer/east"
+    assert (duties.VOTERS, messenger.CONTROLLER_ROLE) == ("voters", "addresses")
+    assert messenger.announcer_role("east") == "announcer/east"
 
 
 def test_rows_of_a_list_are_packed_as_recorded():
@@ -358,22 +364,22 @@
 
 
 def test_orders_and_history_are_kept_and_told_as_recorded(tmp_path):
-    store = advertise.OverrideStore(stored("addresses", tmp_path / "old"))
+    store = OverrideStore(stored("addresses", tmp_path / "old"))
     assert (store.overrides(), store.decisions()) == ([ORDER, FOR_ALL], [DECIDED])
-    new = advertise.OverrideStore(str(tmp_path / "new"))
-    assert new.store([ORDER, DECIDED, FOR_ALL]) == ["1f-2", "71.72", "1f-3"]
+    new = OverrideStore(str(tmp_path / "new"))
+    assert new.append([ORDER, DECIDED, FOR_ALL]) == ["1f-2", "71.72", "1f-3"]
     assert (tmp_path / "new" / "addresses").read_bytes() == (DATA / "addresses").read_bytes()
-    mine = MagicMock()
-    mine.store = store
-    advertise.Addresses.answer(mine, addressing.QueryRequest("1f-6", "history"), "m~1", 1000.0)
-    told = b"".join(call.args[1].body for call in mine.to_who.call_args_list)
+    outgoing = MagicMock()
+    queries = QueryApi(MagicMock(), outgoing, MagicMock(), MagicMock(store=store), MagicMock(), MagicMock())
+    queries.on_request(addressing.QueryRequest("1f-6", "history"), "m~1", 1000.0)
+    told = b"".join(call.args[1].body for call in outgoing.to_process.call_args_list)
     assert zlib.decompress(told) == (DATA / "history.json").read_bytes()
     for one in (store, new):
-        one.records.close()
+        one.close()
 
 
 def test_a_gate_starts_from_its_recorded_memory_and_answers_as_recorded(tmp_path):
-    told, addresses, site = route_guard.read_guard_config(str(DATA / "gate.toml"))
+    told, addresses, site = read_guard_config(str(DATA / "gate.toml"))
     said = tomllib.loads((DATA / "gate.toml").read_text())
     assert (told.addresses, told.site, told.listen, told.speaker, told.folder) == (
         said["addresses"], said["site"], said["listen"], said["speaker"], said["folder"],
@@ -389,14 +395,13 @@
         assert (table.term, table.member, table.controller_term, table.call_number) == (81, "m~9", 82, 83)
         assert table.preferences == {"address-a": Preference.LOWERED}
         answers = [
-            mine.tell(),
+            mine.answer_state(),
             mine.claim("term=91&member=m~10"),
-            mine.put("term=91&number=92&keeper=93&name=address-a&as=2"),
-            mine.alive("term=91&last=address-a"),
-            mine.seen("member=m1&address-a=0.5"),
+            mine.set_preference("term=91&number=92&keeper=93&name=address-a&as=2"),
+            mine.heartbeat("term=91&last=address-a"),
+            mine.report_health("member=m1&address-a=0.5"),
         ]
-        mine.records.close()
-        mine.management.listener.close()
+        mine.close()
     assert [status for status, *_ in answers] == [200] * 5
     assert (table.last_addresses, table.preferences) == ({"address-a"}, {"address-a": Preference.ADVERTISED})
     assert b"".join(body for _, body, _ in answers) == (DATA / "gate.json").read_bytes()
@@ -428,7 +433,7 @@
 
 def test_the_keepers_view_and_plan_are_told_as_recorded():
     addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
-    core = Controller(addresses, COUNCIL.names, 71, 1000.0, 1700000000.0)
+    core = Controller(addresses, COUNCIL.names, 71, 1000.0)
     stands = msgspec.structs.replace(ROW, preference=2, is_last=False, installed=True)
     for voter in COUNCIL.names:
         core.on_message(addressing.OverrideResponse(voter, 0, 0, []), voter, 1000.0, 1700000004.0)
@@ -440,25 +445,28 @@
     exclude = msgspec.structs.replace(FOR_ALL, verb="exclude")
     east = msgspec.structs.replace(exclude, site="east")
     core.tick(1000.5, 1700000004.5)
-    told = [core.plan(east, 1000.5, 1700000004.5)]
+    told = [plan(core, east, 1000.5, 1700000004.5)]
     core.on_message(addressing.OverrideResponse("voter-a", 0, 1, [ORDER]), "voter-a", 1000.5, 1700000004.5)
     core.tick(1001.0, 1700000005.0)
-    told += [core.view(1002.0), core.plan(exclude, 1002.0, 1700000006.0)]
+    told += [view(core, 1002.0), plan(core, exclude, 1002.0, 1700000006.0)]
     assert orjson.dumps(told) == (DATA / "keeper.json").read_bytes()
 
 
 def test_an_announcer_calls_its_gate_as_recorded():
     addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
     core = Announcer(addresses, addresses.sites[0], 91, 1000.0)
-    mine, calls = MagicMock(), []
-    mine.running, mine.shared.node.process_id = 1, "m~10"
-    mine.shared.node.loop.now, mine.shared.told.interval = 1000.0, 0.625
-    mine.act = lambda this, core, target, still: calls.append(target) or iter(())
-    for stands in ({}, {"address-a": (2, 2)}):
+    member, calls = MagicMock(process_id="m~10"), []
+    member.loop.now = 1000.0
+    task = AnnouncerTask(member, addresses, MagicMock(), addresses.sites[0])
+    task.running = 1
+    task.call_guard = lambda this, core, target, still: calls.append(target) or iter(())
+    assert addresses.interval == 0.625
+    advertised = GuardedRoute(Preference.ADVERTISED, Preference.ADVERTISED)
+    for stands in ({}, {"address-a": advertised}):
         if stands:
-            core.on_guard_state(stands, 82, True, 1000.0)
+            core.on_guard_state(GuardState(stands, 82, True), 1000.0)
             core.on_assignment(addressing.RouteAssignment(82, 84, "east", [ROW]), 1000.0)
-        next(advertise.AnnouncerTask.run(mine, 1, core, lambda: True))
+        next(task.run(1, core, lambda: True))
     assert calls == [
         "/claim?term=91&member=m~10",
         "/alive?term=91&last=",
--- a/tests/test_fleet_addresses.py
+++ b/tests/test_fleet_addresses.py
@@ -41,7 +41,7 @@
     assert all(row["evidence"] and row["why"] for row in sites.decided())
     for zone in sites.zones:  # nothing is set at a gate that is not in the history
         kept = {(row["address"], row["standing"]) for row in sites.decided() if row["site"] == zone}
-        alone = [line for line in rig.lines if line.event == "address alone" and line.told["site"] == zone]
+        alone = [line for line in rig.lines if line.event == "address cut off" and line.told["site"] == zone]
         for row in sites.gates[zone].events("set"):
             word = ("withdrawn", "lesser", "advertised")[row["standing"]]
             assert (row["name"], word) in kept or alone
