--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -20,6 +20,8 @@
 from onyxhollow.topology.model import Address, Duty, ListState, Member, Server, Silent, Snapshot, View
 
 LARGEST = 1 << 30  # bytes of one file
+# Log events that earlier versions wrote under another name. The reader knows both, so that old logs stay readable.
+EVENT_ALIASES: dict[str, str] = {}
 SERVICE = {"out of service": "leaving", "in service": "in service", "stop": "stopping"}
 
 
@@ -57,6 +59,7 @@
 
     def take(self, at: float, event: str, told: dict[str, Any]) -> None:
         self.at = at
+        event = EVENT_ALIASES.get(event, event)
         if event == "fleet":
             self.epoch, self.voters = int(told["epoch"]), [str(name) for name in told.get("voters", [])]
             self.zone, self.version = str(told.get("zone", "")), str(told.get("version", ""))
