--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -20,7 +20,8 @@
 from onyxhollow.topology.model import Address, Duty, ListState, Member, Server, Silent, Snapshot, View
 
 LARGEST = 1 << 30  # bytes of one file
-# Log events that earlier versions wrote under another name. The reader knows both, so that old logs stay readable.
+# Log events that earlier versions wrote under another name: the reader knows both, so that old logs stay
+# readable.
 EVENT_ALIASES: dict[str, str] = {}
 SERVICE = {"out of service": "leaving", "in service": "in service", "stop": "stopping"}
 
