--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -706,6 +706,7 @@
         if self.pace is None:
             self.pace = Pace(len(live))
             self.node.event("address leaves", names=sorted(self.leaving), connections=len(live))
+        self.pace.count = max(self.pace.count, len(live))  # of a second address, or come since
         moved = live[: self.pace.allowance(None, None)]
         for sess in moved:
             sess.stop()
--- a/tests/test_addresses.py
+++ b/tests/test_addresses.py
@@ -1,5 +1,7 @@
 """Shared addresses: rules, evidence, orders, store, gate's table and the explorer, in made-up time."""
 
+from types import SimpleNamespace
+
 import msgspec
 import pytest
 
@@ -12,6 +14,7 @@
     Have,
     Keep,
     Kept,
+    Leave,
     Order,
     Report,
     Row,
@@ -25,7 +28,7 @@
 from onyxhollow.addresses.orders import Book
 from onyxhollow.addresses.rules import Cell, Orders, Standing, apply, decide
 from onyxhollow.addresses.table import Refused, Table
-from onyxhollow.fleet.advertise import Store
+from onyxhollow.fleet.advertise import Addresses, Store
 from onyxhollow.fleet.gate import read_gate
 from onyxhollow.lab.fleet import places, wander
 from onyxhollow.records import RecordError
@@ -329,6 +332,81 @@
     assert {row["site"]: row["standing"] for row in keeper.view(2.0)["rows"]}["b"] == "withdrawn"
 
 
+class Member:
+    """What stands for a member's node: its open sessions, each one moved as soon as it is told to."""
+
+    def __init__(self, told):
+        self.name, self.zone, self.who = "a0", "a", "a0~1"
+        self.loop = SimpleNamespace(now=0.0, spawn=lambda run: None)
+        self.proxy = SimpleNamespace(
+            sessions=SimpleNamespace(table=SimpleNamespace(live=[])),
+            config=SimpleNamespace(settings=SimpleNamespace(listeners={"chat": None, "talk": None})),
+        )
+        self.live, self.moved = self.proxy.sessions.table.live, []
+        self.addresses = Addresses(self, told)
+
+    def event(self, name, **values):
+        pass
+
+    def opens(self, count, listener):
+        for _ in range(count):
+            sess = SimpleNamespace(open=True, stopping=False, opening=SimpleNamespace(listener=listener))
+            sess.stop = lambda sess=sess: (self.live.remove(sess), self.moved.append(sess))
+            self.live.append(sess)
+
+    def hears(self, second, *names):
+        """The announcer's word, said again each moment, and how many are moved in this second."""
+        before = len(self.moved)
+        self.addresses.take(Leave("a", list(names)), "a1", "a1~1", float(second))
+        self.addresses.send_away(float(second))
+        return len(self.moved) - before
+
+
+def two_addresses(*listeners):
+    return file.AddressesFile(
+        service=[
+            file.Service(name=f"x{at}", prefix=f"198.51.100.{at}/32", listeners=[name])
+            for at, name in enumerate(listeners)
+        ],
+        site=[file.Site(name=site, gate="127.0.0.1:1") for site in "ab"],
+        policy=POLICY,
+    )
+
+
+def test_connections_go_though_none_had_to_when_the_first_of_two_addresses_left():
+    """Both are reached by one listener, and the daemon takes their withdrawals one after the other: a member
+    that looked in between went by a pace for none, and moved nobody as long as the order stood."""
+    member = Member(two_addresses("chat", "chat"))
+    member.opens(100, "chat")
+    assert member.hears(0, "x0") == 0  # x1 is reached by it too, and stays
+    assert [member.hears(second, "x0", "x1") for second in range(1, 7)] == [5, 5, 5, 5, 5, 10]
+    for second in range(7, 13):
+        member.hears(second, "x0", "x1")
+    assert not member.live
+
+
+def test_connections_that_come_while_an_address_has_left_are_moved_though_there_were_none():
+    member = Member(two_addresses("chat", "talk"))
+    assert member.hears(0, "x0") == 0
+    member.opens(12, "chat")
+    assert [member.hears(second, "x0") for second in range(1, 4)] == [1, 1, 1]
+    for second in range(4, 10):
+        member.hears(second, "x0")
+    assert not member.live
+
+
+def test_a_second_address_leaves_at_the_pace_of_all_its_connections():
+    """One had two connections and the other two hundred: they left one a second."""
+    member = Member(two_addresses("chat", "talk"))
+    member.opens(2, "chat")
+    member.opens(200, "talk")
+    assert member.hears(0, "x0") == 1
+    assert member.hears(1, "x0", "x1") == 11  # a twentieth of 201, rounded up
+    for second in range(2, 12):
+        member.hears(second, "x0", "x1")
+    assert not member.live
+
+
 def test_a_gate_whose_members_have_all_fallen_silent_goes_sooner_or_at_all():
     for cut_off, alone, silent, goes in (
         ("withdraw", 4.0, 4.0, True),
