--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -709,12 +709,8 @@
         ]
         if self.pace is None:
             self.pace = Pace(len(live))
-<<<<<<< HEAD
             self.node.log_event("address leaves", names=sorted(self.leaving), connections=len(live))
-=======
-            self.node.event("address leaves", names=sorted(self.leaving), connections=len(live))
         self.pace.count = max(self.pace.count, len(live))  # of a second address, or come since
->>>>>>> 8c8aa04
         moved = live[: self.pace.allowance(None, None)]
         for sess in moved:
             sess.stop()
