--- /dev/null
+++ b/tests/test_compatibility_proxy.py
@@ -0,0 +1,390 @@
+"""What processes of other builds have written is read as it was meant, and written back to the same bytes.
+
+The recordings in data/compatibility/proxy are frozen: they were written before a renaming of the code, and no
+change of the code may ask for others. Names of the code stand in the first part alone; below it there are
+only the words of the wire and of the files.
+"""
+
+import contextlib
+import json
+import math
+import os
+import re
+import select
+import socket
+import time
+from dataclasses import replace
+from pathlib import Path
+
+import msgspec
+import pytest
+import zstandard
+from conftest import CALLS, Peer
+
+from onyxhollow.interface import Repeat
+from onyxhollow.lifecycle import proxy as lifecycle
+from onyxhollow.lifecycle.config import read_config
+from onyxhollow.lifecycle.handover import Handover, decode_state, encode_state, given_socket
+from onyxhollow.topology import keep, logs
+from onyxhollow.wire.carried import read_carried
+
+DATA = Path(__file__).parent / "data" / "compatibility" / "proxy"
+MEANING = json.loads((DATA / "meaning.json").read_bytes())  # under names of this test
+AT, TOKEN = 5000.0, "4242-5001000000000"  # the moment of the recordings; process and moment of a successor
+
+# names of the code
+
+
+def read_recorded_config():
+    return read_config(str(DATA / "config.json"))
+
+
+def make_proxy(config, given, handover):
+    """As `serve` does."""
+    return lifecycle.Proxy(
+        replace(config, management=None),
+        os.open(os.devnull, os.O_WRONLY),
+        lambda: config,
+        given,
+        handover,
+    )
+
+
+def settings_told(config):
+    """Everything that a configuration told, under names of this test."""
+    s = config.settings
+    return {
+        "name": config.name,
+        "listen": config.listen,
+        "discovery": config.discovery,
+        "management": config.management,
+        "seed": config.seed,
+        "sockets": config.sockets,
+        "memory": config.memory,
+        "connect": config.connect_time,
+        "probe": config.probe_time,
+        "seq": config.known.version,
+        "whole": config.known.whole,
+        "dials": config.known.addresses,
+        "hosts": [entry_told(entry, config.clock) for entry in config.known.entries],
+        "me": s.me,
+        "peersTotal": s.balancers,
+        "zone": s.zone,
+        "on_request": s.watched,
+        "live": s.live_sizes,
+        "overageUtility": s.overage_utility,
+        "charges": (s.probe_price, s.crossing_price),
+        "ceilings": (s.most_dials, s.probes, s.cancelling, s.retry_after),
+        "rules": (s.ask_within, s.cold_time, s.cold_share, s.fall_multiple, s.fall_time),
+        "groups": s.groups,
+        "load field": s.load_field,
+        "tenants": {name: (row.name, row.share, row.connections) for name, row in s.customers.items()},
+        "listeners": {name: listener_told(row) for name, row in s.listeners.items()},
+    }
+
+
+def entry_told(e, clock):
+    born = clock.starts[e.name][0] if e.started is not None else None
+    return e.name, e.readiness.value, e.size, e.zone, e.cell, e.kind, born
+
+
+def listener_told(row):
+    times = row.handshake_target, row.dial_timeout, row.window, row.message_target
+    return row.name, row.repeat.value, row.scope.value, row.utility, times
+
+
+def connection_told(record):
+    """Everything that the record of a connection told."""
+    c = read_carried(record)
+    return {
+        "line": c.opening.line,
+        "opening": (c.opening.name, c.opening.listener, c.opening.customer, c.opening.group),
+        "figures": (c.opening.left, c.opening.load),
+        "listener": listener_told(c.listener),
+        "server": c.server,
+        "times": (c.started, c.heard, c.out),
+        "load": c.load,
+        "last": c.last,
+        "read": c.read,
+        "unsent": c.unsent,
+    }
+
+
+def server_told(s, proxy):
+    """What the decisions know of one server."""
+    b, now = proxy.facade.balancer, proxy.loop.now
+    figures = [(f.value, now - f.at) if f.value else None for f in (s.set_up, s.delay)]
+    tokens = b.budget.tokens[s][0] if s in b.budget.tokens else None
+    return (
+        (s.readiness.value, s.zone, s.cell, s.kind, s.size, s.started, proxy.addresses.find(s.name)),
+        (len(s.connections), s.heard, s.load, now - s.load_at, s.score(now), now - s.strained_at),
+        *figures,
+        (s.arrival.count, s.arrival.moved, tokens) if s.arrival else None,
+    )
+
+
+def known(proxy):
+    """What all decisions know."""
+    b, now = proxy.facade.balancer, proxy.loop.now
+    return {
+        "setting_up": (b.setting_up.value, now - b.setting_up.at),
+        "taken": (b.budget.rate(now), now - b.budget.since),
+        "seq": proxy.discovery.version,
+        "servers": {name: server_told(s, proxy) for name, s in b.servers.items()},
+    }
+
+
+def picture_told(s):
+    """The picture of a fleet as topology draws and checks it."""
+    return {
+        "members": {name: (m.epoch, m.life, m.zone, m.votes) for name, m in s.members().items()},
+        "servers": {name: (r.state, r.load, r.load_age, r.own) for name, r in s.servers().items()},
+        "duties": {name: (d.term, d.holder, d.here) for name, d in s.duties().items()},
+        "views": [(v.name, v.zone, v.version, v.service, v.stalled, v.stalled_ago) for v in s.views],
+        "addresses": [(a.address, a.site, a.standing, a.cause) for a in s.addresses().values()],
+        "links": [(k.to, k.asked, k.lost, k.rtt_ms) for v in s.views for k in v.links],
+        "silent": [(one.at, one.why) for one in s.silent],
+        "flows": s.flows(),
+    }
+
+
+class Successor:
+    """A process that starts where an old one serves, its clock at the recordings' moment. The old one is
+    played by this test: it holds the files' locks and says nothing but recorded bytes."""
+
+    def __init__(self, folder, clock):
+        self.folder, self.clock = folder, clock
+        self.old = Handover(str(folder))
+        listener = given_socket(str(os.dup(socket.create_server(("127.0.0.1", 0)).detach())))
+        self.proxy = make_proxy(read_recorded_config(), listener, Handover(str(folder)))
+
+    def until(self, seen, within=3.0):
+        for _ in range(int(within / 0.002)):
+            if got := seen():
+                return got
+            self.proxy.loop.turn(0.002)
+        raise AssertionError(f"not seen; {dict(self.proxy.counters.counts)}")
+
+    def said(self):
+        """What the successor has written for the old process, with the folder's name taken out."""
+        return (
+            (self.folder / "onyxhollow-successor").read_bytes().replace(str(self.folder).encode(), b"FOLDER")
+        )
+
+    def take_state(self):
+        """At the very moment at which it was written, where the clock then stands."""
+        self.until(lambda: b"starting" in self.said())
+        self.proxy.loop.turn(0.0)
+        self.clock.stand()
+        (self.folder / "onyxhollow-state").write_bytes((DATA / "state.jsonl").read_bytes())
+        self.until(lambda: self.proxy.discovery.version == 41)
+
+    def take_connection(self, client, server):
+        """Over the socket that the successor names: the record and two descriptors."""
+        sender = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        sender.connect(str(self.folder / f"onyxhollow-{TOKEN}"))
+        socket.send_fds(sender, [(DATA / "connection.json").read_bytes()], [client.fileno(), server.fileno()])
+        sender.setblocking(False)
+
+        def answered():
+            with contextlib.suppress(BlockingIOError):
+                return sender.recv(64)
+
+        assert self.until(answered) == b"1 taken"
+        client.close()
+        server.close()
+        return sender
+
+    def hand_over(self, rows):
+        """What it writes down for a successor of its own. rows: what the service has told it of the list."""
+        self.proxy.discovery.rows = rows
+        self.proxy.hand_over(self.old, TOKEN)
+        return (self.folder / "onyxhollow-state").read_bytes()
+
+    def pass_on(self, path):
+        self.proxy.loop.spawn(self.proxy.pass_on(path, self.proxy.loop.now + 5.0))
+
+    def close(self):
+        for fd in list(self.proxy.loop.watched):
+            self.proxy.loop.watch(fd, 0, None)
+        self.proxy.loop.epoll.close()
+        self.proxy.listener.close()
+
+
+class Clock:
+    """The machine's monotonic clock, as it would show the recordings' moment; it stands still if told to."""
+
+    def __init__(self):
+        self.real, self.base, self.stands = time.monotonic, AT - 0.5, False
+        self.began = self.real()
+
+    def __call__(self):
+        return self.base if self.stands else self.base + self.real() - self.began
+
+    def stand(self):
+        self.base, self.stands = AT, True
+
+    def go_on(self):
+        self.began, self.stands = self.real(), False
+
+
+@pytest.fixture
+def successor(tmp_path, monkeypatch):
+    clock = Clock()
+    monkeypatch.setattr(time, "monotonic", clock)
+    monkeypatch.setattr(time, "monotonic_ns", lambda: int(TOKEN.partition("-")[2]))
+    monkeypatch.setattr(os, "getpid", lambda: int(TOKEN.partition("-")[0]))
+    monkeypatch.setattr(lifecycle, "LIST_HEARD", 0.2)  # nobody tells the list here
+    monkeypatch.setattr(lifecycle, "STATE_WAIT", 2.0)
+    for name in [name for name in os.environ if name.startswith("LB_")]:
+        monkeypatch.delenv(name)
+    made = Successor(tmp_path, clock)
+    yield made
+    made.close()
+
+
+def plain(told):
+    """As JSON has it, floats as far as machines agree on them."""
+    if isinstance(told, dict):
+        return {name: plain(value) for name, value in told.items()}
+    if isinstance(told, list | tuple):
+        return [plain(value) for value in told]
+    if isinstance(told, float):
+        return round(told, 9) if math.isfinite(told) else "never"
+    return told.decode("latin-1") if isinstance(told, bytes) else told
+
+
+def page_shape(text):
+    """Names, types and labels of a page of figures, in their order; all but the values."""
+    return [line if line.startswith("#") else line.rpartition(" ")[0] for line in text.splitlines()]
+
+
+def answers(loopback):
+    """All that operators may ask, one after another: the whole answers, figures without their values."""
+    calls = replace(CALLS, name="calls"), replace(CALLS, name="once", repeat=Repeat.ONCE_ONLY)
+    proxy = loopback(management=("127.0.0.1", 0), listeners={row.name: row for row in calls})
+    proxy.standing()
+    found = {}
+    for place, call in enumerate(CONTROL):
+        peer = proxy.operator(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+        proxy.until(lambda peer=peer: peer.read() and peer.end)
+        head, _, body = peer.got.decode().partition("\r\n\r\n")
+        if "counters" in call:
+            head, body = re.sub(r"Content-Length: \d+", "Content-Length: N", head), page_shape(body)
+        found[f"{place} {call}"] = [head.splitlines(), body]
+    return found
+
+
+CONTROL = [
+    *("GET /control/ready", "HEAD /control/ready", "POST /control/ready", "GET /control/counters"),
+    *("POST /control/out-of-service", "GET /control/ready", "GET /control/out-of-service"),
+    *("POST /control/in-service", "GET /control/ready", "GET /control/in-service", "GET /control/other"),
+]
+EVENTS = {  # all that a picture is made of
+    *("fleet", "member", "duty", "list", "probe", "list rests", "list asks", "address", "stalled"),
+    *("out of service", "in service", "stop", "start", "stopped"),
+}
+
+# the tests
+
+
+def test_state_of_another_build_is_taken_over_and_written_back(successor):
+    text = (DATA / "state.jsonl").read_bytes()
+    successor.take_state()
+    assert plain(known(successor.proxy)) == MEANING["state"]
+    rows = json.loads(text.splitlines()[0])["common"]["list"]["hosts"]
+    assert successor.hand_over({row["host"]: row for row in rows}) == text
+    assert encode_state(TOKEN, AT, *decode_state(text, TOKEN, AT + 1.0)) == text
+
+
+def test_a_process_of_another_build_is_replaced_and_its_connections_go_on(successor):
+    """Over the files, the socket and the descriptors of a replacement; the old process is bytes."""
+    words = (DATA / "words.jsonl").read_bytes().splitlines()
+    successor.until(lambda: successor.said() == words[0])
+    successor.take_state()
+    successor.clock.go_on()
+    successor.until(lambda: successor.said() == words[1])
+    assert sorted(os.listdir(successor.folder)) == sorted(
+        ["onyxhollow-serving", "onyxhollow-successor", "onyxhollow-state", f"onyxhollow-{TOKEN}"]
+    )
+    found = plain(known(successor.proxy))
+    assert (found["seq"], found["taken"][0]) == (41, pytest.approx(5.6, rel=0.2))
+    for name, row in found["servers"].items():  # all is known as before, a moment older
+        was = MEANING["state"]["servers"][name]
+        assert row[0] == was[0] and row[4] == was[4] and row[1][:3] == was[1][:3]
+        assert row[1][4] >= 0.7 * was[1][4]  # distrust: nobody answers probes here, which may add to it
+        assert [one and one[0] for one in row[2:4]] == [one and one[0] for one in was[2:4]]
+    (client, near), (server, far) = socket.socketpair(), socket.socketpair()
+    successor.take_connection(near, far)
+    client, server = Peer(client), Peer(server)
+    client.say(b"\r\n")
+    server.say(b" 1\r\n")
+    to_client, to_server = (line.encode("latin-1") for line in MEANING["connection"]["unsent"])
+    successor.until(lambda: server.read() == to_server + b"m 2\r\n")
+    successor.until(lambda: client.read() == to_client + b"m 1\r\n")
+    found = plain(known(successor.proxy))["servers"]
+    assert {name: row[1][0] for name, row in found.items()} == {"a": 1, "b": 0, "c": 0, "d": 0, "e": 0}
+
+
+def fill(sock):
+    """Until nothing more goes."""
+    sock.setblocking(False)
+    for size in (65536, 1024, 32, 1):
+        with contextlib.suppress(BlockingIOError):
+            while sock.send(b"x" * size):
+                pass
+
+
+def test_the_record_of_a_connection_is_read_and_written_back(successor):
+    text = (DATA / "connection.json").read_bytes()
+    assert plain(connection_told(json.loads(text))) == MEANING["connection"]
+    successor.take_state()
+    successor.clock.go_on()
+    successor.until(lambda: b"taking" in successor.said())
+    (client, near), (server, far) = socket.socketpair(), socket.socketpair()
+    fill(near)
+    fill(far)
+    successor.take_connection(near, far)
+    path = str(successor.folder / "next")
+    listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    listener.bind(path)
+    listener.listen(1)
+    successor.pass_on(path)
+    successor.until(lambda: select.select([listener], [], [], 0)[0])
+    taker, _ = listener.accept()
+    successor.until(lambda: select.select([taker], [], [], 0)[0])
+    message, fds, _, _ = socket.recv_fds(taker, 1 << 18, 4)
+    assert message == text
+    for fd, far_end in zip(fds, (client, server), strict=True):  # in their order
+        far_end.setblocking(False)
+        far_end.recv(1 << 20)
+        socket.socket(fileno=fd).send(f"{far_end.fileno()}".encode())
+        assert far_end.recv(1 << 20).endswith(f"{far_end.fileno()}".encode())
+
+
+def test_operators_calls_and_the_page_of_figures_are_as_recorded(loopback):
+    assert answers(loopback) == json.loads((DATA / "control.json").read_bytes())
+
+
+def test_a_snapshot_file_is_read_and_written_back():
+    body = (DATA / "snapshot.oxt").read_bytes()
+    found = keep.read(DATA / "snapshot.oxt")
+    unpacked = [zstandard.ZstdDecompressor().decompress(row[8:]) for row in (body, keep.pack(found))]
+    assert body[:8] == keep.pack(found)[:8] == b"OXTOPO01" and unpacked[0] == unpacked[1]
+    assert msgspec.to_builtins(found) == json.loads((DATA / "snapshot.json").read_bytes())
+    assert plain(picture_told(found)) == MEANING["snapshot"]
+
+
+def test_a_log_of_an_older_build_gives_the_same_picture(monkeypatch):
+    monkeypatch.chdir(DATA)
+    kinds = {json.loads(line)["event"] for line in Path("log.jsonl").read_bytes().splitlines()}
+    assert kinds >= EVENTS
+    found = logs.read([Path("log.jsonl")])
+    assert msgspec.to_builtins(found) == json.loads(Path("log-picture.json").read_bytes())
+    assert plain(picture_told(found)) == MEANING["log"]
+
+
+def test_a_configuration_with_every_key_is_read_as_it_was(monkeypatch):
+    for name in [name for name in os.environ if name.startswith("LB_")]:
+        monkeypatch.delenv(name)
+    assert plain(settings_told(read_recorded_config())) == MEANING["config"]
