--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -21,7 +21,7 @@
 import zstandard
 from conftest import CALLS, Peer
 
-from onyxhollow.interface import Repeat
+from onyxhollow.interface import Idempotency
 from onyxhollow.lifecycle import proxy as lifecycle
 from onyxhollow.lifecycle.config import read_config
 from onyxhollow.lifecycle.handover import Handover, decode_state, encode_state, given_socket
@@ -67,30 +67,38 @@
         "whole": config.known.whole,
         "dials": config.known.addresses,
         "hosts": [entry_told(entry, config.clock) for entry in config.known.entries],
-        "me": s.me,
-        "peersTotal": s.balancers,
+        "me": s.instance_index,
+        "peersTotal": s.instance_count,
         "zone": s.zone,
-        "on_request": s.watched,
-        "live": s.live_sizes,
-        "overageUtility": s.overage_utility,
-        "charges": (s.probe_price, s.crossing_price),
-        "ceilings": (s.most_dials, s.probes, s.cancelling, s.retry_after),
-        "rules": (s.ask_within, s.cold_time, s.cold_share, s.fall_multiple, s.fall_time),
-        "groups": s.groups,
+        "on_request": s.list_is_polled,
+        "live": s.live_weights,
+        "overageUtility": s.over_quota_utility,
+        "charges": (s.health_check_price, s.cross_zone_price),
+        "ceilings": (s.max_attempts, s.health_checks, s.cancellation, s.max_retry_after),
+        "rules": (
+            s.max_poll_interval,
+            s.slow_start_time,
+            s.slow_start_share,
+            s.overload_multiple,
+            s.overload_window,
+        ),
+        "groups": s.group_affinity,
         "load field": s.load_field,
-        "tenants": {name: (row.name, row.share, row.connections) for name, row in s.customers.items()},
+        "tenants": {
+            name: (row.name, row.quota_share, row.connection_quota) for name, row in s.tenants.items()
+        },
         "listeners": {name: listener_told(row) for name, row in s.listeners.items()},
     }
 
 
 def entry_told(e, clock):
-    born = clock.starts[e.name][0] if e.started is not None else None
-    return e.name, e.readiness.value, e.size, e.zone, e.cell, e.kind, born
+    born = clock.starts[e.name][0] if e.started_at is not None else None
+    return e.name, e.state.value, e.weight, e.zone, e.cell, e.machine_type, born
 
 
 def listener_told(row):
-    times = row.handshake_target, row.dial_timeout, row.window, row.message_target
-    return row.name, row.repeat.value, row.scope.value, row.utility, times
+    times = row.handshake_objective, row.attempt_timeout, row.deduplication_window, row.message_objective
+    return row.name, row.idempotency.value, row.deduplication_scope.value, row.utility, times
 
 
 def connection_told(record):
@@ -98,7 +106,7 @@
     c = read_carried(record)
     return {
         "line": c.opening.line,
-        "opening": (c.opening.name, c.opening.listener, c.opening.customer, c.opening.group),
+        "opening": (c.opening.name, c.opening.listener, c.opening.tenant, c.opening.group),
         "figures": (c.opening.left, c.opening.load),
         "listener": listener_told(c.listener),
         "server": c.server,
@@ -112,7 +120,7 @@
 
 def server_told(s, proxy):
     """What the decisions know of one server."""
-    b, now = proxy.facade.balancer, proxy.loop.now
+    b, now = proxy.decisions.balancer, proxy.loop.now
     figures = [(f.value, now - f.at) if f.value else None for f in (s.set_up, s.delay)]
     tokens = b.budget.tokens[s][0] if s in b.budget.tokens else None
     return (
@@ -125,7 +133,7 @@
 
 def known(proxy):
     """What all decisions know."""
-    b, now = proxy.facade.balancer, proxy.loop.now
+    b, now = proxy.decisions.balancer, proxy.loop.now
     return {
         "setting_up": (b.setting_up.value, now - b.setting_up.at),
         "taken": (b.budget.rate(now), now - b.budget.since),
@@ -261,7 +269,7 @@
 
 def answers(loopback):
     """All that operators may ask, one after another: the whole answers, figures without their values."""
-    calls = replace(CALLS, name="calls"), replace(CALLS, name="once", repeat=Repeat.ONCE_ONLY)
+    calls = replace(CALLS, name="calls"), replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)
     proxy = loopback(management=("127.0.0.1", 0), listeners={row.name: row for row in calls})
     proxy.standing()
     found = {}
