--- a/onyxhollow/fleet/shared_addresses/connection_drain.py
+++ b/onyxhollow/fleet/shared_addresses/connection_drain.py
@@ -54,6 +54,8 @@
         if self.pace is None:
             self.pace = Pace(len(sessions))
             self.member.log_event("address drain", names=sorted(self.requested), connections=len(sessions))
+        # A second address may begin to drain, and sessions may still open: the pace is for all of them.
+        self.pace.count = max(self.pace.count, len(sessions))
         moved = sessions[: self.pace.allowance(None, None)]
         for session in moved:
             session.stop()
--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -20,6 +20,19 @@
 from onyxhollow.topology.model import Address, Duty, ListState, Member, Server, Silent, Snapshot, View
 
 LARGEST = 1 << 30  # bytes of one file
+# Log events that earlier versions wrote under another name: the reader knows both, so that old logs stay
+# readable.
+EVENT_ALIASES: dict[str, str] = {
+    "address alone": "address cut off",
+    "address leaves": "address drain",
+    "gate": "route guard",
+    "gate disk": "route guard disk",
+    "order": "override",
+    "refused": "stale term",
+    "speaker": "routing daemon",
+    "store waits": "store unavailable",
+    "told": "routing command",
+}
 SERVICE = {"out of service": "leaving", "in service": "in service", "stop": "stopping"}
 
 
@@ -57,6 +70,7 @@
 
     def take(self, at: float, event: str, told: dict[str, Any]) -> None:
         self.at = at
+        event = EVENT_ALIASES.get(event, event)
         if event == "fleet":
             self.epoch, self.voters = int(told["epoch"]), [str(name) for name in told.get("voters", [])]
             self.zone, self.version = str(told.get("zone", "")), str(told.get("version", ""))
