--- a/onyxhollow/fleet/context.py
+++ b/onyxhollow/fleet/context.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from onyxhollow.fleet.file import Fleet
-from onyxhollow.leases.messages import Council
+from onyxhollow.leases.messages import VoterSet
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.loop import Loop, Task
 from onyxhollow.membership.swim import Member, SwimMembership
@@ -54,7 +54,7 @@
         """The member's only source of chance, seeded from the proxy's seed and the epoch."""
 
     @property
-    def voters(self) -> Council:
+    def voters(self) -> VoterSet:
         """The newest voter set that this member knows of."""
 
     @property
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -11,9 +11,9 @@
 
 from onyxhollow.addresses.file import AddressesError, AddressesFile, read_addresses
 from onyxhollow.gossip import core as share_terms
-from onyxhollow.leases.claim import Rules
-from onyxhollow.leases.messages import VOTERS
-from onyxhollow.leases.voter import LONGEST_LEASE, MOST_DUTIES
+from onyxhollow.leases.candidate import LeaseTiming
+from onyxhollow.leases.messages import VOTERS_ROLE
+from onyxhollow.leases.voter import MAX_LEASE_DURATION, MAX_ROLES
 from onyxhollow.membership.messages import NAME, Address
 from onyxhollow.membership.seal import KeyFileError, read_keys
 from onyxhollow.membership.swim import ProtocolConfig
@@ -86,8 +86,8 @@
             return None
         return share_terms.GossipConfig(told.every, told.fan, told.report, told.renew, audit=told.audit)
 
-    def rules(self) -> Rules:
-        return Rules(self.leases.lease, self.leases.rate_bound)
+    def rules(self) -> LeaseTiming:
+        return LeaseTiming(self.leases.lease, self.leases.rate_bound)
 
 
 class Fleet(msgspec.Struct, frozen=True):
@@ -136,16 +136,16 @@
             f"voters: expected 3, 5 or 7 different names, got {', '.join(told.voters) or 'none'}"
         )
     duties = [duty.name for duty in told.duty]
-    if len(set(duties)) != len(duties) or VOTERS in duties or len(duties) >= MOST_DUTIES:
+    if len(set(duties)) != len(duties) or VOTERS_ROLE in duties or len(duties) >= MAX_ROLES:
         raise FleetError(
-            f"duty: expected different names, none of them {VOTERS!r}, got {', '.join(duties)[:200]}"
+            f"duty: expected different names, none of them {VOTERS_ROLE!r}, got {', '.join(duties)[:200]}"
         )
     if sum(duty.work == "list" for duty in told.duty) > 1:
         raise FleetError("duty: expected one whose work is 'list', got several")
     bounded("membership.period", told.membership.period, 0.05, 10.0)
     bounded("membership.timeout", told.membership.timeout, 0.01, told.membership.period)
     bounded("membership.sync", told.membership.sync, 1.0, 300.0)
-    bounded("leases.lease", told.leases.lease, 0.2, LONGEST_LEASE)
+    bounded("leases.lease", told.leases.lease, 0.2, MAX_LEASE_DURATION)
     bounded("leases.rate_bound", told.leases.rate_bound, 0.0001, 0.2)
     bounded("leases.steady", told.leases.steady, 0.0, 3600.0)
     bounded("leases.patience", told.leases.patience, 0.5, 3600.0)
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -31,9 +31,9 @@
 from onyxhollow.fleet.works import LeaderTask, WebhookTask
 from onyxhollow.interface import Endpoint, EndpointListKind
 from onyxhollow.leases import messages as said
-from onyxhollow.leases.change import Changer
-from onyxhollow.leases.claim import Claim, Said, State, Turn
-from onyxhollow.leases.messages import VOTERS, Council
+from onyxhollow.leases.candidate import Candidate, CandidateState, Transition, VoterMessage
+from onyxhollow.leases.messages import VOTERS_ROLE, VoterSet
+from onyxhollow.leases.reconfiguration import Reconfiguration
 from onyxhollow.leases.voter import Voter
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.loop import READ, Task
@@ -75,7 +75,7 @@
 class LeaseRunner:
     """One duty at this member: its claim, and the work while it is held."""
 
-    def __init__(self, claim: Claim, zone: str | None, work: LeaderTask | None) -> None:
+    def __init__(self, claim: Candidate, zone: str | None, work: LeaderTask | None) -> None:
         self.claim, self.zone, self.work = claim, zone, work
         self.held_at = self.quiet_until = self.recorded = 0.0
         self.failures = 0
@@ -105,7 +105,7 @@
         self.seal = DatagramAuthenticator(self.told.fleet, self.name, self.epoch, fleet.keys)
         me = Update(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
         self.membership = SwimMembership(me, self.told.terms(), self.rng, fleet.seeds, now)
-        self.voters = Council(0, tuple(self.told.voters))
+        self.voters = VoterSet(0, tuple(self.told.voters))
         self.records: AppendLog | None = None
         self.voter: Voter | None = None
         self.records_at = now
@@ -117,13 +117,13 @@
         self.local: deque[tuple[str, Any]] = deque()  # said to oneself
         self.level, self.level_at = BURST, now
         self.look_at = self.ranks_until = now
-        self.changer = Changer()
+        self.changer = Reconfiguration()
         self.lists: Lists | None = None
         share = self.told.share()
         self.shares = Shares(self, share) if share else None
         self.closed = False
         self.runners: dict[str, LeaseRunner] = {}
-        self.add(VOTERS, None, None)
+        self.add(VOTERS_ROLE, None, None)
         for duty in self.told.duty:
             self.add_duty(duty)
         self.addresses = Addresses(self, fleet.addresses) if fleet.addresses else None
@@ -164,7 +164,7 @@
         self.add(name, zone, work)
 
     def add(self, name: str, zone: str | None, work: LeaderTask | None) -> None:
-        claim = Claim(name, self.process_id, self.told.rules(), self.voters, self.rng, clock.now())
+        claim = Candidate(name, self.process_id, self.told.rules(), self.voters, self.rng, clock.now())
         self.runners[name] = LeaseRunner(claim, zone, work)
 
     def log_event(self, event: str, **values: Any) -> None:
@@ -200,10 +200,10 @@
         times = [
             self.membership.next_due,
             self.look_at,
-            *(runner.claim.due() for runner in self.runners.values()),
+            *(runner.claim.next_due() for runner in self.runners.values()),
         ]
         if self.voter:
-            times.append(self.voter.due())
+            times.append(self.voter.next_due())
         if self.lists:
             times.append(self.lists.next_due())
         if self.shares:
@@ -223,10 +223,10 @@
         if now >= self.look_at:
             self.look_at = now + LOOK
             self.look(now)
-        if self.voter and now >= self.voter.due():
+        if self.voter and now >= self.voter.next_due():
             self.tick_voter(now)
         for runner in self.runners.values():
-            if now >= runner.claim.due():
+            if now >= runner.claim.next_due():
                 self.say(runner, runner.claim.tick(now, self.rank(runner, now)))
         if self.lists:
             self.lists.tick(now)
@@ -313,7 +313,7 @@
 
     def order(self, runner: LeaseRunner) -> list[str]:
         """Who may hold a duty, the preferred first: by rendezvous hashing (Thaler, Ravishankar, 1998)."""
-        duty = runner.claim.duty
+        duty = runner.claim.role
         if (known := self.ranks.get(duty)) is not None:
             return known
         now = clock.now()
@@ -342,7 +342,7 @@
 
     # what duties say
 
-    def say(self, runner: LeaseRunner, told: Said) -> None:
+    def say(self, runner: LeaseRunner, told: list[VoterMessage]) -> None:
         for voter, message in told:
             self.send_to_voter(voter, message)
 
@@ -376,7 +376,7 @@
                 self.addresses.on_message(member, body, now)
             return
         try:
-            told = said.MESSAGES.decode(body)
+            told = said.MESSAGE_DECODER.decode(body)
         except (msgspec.DecodeError, RecursionError):
             self.counts["duties: rubbish"] += 1
             return
@@ -392,33 +392,33 @@
                 self.addresses.on_broadcast(body)
             return
         with contextlib.suppress(msgspec.DecodeError):
-            told = said.MESSAGES.decode(body)
-            if isinstance(told, said.Held):
-                self.heard_of(told.duty, told.term, told.who, now)
-            elif isinstance(told, said.Learn):
-                self.learn(told.council, now)
+            told = said.MESSAGE_DECODER.decode(body)
+            if isinstance(told, said.LeaderAnnouncement):
+                self.heard_of(told.role, told.term, told.holder, now)
+            elif isinstance(told, said.ConfigurationCommitted):
+                self.learn(told.voter_set, now)
 
     def duties_heard(self, who: str, name: str, told: Any, now: float) -> None:
-        if isinstance(told, said.Answer):
-            runner = self.runners.get(told.duty)
+        if isinstance(told, said.VoteResponse):
+            runner = self.runners.get(told.role)
             if runner:
-                self.say(runner, runner.claim.heard(clock.now(), name, told))
-                if told.council:
-                    self.learn(told.council, now)
-        elif isinstance(told, said.Offer):
-            if (runner := self.runners.get(told.duty)) and self.rank(runner, now) is not None:
-                self.say(runner, runner.claim.offered(now, told.term))
-        elif isinstance(told, said.Command):
-            if (runner := self.runners.get(told.duty)) and runner.claim.holds(now):
-                self.obey(runner, told.to, now)
-            elif not told.passed and (known := self.holder(told.duty)) not in ("", self.process_id):
-                self.send_to_process(known, said.Command(told.duty, told.to, True))
-        elif isinstance(told, said.Change):
+                self.say(runner, runner.claim.on_response(clock.now(), name, told))
+                if told.voter_set:
+                    self.learn(told.voter_set, now)
+        elif isinstance(told, said.LeaseOffer):
+            if (runner := self.runners.get(told.role)) and self.rank(runner, now) is not None:
+                self.say(runner, runner.claim.on_offer(now, told.term))
+        elif isinstance(told, said.HandOverCommand):
+            if (runner := self.runners.get(told.role)) and runner.claim.holds(now):
+                self.obey(runner, told.target, now)
+            elif not told.forwarded and (known := self.holder(told.role)) not in ("", self.process_id):
+                self.send_to_process(known, said.HandOverCommand(told.role, told.target, True))
+        elif isinstance(told, said.ReplaceVoterCommand):
             self.start_change(told, now)
-        elif isinstance(told, said.Accepted):
+        elif isinstance(told, said.ReconfigurationResponse):
             self.accepted(name, told, now)
-        elif isinstance(told, said.Learn):
-            self.learn(told.council, now)
+        elif isinstance(told, said.ConfigurationCommitted):
+            self.learn(told.voter_set, now)
             self.vote(who, name, told, now)
         else:
             self.vote(who, name, told, now)
@@ -432,7 +432,7 @@
             self.addresses.learn_holder(duty, term, who)
         self.history.append({"duty": duty, "term": term, "who": who, "t": round(self.loop.now, 3)})
         if runner := self.runners.get(duty):
-            runner.claim.highest = max(runner.claim.highest, term)
+            runner.claim.highest_term = max(runner.claim.highest_term, term)
 
     def holder(self, duty: str) -> str:
         """Who holds a duty, by the newest that is known here: by itself, by news, as a voter."""
@@ -440,10 +440,10 @@
         if runner and runner.claim.holds(clock.now()):
             return self.process_id
         found = [self.holders.get(duty, (0, ""))]
-        if self.voter and (seat := self.voter.seats.get(duty)):
-            found.append((seat.term, seat.holder))
+        if self.voter and (slot := self.voter.slots.get(duty)):
+            found.append((slot.term, slot.holder))
         if runner and runner.claim.holder:
-            found.append((runner.claim.highest, runner.claim.holder))
+            found.append((runner.claim.highest_term, runner.claim.holder))
         who = max(found)[1]
         return who if who != self.process_id and self.find_member(who) else ""
 
@@ -461,19 +461,19 @@
             return
         voter = Voter(self.name, self.voters, self.told.leases.lease, now)
         try:
-            voter.remember([said.ROWS.decode(row) for row in records.rows], now)
+            voter.restore([said.RECORD_DECODER.decode(row) for row in records.rows], now)
         except msgspec.DecodeError as error:
             self.log_event("voter waits", why=f"{records.path}: not a voter's records: {error}"[:200])
             records.close()
             return
         self.records, self.voter = records, voter
-        self.learn(voter.council, now)
+        self.learn(voter.voter_set, now)
         self.log_event(
             "voter",
-            blank=voter.blank,
+            blank=voter.recovering,
             records=len(records.rows),
             cut=records.cut,
-            council=voter.council.version,
+            council=voter.voter_set.version,
         )
 
     def write(self, rows: list[Any]) -> bool:
@@ -483,7 +483,7 @@
             return True
         try:
             if len(self.records.rows) + len(rows) > COMPACT:
-                self.records.rewrite([said.encode(row) for row in self.voter.rows()])
+                self.records.rewrite([said.encode(row) for row in self.voter.records()])
             else:
                 self.records.append(*(said.encode(row) for row in rows))
         except OSError as error:
@@ -500,7 +500,7 @@
     def vote(self, who: str, name: str, told: Any, now: float) -> None:
         if self.voter is None:
             return
-        answers, rows = self.voter.heard(clock.now(), name, told)
+        answers, rows = self.voter.on_message(clock.now(), name, told)
         if not self.write(rows):
             self.voter.undo()
             return
@@ -512,24 +512,24 @@
         told, rows = self.voter.tick(now)
         if rows:
             if self.write(rows):
-                self.log_event("voter remembers", duties=len(self.voter.seats))
+                self.log_event("voter remembers", duties=len(self.voter.slots))
             else:
-                self.voter.blank = True
+                self.voter.recovering = True
         for name, message in told:
             self.send_to_voter(name, message)
 
-    def learn(self, council: Council, now: float) -> None:
+    def learn(self, council: VoterSet, now: float) -> None:
         if council.version <= self.voters.version:
             return
         self.voters = council
         for runner in self.runners.values():
-            if runner.claim.council.version < council.version:
-                runner.claim.council = council
+            if runner.claim.voter_set.version < council.version:
+                runner.claim.voter_set = council
         self.log_event("voters", version=council.version, names=council.names)
-        if self.voter and self.voter.council.version < council.version:
-            _, rows = self.voter.heard(now, self.name, said.Learn(council))
+        if self.voter and self.voter.voter_set.version < council.version:
+            _, rows = self.voter.on_message(now, self.name, said.ConfigurationCommitted(council))
             self.write(rows)
-        self.membership.broadcast(DUTIES, said.encode(said.Learn(council)))
+        self.membership.broadcast(DUTIES, said.encode(said.ConfigurationCommitted(council)))
 
     # holding
 
@@ -559,7 +559,7 @@
                 if now - runner.held_at > self.told.leases.patience:
                     runner.failures = 0  # it gets things done again
                 self.give_back(runner, now)
-        if self.changer.busy or self.runners[VOTERS].claim.pending:
+        if self.changer.in_progress or self.runners[VOTERS_ROLE].claim.pending:
             self.propose(now)
 
     def successor(self, runner: LeaseRunner) -> str:
@@ -592,7 +592,7 @@
         if to and not found:
             claim = runner.claim
             self.log_event(
-                "duty", duty=claim.duty, change="kept", term=claim.term, cause=f"{to} can't hold it"
+                "duty", duty=claim.role, change="kept", term=claim.term, cause=f"{to} can't hold it"
             )
             return
         if not to:
@@ -605,65 +605,67 @@
         """The work ends first, then the voters are told, then the one who is to follow: a gap, never an
         overlap."""
         claim = runner.claim
-        if claim.state is not State.HOLDING or to == self.process_id:
+        if claim.state is not CandidateState.HOLDING or to == self.process_id:
             return
         if runner.work:
             runner.work.stop()
         self.say(runner, claim.end(clock.now(), cause))
         if to:
-            self.send_to_process(to, said.Offer(claim.duty, claim.term))
+            self.send_to_process(to, said.LeaseOffer(claim.role, claim.term))
 
     def settle(self, runner: LeaseRunner, now: float) -> None:
         """What has become of a claim: the work begins or ends."""
         claim = runner.claim
-        turns, claim.turns = claim.turns, []
+        turns, claim.transitions = claim.transitions, []
         for turn in turns:
             if turn.held:
                 self.begin(runner, turn, now)
             else:
                 if runner.work:
                     runner.work.stop()
-                self.log_event("duty", duty=claim.duty, change="ended", term=turn.term, cause=turn.cause)
-        if self.told.record and claim.state is State.HOLDING and claim.until != runner.recorded:
-            runner.recorded = claim.until
-            left = claim.until - clock.now()
-            self.log_event("lease", duty=claim.duty, term=claim.term, left=round(left, 4))
+                self.log_event("duty", duty=claim.role, change="ended", term=turn.term, cause=turn.cause)
+        if self.told.record and claim.state is CandidateState.HOLDING and claim.expires_at != runner.recorded:
+            runner.recorded = claim.expires_at
+            left = claim.expires_at - clock.now()
+            self.log_event("lease", duty=claim.role, term=claim.term, left=round(left, 4))
 
-    def begin(self, runner: LeaseRunner, turn: Turn, now: float) -> None:
+    def begin(self, runner: LeaseRunner, turn: Transition, now: float) -> None:
         claim, term = runner.claim, turn.term
         runner.held_at = now
-        left = claim.until - clock.now()
+        left = claim.expires_at - clock.now()
         self.log_event(
             "duty",
-            duty=claim.duty,
+            duty=claim.role,
             change="held",
             term=term,
             cause=turn.cause,
             gap=round(turn.waited, 4),
             left=round(left, 4),
         )
-        self.heard_of(claim.duty, term, self.process_id, now)
-        self.membership.broadcast(DUTIES, said.encode(said.Held(claim.duty, term, self.process_id)))
+        self.heard_of(claim.role, term, self.process_id, now)
+        self.membership.broadcast(
+            DUTIES, said.encode(said.LeaderAnnouncement(claim.role, term, self.process_id))
+        )
         if runner.work:
             runner.work.start(term, lambda: claim.term == term and claim.holds(clock.now()))
 
     # changing the voters
 
-    def start_change(self, told: said.Change, now: float) -> None:
-        if self.runners[VOTERS].claim.holds(now) and not self.changer.busy:
-            self.changer.wish = told
+    def start_change(self, told: said.ReplaceVoterCommand, now: float) -> None:
+        if self.runners[VOTERS_ROLE].claim.holds(now) and not self.changer.in_progress:
+            self.changer.command = told
             self.propose(now)
 
     def propose(self, now: float) -> None:
-        runner = self.runners[VOTERS]
+        runner = self.runners[VOTERS_ROLE]
         self.say(runner, self.changer.propose(now, runner.claim, self.voters))
 
-    def accepted(self, name: str, told: said.Accepted, now: float) -> None:
+    def accepted(self, name: str, told: said.ReconfigurationResponse, now: float) -> None:
         before = self.voters
-        if council := self.changer.accepted(now, self.runners[VOTERS].claim, before, name, told):
+        if council := self.changer.on_response(now, self.runners[VOTERS_ROLE].claim, before, name, told):
             self.learn(council, now)
             for each in {*before.names, *council.names}:
-                self.send_to_voter(each, said.Learn(council))
+                self.send_to_voter(each, said.ConfigurationCommitted(council))
 
     # operators
 
@@ -694,7 +696,7 @@
                     "term": term,
                     "holder": who,
                     "here": claim.state.value,
-                    "left": round(max(0.0, claim.until - now), 3) if claim.holds(now) else None,
+                    "left": round(max(0.0, claim.expires_at - now), 3) if claim.holds(now) else None,
                     "order": [name_of(one) for one in self.order(runner)[:3]],
                 }
             )
@@ -704,9 +706,9 @@
         voter = None
         if self.voter:
             voter = {
-                "blank": self.voter.blank,
+                "blank": self.voter.recovering,
                 "disk": not self.disk_fails,
-                "duties": len(self.voter.seats),
+                "duties": len(self.voter.slots),
                 "changing": self.voter.pending is not None,
             }
         told = {
@@ -784,12 +786,12 @@
             return 404, f"to: expected a member that is there, got {to[:80]!r}\n".encode(), PLAIN
         if not (who := self.holder(duty)):
             return 409, f"{duty}: no holder is known\n".encode(), PLAIN
-        self.send_to_process(who, said.Command(duty, to))
+        self.send_to_process(who, said.HandOverCommand(duty, to))
         self.task.wake()
         return 200, f"told {who}\n".encode(), PLAIN
 
     def change_voters(self, query: str) -> Answer:
-        """voters?remove=NAME&add=NAME: passed on to the holder of VOTERS."""
+        """voters?remove=NAME&add=NAME: passed on to the holder of VOTERS_ROLE."""
         asked = dict(parse_qsl(query))
         remove, add = asked.get("remove", ""), asked.get("add", "")
         names = self.voters.names
@@ -803,9 +805,9 @@
                 f"add: expected a member that is there and no voter, got {add[:80]!r}\n".encode(),
                 PLAIN,
             )
-        if not (who := self.holder(VOTERS)):
+        if not (who := self.holder(VOTERS_ROLE)):
             return 409, b"no holder of the duty of changing voters is known\n", PLAIN
-        self.send_to_process(who, said.Change(remove, add))
+        self.send_to_process(who, said.ReplaceVoterCommand(remove, add))
         self.task.wake()
         return 200, f"told {who}\n".encode(), PLAIN
 
--- a/onyxhollow/lab/fleet/explore.py
+++ b/onyxhollow/lab/fleet/explore.py
@@ -22,8 +22,8 @@
 from typing import Any
 
 from onyxhollow.lab.fleet import broken
-from onyxhollow.leases.claim import Claim, Rules
-from onyxhollow.leases.messages import Answer, Council, Message, Offer, encode
+from onyxhollow.leases.candidate import Candidate, LeaseTiming, VoterMessage
+from onyxhollow.leases.messages import LeaseOffer, Message, VoteResponse, VoterSet, encode
 from onyxhollow.leases.voter import Voter
 
 TICK = 10  # units of true time
@@ -62,7 +62,7 @@
     tick: int = 0
     voters: list[Voter] = field(default_factory=list)
     disks: list[tuple[Message, ...]] = field(default_factory=list)
-    claims: list[Claim] = field(default_factory=list)
+    candidates: list[Candidate] = field(default_factory=list)
     paused: frozenset[str] = frozenset()
     cut: frozenset[tuple[str, str]] = frozenset()  # candidate and way: "out", "in"
     late: tuple[tuple[int, str, str, Any], ...] = ()  # due tick, from, to, what
@@ -77,27 +77,31 @@
 
     @staticmethod
     def new(rates: tuple[float, ...], budget: int, only: str = "") -> World:
-        council = Council(0, VOTERS)
+        voter_set = VoterSet(0, VOTERS)
         world = World(rates, budget=budget, only=only)
         for name in VOTERS:
-            voter = Voter(name, council, LEASE, 0.0)
-            voter.blank = False
+            voter = Voter(name, voter_set, LEASE, 0.0)
+            voter.recovering = False
             world.voters.append(voter)
             world.disks.append(())
         for place, name in enumerate(CANDIDATES):
-            claim = Claim(DUTY, name, Rules(LEASE, BOUND), council, STILL, 0.0)
-            claim.next_at = 15.0 * place
-            world.claims.append(claim)
+            candidate = Candidate(DUTY, name, LeaseTiming(LEASE, BOUND), voter_set, STILL, 0.0)
+            candidate.next_at = 15.0 * place
+            world.candidates.append(candidate)
         return world
 
     def copy(self) -> World:
         other = copy.copy(self)
         other.voters = [copy.copy(voter) for voter in self.voters]
         for voter in other.voters:
-            voter.seats, voter.recalled = dict(voter.seats), dict(voter.recalled)
-        other.claims = [copy.copy(claim) for claim in self.claims]
-        for claim in other.claims:
-            claim.sent, claim.denied, claim.turns = dict(claim.sent), dict(claim.denied), []
+            voter.slots, voter.peer_recovering = dict(voter.slots), dict(voter.peer_recovering)
+        other.candidates = [copy.copy(candidate) for candidate in self.candidates]
+        for candidate in other.candidates:
+            candidate.rounds, candidate.refusals, candidate.transitions = (
+                dict(candidate.rounds),
+                dict(candidate.refusals),
+                [],
+            )
         other.disks = list(self.disks)
         return other
 
@@ -108,31 +112,35 @@
     def key(self) -> Any:
         voters = tuple(
             (
-                tuple(sorted(voter.seats.items(), key=lambda row: row[0])),
-                voter.blank,
-                voter.blank and (voter.waits_until, tuple(sorted(voter.recalled.items())), voter.next_recall),
+                tuple(sorted(voter.slots.items(), key=lambda row: row[0])),
+                voter.recovering,
+                voter.recovering
+                and (voter.silent_until, tuple(sorted(voter.peer_recovering.items())), voter.next_query_at),
             )
             for voter in self.voters
         )
-        claims = tuple(
+        candidates = tuple(
             (
-                claim.state,
-                claim.term,
-                claim.highest,
-                claim.until,
-                claim.next_at,
-                claim.again_at,
-                claim.tries,
-                tuple((number - claim.round, at, yes) for number, (at, yes) in claim.sent.items()),
-                tuple(sorted((name, told.left) for name, told in claim.denied.items())),
+                candidate.state,
+                candidate.term,
+                candidate.highest_term,
+                candidate.expires_at,
+                candidate.next_at,
+                candidate.retransmit_at,
+                candidate.failed_attempts,
+                tuple(
+                    (number - candidate.round, sent.sent_at, sent.granted_by)
+                    for number, sent in candidate.rounds.items()
+                ),
+                tuple(sorted((name, refusal.remaining) for name, refusal in candidate.refusals.items())),
             )
-            for claim in self.claims
+            for candidate in self.candidates
         )
         under_way = keyed(self.late), keyed(self.held)
         return (
             self.tick,
             voters,
-            claims,
+            candidates,
             self.paused,
             self.cut,
             under_way,
@@ -165,7 +173,7 @@
         return told
 
     def holds(self, name: str) -> bool:
-        return self.claims[CANDIDATES.index(name)].holds(self.clock(name))
+        return self.candidates[CANDIDATES.index(name)].holds(self.clock(name))
 
     def befall(self, what: str, name: str) -> list[tuple[str, str, Any]]:
         if what == "pause":
@@ -184,11 +192,11 @@
         elif what.startswith("restart"):
             self.restart(name, blank=what.endswith("blank"))
         elif what == "hand over":
-            claim = self.claims[CANDIDATES.index(name)]
+            candidate = self.candidates[CANDIDATES.index(name)]
             other = CANDIDATES[1 - CANDIDATES.index(name)]
-            told = claim.end(self.clock(name), "operator")
+            told = candidate.end(self.clock(name), "operator")
             sent = [(name, voter, message) for voter, message in told]
-            return [*sent, (name, other, Offer(DUTY, claim.term))]
+            return [*sent, (name, other, LeaseOffer(DUTY, candidate.term))]
         return []
 
     def restart(self, name: str, blank: bool) -> None:
@@ -197,12 +205,14 @@
         if blank:
             self.disks[place] = ()
             self.lost |= {name}
-            blanks = {each for each, voter in zip(VOTERS, self.voters, strict=True) if voter.blank} | {name}
+            blanks = {each for each, voter in zip(VOTERS, self.voters, strict=True) if voter.recovering} | {
+                name
+            }
             self.forgot = self.forgot or len(blanks) >= 2
-        voter = Voter(name, Council(0, VOTERS), LEASE, now)
-        voter.remember(self.disks[place], now)
+        voter = Voter(name, VoterSet(0, VOTERS), LEASE, now)
+        voter.restore(self.disks[place], now)
         # at the start of a run nothing has been granted: that is a memory
-        voter.blank = voter.blank and blank
+        voter.recovering = voter.recovering and blank
         self.voters[place] = voter
         self.held = tuple(row for row in self.held if row[1] != name)
         self.paused -= {name}
@@ -229,9 +239,9 @@
         for rank, name in enumerate(CANDIDATES):
             if name not in self.paused:
                 self.act(name)
-                claim = self.claims[rank]
-                if self.clock(name) >= claim.due():
-                    said = claim.tick(self.clock(name), rank)
+                candidate = self.candidates[rank]
+                if self.clock(name) >= candidate.next_due():
+                    said = candidate.tick(self.clock(name), rank)
                     queue += [(name, voter, message) for voter, message in said]
         self.check()
         place = 0
@@ -261,39 +271,42 @@
         now = self.clock(target)
         if target in VOTERS:
             place = VOTERS.index(target)
-            answers, rows = self.voters[place].heard(now, source, what)
+            answers, rows = self.voters[place].on_message(now, source, what)
             self.disks[place] += tuple(rows)
             return [(target, source, answer) for answer in answers]
-        claim = self.claims[CANDIDATES.index(target)]
-        said: list[tuple[str, Any]] = []
-        if isinstance(what, Answer):
-            said = claim.heard(now, source, what)
-        elif isinstance(what, Offer):
-            said = claim.offered(now, what.term)
-        for turn in claim.turns:
+        candidate = self.candidates[CANDIDATES.index(target)]
+        said: list[VoterMessage] = []
+        if isinstance(what, VoteResponse):
+            said = candidate.on_response(now, source, what)
+        elif isinstance(what, LeaseOffer):
+            said = candidate.on_offer(now, what.term)
+        for turn in candidate.transitions:
             if turn.held:
                 if turn.term <= self.last[0] and not self.forgot:
                     raise Found(f"tick {self.tick}: {target} holds under term {turn.term} after {self.last}")
                 self.last = max(self.last, (turn.term, target))
-        claim.turns.clear()
+        candidate.transitions.clear()
         return [(target, voter, message) for voter, message in said]
 
     def act(self, name: str) -> None:
         """What a holder does: looks at the clock, and acts under its term."""
-        claim = self.claims[CANDIDATES.index(name)]
+        candidate = self.candidates[CANDIDATES.index(name)]
         if not self.holds(name):
             return
-        if self.clock(name) >= claim.until:
-            raise Found(f"tick {self.tick}: {name} acts under term {claim.term} past its lease")
-        if claim.term >= self.newest:
-            self.newest = claim.term
+        if self.clock(name) >= candidate.expires_at:
+            raise Found(f"tick {self.tick}: {name} acts under term {candidate.term} past its lease")
+        if candidate.term >= self.newest:
+            self.newest = candidate.term
         else:
-            raise Found(f"tick {self.tick}: {name} acts under term {claim.term} after {self.newest}")
+            raise Found(f"tick {self.tick}: {name} acts under term {candidate.term} after {self.newest}")
 
     def check(self) -> None:
         """A stopped process holds too, by its own clock: it may be woken in this very moment."""
         if sum(self.holds(name) for name in CANDIDATES) > 1:
-            told = [(claim.term, claim.until, self.clock(claim.me)) for claim in self.claims]
+            told = [
+                (candidate.term, candidate.expires_at, self.clock(candidate.process_id))
+                for candidate in self.candidates
+            ]
             raise Found(f"tick {self.tick}: two holders: {told}")
 
     def calm(self) -> None:
@@ -401,9 +414,9 @@
 @contextlib.contextmanager
 def bug(name: str) -> Iterator[None]:
     """One of broken.py put in, and taken out again."""
-    kept = Voter.remember, Rules.span, Claim.holds, Claim.end
+    kept = Voter.restore, LeaseTiming.holder_span, Candidate.holds, Candidate.end
     broken.put_in(name)
     try:
         yield
     finally:
-        Voter.remember, Rules.span, Claim.holds, Claim.end = kept  # type: ignore[method-assign]
+        Voter.restore, LeaseTiming.holder_span, Candidate.holds, Candidate.end = kept  # type: ignore[method-assign]
--- a/onyxhollow/leases/messages.py
+++ b/onyxhollow/leases/messages.py
@@ -1,163 +1,284 @@
-"""What voters and candidates say to one another, and what a voter writes down."""
+"""Messages between candidates and voters, and the records that a voter stores.
+
+All are msgpack arrays with a numeric tag: the tag, the order of the fields and the values of `Refusal` are
+the encoding and stay, whatever a field is called here. `tests/test_compatibility_fleet.py` holds that.
+"""
 
 from __future__ import annotations
 
+from enum import Enum
+from typing import NamedTuple
+
 import msgspec
 
+VOTERS_ROLE = "voters"  # the role of changing the voter set; its term is the number of the proposal
+
+
+class VoterSet(msgspec.Struct, array_like=True, frozen=True):
+    """The voters, by member name.
 
-class Council(msgspec.Struct, array_like=True, frozen=True):
-    """The voters, by name. The version rises by one with each change."""
+    Attributes:
+        version: Rises by one with each reconfiguration.
+        names: Three, five or seven member names.
+    """
 
     version: int
     names: tuple[str, ...]
 
     @property
     def majority(self) -> int:
+        """How many voters make a majority."""
         return len(self.names) // 2 + 1
 
 
-class Message(msgspec.Struct, array_like=True, frozen=True):
-    """One thing said."""
+class PendingVoterSet(msgspec.Struct, array_like=True, frozen=True):
+    """A voter set that a voter has accepted and that may not be committed yet.
+
+    Attributes:
+        term: Term of the lease of VOTERS_ROLE under which it was proposed.
+        voter_set: The proposed voters.
+    """
+
+    term: int
+    voter_set: VoterSet
 
 
-class Ask(Message, frozen=True, tag=1):
-    """May I hold this duty for so many seconds from now? look: only tell me whether you would say yes."""
+class Refusal(Enum):
+    """Why a voter refuses a vote."""
+
+    NONE = ""  # it does not: the vote is granted
+    HELD = "held"  # another process's lease is running
+    STALE_TERM = "term"  # the term is not higher than all before
+    STALE_VOTER_SET = "council"  # the candidate knows an older voter set than this voter
+    VOTER_BEHIND = "behind"  # the candidate knows a newer voter set than this voter
+    NOT_A_VOTER = "no voter"
+    RECOVERING = "no memory yet"  # the voter has lost its memory and has not recovered it
+    RECONFIGURING = "voters change"  # the voter has accepted another voter set
+    OUT_OF_BOUNDS = "bounds"  # too many roles, or a lease duration outside (0, the voter's own]
+    OTHER = "other"  # sent by a version that knows more reasons than this one
+
+    @classmethod
+    def _missing_(cls, value: object) -> Refusal | None:
+        return cls.OTHER if isinstance(value, str) else None
+
+
+class KnownTerm(NamedTuple):
+    """The highest term of a role that a voter knows of, and the process that has or had it."""
 
-    duty: str
     term: int
-    who: str
-    round: int  # hands back which asking an answer belongs to
-    lease: float
-    version: int  # of the council that I know
-    look: bool = False
+    holder: str
+
+
+class Message(msgspec.Struct, array_like=True, frozen=True):
+    """One message, or one stored record."""
+
 
+class VoteRequest(Message, frozen=True, tag=1):
+    """A candidate asks for a lease that begins when the voter receives this.
 
-class Answer(Message, frozen=True, tag=2):
-    duty: str
-    term: int  # as asked
+    Attributes:
+        role: Name of the role.
+        term: The candidate's term; a renewal has that of the running lease.
+        candidate: Process id of the candidate.
+        round: Returned with the response, so that it can be matched to this request.
+        lease_duration: Seconds.
+        voter_set_version: Version of the voter set that the candidate knows.
+        pre_vote: Only tell whether the vote would be granted; changes nothing at the voter.
+    """
+
+    role: str
+    term: int
+    candidate: str
+    round: int
+    lease_duration: float
+    voter_set_version: int
+    pre_vote: bool = False
+
+
+class VoteResponse(Message, frozen=True, tag=2):
+    """A voter's answer to a VoteRequest.
+
+    Attributes:
+        role: As requested.
+        term: As requested.
+        round: As requested.
+        granted: Whether the vote is granted, or would be if it is a pre-vote.
+        highest_term: The highest term of the role that the voter knew of before.
+        holder: Process id of the holder of the lease that is running at this voter; "" if none is.
+        remaining: Seconds until that lease ends, or until a recovering voter may grant again.
+        refusal: Why the vote is refused.
+        voter_set: A newer one than the candidate's.
+        pending: For VOTERS_ROLE alone: what this voter has accepted, perhaps not a majority of them.
+    """
+
+    role: str
+    term: int
     round: int
-    yes: bool
-    highest: int  # the highest term that this voter knows of
-    holder: str = ""  # who has its word now
-    left: float = 0.0  # seconds until that runs out
-    why: str = ""
-    council: Council | None = None  # a newer one than the asker's
-    pending: Proposal | None = None  # to one who asks for VOTERS: what has been accepted, perhaps not by all
+    granted: bool
+    highest_term: int
+    holder: str = ""
+    remaining: float = 0.0
+    refusal: Refusal = Refusal.NONE
+    voter_set: VoterSet | None = None
+    pending: PendingVoterSet | None = None
 
 
-class Release(Message, frozen=True, tag=3):
-    """I hold that no longer, and never will again under this term."""
+class ReleaseNotice(Message, frozen=True, tag=3):
+    """The holder has ended its lease and never acts under this term again."""
 
-    duty: str
+    role: str
     term: int
-    who: str
+    holder: str
 
 
-class Offer(Message, frozen=True, tag=4):
-    """To the one who is to follow: it is free now, ask at once."""
+class LeaseOffer(Message, frozen=True, tag=4):
+    """To the process that is to follow: the lease is free now, request it at once."""
 
-    duty: str
+    role: str
     term: int
 
 
-class Recall(Message, frozen=True, tag=5):
-    """A voter without its memory to the others: what do you remember?"""
+class StateQuery(Message, frozen=True, tag=5):
+    """A recovering voter asks the other voters for the terms that they know of."""
 
     round: int
 
 
-class Recalled(Message, frozen=True, tag=6):
+class StateResponse(Message, frozen=True, tag=6):
+    """A voter's answer to a StateQuery.
+
+    Attributes:
+        round: As queried.
+        recovering: The answering voter has lost its memory as well.
+        known_terms: By role.
+        voter_set: The one that the answering voter knows.
+    """
+
     round: int
-    blank: bool  # it has no memory either
-    terms: dict[str, tuple[int, str]]  # by duty: highest term and whose it is
-    council: Council
+    recovering: bool
+    known_terms: dict[str, KnownTerm]
+    voter_set: VoterSet
 
 
-class Propose(Message, frozen=True, tag=7):
-    """By the holder of VOTERS: these are to be the voters."""
+class ReconfigurationRequest(Message, frozen=True, tag=7):
+    """The holder of VOTERS_ROLE proposes a voter set under the term of its lease."""
 
     term: int
     round: int
-    council: Council
+    voter_set: VoterSet
+
+
+class ReconfigurationResponse(Message, frozen=True, tag=8):
+    """A voter's answer to a ReconfigurationRequest.
 
+    Attributes:
+        round: As requested.
+        accepted: Whether the voter has accepted and stored the proposal.
+        highest_term: The highest term of VOTERS_ROLE that the voter knows of.
+        voter_set_version: Version of the voter set that is in force at this voter.
+    """
 
-class Accepted(Message, frozen=True, tag=8):
     round: int
-    yes: bool
-    highest: int
-    version: int
+    accepted: bool
+    highest_term: int
+    voter_set_version: int
+
 
+class ConfigurationCommitted(Message, frozen=True, tag=9):
+    """A voter set that a majority of the one before has accepted: it is in force."""
 
-class Learn(Message, frozen=True, tag=9):
-    """These are the voters: a majority of those before has accepted it."""
+    voter_set: VoterSet
 
-    council: Council
 
+class HandOverCommand(Message, frozen=True, tag=10):
+    """An operator's command to the holder of a role.
 
-class Command(Message, frozen=True, tag=10):
-    """An operator's word to the holder. to: who is to follow; "": whoever is first."""
+    Attributes:
+        role: Name of the role.
+        target: Member that is to follow; "": whichever is first in the ranking.
+        forwarded: Passed on by a process that was taken for the holder; not passed on again.
+    """
 
-    duty: str
-    to: str = ""
-    passed: bool = False  # on by one who was taken for the holder
+    role: str
+    target: str = ""
+    forwarded: bool = False
 
 
-class Held(Message, frozen=True, tag=11):
-    """For all to know: who holds what."""
+class LeaderAnnouncement(Message, frozen=True, tag=11):
+    """Broadcast to all members: which process holds a role, and under which term."""
 
-    duty: str
+    role: str
     term: int
-    who: str
+    holder: str
 
 
-class Change(Message, frozen=True, tag=12):
-    """An operator's word to the holder of VOTERS: one voter goes, another comes."""
+class ReplaceVoterCommand(Message, frozen=True, tag=12):
+    """An operator's command to the holder of VOTERS_ROLE: one voter for another member."""
 
     remove: str
     add: str
 
 
-class Proposal(msgspec.Struct, array_like=True, frozen=True):
-    term: int
-    council: Council
+LeaseMessage = (
+    VoteRequest
+    | VoteResponse
+    | ReleaseNotice
+    | LeaseOffer
+    | StateQuery
+    | StateResponse
+    | ReconfigurationRequest
+    | ReconfigurationResponse
+    | ConfigurationCommitted
+    | HandOverCommand
+    | LeaderAnnouncement
+    | ReplaceVoterCommand
+)
 
 
-Messages = (
-    Ask | Answer | Release | Offer | Recall | Recalled | Propose | Accepted | Learn | Command | Held | Change
-)
-VOTERS = "voters"  # the duty of changing the council; its term is the proposal's number
+# Records of a voter, stored before it answers.
 
 
-# Written by a voter before it answers.
+class LeaseGrant(Message, frozen=True, tag=20):
+    """A vote that was granted, or a term that the voter learnt of.
 
+    Attributes:
+        role: Name of the role.
+        term: The term that is used up from here on.
+        holder: Process id; "" if unknown.
+        lease_duration: Seconds; 0 if the lease was not granted by this voter or has been released.
+    """
 
-class Granted(Message, frozen=True, tag=20):
-    duty: str
+    role: str
     term: int
-    who: str  # "": known of, not granted here
-    lease: float
+    holder: str
+    lease_duration: float
+
 
+class LeaseReleased(Message, frozen=True, tag=21):
+    """The holder has returned the lease; its term stays used up."""
 
-class Released(Message, frozen=True, tag=21):
-    duty: str
+    role: str
     term: int
 
 
-class Seated(Message, frozen=True, tag=22):
-    council: Council
+class VoterSetChanged(Message, frozen=True, tag=22):
+    """The voter set in force from here on."""
+
+    voter_set: VoterSet
+
 
+class ProposalAccepted(Message, frozen=True, tag=23):
+    """A proposed voter set that this voter has accepted."""
 
-class Accepting(Message, frozen=True, tag=23):
-    proposal: Proposal
+    pending: PendingVoterSet
 
 
-class Remembers(Message, frozen=True, tag=24):
-    """From here on this voter has a memory that can be built on."""
+class MemoryRecovered(Message, frozen=True, tag=24):
+    """From here on the records hold all that this voter has to know."""
 
 
-Rows = Granted | Released | Seated | Accepting | Remembers
+VoterRecord = LeaseGrant | LeaseReleased | VoterSetChanged | ProposalAccepted | MemoryRecovered
 
-ENCODER = msgspec.msgpack.Encoder()
-MESSAGES = msgspec.msgpack.Decoder(Messages)
-ROWS = msgspec.msgpack.Decoder(Rows)
-encode = ENCODER.encode
+MESSAGE_DECODER = msgspec.msgpack.Decoder(LeaseMessage)
+RECORD_DECODER = msgspec.msgpack.Decoder(VoterRecord)
+encode = msgspec.msgpack.Encoder().encode
--- a/onyxhollow/leases/voter.py
+++ b/onyxhollow/leases/voter.py
@@ -1,234 +1,349 @@
-"""A voter: gives its word for a duty to one at a time, for a lease, under a term that only rises.
-
-Pure: told the time (seconds on its own clock, which no step of the wall clock moves) and what was heard, it
-returns what to answer and what must be on the disk before that is sent. What it rests on:
-
-- Its word runs out on its own clock, `lease` seconds after it was asked. The asker counts from before it
-  asked and stops earlier by the stated bound on clock rates, so no bound on delays is needed.
-- A term is given to one candidate, once, and only if higher than all before. Two majorities share a voter,
-  which orders their terms; so terms rise from holder to holder.
-- What it gave its word for outlives the process. One that starts with that memory takes each lease as given
-  just now. One without it has forgotten which terms are used up: it waits out the longest lease, and asks
-  the other voters; until enough of them have said what they know, it gives no word.
-- Changing the voters is a proposal under the term of the duty VOTERS (single-decree Paxos with that term as
-  its number). A voter that has accepted one gives its word under the old council no more.
+"""A voter: grants the lease of a role to one process at a time, under a term that only rises.
+
+Pure: given the time (seconds on its own clock, which no step of the wall clock moves) and a message, it
+returns what to answer and what has to be stored before the answer is sent. What its safety rests on:
+
+- A grant runs out on the voter's own clock, the lease's duration after the request came in. The candidate
+  counts from before it asked and stops earlier by the stated bound on clock rates, so no bound on message
+  delays is needed.
+- A term is given to one candidate, once, and only if it is higher than all before. Two majorities share a
+  voter, which orders their terms; so terms rise from holder to holder.
+- Grants outlive the process. A voter that starts with its records takes each lease as granted just now. One
+  without them has forgotten which terms are used up: it is *recovering*, waits out the longest lease and
+  queries the other voters; until enough of them have answered, it grants nothing.
+- Changing the voter set is a proposal under the term of VOTERS_ROLE (single-decree Paxos with that term as
+  the ballot number). A voter that has accepted one grants nothing more under the old voter set.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import NamedTuple
 
 import msgspec
 
 from onyxhollow.leases.messages import (
-    VOTERS,
-    Accepted,
-    Accepting,
-    Answer,
-    Ask,
-    Council,
-    Granted,
-    Learn,
+    VOTERS_ROLE,
+    ConfigurationCommitted,
+    KnownTerm,
+    LeaseGrant,
+    LeaseReleased,
+    MemoryRecovered,
     Message,
-    Proposal,
-    Propose,
-    Recall,
-    Recalled,
-    Release,
-    Released,
-    Remembers,
-    Seated,
+    PendingVoterSet,
+    ProposalAccepted,
+    ReconfigurationRequest,
+    ReconfigurationResponse,
+    Refusal,
+    ReleaseNotice,
+    StateQuery,
+    StateResponse,
+    VoteRequest,
+    VoteResponse,
+    VoterSet,
+    VoterSetChanged,
 )
 
-MOST_DUTIES = 256  # that a voter gives its word for
-LONGEST_LEASE = 60.0  # seconds
-RECALL_EVERY = 0.25  # seconds between askings of a voter without memory
+MAX_ROLES = 256  # that one voter grants leases of
+MAX_LEASE_DURATION = 60.0  # seconds
+STATE_QUERY_INTERVAL = 0.25  # seconds between the queries of a recovering voter
 
 
-class Seat(msgspec.Struct, frozen=True):
-    """One duty at one voter."""
+class VoterSlot(msgspec.Struct, frozen=True):
+    """One role at one voter.
+
+    Attributes:
+        term: The highest term granted or learnt of.
+        holder: Process id of whoever has that term; "" if it was released or is not known.
+        expires_at: End of the lease on this voter's clock; -inf if this voter did not grant it.
+    """
 
     term: int = 0
     holder: str = ""
-    until: float = -math.inf
+    expires_at: float = -math.inf
+
+    def remaining(self, now: float) -> float:
+        """Seconds until the lease ends; 0 if none is running."""
+        return max(0.0, self.expires_at - now) if self.holder else 0.0
+
+
+def decide_vote(slot: VoterSlot, request: VoteRequest, now: float) -> VoterSlot | Refusal:
+    """The slot if the vote is granted, or the reason why it is refused."""
+    if request.candidate == slot.holder and request.term == slot.term:  # a renewal, or a repeated request
+        expires_at = max(slot.expires_at, now + request.lease_duration)
+        return VoterSlot(slot.term, slot.holder, expires_at)
+    if slot.holder != request.candidate and slot.remaining(now) > 0.0:
+        return Refusal.HELD
+    if request.term <= slot.term:
+        return Refusal.STALE_TERM
+    return VoterSlot(request.term, request.candidate, now + request.lease_duration)
+
+
+class VoterOutput(NamedTuple):
+    """What a message leads to.
+
+    Attributes:
+        responses: Messages to whoever sent it.
+        records: What has to be stored before they are sent.
+    """
+
+    responses: list[Message]
+    records: list[Message]
+
 
-    def left(self, now: float) -> float:
-        return max(0.0, self.until - now) if self.holder else 0.0
+class RecoveryOutput(NamedTuple):
+    """What a recovering voter does.
 
+    Attributes:
+        queries: Messages to other voters, by name.
+        records: What has to be stored, once it has recovered.
+    """
 
-def decide(seat: Seat, ask: Ask, now: float) -> tuple[Seat | None, str]:
-    """What becomes of the seat if the answer is yes; None and the reason if it is no."""
-    if ask.who == seat.holder and ask.term == seat.term:  # goes on; or asked twice, which harms nobody
-        return Seat(seat.term, seat.holder, max(seat.until, now + ask.lease)), ""
-    if seat.holder != ask.who and seat.left(now) > 0.0:
-        return None, "held"
-    if ask.term <= seat.term:
-        return None, "term"
-    return Seat(ask.term, ask.who, now + ask.lease), ""
+    queries: list[tuple[str, Message]]
+    records: list[Message]
+
+
+@dataclass(frozen=True, slots=True)
+class UndoState:
+    """What the latest message has changed, as it was before."""
+
+    role: str
+    slot: VoterSlot | None
+    pending: PendingVoterSet | None
 
 
 class Voter:
-    def __init__(self, me: str, council: Council, lease: float, now: float) -> None:
-        self.me, self.council, self.lease = me, council, lease
-        self.seats: dict[str, Seat] = {}
-        self.pending: Proposal | None = None
-        self.blank = True
-        self.waits_until = now + lease
-        self.recalled: dict[str, bool] = {}  # which other voters have said what they know; whether blank
-        self.round = 0
-        self.next_recall = now
-        self.before: tuple[str, Seat | None, Proposal | None] | None = None
-
-    # memory
-
-    def remember(self, rows: Iterable[Message], now: float) -> None:
-        """What was written before this process; each lease is taken as given just now."""
-        for row in rows:
-            if isinstance(row, Granted):
-                self.seats[row.duty] = Seat(row.term, row.who, now + row.lease if row.lease else -math.inf)
-            elif isinstance(row, Released):
-                if (seat := self.seats.get(row.duty)) and seat.term == row.term:
-                    self.seats[row.duty] = Seat(row.term)
-            elif isinstance(row, Seated):
-                self.seat(row.council, now)
-            elif isinstance(row, Accepting):
-                self.pending = row.proposal
-            elif isinstance(row, Remembers):
-                self.blank = False
-
-    def rows(self) -> list[Message]:
-        """The same in as few records as it takes."""
-        told: list[Message] = [Seated(self.council)]
-        for duty, seat in sorted(self.seats.items()):
-            given = seat.holder and seat.until > -math.inf
-            told.append(Granted(duty, seat.term, seat.holder, self.lease if given else 0.0))
+    """One member's voter. Times are seconds on its own clock.
+
+    Attributes:
+        name: The member's name.
+        voter_set: The newest one known.
+        lease_duration: The longest lease it grants, seconds.
+        slots: By role.
+        pending: The voter set that it has accepted; None once a newer one is in force.
+        recovering: It has lost its memory, or never had one.
+        silent_until: A recovering voter grants nothing before this.
+        peer_recovering: By name of the voters that have answered the state query: whether they recover too.
+    """
+
+    def __init__(self, name: str, voter_set: VoterSet, lease_duration: float, now: float) -> None:
+        self.name = name
+        self.voter_set = voter_set
+        self.lease_duration = lease_duration
+        self.slots: dict[str, VoterSlot] = {}
+        self.pending: PendingVoterSet | None = None
+        self.recovering = True
+        self.silent_until = now + lease_duration
+        self.peer_recovering: dict[str, bool] = {}
+        self.query_round = 0
+        self.next_query_at = now
+        self._undo_state: UndoState | None = None
+
+    # The voter's records.
+
+    def restore(self, records: Iterable[Message], now: float) -> None:
+        """Takes in what was stored before this process; each lease is taken as granted just now."""
+        for record in records:
+            if isinstance(record, LeaseGrant):
+                expires_at = now + record.lease_duration if record.lease_duration else -math.inf
+                self.slots[record.role] = VoterSlot(record.term, record.holder, expires_at)
+            elif isinstance(record, LeaseReleased):
+                slot = self.slots.get(record.role)
+                if slot and slot.term == record.term:
+                    self.slots[record.role] = VoterSlot(record.term)
+            elif isinstance(record, VoterSetChanged):
+                self._adopt(record.voter_set, now)
+            elif isinstance(record, ProposalAccepted):
+                self.pending = record.pending
+            elif isinstance(record, MemoryRecovered):
+                self.recovering = False
+
+    def records(self) -> list[Message]:
+        """All that has to outlive the process, in as few records as it takes."""
+        records: list[Message] = [VoterSetChanged(self.voter_set)]
+        for role, slot in sorted(self.slots.items()):
+            granted_here = slot.holder and slot.expires_at > -math.inf
+            duration = self.lease_duration if granted_here else 0.0
+            records.append(LeaseGrant(role, slot.term, slot.holder, duration))
         if self.pending:
-            told.append(Accepting(self.pending))
-        return told if self.blank else [*told, Remembers()]
+            records.append(ProposalAccepted(self.pending))
+        return records if self.recovering else [*records, MemoryRecovered()]
 
     def undo(self) -> None:
-        """The disk has not taken it: nothing was said, and nothing holds."""
-        if self.before is not None:
-            duty, seat, self.pending = self.before
-            if seat is None:
-                self.seats.pop(duty, None)
-            else:
-                self.seats[duty] = seat
-            self.before = None
-
-    def seat(self, council: Council, now: float) -> None:
-        """The voters from now on. One who was none knows nothing of what was granted meanwhile."""
-        if self.me in council.names and self.me not in self.council.names:
-            self.blank, self.waits_until, self.recalled = True, now + self.lease, {}
-        self.council = council
-        if self.pending and self.pending.council.version <= council.version:
-            self.pending = None
+        """The latest message's records could not be stored: nothing is answered, and nothing holds."""
+        before = self._undo_state
+        if before is None:
+            return
+        self.pending = before.pending
+        if before.slot is None:
+            self.slots.pop(before.role, None)
+        else:
+            self.slots[before.role] = before.slot
+        self._undo_state = None
 
-    # without memory
+    # Recovery.
 
     @property
-    def others(self) -> list[str]:
-        return [name for name in self.council.names if name != self.me]
-
-    def able(self) -> bool:
-        return not self.blank and self.me in self.council.names
-
-    def tick(self, now: float) -> tuple[list[tuple[str, Message]], list[Message]]:
-        """What to say to other voters, and what to write first; a voter with its memory does nothing here."""
-        if not self.blank or self.me not in self.council.names:
-            return [], []
-        # Any majority that this voter was part of has another member among so many of the others. When all
-        # others have lost their memory too, their word that it is lost is as much as there is to be had.
-        know = sum(1 for name in self.others if self.recalled.get(name) is False)
-        all_told = all(name in self.recalled for name in self.others)
-        if now >= self.waits_until and (know >= self.council.majority or all_told):
-            self.blank = False
-            return [], self.rows()
-        if now < self.next_recall:
-            return [], []
-        self.next_recall = now + RECALL_EVERY
-        self.round += 1
-        return [(name, Recall(self.round)) for name in self.others], []
-
-    def due(self) -> float:
-        return self.next_recall if self.blank and self.me in self.council.names else math.inf
-
-    def recall(self, name: str, told: Recalled, now: float) -> None:
-        if not self.blank or name not in self.others:
+    def peers(self) -> list[str]:
+        """The other voters."""
+        return [name for name in self.voter_set.names if name != self.name]
+
+    def tick(self, now: float) -> RecoveryOutput:
+        """Does what is due; only a recovering voter has anything to do."""
+        if not self.recovering or self.name not in self.voter_set.names:
+            return RecoveryOutput([], [])
+        # Any majority that this voter was part of has another member among so many of its peers. When all
+        # peers have lost their memory too, their word that it is lost is as much as there is to be had.
+        remembering = sum(1 for name in self.peers if self.peer_recovering.get(name) is False)
+        all_answered = all(name in self.peer_recovering for name in self.peers)
+        if now >= self.silent_until and (remembering >= self.voter_set.majority or all_answered):
+            self.recovering = False
+            return RecoveryOutput([], self.records())
+        if now < self.next_query_at:
+            return RecoveryOutput([], [])
+        self.next_query_at = now + STATE_QUERY_INTERVAL
+        self.query_round += 1
+        return RecoveryOutput([(name, StateQuery(self.query_round)) for name in self.peers], [])
+
+    def next_due(self) -> float:
+        """When `tick` has something to do; inf if it has not."""
+        active = self.recovering and self.name in self.voter_set.names
+        return self.next_query_at if active else math.inf
+
+    def _on_state_response(self, name: str, response: StateResponse, now: float) -> None:
+        if not self.recovering or name not in self.peers:
             return
-        if told.council.version > self.council.version:
-            self.seat(told.council, now)
-        self.recalled[name] = told.blank
-        for duty, (term, holder) in told.terms.items():
-            if len(self.seats) < MOST_DUTIES and term > self.seats.get(duty, Seat()).term:
-                self.seats[duty] = Seat(term, holder)
-
-    # asked
-
-    def heard(self, now: float, source: str, told: Message) -> tuple[list[Message], list[Message]]:
-        """What to answer, and what has to be written before."""
-        self.before = None
-        if isinstance(told, Ask):
-            return self.asked(now, told)
-        if isinstance(told, Release):
-            seat = self.seats.get(told.duty, Seat())
-            if seat.holder == told.who and seat.term == told.term:
-                self.seats[told.duty] = Seat(seat.term)
-                return [], [Released(told.duty, told.term)]
-        elif isinstance(told, Recall):
-            terms = {duty: (seat.term, seat.holder) for duty, seat in self.seats.items()}
-            return [Recalled(told.round, self.blank, terms, self.council)], []
-        elif isinstance(told, Recalled):
-            self.recall(source, told, now)
-        elif isinstance(told, Propose):
-            return self.proposed(told)
-        elif isinstance(told, Learn) and told.council.version > self.council.version:
-            self.seat(told.council, now)
-            return [], [Seated(self.council)]
-        return [], []
-
-    def asked(self, now: float, ask: Ask) -> tuple[list[Message], list[Message]]:
-        seat = self.seats.get(ask.duty, Seat())
-
-        def no(why: str) -> tuple[list[Message], list[Message]]:
-            left = self.waits_until - now if why == "no memory yet" else seat.left(now)
-            newer = self.council if self.council.version > ask.version else None
-            pending = self.pending if ask.duty == VOTERS else None
-            holder = seat.holder if seat.left(now) else ""
-            told = Answer(
-                ask.duty, ask.term, ask.round, False, seat.term, holder, max(0.0, left), why, newer, pending
-            )
-            return [told], []
-
-        if self.council.version != ask.version:
-            return no("council" if self.council.version > ask.version else "behind")
-        if self.me not in self.council.names:
-            return no("no voter")
-        if self.blank:
-            return no("no memory yet")
-        if self.pending and ask.duty != VOTERS:
-            return no("voters change")
-        if ask.duty not in self.seats and len(self.seats) >= MOST_DUTIES or not 0.0 < ask.lease <= self.lease:
-            return no("bounds")
-        after, why = decide(seat, ask, now)
-        if after is None:
-            return no(why)
-        pending = self.pending if ask.duty == VOTERS else None
-        yes = Answer(ask.duty, ask.term, ask.round, True, seat.term, pending=pending)
-        if ask.look:
-            return [yes], []
-        self.before = ask.duty, self.seats.get(ask.duty), self.pending
-        self.seats[ask.duty] = after
-        # A lease that goes on is not written: after a restart it is taken as given just now.
-        known = (seat.term, seat.holder) == (after.term, after.holder) and seat.until > -math.inf
-        return [yes], [] if known else [Granted(ask.duty, after.term, after.holder, self.lease)]
-
-    def proposed(self, told: Propose) -> tuple[list[Message], list[Message]]:
-        seat = self.seats.get(VOTERS, Seat())
-        fits = told.council.version == self.council.version + 1 and self.able()
-        if not fits or told.term < seat.term or (self.pending and self.pending.term > told.term):
-            return [Accepted(told.round, False, seat.term, self.council.version)], []
-        self.before = VOTERS, self.seats.get(VOTERS), self.pending
-        self.pending = Proposal(told.term, told.council)
-        return [Accepted(told.round, True, seat.term, self.council.version)], [Accepting(self.pending)]
+        if response.voter_set.version > self.voter_set.version:
+            self._adopt(response.voter_set, now)
+        self.peer_recovering[name] = response.recovering
+        for role, (term, holder) in response.known_terms.items():
+            if len(self.slots) < MAX_ROLES and term > self.slots.get(role, VoterSlot()).term:
+                self.slots[role] = VoterSlot(term, holder)
+
+    # Messages.
+
+    def on_message(self, now: float, source: str, message: Message) -> VoterOutput:
+        """Takes a message from the member named `source`; a kind that is not for voters is ignored."""
+        self._undo_state = None
+        if isinstance(message, VoteRequest):
+            return self._on_vote_request(now, message)
+        if isinstance(message, ReleaseNotice):
+            return self._on_release(message)
+        if isinstance(message, StateQuery):
+            known = {role: KnownTerm(slot.term, slot.holder) for role, slot in self.slots.items()}
+            response = StateResponse(message.round, self.recovering, known, self.voter_set)
+            return VoterOutput([response], [])
+        if isinstance(message, ReconfigurationRequest):
+            return self._on_reconfiguration(message)
+        if isinstance(message, StateResponse):
+            self._on_state_response(source, message, now)
+        elif (
+            isinstance(message, ConfigurationCommitted) and message.voter_set.version > self.voter_set.version
+        ):
+            self._adopt(message.voter_set, now)
+            return VoterOutput([], [VoterSetChanged(self.voter_set)])
+        return VoterOutput([], [])
+
+    def _on_vote_request(self, now: float, request: VoteRequest) -> VoterOutput:
+        slot = self.slots.get(request.role, VoterSlot())
+        refusal = self._cannot_vote(request)
+        if refusal is Refusal.NONE:
+            decision = decide_vote(slot, request, now)
+            if isinstance(decision, VoterSlot):
+                return self._grant(request, slot, decision)
+            refusal = decision
+        return VoterOutput([self._refuse(now, request, slot, refusal)], [])
+
+    def _cannot_vote(self, request: VoteRequest) -> Refusal:
+        """Why this voter can't vote on the request, whatever the slot; Refusal.NONE if it can."""
+        if self.voter_set.version != request.voter_set_version:
+            newer_here = self.voter_set.version > request.voter_set_version
+            return Refusal.STALE_VOTER_SET if newer_here else Refusal.VOTER_BEHIND
+        if self.name not in self.voter_set.names:
+            return Refusal.NOT_A_VOTER
+        if self.recovering:
+            return Refusal.RECOVERING
+        if self.pending and request.role != VOTERS_ROLE:
+            return Refusal.RECONFIGURING
+        too_many = request.role not in self.slots and len(self.slots) >= MAX_ROLES
+        if too_many or not 0.0 < request.lease_duration <= self.lease_duration:
+            return Refusal.OUT_OF_BOUNDS
+        return Refusal.NONE
+
+    def _refuse(self, now: float, request: VoteRequest, slot: VoterSlot, refusal: Refusal) -> VoteResponse:
+        remaining = slot.remaining(now)
+        if refusal is Refusal.RECOVERING:
+            remaining = self.silent_until - now
+        return VoteResponse(
+            request.role,
+            request.term,
+            request.round,
+            granted=False,
+            highest_term=slot.term,
+            holder=slot.holder if slot.remaining(now) else "",
+            remaining=max(0.0, remaining),
+            refusal=refusal,
+            voter_set=self.voter_set if self.voter_set.version > request.voter_set_version else None,
+            pending=self._pending_for(request.role),
+        )
+
+    def _grant(self, request: VoteRequest, before: VoterSlot, after: VoterSlot) -> VoterOutput:
+        response = VoteResponse(
+            request.role,
+            request.term,
+            request.round,
+            granted=True,
+            highest_term=before.term,
+            pending=self._pending_for(request.role),
+        )
+        if request.pre_vote:
+            return VoterOutput([response], [])
+        self._remember_undo(request.role)
+        self.slots[request.role] = after
+        # A renewal is not stored: after a restart each lease is taken as granted just now.
+        same_lease = (before.term, before.holder) == (after.term, after.holder)
+        if same_lease and before.expires_at > -math.inf:
+            return VoterOutput([response], [])
+        record = LeaseGrant(request.role, after.term, after.holder, self.lease_duration)
+        return VoterOutput([response], [record])
+
+    def _on_release(self, notice: ReleaseNotice) -> VoterOutput:
+        slot = self.slots.get(notice.role, VoterSlot())
+        if slot.holder != notice.holder or slot.term != notice.term:
+            return VoterOutput([], [])
+        self.slots[notice.role] = VoterSlot(slot.term)
+        return VoterOutput([], [LeaseReleased(notice.role, notice.term)])
+
+    # Reconfiguration.
+
+    def _on_reconfiguration(self, request: ReconfigurationRequest) -> VoterOutput:
+        slot = self.slots.get(VOTERS_ROLE, VoterSlot())
+        is_next = request.voter_set.version == self.voter_set.version + 1
+        can_vote = not self.recovering and self.name in self.voter_set.names
+        superseded = self.pending is not None and self.pending.term > request.term
+        if not (is_next and can_vote) or request.term < slot.term or superseded:
+            refusal = ReconfigurationResponse(request.round, False, slot.term, self.voter_set.version)
+            return VoterOutput([refusal], [])
+        self._remember_undo(VOTERS_ROLE)
+        self.pending = PendingVoterSet(request.term, request.voter_set)
+        response = ReconfigurationResponse(request.round, True, slot.term, self.voter_set.version)
+        return VoterOutput([response], [ProposalAccepted(self.pending)])
+
+    def _adopt(self, voter_set: VoterSet, now: float) -> None:
+        """The voter set in force from now on."""
+        if self.name in voter_set.names and self.name not in self.voter_set.names:
+            # A newcomer knows nothing of what was granted meanwhile.
+            self.recovering = True
+            self.silent_until = now + self.lease_duration
+            self.peer_recovering = {}
+        self.voter_set = voter_set
+        if self.pending and self.pending.voter_set.version <= voter_set.version:
+            self.pending = None
+
+    def _pending_for(self, role: str) -> PendingVoterSet | None:
+        return self.pending if role == VOTERS_ROLE else None
+
+    def _remember_undo(self, role: str) -> None:
+        self._undo_state = UndoState(role, self.slots.get(role), self.pending)
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -26,42 +26,49 @@
 from onyxhollow.fleet import advertise, gate, lists, node, shares, telling
 from onyxhollow.fleet.file import read_fleet
 from onyxhollow.gossip import messages as sharing
-from onyxhollow.leases import messages as duties
-from onyxhollow.leases.voter import Seat, Voter
+from onyxhollow.leases import messages as leasing
+from onyxhollow.leases.voter import Voter, VoterSlot
 from onyxhollow.membership import messages as members
 from onyxhollow.membership.seal import DatagramAuthenticator
 
 DATA = pathlib.Path(__file__).parent / "data" / "compatibility" / "fleet"
 
 # What the recordings say. Within one struct no two values are alike, and none is its field's default.
-COUNCIL = duties.Council(version=31, names=("voter-a", "voter-b", "voter-c"))
-LATER = duties.Council(version=32, names=("voter-a", "voter-b", "voter-d"))
-PENDING = duties.Proposal(term=63, council=LATER)
-DUTIES = {
-    "ask": duties.Ask(duty="d1", term=101, who="m~1", round=102, lease=3.5, version=103, look=True),
-    "answer": duties.Answer(
-        duty="d2", term=111, round=112, yes=True, highest=113, holder="m~2", left=2.5, why="held",
-        council=COUNCIL, pending=PENDING,
+COUNCIL = leasing.VoterSet(version=31, names=("voter-a", "voter-b", "voter-c"))
+LATER = leasing.VoterSet(version=32, names=("voter-a", "voter-b", "voter-d"))
+PENDING = leasing.PendingVoterSet(term=63, voter_set=LATER)
+ELECTION = {
+    "ask": leasing.VoteRequest(
+        role="d1", term=101, candidate="m~1", round=102, lease_duration=3.5, voter_set_version=103,
+        pre_vote=True,
     ),
-    "release": duties.Release(duty="d3", term=121, who="m~3"),
-    "offer": duties.Offer(duty="d4", term=131),
-    "recall": duties.Recall(round=141),
-    "recalled": duties.Recalled(round=151, blank=True, terms={"d5": (152, "m~5")}, council=COUNCIL),
-    "propose": duties.Propose(term=161, round=162, council=LATER),
-    "accepted": duties.Accepted(round=171, yes=True, highest=172, version=173),
-    "learn": duties.Learn(council=COUNCIL),
-    "command": duties.Command(duty="d6", to="m6", passed=True),
-    "held": duties.Held(duty="d7", term=181, who="m~7"),
-    "change": duties.Change(remove="voter-c", add="voter-d"),
+    "answer": leasing.VoteResponse(
+        role="d2", term=111, round=112, granted=True, highest_term=113, holder="m~2", remaining=2.5,
+        refusal=leasing.Refusal.HELD, voter_set=COUNCIL, pending=PENDING,
+    ),
+    "release": leasing.ReleaseNotice(role="d3", term=121, holder="m~3"),
+    "offer": leasing.LeaseOffer(role="d4", term=131),
+    "recall": leasing.StateQuery(round=141),
+    "recalled": leasing.StateResponse(
+        round=151, recovering=True, known_terms={"d5": (152, "m~5")}, voter_set=COUNCIL
+    ),
+    "propose": leasing.ReconfigurationRequest(term=161, round=162, voter_set=LATER),
+    "accepted": leasing.ReconfigurationResponse(
+        round=171, accepted=True, highest_term=172, voter_set_version=173
+    ),
+    "learn": leasing.ConfigurationCommitted(voter_set=COUNCIL),
+    "command": leasing.HandOverCommand(role="d6", target="m6", forwarded=True),
+    "held": leasing.LeaderAnnouncement(role="d7", term=181, holder="m~7"),
+    "change": leasing.ReplaceVoterCommand(remove="voter-c", add="voter-d"),
 }  # fmt: skip
-VOTER_ROWS = [
-    duties.Seated(council=COUNCIL),
-    duties.Granted(duty="list-east", term=41, who="m~41", lease=3.75),
-    duties.Granted(duty="call-out", term=52, who="m~52", lease=3.75),
-    duties.Released(duty="call-out", term=52),
-    duties.Granted(duty="known", term=9, who="", lease=0.0),
-    duties.Accepting(proposal=PENDING),
-    duties.Remembers(),
+VOTER_RECORDS = [
+    leasing.VoterSetChanged(voter_set=COUNCIL),
+    leasing.LeaseGrant(role="list-east", term=41, holder="m~41", lease_duration=3.75),
+    leasing.LeaseGrant(role="call-out", term=52, holder="m~52", lease_duration=3.75),
+    leasing.LeaseReleased(role="call-out", term=52),
+    leasing.LeaseGrant(role="known", term=9, holder="", lease_duration=0.0),
+    leasing.ProposalAccepted(pending=PENDING),
+    leasing.MemoryRecovered(),
 ]
 ORDER = addressing.Order(
     id="1f-2", number=21, verb="drain", address="address-a", site="east", who="operator-a", why="works",
@@ -137,18 +144,18 @@
 PACKETS = {name: packet(part) for name, part in PARTS.items()}
 # file: what it says, its decoder, its encoder, the kinds that it has to have
 SAID = {
-    "duties": (DUTIES, duties.MESSAGES, duties.encode, duties.Messages),
+    "duties": (ELECTION, leasing.MESSAGE_DECODER, leasing.encode, leasing.LeaseMessage),
     "addresses": (ADDRESSES, addressing.MESSAGES, addressing.encode, addressing.MESSAGES.type),
     "sharing": (SHARING, sharing.MESSAGES, sharing.encode, sharing.MESSAGES.type),
     "lists": (LISTS, telling.MESSAGES, telling.encode, telling.Messages),
     "packets": (PACKETS, members.PACKETS, members.encode, members.Parts),
 }
 STORED = {
-    "voter": (VOTER_ROWS, duties.ROWS, duties.encode, duties.Rows),
+    "voter": (VOTER_RECORDS, leasing.RECORD_DECODER, leasing.encode, leasing.VoterRecord),
     "addresses": ([ORDER, DECIDED, FOR_ALL], addressing.WRITTEN, addressing.encode, addressing.Written),
     "gate": (GATE_ROWS, standing.RECORDS, standing.encode, standing.RECORDS.type),
 }
-MODULES = duties, addressing, sharing, telling, members, standing
+MODULES = leasing, addressing, sharing, telling, members, standing
 
 
 def structs(value):
@@ -297,7 +304,7 @@
     life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
     assert [int(one) for one in (Standing.WITHDRAWN, Standing.LESSER, Standing.ADVERTISED)] == [0, 1, 2]
-    assert (duties.VOTERS, advertise.KEEPER) == ("voters", "addresses")
+    assert (leasing.VOTERS_ROLE, advertise.KEEPER) == ("voters", "addresses")
     assert advertise.announcer_of("east") == "announcer/east"
 
 
@@ -327,13 +334,13 @@
     node.Node.open_records(mine, 1000.0)
     voter = mine.voter
     assert isinstance(voter, Voter)
-    assert voter.seats == {
-        "list-east": Seat(41, "m~41", 1003.75),
-        "call-out": Seat(52),
-        "known": Seat(9),
+    assert voter.slots == {
+        "list-east": VoterSlot(41, "m~41", 1003.75),
+        "call-out": VoterSlot(52),
+        "known": VoterSlot(9),
     }
-    assert (voter.council, voter.pending, voter.blank) == (COUNCIL, PENDING, False)
-    mine.records.rewrite([duties.encode(row) for row in voter.rows()])
+    assert (voter.voter_set, voter.pending, voter.recovering) == (COUNCIL, PENDING, False)
+    mine.records.rewrite([leasing.encode(row) for row in voter.records()])
     assert (tmp_path / "voter").read_bytes() == (DATA / "voter-anew").read_bytes()
     mine.records.close()
 
@@ -403,7 +410,7 @@
     assert elsewhere.listen == elsewhere.advertise == ("192.0.2.99", 7199)
     timing, rules, share = fleet.told.terms(), fleet.told.rules(), fleet.told.share()
     assert (timing.period, timing.timeout, timing.sync_every) == (1.25, 0.45, 11.5)
-    assert (rules.lease, rules.rate_bound) == (3.75, 0.015)
+    assert (rules.duration, rules.rate_bound) == (3.75, 0.015)
     assert (share.every, share.fan, share.report, share.renew, share.audit) == (0.35, 3, 6.5, 1.75, 31.5)
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -2,115 +2,156 @@
 
 from random import Random
 
+import pytest
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from onyxhollow.lab.fleet import broken, explore
-from onyxhollow.leases.change import Changer
-from onyxhollow.leases.claim import Claim, Rules, State
+from onyxhollow.leases.candidate import (
+    NEXT_STATE,
+    Candidate,
+    CandidateEvent,
+    CandidateState,
+    CandidateStateError,
+    LeaseTiming,
+)
 from onyxhollow.leases.messages import (
-    VOTERS,
-    Accepted,
-    Answer,
-    Ask,
-    Change,
-    Council,
-    Granted,
-    Learn,
-    Propose,
-    Recalled,
-    Release,
-    Remembers,
+    MESSAGE_DECODER,
+    VOTERS_ROLE,
+    ConfigurationCommitted,
+    KnownTerm,
+    LeaseGrant,
+    MemoryRecovered,
+    ReconfigurationRequest,
+    ReconfigurationResponse,
+    Refusal,
+    ReleaseNotice,
+    ReplaceVoterCommand,
+    StateResponse,
+    VoteRequest,
+    VoteResponse,
+    VoterSet,
+    encode,
 )
+from onyxhollow.leases.reconfiguration import Reconfiguration
 from onyxhollow.leases.voter import Voter
 
-COUNCIL = Council(0, ("a", "b", "c"))
-
-
-def voter(name="a", now=0.0, blank=False):
-    made = Voter(name, COUNCIL, 4.0, now)
-    made.blank = blank
-    return made
-
-
-def ask(term, who, duty="d", version=0, look=False):
-    return Ask(duty, term, who, 1, 4.0, version, look)
-
-
-def test_a_voter_gives_its_word_to_one_for_a_lease_and_terms_only_rise():
-    made = voter()
-    (yes,), rows = made.heard(0.0, "x", ask(1, "x"))
-    assert yes.yes and rows == [Granted("d", 1, "x", 4.0)]
-    (no,), rows = made.heard(1.0, "y", ask(2, "y"))
-    assert not no.yes and no.left == 3.0 and not rows
-    assert made.heard(2.0, "x", ask(1, "x"))[1] == []  # goes on; nothing new to write
-    assert not made.heard(5.9, "y", ask(2, "y"))[0][0].yes
-    assert not made.heard(6.1, "y", ask(1, "y"))[0][0].yes  # that term is used up
-    assert made.heard(6.1, "y", ask(2, "y", look=True))[0][0].yes
-    assert made.heard(6.1, "y", ask(2, "y"))[0][0].yes
-    assert not made.heard(6.2, "x", ask(1, "x"))[0][0].yes
-    made.heard(6.3, "y", Release("d", 2, "y"))
-    assert not made.heard(6.4, "y", ask(2, "y"))[0][0].yes  # a late one of a term that was given back
-    assert made.heard(6.4, "x", ask(3, "x"))[0][0].yes
-
-
-def test_a_voter_started_anew_waits_a_lease_with_its_memory_and_asks_the_others_without():
-    made = voter()
-    _, rows = made.heard(0.0, "x", ask(7, "x"))
-    again = Voter("a", COUNCIL, 4.0, 50.0)
-    again.remember([*made.rows(), *rows], 50.0)
-    assert not again.blank
-    assert not again.heard(53.9, "y", ask(8, "y"))[0][0].yes and again.heard(51.0, "x", ask(7, "x"))[0][0].yes
-    blank = Voter("a", COUNCIL, 4.0, 50.0)
-    assert not blank.heard(60.0, "y", ask(8, "y"))[0][0].yes
-    blank.heard(60.0, "b", Recalled(1, False, {"d": (7, "x")}, COUNCIL))
+VOTER_SET = VoterSet(0, ("a", "b", "c"))
+LEASE = 4.0  # seconds
+
+
+def make_voter(name="a", now=0.0, recovering=False):
+    voter = Voter(name, VOTER_SET, LEASE, now)
+    voter.recovering = recovering
+    return voter
+
+
+def vote_request(term, candidate, role="d", version=0, pre_vote=False):
+    return VoteRequest(role, term, candidate, 1, LEASE, version, pre_vote)
+
+
+def respond(voter, now, request):
+    """The voter's one response to a request."""
+    (response,), _ = voter.on_message(now, request.candidate, request)
+    return response
+
+
+def granted(voter, now, request):
+    return respond(voter, now, request).granted
+
+
+def test_a_voter_grants_a_lease_to_one_candidate_at_a_time_and_terms_only_rise():
+    voter = make_voter()
+    (response,), records = voter.on_message(0.0, "x", vote_request(1, "x"))
+    assert response.granted and records == [LeaseGrant("d", 1, "x", LEASE)]
+    (response,), records = voter.on_message(1.0, "y", vote_request(2, "y"))
+    assert not response.granted and response.remaining == 3.0 and not records
+    assert voter.on_message(2.0, "x", vote_request(1, "x")).records == []  # a renewal: nothing new to store
+    assert not granted(voter, 5.9, vote_request(2, "y"))
+    assert not granted(voter, 6.1, vote_request(1, "y"))  # that term is used up
+    assert granted(voter, 6.1, vote_request(2, "y", pre_vote=True))
+    assert granted(voter, 6.1, vote_request(2, "y"))
+    assert not granted(voter, 6.2, vote_request(1, "x"))
+    voter.on_message(6.3, "y", ReleaseNotice("d", 2, "y"))
+    assert not granted(voter, 6.4, vote_request(2, "y"))  # a late request of a term that was released
+    assert granted(voter, 6.4, vote_request(3, "x"))
+
+
+def test_a_restarted_voter_waits_a_lease_with_its_records_and_queries_its_peers_without():
+    voter = make_voter()
+    _, records = voter.on_message(0.0, "x", vote_request(7, "x"))
+    restored = Voter("a", VOTER_SET, LEASE, 50.0)
+    restored.restore([*voter.records(), *records], 50.0)
+    assert not restored.recovering
+    assert not granted(restored, 53.9, vote_request(8, "y")) and granted(restored, 51.0, vote_request(7, "x"))
+    blank = Voter("a", VOTER_SET, LEASE, 50.0)
+    assert not granted(blank, 60.0, vote_request(8, "y"))
+    blank.on_message(60.0, "b", StateResponse(1, False, {"d": KnownTerm(7, "x")}, VOTER_SET))
     blank.tick(60.0)
-    assert blank.blank  # any two of three may have granted: one other's word is not enough
-    blank.heard(60.0, "c", Recalled(1, True, {}, COUNCIL))
-    _, rows = blank.tick(60.0)
-    assert not blank.blank and rows
-    assert not blank.heard(60.0, "y", ask(7, "y"))[0][0].yes and blank.heard(60.0, "x", ask(7, "x"))[0][0].yes
-
-
-def test_what_the_disk_has_not_taken_does_not_hold():
-    made = voter()
-    made.heard(0.0, "x", ask(1, "x"))
-    made.undo()
-    answers, rows = made.heard(0.1, "y", ask(1, "y"))
-    assert answers[0].yes and rows
-
-
-def test_a_voter_that_has_accepted_other_voters_gives_no_word_under_the_old_ones():
-    made = voter()
-    made.heard(0.0, "x", ask(3, "x", duty="voters"))
-    after = Council(1, ("a", "b", "z"))
-    assert not made.heard(0.1, "x", Propose(2, 1, after))[0][0].yes
-    assert made.heard(0.1, "x", Propose(3, 1, after))[0][0].yes
-    assert made.heard(0.2, "x", ask(1, "x"))[0][0].why == "voters change"
-    told = made.heard(9.0, "y", ask(4, "y", duty="voters"))[0][0]
-    assert told.yes and told.pending.council == after  # whoever holds VOTERS next has to go on with it
-    made.heard(9.1, "y", Learn(after))
-    assert made.heard(9.2, "x", ask(1, "x"))[0][0].why == "council"
-    assert made.heard(9.2, "x", ask(1, "x", version=1))[0][0].yes
-    newcomer = Voter("z", COUNCIL, 4.0, 0.0)
-    newcomer.blank = False
-    newcomer.heard(9.1, "y", Learn(after))
-    assert newcomer.blank and newcomer.waits_until == 13.1
-
-
-def test_a_lease_counts_from_before_it_was_asked_for_and_less_the_bound_on_clocks():
-    claim = Claim("d", "x", Rules(4.0, 0.1), COUNCIL, Random(1), 0.0)
-    claim.take(10.0)
+    assert blank.recovering  # any two of three may have granted: one peer's word is not enough
+    blank.on_message(60.0, "c", StateResponse(1, True, {}, VOTER_SET))
+    _, records = blank.tick(60.0)
+    assert not blank.recovering and records
+    assert not granted(blank, 60.0, vote_request(7, "y")) and granted(blank, 60.0, vote_request(7, "x"))
+
+
+def test_a_grant_that_could_not_be_stored_does_not_hold():
+    voter = make_voter()
+    voter.on_message(0.0, "x", vote_request(1, "x"))
+    voter.undo()
+    responses, records = voter.on_message(0.1, "y", vote_request(1, "y"))
+    assert responses[0].granted and records
+
+
+def test_a_voter_that_has_accepted_a_voter_set_grants_nothing_under_the_old_one():
+    voter = make_voter()
+    voter.on_message(0.0, "x", vote_request(3, "x", role="voters"))
+    after = VoterSet(1, ("a", "b", "z"))
+    assert not voter.on_message(0.1, "x", ReconfigurationRequest(2, 1, after))[0][0].accepted
+    assert voter.on_message(0.1, "x", ReconfigurationRequest(3, 1, after))[0][0].accepted
+    assert respond(voter, 0.2, vote_request(1, "x")).refusal is Refusal.RECONFIGURING
+    response = respond(voter, 9.0, vote_request(4, "y", role="voters"))
+    # Whoever holds VOTERS_ROLE next has to go on with the proposal.
+    assert response.granted and response.pending.voter_set == after
+    voter.on_message(9.1, "y", ConfigurationCommitted(after))
+    assert respond(voter, 9.2, vote_request(1, "x")).refusal is Refusal.STALE_VOTER_SET
+    assert granted(voter, 9.2, vote_request(1, "x", version=1))
+    newcomer = Voter("z", VOTER_SET, LEASE, 0.0)
+    newcomer.recovering = False
+    newcomer.on_message(9.1, "y", ConfigurationCommitted(after))
+    assert newcomer.recovering and newcomer.silent_until == 13.1
+
+
+def test_a_lease_counts_from_before_its_request_and_is_shorter_by_the_bound_on_clock_rates():
+    candidate = Candidate("d", "x", LeaseTiming(LEASE, 0.1), VOTER_SET, Random(1), 0.0)
+    candidate.start_request(10.0)
     for name in ("a", "b"):
-        claim.heard(11.0, name, Answer("d", 1, claim.round, True, 0))
-    assert claim.holds(13.2) and not claim.holds(13.3)  # 10 + 4 * 0.9 / 1.1
-    claim.tick(13.3, 0)
-    assert claim.state is State.IDLE and [turn.cause for turn in claim.turns] == ["granted", "lease ran out"]
-    claim.take(20.0)
+        candidate.on_response(11.0, name, VoteResponse("d", 1, candidate.round, True, 0))
+    assert candidate.holds(13.2) and not candidate.holds(13.3)  # 10 + 4 * 0.9 / 1.1
+    candidate.tick(13.3, 0)
+    causes = [transition.cause for transition in candidate.transitions]
+    assert candidate.state is CandidateState.IDLE and causes == ["granted", "lease ran out"]
+    candidate.start_request(20.0)
     for name in ("a", "b"):
-        claim.heard(23.5, name, Answer("d", 2, claim.round, True, 1))
-    assert not claim.holds(23.5)  # the answers were too long on their way
+        candidate.on_response(23.5, name, VoteResponse("d", 2, candidate.round, True, 1))
+    assert not candidate.holds(23.5)  # the responses were too long on their way
+
+
+def test_an_event_that_the_table_of_transitions_lacks_is_an_error_that_names_it():
+    candidate = Candidate("d", "x", LeaseTiming(LEASE, 0.1), VOTER_SET, Random(1), 0.0)
+    candidate.state = CandidateState.HOLDING
+    with pytest.raises(CandidateStateError, match="d: expected one of lease ended in state holding, got fell back"):
+        candidate.fall_back(1.0)
+    assert {state for state, _ in NEXT_STATE} == set(CandidateState)
+    assert {event for _, event in NEXT_STATE} == set(CandidateEvent)
+
+
+def test_a_refusal_of_a_later_version_is_read_as_another_reason():
+    response = VoteResponse("d", 1, 1, False, 0, refusal=Refusal.HELD)
+    assert MESSAGE_DECODER.decode(encode(response)) == response
+    unknown = MESSAGE_DECODER.decode(encode(response).replace(b"\xa4held", b"\xa4hulk"))
+    assert unknown.refusal is Refusal.OTHER
 
 
 def test_the_explorer_finds_nothing_with_one_fault_and_each_bug_put_in():
@@ -124,142 +165,156 @@
             assert explore.explore(3 if only else 1, 12, only=only).found, name
 
 
-class Votes(RuleBasedStateMachine):
-    """Five voters and two more to come, three candidates for a duty and for changing the voters, in any order
-    of loss, repetition, delay, restarts with and without the disk, hand-overs and changes."""
+class Election(RuleBasedStateMachine):
+    """Five voters and two to be added, three candidates for a role and for changing the voter set.
+
+    In any order: loss, repetition and delay of messages, restarts with and without records, hand-overs and
+    reconfigurations.
+    """
 
     @initialize()
     def begin(self):
-        self.now, self.under_way = 0.0, []
-        self.cut, self.stopped = frozenset(), frozenset()
-        self.council = Council(0, tuple("abcde"))
-        self.voters = {name: Voter(name, self.council, 4.0, 0.0) for name in "abcdefg"}
+        self.now = 0.0
+        self.in_flight = []
+        self.cut = frozenset()
+        self.stopped = frozenset()
+        voter_set = VoterSet(0, tuple("abcde"))
+        self.voters = {name: Voter(name, voter_set, LEASE, 0.0) for name in "abcdefg"}
         self.disks = {name: [] for name in "abcdefg"}
         for name in "abcde":
-            self.voters[name].blank = False
-            self.disks[name] = [Remembers()]
-        duties = ("d", VOTERS)
-        self.claims = {
-            (who, duty): Claim(duty, who, Rules(4.0, 0.01), self.council, Random(1), 0.0)
-            for who in "xyz"
-            for duty in duties
+            self.voters[name].recovering = False
+            self.disks[name] = [MemoryRecovered()]
+        roles = ("d", VOTERS_ROLE)
+        self.candidates = {
+            (process, role): Candidate(role, process, LeaseTiming(LEASE, 0.01), voter_set, Random(1), 0.0)
+            for process in "xyz"
+            for role in roles
         }
-        self.changers = {who: Changer() for who in "xyz"}
-        self.terms = dict.fromkeys(duties, 0)
+        self.reconfigurations = {process: Reconfiguration() for process in "xyz"}
+        self.terms = dict.fromkeys(roles, 0)
 
-    def put(self, source, told):
-        self.under_way += [(source, target, what) for target, what in told]
+    def send(self, source, messages):
+        self.in_flight += [(source, target, message) for target, message in messages]
 
     def tick(self, span):
         self.now += span
-        for (who, _), claim in self.claims.items():
-            if who not in self.stopped and self.now >= claim.due():
-                self.put(who, claim.tick(self.now, "xyz".index(who)))
+        for (process, _), candidate in self.candidates.items():
+            if process not in self.stopped and self.now >= candidate.next_due():
+                self.send(process, candidate.tick(self.now, "xyz".index(process)))
 
     @rule(span=st.sampled_from([0.1, 0.5, 2.0]))
     def wait(self, span):
         self.tick(span)
 
     @rule(seconds=st.integers(1, 6))
-    def go_on(self, seconds):
+    def run_undisturbed(self, seconds):
         """Time in which whatever is not cut off arrives at once."""
         for _ in range(4 * seconds):
             self.tick(0.25)
             for name in "abcdefg":
-                self.recall(name)
-            while self.under_way:
-                self.deliver(*self.under_way.pop(0))
+                self.recover(name)
+            while self.in_flight:
+                self.deliver(*self.in_flight.pop(0))
 
-    @rule(who=st.sampled_from("xyz"))
-    def stop_or_wake(self, who):
-        self.stopped ^= {who}
+    @rule(process=st.sampled_from("xyz"))
+    def stop_or_resume(self, process):
+        self.stopped ^= {process}
 
     @rule(name=st.sampled_from("abcdefgxyz"))
     def cut_or_mend(self, name):
         self.cut ^= {name}
 
-    def deliver(self, source, target, what):
+    def deliver(self, source, target, message):
         if source in self.cut or target in self.cut or target in self.stopped:
             return
         if target in self.voters:
-            answers, rows = self.voters[target].heard(self.now, source, what)
-            self.disks[target] += rows
-            self.put(target, [(source, answer) for answer in answers])
-        elif isinstance(what, Accepted):
-            claim = self.claims[target, VOTERS]
-            if made := self.changers[target].accepted(self.now, claim, claim.council, source, what):
-                self.learn(target, made)
-                self.put(target, [(name, Learn(made)) for name in "abcdefg"])
+            responses, records = self.voters[target].on_message(self.now, source, message)
+            self.disks[target] += records
+            self.send(target, [(source, response) for response in responses])
+        elif isinstance(message, ReconfigurationResponse):
+            candidate = self.candidates[target, VOTERS_ROLE]
+            reconfiguration = self.reconfigurations[target]
+            committed = reconfiguration.on_response(self.now, candidate, candidate.voter_set, source, message)
+            if committed:
+                self.adopt(target, committed)
+                self.send(target, [(name, ConfigurationCommitted(committed)) for name in "abcdefg"])
         else:
-            claim = self.claims[target, what.duty]
-            self.put(target, claim.heard(self.now, source, what))
-            self.learn(target, claim.council)
-
-    def learn(self, who, council):
-        for duty in self.terms:
-            if council.version > self.claims[who, duty].council.version:
-                self.claims[who, duty].council = council
-
-    @precondition(lambda self: self.under_way)
-    @rule(data=st.data(), fate=st.sampled_from(["comes", "comes", "comes", "comes twice", "lost"]))
-    def travel(self, data, fate):
-        place = data.draw(st.integers(0, min(5, len(self.under_way) - 1)))
-        told = self.under_way[place] if fate == "comes twice" else self.under_way.pop(place)
+            candidate = self.candidates[target, message.role]
+            self.send(target, candidate.on_response(self.now, source, message))
+            self.adopt(target, candidate.voter_set)
+
+    def adopt(self, process, voter_set):
+        for role in self.terms:
+            if voter_set.version > self.candidates[process, role].voter_set.version:
+                self.candidates[process, role].voter_set = voter_set
+
+    @precondition(lambda self: self.in_flight)
+    @rule(
+        data=st.data(),
+        fate=st.sampled_from(["delivered", "delivered", "delivered", "delivered twice", "lost"]),
+    )
+    def transmit(self, data, fate):
+        place = data.draw(st.integers(0, min(5, len(self.in_flight) - 1)))
+        twice = fate == "delivered twice"
+        message = self.in_flight[place] if twice else self.in_flight.pop(place)
         if fate != "lost":
-            self.deliver(*told)
+            self.deliver(*message)
 
     @rule(name=st.sampled_from("abcdefg"), blank=st.booleans())
     def restart(self, name, blank):
-        if blank and any(made.blank and each in made.council.names for each, made in self.voters.items()):
-            return  # two without memory at once: terms rest on the others then (docs/duties.md)
-        made = Voter(name, Council(0, tuple("abcde")), 4.0, self.now)
+        recovering = [each for each, voter in self.voters.items() if voter.recovering]
+        if blank and any(each in self.voters[each].voter_set.names for each in recovering):
+            return  # two without memory at once: terms rest on the others then (docs/leases.md)
+        voter = Voter(name, VoterSet(0, tuple("abcde")), LEASE, self.now)
         if blank:
             self.disks[name] = []
-        made.remember(self.disks[name], self.now)
-        self.voters[name] = made
+        voter.restore(self.disks[name], self.now)
+        self.voters[name] = voter
 
-    def recall(self, name):
-        told, rows = self.voters[name].tick(self.now)
-        self.disks[name] += rows
-        self.put(name, told)
+    def recover(self, name):
+        queries, records = self.voters[name].tick(self.now)
+        self.disks[name] += records
+        self.send(name, queries)
 
-    @rule(who=st.sampled_from("xyz"), duty=st.sampled_from(["d", VOTERS]))
-    def hand_over(self, who, duty):
-        self.put(who, self.claims[who, duty].end(self.now, "operator"))
+    @rule(process=st.sampled_from("xyz"), role=st.sampled_from(["d", VOTERS_ROLE]))
+    def hand_over(self, process, role):
+        self.send(process, self.candidates[process, role].end(self.now, "operator"))
 
-    @precondition(lambda self: any(self.claims[who, VOTERS].holds(self.now) for who in "xyz"))
+    @precondition(lambda self: any(self.candidates[each, VOTERS_ROLE].holds(self.now) for each in "xyz"))
     @rule(remove=st.integers(0, 4), add=st.integers(0, 1))
-    def change(self, remove, add):
-        who = next(who for who in "xyz" if self.claims[who, VOTERS].holds(self.now))
-        claim, changer = self.claims[who, VOTERS], self.changers[who]
-        names = claim.council.names
-        if not changer.busy:
-            changer.wish = Change(names[remove], sorted(set("abcdefg") - set(names))[add])
-        self.put(who, changer.propose(self.now, claim, claim.council))
+    def replace_voter(self, remove, add):
+        process = next(each for each in "xyz" if self.candidates[each, VOTERS_ROLE].holds(self.now))
+        candidate = self.candidates[process, VOTERS_ROLE]
+        reconfiguration = self.reconfigurations[process]
+        names = candidate.voter_set.names
+        if not reconfiguration.in_progress:
+            others = sorted(set("abcdefg") - set(names))
+            reconfiguration.command = ReplaceVoterCommand(names[remove], others[add])
+        self.send(process, reconfiguration.propose(self.now, candidate, candidate.voter_set))
 
     @invariant()
-    def one_holder_and_terms_rise(self):
-        if not hasattr(self, "claims"):
+    def one_holder_and_rising_terms(self):
+        if not hasattr(self, "candidates"):
             return
-        for duty in self.terms:
-            claims = [claim for (_, each), claim in self.claims.items() if each == duty]
-            assert sum(claim.holds(self.now) for claim in claims) <= 1
-            for claim in claims:
-                for turn in claim.turns:
-                    if turn.held:
-                        assert turn.term > self.terms[duty]
-                        self.terms[duty] = turn.term
-                claim.turns.clear()
+        for role in self.terms:
+            candidates = [candidate for (_, each), candidate in self.candidates.items() if each == role]
+            assert sum(candidate.holds(self.now) for candidate in candidates) <= 1
+            for candidate in candidates:
+                for transition in candidate.transitions:
+                    if transition.held:
+                        assert transition.term > self.terms[role]
+                        self.terms[role] = transition.term
+                candidate.transitions.clear()
 
     @invariant()
-    def one_council_a_version(self):
-        if hasattr(self, "claims"):
-            known = [claim.council for claim in self.claims.values()]
-            known += [made.council for made in self.voters.values()]
-            assert len({council.version for council in known}) == len(set(known))
+    def one_voter_set_a_version(self):
+        if hasattr(self, "candidates"):
+            known = [candidate.voter_set for candidate in self.candidates.values()]
+            known += [voter.voter_set for voter in self.voters.values()]
+            assert len({voter_set.version for voter_set in known}) == len(set(known))
 
 
-Votes.TestCase.settings = hypothesis_settings(
+Election.TestCase.settings = hypothesis_settings(
     max_examples=150, stateful_step_count=60, deadline=None, derandomize=True
 )
-TestVotes = Votes.TestCase
+TestElection = Election.TestCase
--- a/tests/test_role_ranking.py
+++ b/tests/test_role_ranking.py
@@ -16,7 +16,7 @@
     monkeypatch.setattr(clock, "now", lambda: net.now)
     for member in swim.live_members():
         member.flags = 1
-    runner = SimpleNamespace(zone=None, claim=SimpleNamespace(duty="d"))
+    runner = SimpleNamespace(zone=None, claim=SimpleNamespace(role="d"))
 
     def order():
         node = SimpleNamespace(membership=swim, ranks={}, fit=lambda: True, name="m0", process_id="m0~1")
