--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -244,7 +244,7 @@
     def __init__(self, folder: str) -> None:
         self.records = AppendLog(folder, "addresses")
         self.rows: dict[str, Written] = {}
-        for body in self.records.rows:
+        for body in self.records.bodies:
             row = WRITTEN.decode(body)
             self.rows[mark(row)] = row
 
@@ -252,7 +252,7 @@
         """Names of those that are on the disk now."""
         fresh = [row for row in rows if mark(row) not in self.rows]
         if fresh:
-            if len(self.records.rows) + len(fresh) > COMPACT:
+            if len(self.records.bodies) + len(fresh) > COMPACT:
                 decided = [row for row in self.rows.values() if isinstance(row, Decided)][-HISTORY:]
                 orders = [row for row in self.rows.values() if isinstance(row, Order)][-MOST_ORDERS:]
                 kept: list[Written] = [*orders, *decided]
@@ -413,7 +413,7 @@
             "store",
             orders=len(self.store.orders()),
             decided=len(self.store.decided()),
-            cut=self.store.records.cut,
+            cut=self.store.records.torn_tail,
         )
 
     def keep(self, message: Keep, who: str) -> None:
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -11,8 +11,8 @@
 
 from onyxhollow.addresses.file import AddressesError, AddressesFile, read_addresses
 from onyxhollow.gossip import core as share_terms
-from onyxhollow.leases.candidate import LeaseTiming
 from onyxhollow.leases.messages import VOTERS_ROLE
+from onyxhollow.leases.timing import LeaseTiming
 from onyxhollow.leases.voter import MAX_LEASE_DURATION, MAX_ROLES
 from onyxhollow.membership.messages import NAME, Address
 from onyxhollow.membership.seal import KeyFileError, read_keys
--- a/onyxhollow/fleet/gate.py
+++ b/onyxhollow/fleet/gate.py
@@ -99,7 +99,7 @@
         self.pool, self.counters = BufferPool(), Counters()
         self.table = Table(addresses.service, site, told.own_as)
         self.records = AppendLog(folder, "gate")
-        self.table.remember([RECORDS.decode(row) for row in self.records.rows])
+        self.table.remember([RECORDS.decode(row) for row in self.records.bodies])
         self.table.alive_at = clock.now()
         self.taken: dict[str, Standing | None] = dict.fromkeys(self.table.stands)  # what the daemon has taken
         self.channel: Channel | None = None
@@ -122,7 +122,7 @@
         )
         self.talker = self.loop.spawn(self.talk())
         self.loop.spawn(self.watch())
-        self.event("gate", term=self.table.term, cut=self.records.cut, stands=self.wanted())
+        self.event("gate", term=self.table.term, cut=self.records.torn_tail, stands=self.wanted())
 
     def event(self, event: str, **values: Any) -> None:
         self.log.event(event, at=round(time.monotonic(), 4), **values)
@@ -155,7 +155,7 @@
         if not rows:
             return True
         try:
-            if len(self.records.rows) + len(rows) > COMPACT:
+            if len(self.records.bodies) + len(rows) > COMPACT:
                 self.records.rewrite([encode(row) for row in self.table.rows()])
             else:
                 self.records.append(*(encode(row) for row in rows))
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -31,7 +31,8 @@
 from onyxhollow.fleet.works import LeaderTask, WebhookTask
 from onyxhollow.interface import Endpoint, EndpointListKind
 from onyxhollow.leases import messages as said
-from onyxhollow.leases.candidate import Candidate, CandidateState, Transition, VoterMessage
+from onyxhollow.leases.candidate import Candidate, Transition, VoterMessage
+from onyxhollow.leases.candidate_states import CandidateState
 from onyxhollow.leases.messages import VOTERS_ROLE, VoterSet
 from onyxhollow.leases.reconfiguration import Reconfiguration
 from onyxhollow.leases.voter import Voter
@@ -461,7 +462,7 @@
             return
         voter = Voter(self.name, self.voters, self.told.leases.lease, now)
         try:
-            voter.restore([said.RECORD_DECODER.decode(row) for row in records.rows], now)
+            voter.restore([said.RECORD_DECODER.decode(row) for row in records.bodies], now)
         except msgspec.DecodeError as error:
             self.log_event("voter waits", why=f"{records.path}: not a voter's records: {error}"[:200])
             records.close()
@@ -471,8 +472,8 @@
         self.log_event(
             "voter",
             blank=voter.recovering,
-            records=len(records.rows),
-            cut=records.cut,
+            records=len(records.bodies),
+            cut=records.torn_tail,
             council=voter.voter_set.version,
         )
 
@@ -482,7 +483,7 @@
         if not rows:
             return True
         try:
-            if len(self.records.rows) + len(rows) > COMPACT:
+            if len(self.records.bodies) + len(rows) > COMPACT:
                 self.records.rewrite([said.encode(row) for row in self.voter.records()])
             else:
                 self.records.append(*(said.encode(row) for row in rows))
@@ -618,7 +619,7 @@
         claim = runner.claim
         turns, claim.transitions = claim.transitions, []
         for turn in turns:
-            if turn.held:
+            if turn.began:
                 self.begin(runner, turn, now)
             else:
                 if runner.work:
--- a/onyxhollow/lab/fleet/broken.py
+++ b/onyxhollow/lab/fleet/broken.py
@@ -4,8 +4,10 @@
 
 from collections.abc import Callable, Iterable
 
-from onyxhollow.leases.candidate import Candidate, CandidateState, LeaseTiming, VoterMessage
+from onyxhollow.leases.candidate import Candidate, VoterMessage
+from onyxhollow.leases.candidate_states import CandidateState
 from onyxhollow.leases.messages import Message
+from onyxhollow.leases.timing import LeaseTiming
 from onyxhollow.leases.voter import Voter
 
 
--- a/onyxhollow/lab/fleet/explore.py
+++ b/onyxhollow/lab/fleet/explore.py
@@ -22,8 +22,9 @@
 from typing import Any
 
 from onyxhollow.lab.fleet import broken
-from onyxhollow.leases.candidate import Candidate, LeaseTiming, VoterMessage
+from onyxhollow.leases.candidate import Candidate, VoterMessage
 from onyxhollow.leases.messages import LeaseOffer, Message, VoteResponse, VoterSet, encode
+from onyxhollow.leases.timing import LeaseTiming
 from onyxhollow.leases.voter import Voter
 
 TICK = 10  # units of true time
@@ -280,11 +281,13 @@
             said = candidate.on_response(now, source, what)
         elif isinstance(what, LeaseOffer):
             said = candidate.on_offer(now, what.term)
-        for turn in candidate.transitions:
-            if turn.held:
-                if turn.term <= self.last[0] and not self.forgot:
-                    raise Found(f"tick {self.tick}: {target} holds under term {turn.term} after {self.last}")
-                self.last = max(self.last, (turn.term, target))
+        for transition in candidate.transitions:
+            if transition.began:
+                if transition.term <= self.last[0] and not self.forgot:
+                    raise Found(
+                        f"tick {self.tick}: {target} holds under term {transition.term} after {self.last}"
+                    )
+                self.last = max(self.last, (transition.term, target))
         candidate.transitions.clear()
         return [(target, voter, message) for voter, message in said]
 
--- a/onyxhollow/leases/candidate.py
+++ b/onyxhollow/leases/candidate.py
@@ -1,20 +1,17 @@
 """A candidate for the lease of one role: pre-vote, vote requests, holding, renewal, hand-over. Pure.
 
-The lease is counted from before the voters were asked, on this process's own clock, and lasts
-`LeaseTiming.holder_span` seconds: the lease's duration less the stated bound on clock rates. With rates
-within 1 - bound and 1 + bound of true time, a voter's grant lasts at least duration / (1 + bound), and the
-holder's span ends at the latest after span / (1 - bound): the same. Whoever acts calls `holds` just before
-each act, and every act carries the term.
+Whoever acts for a role calls `holds` just before each act, and every act carries the term; `timing` says how
+long a lease lasts.
 """
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
-from enum import Enum
 from random import Random
 from typing import NamedTuple
 
+from onyxhollow.leases.candidate_states import NEXT_STATE, CandidateEvent, CandidateState, CandidateStateError
 from onyxhollow.leases.messages import (
     ConfigurationCommitted,
     Message,
@@ -25,100 +22,26 @@
     VoteResponse,
     VoterSet,
 )
+from onyxhollow.leases.timing import LeaseTiming
 
 MAX_OPEN_ROUNDS = 4  # rounds of vote requests whose responses still count
-STANDBY_CANDIDATES = 3  # candidates that watch for the end of a lease, the first by rank
+STANDBY_CANDIDATES = 3  # candidates that watch for the end of a lease, the first by priority
 MAX_BACKOFF_EXPONENT = 4
 SLOT_DIVISOR = 20  # the lease's duration by this: the step between candidates, and the first backoff
 
 
-@dataclass(frozen=True, slots=True)
-class LeaseTiming:
-    """How long a lease lasts, and the intervals that follow from it.
-
-    Attributes:
-        duration: Seconds for which a voter grants a lease, on the voter's clock.
-        rate_bound: Fraction by which any clock's rate may be off from true time.
-    """
-
-    duration: float = 3.0
-    rate_bound: float = 0.01
-
-    @property
-    def holder_span(self) -> float:
-        """Seconds for which the holder takes a lease to last, from before it sent the requests."""
-        return self.duration * (1.0 - self.rate_bound) / (1.0 + self.rate_bound)
-
-    @property
-    def renewal_interval(self) -> float:
-        """Seconds from one renewal to the next."""
-        return self.duration / 3.0
-
-    @property
-    def retransmit_interval(self) -> float:
-        """Seconds after which a request is sent again to the voters that have not answered."""
-        return self.duration / 16.0
-
-    @property
-    def response_timeout(self) -> float:
-        """Seconds for which a candidate that holds nothing waits for responses."""
-        return self.duration / 4.0
-
-
-class CandidateState(Enum):
-    """What a candidate is doing; the values are shown by `/control/fleet`."""
-
-    IDLE = "idle"
-    PRE_VOTE = "looking"
-    REQUESTING = "asking"
-    HOLDING = "holding"
-
-
-class CandidateEvent(Enum):
-    """What moves a candidate from one state to another."""
-
-    PRE_VOTE_STARTED = "pre-vote started"
-    REQUEST_STARTED = "request started"
-    MAJORITY_GRANTED = "majority granted"
-    FELL_BACK = "fell back"
-    LEASE_ENDED = "lease ended"
-
-
-NEXT_STATE = {
-    (CandidateState.IDLE, CandidateEvent.PRE_VOTE_STARTED): CandidateState.PRE_VOTE,
-    # Offered by the holder before, in any state but HOLDING; or after a pre-vote with a majority.
-    (CandidateState.IDLE, CandidateEvent.REQUEST_STARTED): CandidateState.REQUESTING,
-    (CandidateState.PRE_VOTE, CandidateEvent.REQUEST_STARTED): CandidateState.REQUESTING,
-    (CandidateState.REQUESTING, CandidateEvent.REQUEST_STARTED): CandidateState.REQUESTING,
-    (CandidateState.REQUESTING, CandidateEvent.MAJORITY_GRANTED): CandidateState.HOLDING,
-    # Refused by a majority, timed out, or a newer voter set; late responses tell of that in IDLE too.
-    (CandidateState.IDLE, CandidateEvent.FELL_BACK): CandidateState.IDLE,
-    (CandidateState.PRE_VOTE, CandidateEvent.FELL_BACK): CandidateState.IDLE,
-    (CandidateState.REQUESTING, CandidateEvent.FELL_BACK): CandidateState.IDLE,
-    (CandidateState.HOLDING, CandidateEvent.LEASE_ENDED): CandidateState.IDLE,
-}
-
-
-class CandidateStateError(RuntimeError):
-    """An event that NEXT_STATE has no row for: a fault of the program."""
-
-    def __init__(self, role: str, state: CandidateState, event: CandidateEvent) -> None:
-        expected = ", ".join(each.value for from_state, each in NEXT_STATE if from_state is state)
-        super().__init__(f"{role}: expected one of {expected} in state {state.value}, got {event.value}")
-
-
 @dataclass(frozen=True, slots=True)
 class Transition:
     """A lease that began or ended, for the log and the leader task.
 
     Attributes:
-        held: Whether the lease began; else it ended.
+        began: Whether the lease began; else it ended.
         term: The lease's term.
         cause: Why, as it is logged.
         waited: Seconds since the role was first seen free; 0 at the end of a lease.
     """
 
-    held: bool
+    began: bool
     term: int
     cause: str
     waited: float = 0.0
@@ -160,7 +83,7 @@
         retransmit_at: When requests are sent again to those that have not answered.
         next_at: When the present state is over: next renewal, timeout, or next attempt.
         failed_attempts: Attempts in a row that found no holder and no majority.
-        rank: This member's place among the candidates, as last given to `tick`.
+        priority: This member's place among the candidates, as last given to `tick`.
         free_since: When the role was first seen free; inf if it is not.
         holder: Process id of the holder, as far as known; "" if it is not.
         pending: The latest accepted voter set that a voter told of; only for VOTERS_ROLE.
@@ -191,7 +114,7 @@
         self.retransmit_at = math.inf
         self.next_at = now + rng.random() * timing.renewal_interval
         self.failed_attempts = 0
-        self.rank = 0
+        self.priority = 0
         self.free_since = math.inf
         self.holder = ""
         self.pending: PendingVoterSet | None = None
@@ -208,13 +131,13 @@
         expires_at = self.expires_at if self.state is CandidateState.HOLDING else math.inf
         return min(self.next_at, self.retransmit_at, expires_at)
 
-    def tick(self, now: float, rank: int | None) -> list[VoterMessage]:
+    def tick(self, now: float, priority: int | None) -> list[VoterMessage]:
         """Does what is due.
 
         Args:
             now: The time.
-            rank: This member's place among the candidates, 0 the preferred one; None if it must not hold the
-                role.
+            priority: This member's place among the candidates, 0 the preferred one; None if it must not
+                hold the role.
         """
         if self.state is CandidateState.HOLDING:
             return self._tick_holding(now)
@@ -224,8 +147,8 @@
             return self.retransmit(now) if now >= self.retransmit_at else []
         if now < self.next_at:
             return []
-        self.rank = rank or 0
-        if rank is None or rank >= STANDBY_CANDIDATES:
+        self.priority = priority or 0
+        if priority is None or priority >= STANDBY_CANDIDATES:
             self.next_at = now + self.timing.renewal_interval
             return []
         return self.start_pre_vote(now)
@@ -277,7 +200,7 @@
             self.free_since = math.inf
             self.failed_attempts = 0
             self.next_at = (
-                now + remaining + (self.rank + self.rng.random()) * self.timing.duration / SLOT_DIVISOR
+                now + remaining + (self.priority + self.rng.random()) * self.timing.duration / SLOT_DIVISOR
             )
         elif retry_at_once:
             self.next_at = now
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -27,7 +27,8 @@
 from onyxhollow.fleet.file import read_fleet
 from onyxhollow.gossip import messages as sharing
 from onyxhollow.leases import messages as leasing
-from onyxhollow.leases.voter import Voter, VoterSlot
+from onyxhollow.leases.voter import Voter
+from onyxhollow.leases.voter_slot import VoterSlot
 from onyxhollow.membership import messages as members
 from onyxhollow.membership.seal import DatagramAuthenticator
 
@@ -265,8 +266,8 @@
 def test_stores_are_read_and_written_as_recorded(name, tmp_path):
     rows, decoder, encode, _ = STORED[name]
     old = AppendLog(stored(name, tmp_path / "old"), name)
-    assert (old.cut, old.fresh) == ("", False)
-    assert [decoder.decode(body) for body in old.rows] == rows
+    assert (old.torn_tail, old.is_new) == ("", False)
+    assert [decoder.decode(body) for body in old.bodies] == rows
     for way in ("append", "rewrite"):
         new = AppendLog(str(tmp_path / way), name)
         bodies = [encode(row) for row in rows]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -8,14 +8,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from onyxhollow.lab.fleet import broken, explore
-from onyxhollow.leases.candidate import (
-    NEXT_STATE,
-    Candidate,
-    CandidateEvent,
-    CandidateState,
-    CandidateStateError,
-    LeaseTiming,
-)
+from onyxhollow.leases.candidate import Candidate
+from onyxhollow.leases.candidate_states import NEXT_STATE, CandidateEvent, CandidateState, CandidateStateError
 from onyxhollow.leases.messages import (
     MESSAGE_DECODER,
     VOTERS_ROLE,
@@ -35,6 +29,7 @@
     encode,
 )
 from onyxhollow.leases.reconfiguration import Reconfiguration
+from onyxhollow.leases.timing import LeaseTiming
 from onyxhollow.leases.voter import Voter
 
 VOTER_SET = VoterSet(0, ("a", "b", "c"))
@@ -141,7 +136,9 @@
 def test_an_event_that_the_table_of_transitions_lacks_is_an_error_that_names_it():
     candidate = Candidate("d", "x", LeaseTiming(LEASE, 0.1), VOTER_SET, Random(1), 0.0)
     candidate.state = CandidateState.HOLDING
-    with pytest.raises(CandidateStateError, match="d: expected one of lease ended in state holding, got fell back"):
+    with pytest.raises(
+        CandidateStateError, match="d: expected one of lease ended in state holding, got fell back"
+    ):
         candidate.fall_back(1.0)
     assert {state for state, _ in NEXT_STATE} == set(CandidateState)
     assert {event for _, event in NEXT_STATE} == set(CandidateEvent)
@@ -301,7 +298,7 @@
             assert sum(candidate.holds(self.now) for candidate in candidates) <= 1
             for candidate in candidates:
                 for transition in candidate.transitions:
-                    if transition.held:
+                    if transition.began:
                         assert transition.term > self.terms[role]
                         self.terms[role] = transition.term
                 candidate.transitions.clear()
