--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -10,7 +10,7 @@
 from onyxhollow import __version__
 
 if TYPE_CHECKING:
-    from onyxhollow.fleet.file import Fleet
+    from onyxhollow.fleet.file import FleetConfig
     from onyxhollow.lifecycle.config import Config
     from onyxhollow.lifecycle.signals import SignalQueue
 
@@ -85,7 +85,7 @@
     return status
 
 
-def read_files(told: argparse.Namespace) -> tuple[Config, Fleet | None]:
+def read_files(told: argparse.Namespace) -> tuple[Config, FleetConfig | None]:
     """The configuration, and the fleet file where one is named; ValueError if one of them is no good."""
     from onyxhollow.lifecycle.config import ConfigError, read_config
 
@@ -107,7 +107,7 @@
         config, fleet = read_files(told)
     except ImportError as error:
         return lacks("fleet", error)
-    except ValueError as error:  # ConfigError, FleetError
+    except ValueError as error:  # ConfigError, FleetFileError
         return no_good(error)
     if fleet is None:
         return proxy.serve(config, told.config, signals)
@@ -136,12 +136,14 @@
     )
     print(f"servers known {len(config.known.entries)}, listeners {len(settings.listeners)}")
     if fleet:
-        duties = ", ".join(f"{duty.name} ({duty.work}, one a {duty.per})" for duty in fleet.told.duty)
+        roles = ", ".join(
+            f"{role.name} ({role.task.value}, one a {role.scope.value})" for role in fleet.file.roles
+        )
         print(
-            f"fleet {fleet.told.fleet}: member at {fleet.advertise[0]}:{fleet.advertise[1]}, "
-            f"voters {', '.join(fleet.told.voters)}, lease {fleet.told.leases.lease:g} s"
+            f"fleet {fleet.file.fleet}: member at {fleet.advertise[0]}:{fleet.advertise[1]}, "
+            f"voters {', '.join(fleet.file.voters)}, lease {fleet.file.leases.duration:g} s"
         )
-        print(f"duties: {duties or 'none'}")
+        print(f"duties: {roles or 'none'}")
         if shared := fleet.addresses:
             names, sites = (", ".join(row.name for row in some) for some in (shared.service, shared.site))
             print(f"addresses: {names} at {sites}, at least {shared.policy.least}")
--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -51,7 +51,7 @@
 from onyxhollow.counters import ACCEPTED, ENDS
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
-from onyxhollow.fleet.works import Caller
+from onyxhollow.fleet.leader_tasks import CallingTask
 from onyxhollow.loop import Task
 from onyxhollow.management.api import PLAIN, Answer
 from onyxhollow.membership.swim import Member
@@ -154,7 +154,7 @@
                 self.shared.to_zone(name, message)
 
 
-class AnnouncerWork(Caller):
+class AnnouncerWork(CallingTask):
     """The duty of telling a site's gate."""
 
     def __init__(self, shared: Addresses, site: Site) -> None:
@@ -165,10 +165,10 @@
         self.address = read_address(site.gate, "gate")
 
     def start(self, term: int, still: Callable[[], bool]) -> None:
-        self.running += 1
+        self.run_number += 1
         self.last_progress_at, self.superseded = self.shared.node.loop.now, False
         self.core = Announcer(self.shared.told, self.site, term, clock.now())
-        self.task = self.shared.node.loop.spawn(self.run(self.running, self.core, still))
+        self.task = self.shared.node.loop.spawn(self.run(self.run_number, self.core, still))
 
     def stop(self) -> None:
         super().stop()
@@ -177,7 +177,7 @@
     def run(self, this: int, core: Announcer, still: Callable[[], bool]) -> Generator[float, None, None]:
         node, every = self.shared.node, self.shared.told.every
         member = quote(node.process_id)
-        while self.running == this:
+        while self.run_number == this:
             due = node.loop.now + every
             try:
                 if not core.read or not core.speaker:
@@ -191,16 +191,16 @@
                 last = quote(",".join(row.name for row in core.rows.values() if row.last))
                 yield from self.act(this, core, f"/alive?term={core.term}&last={last}", still)
             except StatusError as error:
-                self.hang_up()
+                self.close_connection()
                 self.superseded = self.superseded or error.status == 409
             except (ListError, OSError, h11.ProtocolError, ValueError, KeyError):
-                if self.running == this:
-                    self.hang_up()
-            if self.running == this:
+                if self.run_number == this:
+                    self.close_connection()
+            if self.run_number == this:
                 self.report(core)
                 for some in pages(core.left()):
                     self.shared.to_zone(self.site.name, Leave(self.site.name, some))
-            while self.running == this and node.loop.now < due:
+            while self.run_number == this and node.loop.now < due:
                 yield due
 
     def report(self, core: Announcer) -> None:
@@ -213,17 +213,17 @@
     ) -> Generator[float, None, None]:
         loop = self.shared.node.loop
         until = loop.now + GATE_ANSWERS
-        if self.caller is None or not self.caller.reusable:
-            self.hang_up()
-            self.caller = Call(loop, self.address, self.pool, self.wake)
-        caller = self.caller
-        while caller.channel.connecting:
-            if loop.now >= until or self.running != this:
+        if self.connection is None or not self.connection.reusable:
+            self.close_connection()
+            self.connection = Call(loop, self.address, self.buffers, self.wake)
+        connection = self.connection
+        while connection.channel.connecting:
+            if loop.now >= until or self.run_number != this:
                 raise ListError("not up")
             yield until
         if not still():  # the last thing before the act
             raise ListError("the lease has ended")
-        body = yield from caller.get(target, until, lambda: self.running != this, "POST")
+        body = yield from connection.get(target, until, lambda: self.run_number != this, "POST")
         told = orjson.loads(body)
         table = {name: (int(row["wanted"]), row["told"]) for name, row in told["rows"].items()}
         core.stands(table, int(told["keeper"]), bool(told["speaker"]), clock.now())
--- a/onyxhollow/fleet/context.py
+++ b/onyxhollow/fleet/context.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from onyxhollow.fleet.file import Fleet
+from onyxhollow.fleet.file import FleetConfig
 from onyxhollow.leases.messages import VoterSet
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.loop import Loop, Task
@@ -26,7 +26,7 @@
         """The proxy that this member is a part of."""
 
     @property
-    def fleet(self) -> Fleet:
+    def fleet(self) -> FleetConfig:
         """The fleet file, checked and read."""
 
     @property
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -25,10 +25,10 @@
 from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.advertise import ADDRESSES, Addresses
-from onyxhollow.fleet.file import Duty, Fleet
+from onyxhollow.fleet.file import FleetConfig, RoleScope, RoleTable, TaskKind
+from onyxhollow.fleet.leader_tasks import LeaderTask, WebhookTask
 from onyxhollow.fleet.lists import LIST, Lists
 from onyxhollow.fleet.shares import SHARE, Shares
-from onyxhollow.fleet.works import LeaderTask, WebhookTask
 from onyxhollow.interface import Endpoint, EndpointListKind
 from onyxhollow.leases import messages as said
 from onyxhollow.leases.candidate import Candidate, Transition, VoterMessage
@@ -83,8 +83,8 @@
 
 
 class Node:
-    def __init__(self, proxy: Proxy, fleet: Fleet) -> None:
-        self.proxy, self.fleet, self.told = proxy, fleet, fleet.told
+    def __init__(self, proxy: Proxy, fleet: FleetConfig) -> None:
+        self.proxy, self.fleet, self.file = proxy, fleet, fleet.file
         self.loop, self.log, self.counters = proxy.loop, proxy.log, proxy.counters
         self.name, self.zone = proxy.config.name, proxy.config.settings.zone
         self.epoch = clock.new_epoch()
@@ -103,10 +103,10 @@
         now = clock.now()
         self.started = self.trouble_at = now
         self.stalled_told = 0.0
-        self.seal = DatagramAuthenticator(self.told.fleet, self.name, self.epoch, fleet.keys)
+        self.seal = DatagramAuthenticator(self.file.fleet, self.name, self.epoch, fleet.keys)
         me = Update(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
-        self.membership = SwimMembership(me, self.told.terms(), self.rng, fleet.seeds, now)
-        self.voters = VoterSet(0, tuple(self.told.voters))
+        self.membership = SwimMembership(me, self.file.protocol_config(), self.rng, fleet.seeds, now)
+        self.voters = VoterSet(0, tuple(self.file.voters))
         self.records: AppendLog | None = None
         self.voter: Voter | None = None
         self.records_at = now
@@ -120,12 +120,12 @@
         self.look_at = self.ranks_until = now
         self.changer = Reconfiguration()
         self.lists: Lists | None = None
-        share = self.told.share()
+        share = self.file.gossip_config()
         self.shares = Shares(self, share) if share else None
         self.closed = False
         self.runners: dict[str, LeaseRunner] = {}
         self.add(VOTERS_ROLE, None, None)
-        for duty in self.told.duty:
+        for duty in self.file.roles:
             self.add_duty(duty)
         self.addresses = Addresses(self, fleet.addresses) if fleet.addresses else None
         for name, zone, work in self.addresses.duties() if self.addresses else ():
@@ -146,26 +146,28 @@
             listen=fleet.listen,
             advertise=fleet.advertise,
             epoch=self.epoch,
-            voters=self.told.voters,
+            voters=self.file.voters,
             zone=self.zone,
             version=__version__,
         )
 
-    def add_duty(self, duty: Duty) -> None:
-        name = f"{duty.name}/{self.zone}" if duty.per == "zone" else duty.name
-        zone = self.zone if duty.per == "zone" else None
+    def add_duty(self, role: RoleTable) -> None:
+        per_zone = role.scope is RoleScope.ZONE
+        name = f"{role.name}/{self.zone}" if per_zone else role.name
+        zone = self.zone if per_zone else None
         work: LeaderTask
-        if duty.work == "list":
-            work = self.lists = Lists(self, name, zone, duty.every, duty.service)
+        if role.task is TaskKind.LIST:
+            work = self.lists = Lists(self, name, zone, role.interval, role.service)
         else:
-            host, _, port = duty.call.rpartition(":")
+            host, _, port = role.call_address.rpartition(":")
+            address = host, int(port)
             work = WebhookTask(
-                self.loop, (host, int(port)), duty.path, name, self.process_id, duty.every, self.counters.add
+                self.loop, address, role.path, name, self.process_id, role.interval, self.counters.add
             )
         self.add(name, zone, work)
 
     def add(self, name: str, zone: str | None, work: LeaderTask | None) -> None:
-        claim = Candidate(name, self.process_id, self.told.rules(), self.voters, self.rng, clock.now())
+        claim = Candidate(name, self.process_id, self.file.lease_timing(), self.voters, self.rng, clock.now())
         self.runners[name] = LeaseRunner(claim, zone, work)
 
     def log_event(self, event: str, **values: Any) -> None:
@@ -460,7 +462,7 @@
                 self.waits_for = str(error)
                 self.log_event("voter waits", why=self.waits_for[:200])
             return
-        voter = Voter(self.name, self.voters, self.told.leases.lease, now)
+        voter = Voter(self.name, self.voters, self.file.leases.duration, now)
         try:
             voter.restore([said.RECORD_DECODER.decode(row) for row in records.bodies], now)
         except msgspec.DecodeError as error:
@@ -554,10 +556,13 @@
                 )
             elif runner.work and runner.work.superseded:
                 self.give_up(runner, "a newer term was seen", now)
-            elif runner.work and self.loop.now - runner.work.last_progress_at > self.told.leases.patience:
+            elif (
+                runner.work
+                and self.loop.now - runner.work.last_progress_at > self.file.leases.progress_timeout
+            ):
                 self.give_up(runner, "no progress", now)
             else:
-                if now - runner.held_at > self.told.leases.patience:
+                if now - runner.held_at > self.file.leases.progress_timeout:
                     runner.failures = 0  # it gets things done again
                 self.give_back(runner, now)
         if self.changer.in_progress or self.runners[VOTERS_ROLE].claim.pending:
@@ -571,7 +576,7 @@
 
     def give_back(self, runner: LeaseRunner, now: float) -> None:
         """To the preferred member, once it has been steady for long enough and all have been quiet."""
-        steady, order = self.told.leases.steady, self.order(runner)
+        steady, order = self.file.leases.stability_period, self.order(runner)
         if (
             not order
             or order[0] == self.process_id
@@ -625,7 +630,11 @@
                 if runner.work:
                     runner.work.stop()
                 self.log_event("duty", duty=claim.role, change="ended", term=turn.term, cause=turn.cause)
-        if self.told.record and claim.state is CandidateState.HOLDING and claim.expires_at != runner.recorded:
+        if (
+            self.file.log_renewals
+            and claim.state is CandidateState.HOLDING
+            and claim.expires_at != runner.recorded
+        ):
             runner.recorded = claim.expires_at
             left = claim.expires_at - clock.now()
             self.log_event("lease", duty=claim.role, term=claim.term, left=round(left, 4))
@@ -836,7 +845,7 @@
             self.addresses.close()
 
 
-def attach(fleet: Fleet) -> Callable[[Proxy], None]:
+def attach(fleet: FleetConfig) -> Callable[[Proxy], None]:
     def put_on(proxy: Proxy) -> None:
         Node(proxy, fleet)
 
--- a/onyxhollow/lab/fleet/course.py
+++ b/onyxhollow/lab/fleet/course.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec.structs import replace
 
-from onyxhollow.fleet.file import explained
+from onyxhollow.fleet.file import explain_validation_error
 from onyxhollow.lab.fleet.links import Harm, Rule
 from onyxhollow.lab.fleet.record import Hold, Verdict
 from onyxhollow.lab.fleet.rig import Rig, RigError
@@ -78,7 +78,7 @@
     except OSError as error:
         raise CourseError(f"{path}: {error.strerror}; shipped: {', '.join(shipped())}") from None
     except msgspec.ValidationError as error:
-        raise CourseError(f"{path}: {explained(error)}") from None
+        raise CourseError(f"{path}: {explain_validation_error(error)}") from None
     except msgspec.DecodeError as error:
         raise CourseError(f"{path}: expected TOML, got something else: {error}") from None
     for key, value, low, high in (
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -180,27 +180,27 @@
 
 def read_values(fleet):
     """Each value of a fleet file and of its file of addresses, by its key in the file."""
-    told, shared = fleet.told, fleet.addresses
-    timing, leases, share, policy = told.membership, told.leases, told.sharing, shared.policy
+    file, shared = fleet.file, fleet.addresses
+    timing, leases, share, policy = file.membership, file.leases, file.sharing, shared.policy
     main = {
-        "fleet": told.fleet, "key_file": told.key_file, "listen": told.listen, "voters": told.voters,
-        "advertise": told.advertise, "folder": told.folder, "seeds": told.seeds, "addresses": told.addresses,
-        "record": told.record,
-        "membership": {"period": timing.period, "timeout": timing.timeout, "sync": timing.sync},
+        "fleet": file.fleet, "key_file": file.key_file, "listen": file.listen, "voters": file.voters,
+        "advertise": file.advertise, "folder": file.folder, "seeds": file.seeds, "addresses": file.addresses,
+        "record": file.log_renewals,
+        "membership": {"period": timing.period, "timeout": timing.timeout, "sync": timing.sync_interval},
         "leases": {
-            "lease": leases.lease, "rate_bound": leases.rate_bound, "steady": leases.steady,
-            "patience": leases.patience,
+            "lease": leases.duration, "rate_bound": leases.rate_bound, "steady": leases.stability_period,
+            "patience": leases.progress_timeout,
         },
         "sharing": {
-            "on": share.on, "every": share.every, "fan": share.fan, "report": share.report,
-            "renew": share.renew, "audit": share.audit,
+            "on": share.enabled, "every": share.push_interval, "fan": share.fanout,
+            "report": share.poll_interval, "renew": share.report_interval, "audit": share.audit_interval,
         },
         "duty": [
             {
-                "name": d.name, "work": d.work, "per": d.per, "call": d.call, "path": d.path,
-                "service": d.service, "every": d.every,
+                "name": role.name, "work": role.task, "per": role.scope, "call": role.call_address,
+                "path": role.path, "service": role.service, "every": role.interval,
             }
-            for d in told.duty
+            for role in file.roles
         ],
     }  # fmt: skip
     addresses = {
@@ -331,7 +331,7 @@
 def test_a_voter_starts_from_its_recorded_memory(tmp_path):
     mine = MagicMock()
     mine.fleet.folder, mine.name, mine.voters = stored("voter", tmp_path), "voter-b", LATER
-    mine.told.leases.lease = 3.75
+    mine.file.leases.duration = 3.75
     node.Node.open_records(mine, 1000.0)
     voter = mine.voter
     assert isinstance(voter, Voter)
@@ -394,7 +394,7 @@
 def test_the_files_of_a_fleet_say_what_they_said():
     fleet = read_fleet(str(DATA / "fleet.toml"), {}.get)
     for told, values, name in zip(
-        (fleet.told, fleet.addresses), read_values(fleet), ("fleet", "addresses"), strict=True
+        (fleet.file, fleet.addresses), read_values(fleet), ("fleet", "addresses"), strict=True
     ):
         said = tomllib.loads((DATA / f"{name}.toml").read_text())
         given = orjson.loads(orjson.dumps(values))
@@ -409,7 +409,8 @@
     assert fleet.folder == str(DATA / "remembered")
     elsewhere = read_fleet(str(DATA / "fleet.toml"), {"LB_FLEET_LISTEN": "192.0.2.99:7199"}.get)
     assert elsewhere.listen == elsewhere.advertise == ("192.0.2.99", 7199)
-    timing, rules, share = fleet.told.terms(), fleet.told.rules(), fleet.told.share()
+    timing, rules = fleet.file.protocol_config(), fleet.file.lease_timing()
+    share = fleet.file.gossip_config()
     assert (timing.period, timing.timeout, timing.sync_every) == (1.25, 0.45, 11.5)
     assert (rules.duration, rules.rate_bound) == (3.75, 0.015)
     assert (share.every, share.fan, share.report, share.renew, share.audit) == (0.35, 3, 6.5, 1.75, 31.5)
@@ -438,7 +439,7 @@
     addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
     core = Announcer(addresses, addresses.site[0], 91, 1000.0)
     mine, calls = MagicMock(), []
-    mine.running, mine.shared.node.process_id = 1, "m~10"
+    mine.run_number, mine.shared.node.process_id = 1, "m~10"
     mine.shared.node.loop.now, mine.shared.told.every = 1000.0, 0.625
     mine.act = lambda this, core, target, still: calls.append(target) or iter(())
     for stands in ({}, {"address-a": (2, 2)}):
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -3,7 +3,7 @@
 import pytest
 
 from onyxhollow.__main__ import main
-from onyxhollow.fleet.file import FleetError, read_fleet
+from onyxhollow.fleet.file import FleetFileError, RoleScope, read_fleet
 
 GOOD = """fleet = "f"
 key_file = "key"
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, told",
+    ("change", "message"),
     [
         (("", ""), ""),
         (('["a", "b", "c"]', '["a", "b"]'), "voters: expected 3, 5 or 7 different names, got a, b"),
@@ -31,29 +31,30 @@
         (('name = "list"', 'name = "voters"'), "none of them 'voters'"),
     ],
 )
-def test_the_fleet_file_is_checked_whole_and_says_where_it_is_wrong(tmp_path, change, told):
+def test_an_error_in_the_fleet_file_names_its_place_and_what_was_expected(tmp_path, change, message):
     (tmp_path / "key").write_text("ab" * 16)
     path = tmp_path / "fleet.toml"
     path.write_text(GOOD.replace(*change))
-    if not told:
-        assert read_fleet(str(path), lambda _: None).told.duty[0].per == "zone"
+    if not message:
+        assert read_fleet(str(path), lambda _: None).file.roles[0].scope is RoleScope.ZONE
         assert read_fleet(str(path), lambda _: "127.0.0.1:1").listen == ("127.0.0.1", 1)
         return
-    with pytest.raises(FleetError) as error:
+    with pytest.raises(FleetFileError) as error:
         read_fleet(str(path), lambda _: None)
-    assert (
-        told in str(error.value) and "\n" not in str(error.value) and str(error.value).startswith(str(path))
-    )
+    text = str(error.value)
+    assert message in text and "\n" not in text and text.startswith(str(path))
 
 
-def test_check_reads_the_fleet_file_too(tmp_path, capfd):
+def test_the_check_command_reads_the_fleet_file_too(tmp_path, capfd):
     (tmp_path / "key").write_text("ab" * 16)
     (tmp_path / "fleet.toml").write_text(GOOD)
     words = ["check", "--config", "example/config.json", "--fleet", str(tmp_path / "fleet.toml")]
     assert main(words) == 0
-    told = capfd.readouterr().out
-    assert "voters a, b, c, lease 3 s" in told and "list (list, one a zone)" in told
+    output = capfd.readouterr().out
+    assert "voters a, b, c, lease 3 s" in output and "list (list, one a zone)" in output
     (tmp_path / "key").write_text("ab")
     assert main(words) == 2
-    told = capfd.readouterr().err
-    assert "expected one or two keys of 16 bytes or more, got 1 of 1 bytes" in told and told.count("\n") == 1
+    output = capfd.readouterr().err
+    assert (
+        "expected one or two keys of 16 bytes or more, got 1 of 1 bytes" in output and output.count("\n") == 1
+    )
