--- a/onyxhollow/fleet/__init__.py
+++ b/onyxhollow/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's parts put on a proxy: its file, its datagrams, its duties and what they do, its commands."""
+"""The fleet on a proxy: file, datagrams, leases and leader tasks, list replication, gossip, commands."""
--- /dev/null
+++ b/onyxhollow/fleet/status_api.py
@@ -0,0 +1,228 @@
+"""The answers under /control/fleet: state, history, and the operators' commands."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from typing import Any
+from urllib.parse import parse_qsl
+
+import orjson
+
+from onyxhollow import __version__
+from onyxhollow.fleet import clock
+from onyxhollow.fleet.context import MemberContext
+from onyxhollow.fleet.identity import MAY_HOLD_ROLES, VOTES, member_name
+from onyxhollow.fleet.lease_messenger import LeaseMessenger
+from onyxhollow.fleet.lease_service import LeaseRunner, LeaseService
+from onyxhollow.fleet.lists import Lists
+from onyxhollow.fleet.shares import Shares
+from onyxhollow.fleet.voter_service import VoterService
+from onyxhollow.leases.messages import VOTERS_ROLE, HandOverCommand, KnownTerm, ReplaceVoterCommand
+from onyxhollow.management.api import PLAIN, Answer
+from onyxhollow.membership.swim import Member
+
+JSON = "application/json"
+LOAD_SHOWN_FOR = 60.0  # seconds after which a load is no longer shown
+LONGEST_AGE = 1e6  # seconds; stands for "never"
+QUOTED = 80  # characters of a wrong value that an error shows
+SHOWN_CANDIDATES = 3  # of a role's order
+
+
+class StatusApi:
+    """Answers of one member. The JSON keys are those of the operators' pages.
+
+    Attributes:
+        context: The member.
+        messenger: Carries operators' commands to the holder.
+        leases: Roles and holders.
+        voter_service: This member's voter.
+        dropped: Datagrams that were not authentic, by reason.
+        list_replication: None without the role of the list.
+        load_gossip: None if it is off.
+    """
+
+    def __init__(
+        self,
+        context: MemberContext,
+        messenger: LeaseMessenger,
+        leases: LeaseService,
+        voter_service: VoterService,
+        dropped: Counter[str],
+        list_replication: Lists | None,
+        load_gossip: Shares | None,
+    ) -> None:
+        self.context = context
+        self.messenger = messenger
+        self.leases = leases
+        self.voter_service = voter_service
+        self.dropped = dropped
+        self.list_replication = list_replication
+        self.load_gossip = load_gossip
+
+    def routes(self) -> dict[str, dict[str, Callable[[str], Answer]]]:
+        """By path and method."""
+        return {
+            "/control/fleet": {"GET": self.show_fleet},
+            "/control/fleet/history": {"GET": self.show_history},
+            "/control/fleet/hand-over": {"POST": self.hand_over},
+            "/control/fleet/release": {"POST": self.hand_over},
+            "/control/fleet/voters": {"POST": self.replace_voter},
+        }
+
+    def show_fleet(self, _: str) -> Answer:
+        """All that this process knows of the fleet."""
+        now = clock.now()
+        context = self.context
+        membership = context.membership
+        answer = {
+            "me": context.process_id,
+            "zone": context.zone,
+            "there": membership.live_count(),
+            "health": membership.health,
+            "stalled": round(membership.stalled, 3),
+            "stalls": membership.counts["stalls"],
+            "stalled_ago": round(now - membership.stalled_at, 2) if membership.stalls_seen else None,
+            "version": __version__,
+            "service": context.proxy.service.state.value,
+            "links": self._links(now),
+            "servers": self._endpoints(),
+            "members": [
+                self._member(member, now)
+                for member in sorted(membership.members.values(), key=lambda member: member.who)
+            ],
+            "duties": self._roles(now),
+            "voters": {"version": context.voters.version, "names": context.voters.names},
+            "voter": self._voter(),
+            "list": self.list_replication.state() if self.list_replication else None,
+            "sharing": self.load_gossip.state(now) if self.load_gossip else None,
+            "counts": dict(context.counts + membership.counts),
+            "dropped": dict(self.dropped),
+        }
+        return 200, orjson.dumps(answer, option=orjson.OPT_APPEND_NEWLINE), JSON
+
+    def show_history(self, query: str) -> Answer:
+        """The last changes of holders; `name=ROLE` for one role alone."""
+        role = dict(parse_qsl(query)).get("name")
+        rows = [row for row in self.leases.history if role in (None, row["duty"])]
+        return 200, orjson.dumps(rows, option=orjson.OPT_APPEND_NEWLINE), JSON
+
+    def hand_over(self, query: str) -> Answer:
+        """hand-over?name=ROLE&to=MEMBER, release?name=ROLE: passed on to the holder."""
+        words = dict(parse_qsl(query))
+        role = words.get("name", "")
+        target = words.get("to", "")
+        if role not in self.leases.runners and role not in self.leases.known_holders:
+            return 404, f"name: expected a duty, got {role[:QUOTED]!r}\n".encode(), PLAIN
+        if target and not self._is_live(target):
+            return 404, f"to: expected a member that is there, got {target[:QUOTED]!r}\n".encode(), PLAIN
+        holder = self.leases.holder(role)
+        if not holder:
+            return 409, f"{role}: no holder is known\n".encode(), PLAIN
+        return self._send(holder, HandOverCommand(role, target))
+
+    def replace_voter(self, query: str) -> Answer:
+        """voters?remove=NAME&add=NAME: passed on to the holder of VOTERS_ROLE."""
+        words = dict(parse_qsl(query))
+        remove = words.get("remove", "")
+        add = words.get("add", "")
+        names = self.context.voters.names
+        if remove not in names:
+            expected = ", ".join(names)
+            return 404, f"remove: expected one of {expected}, got {remove[:QUOTED]!r}\n".encode(), PLAIN
+        if add in names or not self._is_live(add):
+            expected = "a member that is there and no voter"
+            return 404, f"add: expected {expected}, got {add[:QUOTED]!r}\n".encode(), PLAIN
+        holder = self.leases.holder(VOTERS_ROLE)
+        if not holder:
+            return 409, b"no holder of the duty of changing voters is known\n", PLAIN
+        return self._send(holder, ReplaceVoterCommand(remove, add))
+
+    def _send(self, holder: str, command: HandOverCommand | ReplaceVoterCommand) -> Answer:
+        self.messenger.send_to_process(holder, command)
+        self.context.task.wake()
+        return 200, f"told {holder}\n".encode(), PLAIN
+
+    def _is_live(self, name: str) -> bool:
+        live = self.context.membership.live_members()
+        return name == self.context.name or any(member.name == name for member in live)
+
+    def _member(self, member: Member, now: float) -> dict[str, Any]:
+        return {
+            "name": member.name,
+            "epoch": member.epoch,
+            "life": member.state.name.lower(),
+            "zone": member.zone,
+            "address": f"{member.address[0]}:{member.address[1]}",
+            "incarnation": member.incarnation,
+            "for": round(now - member.since, 1),
+            "votes": bool(member.flags & VOTES),
+            "holds": bool(member.flags & MAY_HOLD_ROLES),
+            "damped": self.context.membership.damping.damped(member.name, now),
+        }
+
+    def _roles(self, now: float) -> list[dict[str, Any]]:
+        rows = [self._role(role, runner, now) for role, runner in sorted(self.leases.runners.items())]
+        for role, known in sorted(self.leases.known_holders.items()):
+            if role not in self.leases.runners:
+                rows.append({"duty": role, "term": known.term, "holder": known.holder})
+        return rows
+
+    def _role(self, role: str, runner: LeaseRunner, now: float) -> dict[str, Any]:
+        candidate = runner.candidate
+        known = self.leases.known_holders.get(role, KnownTerm(0, ""))
+        left = round(max(0.0, candidate.expires_at - now), 3) if candidate.holds(now) else None
+        order = self.leases.order(runner)[:SHOWN_CANDIDATES]
+        return {
+            "duty": role,
+            "term": known.term,
+            "holder": known.holder,
+            "here": candidate.state.value,
+            "left": left,
+            "order": [member_name(process_id) for process_id in order],
+        }
+
+    def _voter(self) -> dict[str, Any] | None:
+        voter = self.voter_service.voter
+        if voter is None:
+            return None
+        return {
+            "blank": voter.recovering,
+            "disk": not self.voter_service.disk_failing,
+            "duties": len(voter.slots),
+            "changing": voter.pending is not None,
+        }
+
+    def _links(self, now: float) -> list[dict[str, Any]]:
+        """What this process has measured of the ways to others and back."""
+        return [
+            {
+                "to": name,
+                "epoch": epoch,
+                "heard": round(min(LONGEST_AGE, now - link.heard_at), 2),
+                "asked": link.asked,
+                "asked_ago": round(min(LONGEST_AGE, now - link.asked_at), 2),
+                "lost": round(link.lost, 3),
+                "rtt_ms": round(1000 * link.rtt, 2),
+            }
+            for (name, epoch), link in sorted(self.context.membership.links.items())
+        ]
+
+    def _endpoints(self) -> list[dict[str, Any]]:
+        """What this process knows of the endpoints: own connections, load and how old that is."""
+        balancer = self.context.proxy.decisions.balancer
+        at = self.context.loop.now
+        return [
+            {
+                "name": s.name,
+                "zone": s.zone,
+                "state": s.readiness.value,
+                "own": len(s.connections),
+                "size": s.size,
+                "load": round(s.load, 3) if at - s.load_at < LOAD_SHOWN_FOR else None,
+                "load_age": round(at - s.load_at, 1) if at - s.load_at < LOAD_SHOWN_FOR else None,
+                "distrust": round(s.score(at), 2),
+                "arrives": s.arrival is not None,
+            }
+            for s in sorted(balancer.servers.values(), key=lambda s: s.name)
+        ]
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -23,8 +23,9 @@
 from onyxhollow.addresses.keeper import Keeper
 from onyxhollow.addresses.rules import Standing
 from onyxhollow.append_log import AppendLog
-from onyxhollow.fleet import advertise, gate, lists, node, shares, telling
+from onyxhollow.fleet import advertise, gate, identity, lease_messenger, lists, shares, telling
 from onyxhollow.fleet.file import read_fleet
+from onyxhollow.fleet.voter_service import VoterService
 from onyxhollow.gossip import messages as sharing
 from onyxhollow.leases import messages as leasing
 from onyxhollow.leases.voter import Voter
@@ -130,7 +131,7 @@
     "nack": members.Nack(nonce=531),
     "update": members.Update(
         name="m4", epoch=541, incarnation=542, life=members.MemberState.DEAD, address=("192.0.2.4", 543),
-        zone="east", flags=node.HOLDS | node.VOTES, by="m5",
+        zone="east", flags=identity.MAY_HOLD_ROLES | identity.VOTES, by="m5",
     ),
     "sync": members.Sync(digest=551, joining=True),
     "event": members.Event(name="m6", epoch=561, number=562, kind=lists.LIST, body=b"event"),
@@ -300,8 +301,8 @@
 
 
 def test_numbers_and_words_that_members_send_and_keep():
-    assert (node.DUTIES, lists.LIST, shares.SHARE, advertise.ADDRESSES) == (1, 2, 3, 4)
-    assert (node.HOLDS, node.VOTES) == (1, 2)
+    assert (lease_messenger.LEASE_PAYLOAD, lists.LIST, shares.SHARE, advertise.ADDRESSES) == (1, 2, 3, 4)
+    assert (identity.MAY_HOLD_ROLES, identity.VOTES) == (1, 2)
     life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
     assert [int(one) for one in (Standing.WITHDRAWN, Standing.LESSER, Standing.ADVERTISED)] == [0, 1, 2]
@@ -331,9 +332,10 @@
 def test_a_voter_starts_from_its_recorded_memory(tmp_path):
     mine = MagicMock()
     mine.fleet.folder, mine.name, mine.voters = stored("voter", tmp_path), "voter-b", LATER
-    mine.file.leases.duration = 3.75
-    node.Node.open_records(mine, 1000.0)
-    voter = mine.voter
+    mine.fleet.file.leases.duration = 3.75
+    service = VoterService(mine, MagicMock(), MagicMock(), 1000.0)
+    service.open_log(1000.0)
+    voter = service.voter
     assert isinstance(voter, Voter)
     assert voter.slots == {
         "list-east": VoterSlot(41, "m~41", 1003.75),
@@ -341,9 +343,9 @@
         "known": VoterSlot(9),
     }
     assert (voter.voter_set, voter.pending, voter.recovering) == (COUNCIL, PENDING, False)
-    mine.records.rewrite([leasing.encode(row) for row in voter.records()])
+    service.log.rewrite([leasing.encode(row) for row in voter.records()])
     assert (tmp_path / "voter").read_bytes() == (DATA / "voter-anew").read_bytes()
-    mine.records.close()
+    service.close()
 
 
 def test_orders_and_history_are_kept_and_told_as_recorded(tmp_path):
--- a/tests/test_role_ranking.py
+++ b/tests/test_role_ranking.py
@@ -1,31 +1,28 @@
 """In which order members are candidates for a role."""
 
-from types import SimpleNamespace
-
 from membership_network import Net
 
 from onyxhollow.fleet import clock
-from onyxhollow.fleet.node import Node
+from onyxhollow.fleet.identity import MAY_HOLD_ROLES
+from onyxhollow.fleet.role_ranking import RoleRanking
 
 
 def test_members_that_come_and_go_rank_last_and_are_not_left_out(monkeypatch):
-    # With all of them left out a duty had no candidate, after a hundred faults one after another.
+    # With all of them left out a role had no candidate, after a hundred faults one after another.
     net = Net(5)
     net.run(8.0)
-    swim = net.swims["m0~1"]
+    membership = net.swims["m0~1"]
     monkeypatch.setattr(clock, "now", lambda: net.now)
-    for member in swim.live_members():
-        member.flags = 1
-    runner = SimpleNamespace(zone=None, claim=SimpleNamespace(role="d"))
+    for member in membership.live_members():
+        member.flags = MAY_HOLD_ROLES
 
     def order():
-        node = SimpleNamespace(membership=swim, ranks={}, fit=lambda: True, name="m0", process_id="m0~1")
-        return Node.order(node, runner)
+        return RoleRanking(membership, "m0", "m0~1", lambda: True).order("d", None)
 
-    first = next(who for who in order() if who != "m0~1")
+    first = next(process for process in order() if process != "m0~1")
     for _ in range(4):
-        swim.damping.gone(first.partition("~")[0], net.now)
+        membership.damping.gone(first.partition("~")[0], net.now)
     assert order()[-1] == first
     for name in ("m1", "m2", "m3", "m4") * 4:
-        swim.damping.gone(name, net.now)
+        membership.damping.gone(name, net.now)
     assert sorted(order()) == [f"m{n}~1" for n in range(5)] and order()[0] == "m0~1"
