--- a/onyxhollow/fleet/route_guard.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -83,7 +83,7 @@
         self.counters = Counters()
         self.table = RouteTable(addresses.services, site, config.own_as)
         self.records = AppendLog(folder, "gate")
-        self.table.restore([RECORDS.decode(row) for row in self.records.rows])
+        self.table.restore([RECORDS.decode(row) for row in self.records.bodies])
         self.table.announcer_seen_at = clock.now()
         self.health = HealthAggregator(max(MIN_EVIDENCE_AGE, addresses.policy.max_evidence_age))
         self.dead_since: dict[str, float] = {}  # by address
@@ -105,7 +105,7 @@
         )
         self.loop.spawn(self.watch_for_orphans())
         stands = {name: int(preference) for name, preference in self.table.preferences.items()}
-        self.log_event("route guard", term=self.table.term, cut=self.records.cut, stands=stands)
+        self.log_event("route guard", term=self.table.term, cut=self.records.torn_tail, stands=stands)
 
     def log_event(self, event: str, **values: Any) -> None:
         """Writes one line to the log, with the monotonic time in `at`."""
@@ -156,7 +156,7 @@
     def store(self, records: list[GuardRecord]) -> bool:
         """Whether the records are on disk; nothing is answered or sent to the daemon before."""
         try:
-            if len(self.records.rows) + len(records) > MAX_RECORDS:
+            if len(self.records.bodies) + len(records) > MAX_RECORDS:
                 self.records.rewrite([encode(record) for record in self.table.records()])
             else:
                 self.records.append(*(encode(record) for record in records))
--- a/onyxhollow/fleet/shared_addresses/announcer_task.py
+++ b/onyxhollow/fleet/shared_addresses/announcer_task.py
@@ -16,12 +16,11 @@
 from onyxhollow.addresses.routes import Preference
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
+from onyxhollow.fleet.leader_tasks import STALE_TERM_STATUS, CallingTask
 from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
-from onyxhollow.fleet.works import Caller
 from onyxhollow.wire.discovery import Call, ListError, StatusError
 
 GUARD_TIMEOUT = 1.0  # seconds for the route guard to answer a call
-STALE_TERM_STATUS = 409  # of a call under a term older than the guard has seen
 
 
 def read_guard_state(body: bytes) -> GuardState:
@@ -42,7 +41,7 @@
     return GuardedRoute(Preference(int(row["wanted"])), None if installed is None else Preference(installed))
 
 
-class AnnouncerTask(Caller):
+class AnnouncerTask(CallingTask):
     """Calls the route guard while this process holds the site's lease.
 
     Attributes:
@@ -64,56 +63,58 @@
         self.superseded = False
         self.address = read_address(site.route_guard, "gate")
 
-    def start(self, term: int, still: Callable[[], bool]) -> None:
-        """Begins a term; `still` says whether the lease is held, and is asked before each call."""
-        self.running += 1
+    def start(self, term: int, lease_held: Callable[[], bool]) -> None:
+        """Begins a term; `lease_held` is called before each call to the guard."""
+        self.run_number += 1
         self.last_progress_at = self.member.loop.now
         self.superseded = False
         self.core = Announcer(self.config, self.site, term, clock.now())
-        self.task = self.member.loop.spawn(self.run(self.running, self.core, still))
+        self.task = self.member.loop.spawn(self.run(self.run_number, self.core, lease_held))
 
     def stop(self) -> None:
         """Ends the term."""
         super().stop()
         self.core = None
 
-    def run(self, this_run: int, core: Announcer, still: Callable[[], bool]) -> Generator[float, None, None]:
+    def run(
+        self, this_run: int, core: Announcer, lease_held: Callable[[], bool]
+    ) -> Generator[float, None, None]:
         """Rounds of calls until the term ends."""
         loop = self.member.loop
-        while self.running == this_run:
+        while self.run_number == this_run:
             due = loop.now + self.config.interval
             try:
-                yield from self.call_round(this_run, core, still)
+                yield from self.call_round(this_run, core, lease_held)
             except StatusError as error:
-                self.hang_up()
+                self.close_connection()
                 self.superseded = self.superseded or error.status == STALE_TERM_STATUS
             except (ListError, OSError, h11.ProtocolError, ValueError, KeyError):
-                if self.running == this_run:
-                    self.hang_up()
-            if self.running == this_run:
+                if self.run_number == this_run:
+                    self.close_connection()
+            if self.run_number == this_run:
                 self.report(core)
                 self.request_drains(core)
-            while self.running == this_run and loop.now < due:
+            while self.run_number == this_run and loop.now < due:
                 yield due
 
     def call_round(
-        self, this_run: int, core: Announcer, still: Callable[[], bool]
+        self, this_run: int, core: Announcer, lease_held: Callable[[], bool]
     ) -> Generator[float, None, None]:
         """Claims the guard if need be, sets what differs, and shows that the announcer is there."""
         if not core.synchronized or not core.daemon_connected:
             member = quote(self.member.process_id)
-            yield from self.call_guard(this_run, core, f"/claim?term={core.term}&member={member}", still)
+            yield from self.call_guard(this_run, core, f"/claim?term={core.term}&member={member}", lease_held)
         for text in core.tick(clock.now()):
             self.member.log_event("address cut off", site=self.site.name, why=text)
         for route in core.pending_routes():
             what = f"name={quote(route.name)}&as={int(route.desired)}&keeper={core.controller_term}"
             target = f"/set?term={core.term}&number={core.next_call_number()}&{what}"
-            yield from self.call_guard(this_run, core, target, still)
+            yield from self.call_guard(this_run, core, target, lease_held)
         last = quote(",".join(route.name for route in core.routes.values() if route.is_last))
-        yield from self.call_guard(this_run, core, f"/alive?term={core.term}&last={last}", still)
+        yield from self.call_guard(this_run, core, f"/alive?term={core.term}&last={last}", lease_held)
 
     def call_guard(
-        self, this_run: int, core: Announcer, target: str, still: Callable[[], bool]
+        self, this_run: int, core: Announcer, target: str, lease_held: Callable[[], bool]
     ) -> Generator[float, None, None]:
         """One call; its answer goes to the core.
 
@@ -123,17 +124,17 @@
         """
         loop = self.member.loop
         until = loop.now + GUARD_TIMEOUT
-        if self.caller is None or not self.caller.reusable:
-            self.hang_up()
-            self.caller = Call(loop, self.address, self.pool, self.wake)
-        caller = self.caller
-        while caller.channel.connecting:
-            if loop.now >= until or self.running != this_run:
+        if self.connection is None or not self.connection.reusable:
+            self.close_connection()
+            self.connection = Call(loop, self.address, self.buffers, self.wake)
+        connection = self.connection
+        while connection.channel.connecting:
+            if loop.now >= until or self.run_number != this_run:
                 raise ListError("not up")
             yield until
-        if not still():  # the last thing before the act
+        if not lease_held():  # the last thing before the act
             raise ListError("the lease has ended")
-        body = yield from caller.get(target, until, lambda: self.running != this_run, "POST")
+        body = yield from connection.get(target, until, lambda: self.run_number != this_run, "POST")
         core.on_guard_state(read_guard_state(body), clock.now())
         self.last_progress_at = loop.now
 
--- a/onyxhollow/fleet/shared_addresses/controller_task.py
+++ b/onyxhollow/fleet/shared_addresses/controller_task.py
@@ -46,11 +46,11 @@
         self.superseded = False
         self.announce_at = 0.0
 
-    def start(self, term: int, still: Callable[[], bool]) -> None:
-        """Begins a term; `still` says whether the lease is held, and is asked before each message."""
+    def start(self, term: int, lease_held: Callable[[], bool]) -> None:
+        """Begins a term; `lease_held` is called before each message."""
         now = clock.now()
         self.last_progress_at = self.member.loop.now
-        self.holds_lease = still
+        self.holds_lease = lease_held
         self.announce_at = now
         self.core = Controller(self.config, self.member.voters.names, term, now)
 
--- a/onyxhollow/fleet/shared_addresses/override_store.py
+++ b/onyxhollow/fleet/shared_addresses/override_store.py
@@ -43,7 +43,7 @@
     def __init__(self, folder: str) -> None:
         self.log = AppendLog(folder, FILE_NAME)
         self.records: dict[str, StoredRecord] = {}
-        for body in self.log.rows:
+        for body in self.log.bodies:
             record = STORED_RECORDS.decode(body)
             self.records[record_id(record)] = record
 
@@ -55,7 +55,7 @@
         """
         fresh = [record for record in records if record_id(record) not in self.records]
         if fresh:
-            if len(self.log.rows) + len(fresh) > MAX_RECORDS:
+            if len(self.log.bodies) + len(fresh) > MAX_RECORDS:
                 self.compact()
                 self.log.rewrite([encode(record) for record in [*self.records.values(), *fresh]])
             else:
@@ -116,7 +116,7 @@
             "store",
             orders=len(self.store.overrides()),
             decided=len(self.store.decisions()),
-            cut=self.store.log.cut,
+            cut=self.store.log.torn_tail,
         )
 
     def voting_store(self) -> OverrideStore | None:
--- a/onyxhollow/fleet/shared_addresses/service.py
+++ b/onyxhollow/fleet/shared_addresses/service.py
@@ -28,6 +28,8 @@
 from onyxhollow.addresses.overrides import OverrideLog
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
+from onyxhollow.fleet.identity import process_id_of
+from onyxhollow.fleet.leader_tasks import LeaderTask
 from onyxhollow.fleet.shared_addresses.announcer_task import AnnouncerTask
 from onyxhollow.fleet.shared_addresses.connection_drain import ConnectionDrain
 from onyxhollow.fleet.shared_addresses.controller_task import ControllerTask
@@ -37,7 +39,6 @@
 from onyxhollow.fleet.shared_addresses.override_api import OverrideApi, OverrideReader, RequestIds
 from onyxhollow.fleet.shared_addresses.override_store import VoterStore
 from onyxhollow.fleet.shared_addresses.query_api import QueryApi, QueryKind
-from onyxhollow.fleet.works import LeaderTask
 from onyxhollow.management.api import Answer
 from onyxhollow.membership.swim import Member
 
@@ -108,7 +109,7 @@
         """Takes in a payload of another member; one that cannot be read is counted."""
         message = self.decode(body)
         if message is not None:
-            self.dispatch(message, member.name, f"{member.name}~{member.epoch}", now)
+            self.dispatch(message, member.name, process_id_of(member), now)
 
     def on_broadcast(self, body: bytes) -> None:
         """Takes in a broadcast."""
