--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -53,7 +53,7 @@
 from onyxhollow.fleet.works import Caller
 from onyxhollow.loop import Task
 from onyxhollow.management.api import PLAIN, Answer
-from onyxhollow.membership.swim import Member
+from onyxhollow.membership.member_table import Member
 from onyxhollow.policy import Pace
 from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import Channel
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -14,9 +14,9 @@
 from onyxhollow.leases.claim import Rules
 from onyxhollow.leases.messages import VOTERS
 from onyxhollow.leases.voter import LONGEST_LEASE, MOST_DUTIES
-from onyxhollow.membership.messages import NAME, Address
-from onyxhollow.membership.seal import KeyFileError, read_keys
-from onyxhollow.membership.swim import ProtocolConfig
+from onyxhollow.membership.config import ProtocolConfig
+from onyxhollow.membership.datagram_authenticator import KeyFileError, read_keys
+from onyxhollow.membership.messages import MAX_NAME_CHARACTERS, Address
 
 
 class FleetError(ValueError):
@@ -78,7 +78,7 @@
 
     def terms(self) -> ProtocolConfig:
         told = self.membership
-        return ProtocolConfig(period=told.period, timeout=told.timeout, sync_every=told.sync)
+        return ProtocolConfig(period=told.period, timeout=told.timeout, sync_interval=told.sync)
 
     def share(self) -> share_terms.GossipConfig | None:
         told = self.sharing
@@ -129,8 +129,10 @@
     names |= {f"voters[{place}]": name for place, name in enumerate(told.voters)}
     names |= {f"duty[{place}].name": duty.name for place, duty in enumerate(told.duty)}
     for key, name in names.items():
-        if not 0 < len(name) <= NAME or not name.isprintable():
-            raise FleetError(f"{key}: expected 1 to {NAME} printable characters, got {name[:80]!r}")
+        if not 0 < len(name) <= MAX_NAME_CHARACTERS or not name.isprintable():
+            raise FleetError(
+                f"{key}: expected 1 to {MAX_NAME_CHARACTERS} printable characters, got {name[:80]!r}"
+            )
     if len(told.voters) not in (3, 5, 7) or len(set(told.voters)) != len(told.voters):
         raise FleetError(
             f"voters: expected 3, 5 or 7 different names, got {', '.join(told.voters) or 'none'}"
--- a/onyxhollow/fleet/lists.py
+++ b/onyxhollow/fleet/lists.py
@@ -12,7 +12,7 @@
 
 from onyxhollow.fleet import clock, telling
 from onyxhollow.interface import EndpointListKind
-from onyxhollow.membership.swim import Member
+from onyxhollow.membership.member_table import Member
 from onyxhollow.wire.discovery import ListError, read_list
 
 if TYPE_CHECKING:
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -38,9 +38,10 @@
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.loop import READ, Task
 from onyxhollow.management.api import PLAIN, Answer
-from onyxhollow.membership.messages import LARGEST, MemberState, Update
-from onyxhollow.membership.seal import DatagramAuthenticator
-from onyxhollow.membership.swim import Member, SwimMembership
+from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator
+from onyxhollow.membership.member_table import Member
+from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES, MemberState, MemberUpdate
+from onyxhollow.membership.swim import SwimMembership
 from onyxhollow.wire.channel import ListenError
 
 HOLDS, VOTES = 1, 2  # flags of a member: may hold duties; has a voter's memory
@@ -102,8 +103,8 @@
         now = clock.now()
         self.started = self.trouble_at = now
         self.stalled_told = 0.0
-        self.seal = DatagramAuthenticator(self.told.fleet, self.name, self.epoch, fleet.keys)
-        me = Update(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
+        self.authenticator = DatagramAuthenticator(self.told.fleet, self.name, self.epoch, fleet.keys)
+        me = MemberUpdate(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
         self.membership = SwimMembership(me, self.told.terms(), self.rng, fleet.seeds, now)
         self.voters = Council(0, tuple(self.told.voters))
         self.records: AppendLog | None = None
@@ -176,14 +177,14 @@
         now = clock.now()
         for _ in range(READS):
             try:
-                datagram, source = self.sock.recvfrom(LARGEST + 1)
+                datagram, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
             except OSError:
                 continue  # a refusal of something sent before
             self.counts["datagrams in"] += 1
             self.counts["bytes in"] += len(datagram)
-            if packet := self.seal.open(datagram):
+            if packet := self.authenticator.verify(datagram):
                 self.membership.on_message(now, packet, (source[0], source[1]))
         self.step()
 
@@ -241,11 +242,9 @@
             or self.membership.received_broadcasts
         ):
             self.take_changes(now)
-            carried, self.membership.received_payloads = self.membership.received_payloads, []
-            for member, part in carried:
+            for member, part in self.membership.take_payloads():
                 self.take(member, part.kind, part.body, now)
-            events, self.membership.received_broadcasts = self.membership.received_broadcasts, []
-            for event in events:
+            for event in self.membership.take_broadcasts():
                 self.take_event(event.kind, event.body, now)
             while self.local:
                 name, told = self.local.popleft()
@@ -258,14 +257,13 @@
         now = clock.now()
         self.level = min(BURST, self.level + (now - self.level_at) * RATE)
         self.level_at = now
-        out, self.membership.outbox = self.membership.outbox, []
-        for one in out:
+        for one in self.membership.take_outbox():
             if self.level < 1.0:
                 self.counts["not sent: too much at once"] += 1
                 continue
             self.level -= 1.0
-            datagram = self.seal.close(one.parts, one.to)
-            if len(datagram) > LARGEST:  # it would be dropped there, and nobody here would know
+            datagram = self.authenticator.sign(one.messages, one.receiver_epoch)
+            if len(datagram) > MAX_DATAGRAM_BYTES:  # it would be dropped there, and nobody here would know
                 self.counts["not sent: larger than a datagram"] += 1
                 continue
             self.counts["datagrams out"] += 1
@@ -278,13 +276,12 @@
     # members
 
     def tell_stalls(self) -> None:
-        if self.membership.stalled - self.stalled_told >= STALL_TOLD:
-            self.log_event("stalled", seconds=round(self.membership.stalled - self.stalled_told, 3))
-            self.stalled_told = self.membership.stalled
+        if self.membership.stalled_seconds - self.stalled_told >= STALL_TOLD:
+            self.log_event("stalled", seconds=round(self.membership.stalled_seconds - self.stalled_told, 3))
+            self.stalled_told = self.membership.stalled_seconds
 
     def take_changes(self, now: float) -> None:
-        changes, self.membership.changes = self.membership.changes, []
-        for change in changes:
+        for change in self.membership.take_changes():
             member = change.member
             self.ranks.clear()
             if self.shares:
@@ -296,7 +293,7 @@
                 member=member.name,
                 epoch=member.epoch,
                 life=member.state.name.lower(),
-                why=change.why,
+                why=change.cause,
                 there=self.membership.live_count(),
             )
 
@@ -317,7 +314,7 @@
         if (known := self.ranks.get(duty)) is not None:
             return known
         now = clock.now()
-        damped = self.membership.damping.damped
+        damped = self.membership.flap_damping.is_damped
         able = {
             (
                 member.state is MemberState.SUSPECT,
@@ -680,9 +677,9 @@
                 "for": round(now - m.since, 1),
                 "votes": bool(m.flags & VOTES),
                 "holds": bool(m.flags & HOLDS),
-                "damped": self.membership.damping.damped(m.name, now),
+                "damped": self.membership.flap_damping.is_damped(m.name, now),
             }
-            for m in sorted(self.membership.members.values(), key=lambda m: m.who)
+            for m in sorted(self.membership.members.values(), key=lambda m: m.key)
         ]
         duties = []
         for duty, runner in sorted(self.runners.items()):
@@ -713,11 +710,11 @@
             "me": self.process_id,
             "zone": self.zone,
             "there": self.membership.live_count(),
-            "health": self.membership.health,
-            "stalled": round(self.membership.stalled, 3),
-            "stalls": self.membership.counts["stalls"],
-            "stalled_ago": round(now - self.membership.stalled_at, 2)
-            if self.membership.stalls_seen
+            "health": self.membership.local_health.score,
+            "stalled": round(self.membership.stalled_seconds, 3),
+            "stalls": self.membership.counters["stalls"],
+            "stalled_ago": round(now - self.membership.last_stall_at, 2)
+            if self.membership.last_stall_at is not None
             else None,
             "version": __version__,
             "service": self.proxy.service.state.value,
@@ -729,8 +726,8 @@
             "voter": voter,
             "list": self.lists.state() if self.lists else None,
             "sharing": self.shares.state(now) if self.shares else None,
-            "counts": dict(self.counts + self.membership.counts),
-            "dropped": dict(self.seal.dropped),
+            "counts": dict(self.counts + self.membership.counters),
+            "dropped": dict(self.authenticator.dropped),
         }
         return 200, orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE), JSON
 
@@ -740,11 +737,11 @@
             {
                 "to": name,
                 "epoch": epoch,
-                "heard": round(min(1e6, now - link.heard_at), 2),
-                "asked": link.asked,
-                "asked_ago": round(min(1e6, now - link.asked_at), 2),
-                "lost": round(link.lost, 3),
-                "rtt_ms": round(1000 * link.rtt, 2),
+                "heard": round(min(1e6, now - link.received_at), 2),
+                "asked": link.probes,
+                "asked_ago": round(min(1e6, now - link.probed_at), 2),
+                "lost": round(link.loss_rate, 3),
+                "rtt_ms": round(1000 * link.round_trip_time, 2),
             }
             for (name, epoch), link in sorted(self.membership.links.items())
         ]
--- a/onyxhollow/fleet/shares.py
+++ b/onyxhollow/fleet/shares.py
@@ -11,7 +11,7 @@
 from onyxhollow.gossip.core import GossipConfig, LoadGossip
 from onyxhollow.gossip.messages import MESSAGES, encode
 from onyxhollow.interface import AttemptOutcome
-from onyxhollow.membership.swim import Member
+from onyxhollow.membership.member_table import Member
 
 if TYPE_CHECKING:
     from onyxhollow.fleet.node import Node
--- a/onyxhollow/membership/__init__.py
+++ b/onyxhollow/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: SWIM's membership, a pure core, its datagrams and their seal."""
+"""Membership of the fleet: the SWIM protocol as a pure core, its messages and their authentication."""
--- /dev/null
+++ b/onyxhollow/membership/datagram_authenticator.py
@@ -0,0 +1,160 @@
+"""Authentication of the fleet's datagrams: a keyed hash over each, and protection against replay.
+
+The hash is HMAC-SHA256 (RFC 2104) cut to 16 bytes. Replay protection is a sliding window of sequence numbers
+as in IPsec (RFC 4303, 3.4.3): reordered datagrams pass, repeated ones do not. A datagram that fails is
+dropped and counted by its reason.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import hmac
+from collections import Counter, OrderedDict
+from enum import Enum
+
+import msgspec
+
+from onyxhollow.membership.messages import (
+    MAX_DATAGRAM_BYTES,
+    MAX_NAME_CHARACTERS,
+    PACKET_DECODER,
+    Packet,
+    encode,
+)
+
+AUTHENTICATION_CODE_BYTES = 16
+REPLAY_WINDOW = 1024  # sequence numbers below the highest whose arrival is remembered
+MAX_SENDERS = 8192  # with a replay window; past them the one received from longest ago is forgotten
+MIN_KEY_BYTES = 16
+MAX_KEYS = 2  # the new and the old one while a key is being replaced
+
+SenderKey = tuple[str, int]  # name and epoch
+
+
+class KeyFileError(Exception):
+    """A key file cannot be used; the text says which, what was expected and what was found."""
+
+
+class DropReason(Enum):
+    """Why a datagram was dropped. The values are names in `/control/fleet`."""
+
+    SIZE = "size"
+    AUTHENTICATION = "seal"
+    MALFORMED = "rubbish"
+    OTHER_FLEET = "foreign"
+    OWN = "own"
+    OTHER_RECEIVER = "for another"
+    REPLAYED = "repeated"
+
+
+def read_keys(path: str) -> list[bytes]:
+    """Read the fleet's keys: one a line in hex, empty lines and lines that begin with `#` left out.
+
+    The first key signs, each of them verifies: a key is replaced by listing both for a while.
+
+    Raises:
+        KeyFileError: The file cannot be read, is not hex, or holds no key, too many or too short ones.
+    """
+    try:
+        with open(path, encoding="ascii") as file:
+            lines = [line.strip() for line in file if line.strip() and not line.startswith("#")]
+        keys = [bytes.fromhex(line) for line in lines]
+    except OSError as error:
+        raise KeyFileError(f"{path}: {error.strerror}") from None
+    except ValueError:
+        raise KeyFileError(f"{path}: expected keys in hex, one a line, got something else") from None
+    if not 1 <= len(keys) <= MAX_KEYS or min(map(len, keys)) < MIN_KEY_BYTES:
+        got = f"{len(keys)} of {', '.join(str(len(key)) for key in keys) or 'no'} bytes"
+        raise KeyFileError(f"{path}: expected one or two keys of {MIN_KEY_BYTES} bytes or more, got {got}")
+    return keys
+
+
+class ReplayWindow:
+    """Which sequence numbers of one sender have arrived."""
+
+    __slots__ = ("arrived", "highest")
+
+    def __init__(self) -> None:
+        self.highest = 0
+        self.arrived = 0  # bit n: `highest - n` has arrived
+
+    def accept(self, sequence: int) -> bool:
+        """Record a sequence number; return whether it is the first datagram with it."""
+        if sequence > self.highest:
+            shift = min(sequence - self.highest, REPLAY_WINDOW)
+            self.arrived = ((self.arrived << shift) | 1) & ((1 << REPLAY_WINDOW) - 1)
+            self.highest = sequence
+            return True
+        distance = self.highest - sequence
+        bit = 1 << distance
+        if distance >= REPLAY_WINDOW or self.arrived & bit:
+            return False
+        self.arrived |= bit
+        return True
+
+
+class DatagramAuthenticator:
+    """Signs outgoing datagrams of one member and verifies incoming ones."""
+
+    def __init__(self, fleet: str, name: str, epoch: int, keys: list[bytes]) -> None:
+        self.fleet = fleet
+        self.name = name
+        self.epoch = epoch
+        self.keys = keys
+        self.sequence = 0
+        self.replay_windows: OrderedDict[SenderKey, ReplayWindow] = OrderedDict()
+        self.dropped: Counter[str] = Counter()  # by the value of a DropReason
+
+    def sign(self, messages: list[bytes], receiver_epoch: int) -> bytes:
+        """Return the datagram that holds these messages, which are encoded already."""
+        self.sequence += 1
+        raw = [msgspec.Raw(message) for message in messages]
+        body = encode((self.fleet, self.name, self.epoch, self.sequence, receiver_epoch, raw))
+        return self._code(self.keys[0], body) + body
+
+    def verify(self, datagram: bytes) -> Packet | None:
+        """Return the packet of a genuine datagram; otherwise count the reason and return None."""
+        found = self._read(datagram)
+        if isinstance(found, DropReason):
+            self.dropped[found.value] += 1
+            return None
+        return found
+
+    def _read(self, datagram: bytes) -> Packet | DropReason:
+        if not AUTHENTICATION_CODE_BYTES < len(datagram) <= MAX_DATAGRAM_BYTES:
+            return DropReason.SIZE
+        code = datagram[:AUTHENTICATION_CODE_BYTES]
+        body = datagram[AUTHENTICATION_CODE_BYTES:]
+        if not any(hmac.compare_digest(self._code(key, body), code) for key in self.keys):
+            return DropReason.AUTHENTICATION
+        try:
+            packet = PACKET_DECODER.decode(body)
+        except (msgspec.DecodeError, RecursionError, OverflowError):
+            return DropReason.MALFORMED
+        return self._reason_to_drop(packet) or packet
+
+    def _reason_to_drop(self, packet: Packet) -> DropReason | None:
+        if packet.fleet != self.fleet:
+            return DropReason.OTHER_FLEET
+        if not 0 < len(packet.name) <= MAX_NAME_CHARACTERS or packet.epoch <= 0 or packet.sequence <= 0:
+            return DropReason.MALFORMED
+        if (packet.name, packet.epoch) == (self.name, self.epoch):
+            return DropReason.OWN
+        if packet.receiver_epoch not in (0, self.epoch):
+            return DropReason.OTHER_RECEIVER  # the process before this one: nothing of it may count here
+        if not self._is_first(packet):
+            return DropReason.REPLAYED
+        return None
+
+    def _is_first(self, packet: Packet) -> bool:
+        sender = packet.name, packet.epoch
+        window = self.replay_windows.pop(sender, None) or ReplayWindow()
+        self.replay_windows[sender] = window
+        first = window.accept(packet.sequence)
+        if len(self.replay_windows) > MAX_SENDERS:
+            self.replay_windows.popitem(last=False)
+        return first
+
+    @staticmethod
+    def _code(key: bytes, body: bytes) -> bytes:
+        return hmac.digest(key, body, hashlib.sha256)[:AUTHENTICATION_CODE_BYTES]
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -29,7 +29,7 @@
 from onyxhollow.leases import messages as duties
 from onyxhollow.leases.voter import Seat, Voter
 from onyxhollow.membership import messages as members
-from onyxhollow.membership.seal import DatagramAuthenticator
+from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator
 
 DATA = pathlib.Path(__file__).parent / "data" / "compatibility" / "fleet"
 
@@ -118,20 +118,22 @@
 PARTS = {
     "ping": members.Ping(nonce=501),
     "ack": members.Ack(nonce=511),
-    "ping-for": members.PingFor(nonce=521, name="m3", epoch=522, address=("192.0.2.3", 523)),
+    "ping-for": members.PingRequest(nonce=521, name="m3", epoch=522, address=("192.0.2.3", 523)),
     "nack": members.Nack(nonce=531),
-    "update": members.Update(
-        name="m4", epoch=541, incarnation=542, life=members.MemberState.DEAD, address=("192.0.2.4", 543),
-        zone="east", flags=node.HOLDS | node.VOTES, by="m5",
+    "update": members.MemberUpdate(
+        name="m4", epoch=541, incarnation=542, state=members.MemberState.DEAD, address=("192.0.2.4", 543),
+        zone="east", flags=node.HOLDS | node.VOTES, suspected_by="m5",
     ),
     "sync": members.Sync(digest=551, joining=True),
-    "event": members.Event(name="m6", epoch=561, number=562, kind=lists.LIST, body=b"event"),
-    "carried": members.Carried(kind=advertise.ADDRESSES, body=b"carried"),
+    "event": members.Broadcast(name="m6", epoch=561, sequence=562, kind=lists.LIST, body=b"event"),
+    "carried": members.Payload(kind=advertise.ADDRESSES, body=b"carried"),
 }  # fmt: skip
 
 
 def packet(part):
-    return members.Packet(fleet="fleet-one", name="m1", epoch=11, number=12, to=13, parts=[part])
+    return members.Packet(
+        fleet="fleet-one", name="m1", epoch=11, sequence=12, receiver_epoch=13, messages=[part]
+    )
 
 
 PACKETS = {name: packet(part) for name, part in PARTS.items()}
@@ -141,7 +143,7 @@
     "addresses": (ADDRESSES, addressing.MESSAGES, addressing.encode, addressing.MESSAGES.type),
     "sharing": (SHARING, sharing.MESSAGES, sharing.encode, sharing.MESSAGES.type),
     "lists": (LISTS, telling.MESSAGES, telling.encode, telling.Messages),
-    "packets": (PACKETS, members.PACKETS, members.encode, members.Parts),
+    "packets": (PACKETS, members.PACKET_DECODER, members.encode, members.Messages),
 }
 STORED = {
     "voter": (VOTER_ROWS, duties.ROWS, duties.encode, duties.Rows),
@@ -312,12 +314,12 @@
     ours, second = read_fleet(str(DATA / "fleet.toml"), {}.get).keys
     assert (ours, second) == (bytes(range(24)), bytes(range(0xF0, 0x100)))
     sender = DatagramAuthenticator("fleet-one", "m1", 11, [ours])
-    sender.number = 11
-    assert sender.close([members.encode(part) for part in PARTS.values()], 13) == datagram
+    sender.sequence = 11
+    assert sender.sign([members.encode(part) for part in PARTS.values()], 13) == datagram
     for held in ([ours], [second, ours]):
-        opened = DatagramAuthenticator("fleet-one", "m2", 13, held).open(datagram)
-        assert opened == msgspec.structs.replace(packet(None), parts=list(PARTS.values()))
-    assert DatagramAuthenticator("fleet-one", "m2", 13, [second]).open(datagram) is None
+        opened = DatagramAuthenticator("fleet-one", "m2", 13, held).verify(datagram)
+        assert opened == msgspec.structs.replace(packet(None), messages=list(PARTS.values()))
+    assert DatagramAuthenticator("fleet-one", "m2", 13, [second]).verify(datagram) is None
 
 
 def test_a_voter_starts_from_its_recorded_memory(tmp_path):
@@ -402,7 +404,7 @@
     elsewhere = read_fleet(str(DATA / "fleet.toml"), {"LB_FLEET_LISTEN": "192.0.2.99:7199"}.get)
     assert elsewhere.listen == elsewhere.advertise == ("192.0.2.99", 7199)
     timing, rules, share = fleet.told.terms(), fleet.told.rules(), fleet.told.share()
-    assert (timing.period, timing.timeout, timing.sync_every) == (1.25, 0.45, 11.5)
+    assert (timing.period, timing.timeout, timing.sync_interval) == (1.25, 0.45, 11.5)
     assert (rules.lease, rules.rate_bound) == (3.75, 0.015)
     assert (share.every, share.fan, share.report, share.renew, share.audit) == (0.35, 3, 6.5, 1.75, 31.5)
 
--- a/tests/test_fleet_cores.py
+++ b/tests/test_fleet_cores.py
@@ -36,9 +36,10 @@
     Remembers,
 )
 from onyxhollow.leases.voter import Voter
-from onyxhollow.membership.messages import LARGEST, MemberState, Packet, Ping, Update
-from onyxhollow.membership.seal import DatagramAuthenticator, read_keys
-from onyxhollow.membership.swim import ProtocolConfig, SwimMembership
+from onyxhollow.membership.config import ProtocolConfig
+from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator, read_keys
+from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES, MemberState, MemberUpdate, Packet, Ping
+from onyxhollow.membership.swim import SwimMembership
 
 KEYS = [b"k" * 16]
 COUNCIL = Council(0, ("a", "b", "c"))
@@ -50,7 +51,7 @@
     def __init__(self, count, seed=1, terms=None):
         self.now, self.rng, self.due, self.number = 100.0, Random(seed), [], 0
         self.terms = terms or ProtocolConfig()
-        self.swims, self.seals, self.down, self.stalled, self.cut = {}, {}, set(), set(), set()
+        self.swims, self.authenticators, self.down, self.stalled, self.cut = {}, {}, set(), set(), set()
         self.sent, self.largest = 0, 0
         for number in range(count):
             self.add(f"m{number}")
@@ -58,17 +59,17 @@
     def add(self, name, epoch=1, address=None):
         key = f"{name}~{epoch}"
         address = address or (key, 1)
-        me = Update(name, epoch, 0, MemberState.ALIVE, address, "z", 3)
+        me = MemberUpdate(name, epoch, 0, MemberState.ALIVE, address, "z", 3)
         self.swims[key] = SwimMembership(
             me, self.terms, Random(hash_of(key)), [("m0~1", 1), ("m1~1", 1)], self.now
         )
-        self.seals[key] = DatagramAuthenticator("f", name, epoch, KEYS)
+        self.authenticators[key] = DatagramAuthenticator("f", name, epoch, KEYS)
         return self.swims[key]
 
     def flush(self, key):
         swim = self.swims[key]
         for out in swim.outbox:
-            datagram = self.seals[key].close(out.parts, out.to)
+            datagram = self.authenticators[key].sign(out.messages, out.receiver_epoch)
             self.largest = max(self.largest, len(datagram))
             self.sent += len(datagram)
             target = out.address[0]
@@ -87,16 +88,16 @@
             self.now = max(self.now, min(until, ticks, self.due[0][0] if self.due else until))
             if self.now >= until:
                 for swim in self.swims.values():  # what is kept beside the members is a part of them
-                    assert swim.present == {m.who: m for m in swim.members.values() if m.is_live}
-                    assert swim.suspects == {
-                        w: m for w, m in swim.present.items() if m.state is MemberState.SUSPECT
+                    assert swim.table.live == {m.key: m for m in swim.members.values() if m.is_live}
+                    assert swim.table.suspects == {
+                        w: m for w, m in swim.table.live.items() if m.state is MemberState.SUSPECT
                     }
                 return
             while self.due and self.due[0][0] <= self.now:
                 _, _, source, target, datagram = heapq.heappop(self.due)
                 if target in self.down or target in self.stalled:
                     continue
-                if packet := self.seals[target].open(datagram):
+                if packet := self.authenticators[target].verify(datagram):
                     self.swims[target].on_message(self.now, packet, (source, 1))
                 self.flush(target)
             for key in runs:
@@ -142,7 +143,7 @@
     net.down.add("m5~1")
     net.run(30.0)
     assert all_see_all(net)
-    assert net.largest <= LARGEST
+    assert net.largest <= MAX_DATAGRAM_BYTES
 
 
 def test_a_datagram_costs_no_more_among_a_thousand_members_than_among_ten():
@@ -151,15 +152,17 @@
         net = Net(1)
         swim = net.swims["m0~1"]
         for number in range(1, count):
-            swim.learn(Update(f"m{number}", 1, 0, MemberState.ALIVE, (f"a{number}", 1), "z", 3), net.now)
-        swim.news.clear()
+            swim.apply_update(
+                MemberUpdate(f"m{number}", 1, 0, MemberState.ALIVE, (f"a{number}", 1), "z", 3), net.now
+            )
+        swim.dissemination_queue.messages.clear()
         packet = Packet("f", "m1", 1, 1, 1, [Ping(1)])
         spans = []
         for _ in range(9):
             began = time.perf_counter()
             for _ in range(200):
                 swim.on_message(net.now, packet, ("a1", 1))
-                swim.next_due = swim.when()
+                swim.next_due = swim.next_event_at()
             spans.append(time.perf_counter() - began)
         return min(spans)
 
@@ -175,8 +178,8 @@
     net.run(2.0)
     net.stalled.clear()
     swim = net.swims["m3~1"]
-    swim.awake(net.now)
-    assert swim.counts["stalls"] == 1 and swim.health >= 1
+    swim.compensate_for_stall(net.now)
+    assert swim.counters["stalls"] == 1 and swim.local_health.score >= 1
     net.run(20.0)
     assert not [change for change in swim.changes if change.member.state is MemberState.DEAD]
     assert all_see_all(net)
@@ -202,7 +205,7 @@
     swim.suspect(member, member.incarnation, "m1", net.now)
     net.run(10.0)
     assert member.state is MemberState.ALIVE and member.incarnation == 1
-    assert net.swims["m2~1"].counts["refuted"] == 1
+    assert net.swims["m2~1"].counters["refuted"] == 1
 
 
 def test_two_processes_of_one_name_are_told_apart_and_one_that_flaps_is_damped():
@@ -217,10 +220,10 @@
             net.run(4.0)
         net.down.add(f"m2~{epoch}")
         net.run(16.0)
-    assert net.swims["m0~1"].damping.damped("m2", net.now)
-    assert not net.swims["m0~1"].damping.damped("m1", net.now)
+    assert net.swims["m0~1"].flap_damping.is_damped("m2", net.now)
+    assert not net.swims["m0~1"].flap_damping.is_damped("m1", net.now)
     net.run(200.0)
-    assert not net.swims["m0~1"].damping.damped("m2", net.now)
+    assert not net.swims["m0~1"].flap_damping.is_damped("m2", net.now)
 
 
 def test_members_that_come_and_go_rank_last_and_are_not_left_out(monkeypatch):
@@ -239,10 +242,10 @@
 
     first = next(who for who in order() if who != "m0~1")
     for _ in range(4):
-        swim.damping.gone(first.partition("~")[0], net.now)
+        swim.flap_damping.record_failure(first.partition("~")[0], net.now)
     assert order()[-1] == first
     for name in ("m1", "m2", "m3", "m4") * 4:
-        swim.damping.gone(name, net.now)
+        swim.flap_damping.record_failure(name, net.now)
     assert sorted(order()) == [f"m{n}~1" for n in range(5)] and order()[0] == "m0~1"
 
 
@@ -262,16 +265,16 @@
         DatagramAuthenticator("f", "a", 5, KEYS),
         DatagramAuthenticator("f", "b", 7, [b"n" * 16, *KEYS]),
     )
-    datagram = one.close([], 0)
-    assert other.open(datagram).name == "a"  # the old key still opens
-    assert other.open(datagram) is None and one.open(other.close([], 0)) is None
-    assert other.open(datagram[:-1] + b"x") is None and other.open(b"x" * 2000) is None
-    assert DatagramAuthenticator("g", "c", 1, KEYS).open(datagram) is None
-    assert other.open(one.close([], 6)) is None  # meant for the process before this one
-    assert other.open(one.close([], 7)) is not None
-    late = [one.close([], 0) for _ in range(1100)]
-    assert all(other.open(each) for each in reversed(late[100:]))  # any order within the window
-    assert other.open(late[0]) is None
+    datagram = one.sign([], 0)
+    assert other.verify(datagram).name == "a"  # the old key still opens
+    assert other.verify(datagram) is None and one.verify(other.sign([], 0)) is None
+    assert other.verify(datagram[:-1] + b"x") is None and other.verify(b"x" * 2000) is None
+    assert DatagramAuthenticator("g", "c", 1, KEYS).verify(datagram) is None
+    assert other.verify(one.sign([], 6)) is None  # meant for the process before this one
+    assert other.verify(one.sign([], 7)) is not None
+    late = [one.sign([], 0) for _ in range(1100)]
+    assert all(other.verify(each) for each in reversed(late[100:]))  # any order within the window
+    assert other.verify(late[0]) is None
     assert other.dropped == {"repeated": 2, "seal": 1, "size": 1, "for another": 1}
     (tmp_path / "key").write_text("00ff" * 8 + "\n" + "aa" * 16 + "\n")
     assert [len(key) for key in read_keys(str(tmp_path / "key"))] == [16, 16]
