--- a/onyxhollow/membership/swim.py
+++ b/onyxhollow/membership/swim.py
@@ -4,10 +4,10 @@
 datagrams to send, changes of members and messages for other services in lists that its shell takes. Times are
 seconds on one clock.
 
-Its parts, each in a file of its own: the failure detector (probes and indirect probes), the dissemination
-queue (changes that piggyback on its datagrams), anti-entropy (comparison of all that is known), the member
-table with its states, flap damping and link statistics. This file holds the rules by which what members
-report of one another changes the table: incarnations, suspicion and its refutation.
+Its parts, each in a file of its own: the failure detector (probes and indirect probes), the rules by which
+reported states change the member table (incarnations, suspicion and refutation), the dissemination queue
+(changes that piggyback on datagrams), anti-entropy (comparison of all that is known), flap damping and link
+statistics. This file puts them together, and is all that other packages call.
 """
 
 from __future__ import annotations
@@ -29,7 +29,6 @@
 from onyxhollow.membership.local_health import LocalHealth
 from onyxhollow.membership.member_table import Member, MemberChange, MemberKey, MemberTable
 from onyxhollow.membership.messages import (
-    MAX_NAME_CHARACTERS,
     Ack,
     Address,
     Broadcast,
@@ -45,10 +44,9 @@
     encode,
 )
 from onyxhollow.membership.outbox import Outbox, OutgoingDatagram
+from onyxhollow.membership.state_rules import StateRules, Timer
 
-MAX_SEEN_BROADCASTS = (
-    4096  # remembered so that each is delivered once; past them the first ones are forgotten
-)
+MAX_SEEN_BROADCASTS = 4096  # remembered so that each is delivered once; past them the oldest are forgotten
 LEAVE_FANOUT = 2  # times the indirect probes: members that a leaving one notifies
 STALL_SHARE = 0.5  # of a period by which a tick is late if this process has stalled
 PRUNE_SHARE = 0.25  # of the retention of the dead, between searches for those to forget
@@ -57,9 +55,6 @@
 
 # Counters, by their names in /control/fleet.
 STALLS = "stalls"
-REFUTED = "refuted"
-INVALID_UPDATES = "bad news"
-MEMBERS_REFUSED = "members not taken in"
 PAYLOADS_TO_UNKNOWN_EPOCH = "carried to an unknown epoch"
 
 
@@ -78,12 +73,16 @@
         self.rng = rng
         self.counters: Counter[str] = Counter()
         self.table = MemberTable(local)
-        self.dissemination_queue = DisseminationQueue(config)
         self.local_health = LocalHealth(config.max_health_score)
+        self.dissemination_queue = DisseminationQueue(config)
         self._outbox = Outbox(self.table, self.dissemination_queue, self.counters, now)
+        self.timer = Timer(now)
         self.failure_detector = FailureDetector(
             config, rng, self.table, self._outbox, self.local_health, self._suspect_unanswered
         )
+        self.state_rules = StateRules(
+            config, self.table, self._outbox, self.failure_detector, self.timer, self.counters
+        )
         self.failure_detector.next_probe_at = now + rng.random() * config.period
         self.anti_entropy = AntiEntropy(config, rng, self.table, self._outbox, seeds, now)
         self.received_broadcasts: list[Broadcast] = []
@@ -92,12 +91,20 @@
         self.broadcast_sequence = 0
         self.next_prune_at = now + config.dead_retention * PRUNE_SHARE
         self.has_left = False
-        self.next_due = now
         self.stalled_seconds = 0.0  # for which this process has stood still, in sum
         self.last_stall_at: float | None = None
 
     # The view of the fleet.
 
+    @property
+    def next_due(self) -> float:
+        """When `tick` is to be called next, seconds."""
+        return self.timer.due
+
+    @next_due.setter
+    def next_due(self, due: float) -> None:
+        self.timer.due = due
+
     @property
     def local(self) -> MemberUpdate:
         """This member's own row."""
@@ -185,7 +192,7 @@
             return
         self.failure_detector.probe_if_due(now)
         for member in [member for member in self.table.suspects.values() if member.deadline <= now]:
-            self._transition(member, MemberState.DEAD, member.incarnation, now, "no word")
+            self.state_rules.declare_dead(member, now)
         self.failure_detector.expire_relayed(now)
         if now >= self.anti_entropy.next_sync_at:
             self.anti_entropy.sync(now)
@@ -203,7 +210,7 @@
     def set_flags(self, flags: int) -> None:
         """Publish other flags of this member."""
         if flags != self.local.flags:
-            self._renew_local(self.local.incarnation + 1, flags)
+            self.state_rules.renew_local(self.local.incarnation + 1, flags)
 
     def leave(self) -> None:
         """Notify a few members that this process ends; they pass it on."""
@@ -235,7 +242,7 @@
             return
         for message in packet.messages:
             if isinstance(message, MemberUpdate):
-                self.apply_update(message, now)
+                self.state_rules.apply_update(message, now)
         sender = self.members.get((packet.name, packet.epoch))
         if sender is None:
             request = [encode(self.local), encode(Sync(0, joining=True))]
@@ -260,7 +267,7 @@
             case PingRequest():
                 overdue_at = self.failure_detector.on_ping_request(message, sender, now)
                 if overdue_at is not None:
-                    self.next_due = min(self.next_due, overdue_at)
+                    self.timer.due_by(overdue_at)
             case Nack():
                 self.failure_detector.on_nack(message)
             case Sync():
@@ -283,102 +290,8 @@
         self.received_broadcasts.append(message)
         self.dissemination_queue.enqueue(key, message)
 
-    # What members report of one another.
-
-    def apply_update(self, update: MemberUpdate, now: float) -> None:
-        """Merge a reported state: the higher incarnation wins; at equal ones, the worse state (SWIM, 4.2)."""
-        key = update.name, update.epoch
-        if key == self.table.local_key:
-            self._refute(update)
-            return
-        if not _is_valid(update):
-            self.counters[INVALID_UPDATES] += 1
-            return
-        member = self.members.get(key) or self._introduce(update, now)
-        if member is None:
-            return
-        if update.state is MemberState.ALIVE:
-            self._apply_alive(member, update, now)
-        elif update.state is MemberState.SUSPECT:
-            self.suspect(member, update.incarnation, update.suspected_by, now)
-        elif member.can_become(update.state):
-            # A member's own farewell needs no incarnation: nothing of that process follows it.
-            if update.state is MemberState.LEFT or update.incarnation >= member.incarnation:
-                incarnation = max(update.incarnation, member.incarnation)
-                self._transition(member, update.state, incarnation, now, "told so")
-
-    def suspect(self, member: Member, incarnation: int, by: str, now: float) -> None:
-        """Suspect a live member, or add a further member that suspects it: the timeout becomes shorter."""
-        if not member.is_live or incarnation < member.incarnation:
-            return
-        if member.state is MemberState.SUSPECT and incarnation == member.incarnation:
-            if by in member.suspected_by or len(member.suspected_by) > self.config.indirect_probes:
-                return
-            member.suspected_by.add(by)
-            self.dissemination_queue.replace(member.key, replace(member.update(), suspected_by=by))
-        else:
-            member.suspected_by = {by}
-            self._transition(member, MemberState.SUSPECT, incarnation, now, f"by {by}")
-        member.deadline = member.since + self.suspicion_timeout(len(member.suspected_by) - 1)
-        self.next_due = min(self.next_due, max(now, member.deadline))
-
-    def suspicion_timeout(self, confirmations: int) -> float:
-        """Return seconds from suspicion to death: shorter the more members suspect it too (Lifeguard)."""
-        size = self.live_count()
-        shortest = self.config.suspicion_multiplier * max(1.0, math.log10(size)) * self.config.period
-        max_confirmations = min(self.config.indirect_probes, size - 2)
-        if max_confirmations < 1:
-            return shortest
-        longest = shortest * self.config.max_suspicion_multiplier
-        share = math.log(confirmations + 1) / math.log(max_confirmations + 1)
-        return max(shortest, longest - (longest - shortest) * share)
-
     def _suspect_unanswered(self, member: Member, now: float) -> None:
-        self.suspect(member, member.incarnation, self.local.name, now)
-
-    def _refute(self, update: MemberUpdate) -> None:
-        """Answer a suspicion of this process with a higher incarnation (SWIM, section 4.2)."""
-        if update.state is MemberState.ALIVE or update.incarnation < self.local.incarnation:
-            return
-        self.counters[REFUTED] += 1
-        self.local_health.degrade()
-        self._renew_local(update.incarnation + 1, self.local.flags)
-
-    def _renew_local(self, incarnation: int, flags: int) -> None:
-        self.table.local = replace(self.local, incarnation=incarnation, flags=flags)
-        self.dissemination_queue.enqueue(self.table.local_key, self.local)
-
-    def _introduce(self, update: MemberUpdate, now: float) -> Member | None:
-        """Add a member that was not known; one that is gone already, or finds no space, is left out."""
-        if update.state in (MemberState.DEAD, MemberState.LEFT):
-            return None
-        member = self.table.add(update, now)
-        if member is None:
-            self.counters[MEMBERS_REFUSED] += 1
-            return None
-        self.failure_detector.schedule_member(member.key)
-        self.changes.append(MemberChange(member, None))
-        self.dissemination_queue.enqueue(member.key, member.update())
-        # The process of this name before it has ended as a rule: it is probed next.
-        for older in self.table.older_processes(member):
-            self.failure_detector.schedule_next(older.key)
-        return member
-
-    def _apply_alive(self, member: Member, update: MemberUpdate, now: float) -> None:
-        if update.incarnation > member.incarnation and member.can_become(MemberState.ALIVE):
-            member.address = update.address
-            member.zone = update.zone
-            member.flags = update.flags
-            self._transition(member, MemberState.ALIVE, update.incarnation, now)
-        elif member.state is MemberState.DEAD:  # it does not know that it was declared dead
-            row = [encode(member.update())]
-            self._outbox.reply(OutgoingDatagram(member.address, member.epoch, row), now)
-
-    def _transition(
-        self, member: Member, state: MemberState, incarnation: int, now: float, cause: str = ""
-    ) -> None:
-        self.table.transition(member, state, incarnation, now, cause)
-        self.dissemination_queue.enqueue(member.key, member.update())
+        self.state_rules.suspect(member, member.incarnation, self.local.name, now)
 
     def _prune(self, now: float) -> None:
         self.next_prune_at = now + self.config.dead_retention * PRUNE_SHARE
@@ -390,8 +303,3 @@
     taken = items.copy()
     items.clear()
     return taken
-
-
-def _is_valid(update: MemberUpdate) -> bool:
-    name_fits = 0 < len(update.name) <= MAX_NAME_CHARACTERS
-    return name_fits and len(update.zone) <= MAX_NAME_CHARACTERS and update.epoch > 0
--- a/tests/membership_network.py
+++ b/tests/membership_network.py
@@ -12,11 +12,11 @@
 
 
 class Net:
-    """Members in made-up time: datagrams take a moment, and links can be cut."""
+    """Members in simulated time: datagrams take up to 10 ms, and links can be cut."""
 
-    def __init__(self, count, seed=1, terms=None):
+    def __init__(self, count, seed=1, config=None):
         self.now, self.rng, self.due, self.number = 100.0, Random(seed), [], 0
-        self.terms = terms or ProtocolConfig()
+        self.config = config or ProtocolConfig()
         self.swims, self.authenticators, self.down, self.stalled, self.cut = {}, {}, set(), set(), set()
         self.sent, self.largest = 0, 0
         for number in range(count):
@@ -25,9 +25,9 @@
     def add(self, name, epoch=1, address=None):
         key = f"{name}~{epoch}"
         address = address or (key, 1)
-        me = MemberUpdate(name, epoch, 0, MemberState.ALIVE, address, "z", 3)
+        local = MemberUpdate(name, epoch, 0, MemberState.ALIVE, address, "z", 3)
         self.swims[key] = SwimMembership(
-            me, self.terms, Random(hash_of(key)), [("m0~1", 1), ("m1~1", 1)], self.now
+            local, self.config, Random(hash_of(key)), [("m0~1", 1), ("m1~1", 1)], self.now
         )
         self.authenticators[key] = DatagramAuthenticator("f", name, epoch, KEYS)
         return self.swims[key]
@@ -53,7 +53,7 @@
             ticks = min((self.swims[key].next_due for key in runs), default=until)
             self.now = max(self.now, min(until, ticks, self.due[0][0] if self.due else until))
             if self.now >= until:
-                for swim in self.swims.values():  # what is kept beside the members is a part of them
+                for swim in self.swims.values():  # the indexes agree with the table
                     assert swim.table.live == {m.key: m for m in swim.members.values() if m.is_live}
                     assert swim.table.suspects == {
                         w: m for w, m in swim.table.live.items() if m.state is MemberState.SUSPECT
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -2,31 +2,33 @@
 
 import time
 
+import pytest
 from membership_network import KEYS, Net, all_see_all
 
 from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator, read_keys
+from onyxhollow.membership.member_table import InvalidTransitionError
 from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES, MemberState, MemberUpdate, Packet, Ping
 
 
-def test_news_reaches_all_though_most_datagrams_go_to_one():
-    """Leases are asked for at the same voters all the time: news rode there and was spent, and one member of
-    five did not hear of a drain."""
+def test_a_broadcast_reaches_all_members_although_most_datagrams_go_to_one():
+    """Lease requests go to the same voters all the time: changes piggybacked there until they were used up,
+    and one member of five did not receive a drain."""
     net = Net(5)
     net.run(5.0)
     one = net.swims["m0~1"]
     one.broadcast(7, b"a drain")
     voter = next(member for member in one.live_members() if member.name == "m1")
     for _ in range(40):
-        one.send_payload(voter, 1, b"give me your word")
+        one.send_payload(voter, 1, b"vote for me")
     one.outbox.clear()  # and none of these arrives
     net.run(4.0)
-    heard = {
+    received = {
         key for key, swim in net.swims.items() if any(event.kind == 7 for event in swim.received_broadcasts)
     }
-    assert heard >= {"m2~1", "m3~1", "m4~1"}
+    assert received >= {"m2~1", "m3~1", "m4~1"}
 
 
-def test_members_join_by_seeds_and_one_that_dies_is_known_dead_by_all():
+def test_members_join_by_seeds_and_all_detect_one_that_dies():
     net = Net(12)
     net.run(8.0)
     assert all_see_all(net)
@@ -37,12 +39,12 @@
 
 
 def test_a_datagram_costs_no_more_among_a_thousand_members_than_among_ten():
-    # All members were gone through several times for each: 300 processes took 8 cores and did not come up.
+    # Each datagram scanned all members several times: 300 processes took 8 cores and did not come up.
     def cost(count):
         net = Net(1)
         swim = net.swims["m0~1"]
         for number in range(1, count):
-            swim.apply_update(
+            swim.state_rules.apply_update(
                 MemberUpdate(f"m{number}", 1, 0, MemberState.ALIVE, (f"a{number}", 1), "z", 3), net.now
             )
         swim.dissemination_queue.messages.clear()
@@ -60,7 +62,7 @@
 
 
 def test_a_stalled_member_declares_nobody_dead():
-    # Without a look at its own lateness it wakes to a world that was silent for 20 s, and says so.
+    # Without compensation it would take its own 2 s of stall for a silence of all the others.
     net = Net(8)
     net.run(8.0)
     net.swims["m3~1"].changes.clear()
@@ -75,7 +77,7 @@
     assert all_see_all(net)
 
 
-def test_two_halves_that_held_each_other_for_dead_find_each_other_again():
+def test_two_halves_of_a_partition_that_declared_each_other_dead_merge_again():
     net = Net(8)
     net.run(8.0)
     keys = sorted(net.swims)
@@ -87,18 +89,18 @@
     assert all_see_all(net)
 
 
-def test_one_that_is_suspected_by_mistake_says_so_and_stays():
+def test_a_member_suspected_by_mistake_refutes_and_remains_alive():
     net = Net(5)
     net.run(8.0)
     swim = net.swims["m1~1"]
     member = swim.members["m2", 1]
-    swim.suspect(member, member.incarnation, "m1", net.now)
+    swim.state_rules.suspect(member, member.incarnation, "m1", net.now)
     net.run(10.0)
     assert member.state is MemberState.ALIVE and member.incarnation == 1
     assert net.swims["m2~1"].counters["refuted"] == 1
 
 
-def test_two_processes_of_one_name_are_told_apart_and_one_that_flaps_is_damped():
+def test_two_processes_of_one_name_are_two_members_and_a_flapping_name_is_damped():
     net = Net(4)
     net.run(8.0)
     net.add("m2", epoch=2)
@@ -116,24 +118,36 @@
     assert not net.swims["m0~1"].flap_damping.is_damped("m2", net.now)
 
 
-def test_bytes_of_a_member_hardly_grow_with_the_fleet():
-    told = []
+def test_a_transition_without_a_row_in_the_table_is_an_error():
+    net = Net(2)
+    net.run(4.0)
+    swim = net.swims["m0~1"]
+    member = swim.members["m1", 1]
+    for state in (MemberState.SUSPECT, MemberState.DEAD, MemberState.ALIVE, MemberState.LEFT):
+        swim.table.transition(member, state, member.incarnation, net.now)
+    assert not member.is_live and member.key not in swim.table.live
+    with pytest.raises(InvalidTransitionError, match=r"m1~1: expected one of the states that follow LEFT"):
+        swim.table.transition(member, MemberState.ALIVE, 9, net.now)
+
+
+def test_bytes_sent_by_a_member_hardly_grow_with_the_fleet():
+    rates = []
     for count in (10, 60):
         net = Net(count)
         net.run(10.0)
         before = net.sent
         net.run(20.0)
-        told.append((net.sent - before) / count / 20.0)
-    assert told[1] < 2.0 * told[0]
+        rates.append((net.sent - before) / count / 20.0)
+    assert rates[1] < 2.0 * rates[0]
 
 
-def test_what_is_foreign_repeated_or_rubbish_is_counted_and_dropped(tmp_path):
+def test_foreign_replayed_and_malformed_datagrams_are_counted_and_dropped(tmp_path):
     one, other = (
         DatagramAuthenticator("f", "a", 5, KEYS),
         DatagramAuthenticator("f", "b", 7, [b"n" * 16, *KEYS]),
     )
     datagram = one.sign([], 0)
-    assert other.verify(datagram).name == "a"  # the old key still opens
+    assert other.verify(datagram).name == "a"  # the old key still verifies
     assert other.verify(datagram) is None and one.verify(other.sign([], 0)) is None
     assert other.verify(datagram[:-1] + b"x") is None and other.verify(b"x" * 2000) is None
     assert DatagramAuthenticator("g", "c", 1, KEYS).verify(datagram) is None
