--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -26,7 +26,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.gossip.core import GossipConfig  # noqa: E402
+from onyxhollow.gossip.config import GossipConfig  # noqa: E402
 from onyxhollow.lab import decisions, scenario  # noqa: E402
 from onyxhollow.lab.sockets.engine import Sockets  # noqa: E402
 from onyxhollow.lab.together import Trouble  # noqa: E402
--- a/onyxhollow/decision_adapter.py
+++ b/onyxhollow/decision_adapter.py
@@ -32,19 +32,19 @@
 )  # they say nothing bad of a server
 
 
-class Shared(Protocol):
-    """As onyxhollow.gossip tells it."""
+class SharedEstimate(Protocol):
+    """What the members of a fleet know together of an endpoint, as onyxhollow.gossip estimates it."""
 
     @property
-    def server(self) -> str: ...
+    def endpoint(self) -> str: ...
     @property
     def load(self) -> float | None: ...  # over capacity; None: only the rest is new
     @property
-    def age(self) -> float: ...  # seconds since that load was reported
+    def load_age(self) -> float: ...  # seconds since that load was reported
     @property
-    def held(self) -> int: ...  # open connections of all members
+    def connections(self) -> int: ...  # open connections of all members
     @property
-    def doubt(self) -> float: ...  # distrust that the members' failures there are worth
+    def outlier_score(self) -> float: ...  # that the members' failures there are worth
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,15 +142,15 @@
         return chosen or Selection()
 
 
-def report_shared(balancer: Balancer, news: Shared) -> None:
+def report_shared(balancer: Balancer, estimate: SharedEstimate) -> None:
     """What the fleet's members know together of a server. Evidence of failure turns traffic away from it, and
     bars it only with what this balancer has seen itself."""
-    load = news.load
+    load = estimate.load
     if load is not None and load >= SHED_LOAD and balancer.rng.random() * load >= load - FULL_LOAD:
         load = SHED_LOAD - 0.01  # all are told at once: as many as are too much move theirs, the others wait
-    balancer.probed(news.server, AttemptOutcome.OK, 0.0, load, news.age, news.held)
-    server = balancer.servers.get(news.server)
-    if server and (more := news.doubt - server.score(balancer.host.now)) > 0.0:
+    balancer.probed(estimate.endpoint, AttemptOutcome.OK, 0.0, load, estimate.load_age, estimate.connections)
+    server = balancer.servers.get(estimate.endpoint)
+    if server and (more := estimate.outlier_score - server.score(balancer.host.now)) > 0.0:
         balancer.blame(server, more)
 
 
@@ -230,8 +230,8 @@
     def report_probe(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.balancer.probed(server, end, took, load)
 
-    def report_shared(self, news: Shared) -> None:
-        report_shared(self.balancer, news)
+    def report_shared(self, estimate: SharedEstimate) -> None:
+        report_shared(self.balancer, estimate)
 
     def own(self) -> dict[str, int]:
         """Open connections and dials out, by server."""
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from onyxhollow.addresses.file import AddressesError, AddressesFile, read_addresses
-from onyxhollow.gossip import core as share_terms
+from onyxhollow.gossip.config import GossipConfig
 from onyxhollow.leases.claim import Rules
 from onyxhollow.leases.messages import VOTERS
 from onyxhollow.leases.voter import LONGEST_LEASE, MOST_DUTIES
@@ -41,7 +41,7 @@
 
 
 class Share(Table, frozen=True):
-    """What members tell one another of servers; onyxhollow.gossip.core.GossipConfig has the words."""
+    """What members tell one another of servers; onyxhollow.gossip.config.GossipConfig explains them."""
 
     on: bool = False
     every: float = 0.25
@@ -80,11 +80,11 @@
         told = self.membership
         return ProtocolConfig(period=told.period, timeout=told.timeout, sync_interval=told.sync)
 
-    def share(self) -> share_terms.GossipConfig | None:
+    def share(self) -> GossipConfig | None:
         told = self.sharing
         if not told.on:
             return None
-        return share_terms.GossipConfig(told.every, told.fan, told.report, told.renew, audit=told.audit)
+        return GossipConfig(told.every, told.fan, told.report, told.renew, audit_interval=told.audit)
 
     def rules(self) -> Rules:
         return Rules(self.leases.lease, self.leases.rate_bound)
--- /dev/null
+++ b/onyxhollow/fleet/gossip_service.py
@@ -0,0 +1,170 @@
+"""Load gossip on a proxy's loop: connects the core to the datagrams, the health checks and the decisions."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Generator
+from typing import Any
+
+import msgspec
+
+from onyxhollow.fleet import clock
+from onyxhollow.fleet.context import MemberContext
+from onyxhollow.gossip.config import GossipConfig
+from onyxhollow.gossip.evidence_table import STALE_REPORTS, EndpointEvidence, LoadEstimate
+from onyxhollow.gossip.load_gossip import LoadGossip
+from onyxhollow.gossip.messages import LOAD_UNITS, MESSAGE_DECODER, encode
+from onyxhollow.gossip.ownership import GossipMember
+from onyxhollow.interface import AttemptOutcome
+from onyxhollow.membership.member_table import Member
+
+GOSSIP_PAYLOAD = 3  # kind of a membership payload
+MAX_HEALTH_CHECK_CONNECTIONS = 16  # a few endpoints are owned or audited; without gossip all are polled
+
+# Counters, by their names in /control/fleet.
+HEALTH_CHECKS_SAVED = "sharing: probes saved"
+MALFORMED = "sharing: rubbish"
+ENDPOINTS_POLLED = "sharing: servers asked"
+
+
+class GossipService:
+    """Load gossip of one member: stands between the decisions and their health checks."""
+
+    def __init__(self, member: MemberContext, config: GossipConfig) -> None:
+        self.member = member
+        self.decisions = member.proxy.decisions
+        local = GossipMember(member.epoch, member.name, member.zone)
+        self.core = LoadGossip(local, config, member.rng, clock.now())
+        self.members: dict[int, Member] = {}  # live, by epoch
+        self.members_changed = True
+        self.reports_are_fresh = False  # as last logged
+        self.poll_endpoint: Callable[[str], None] = self.decisions.check_health
+        self.decisions.check_health = self.check_health
+        self.decisions.dial_failed = self.on_attempt_failed
+        member.proxy.probes.told = self.on_health_check_result
+        member.proxy.probes.most = MAX_HEALTH_CHECK_CONNECTIONS
+
+    @property
+    def next_due(self) -> float:
+        """When `tick` is to be called next, seconds."""
+        return self.core.next_due
+
+    # Calls of the decisions and the health checks.
+
+    def check_health(self, endpoint: str) -> None:
+        """Answer a health check from what the members know, or else send it to the endpoint."""
+        known = self.core.load_estimate(endpoint, clock.now())
+        if known is None:
+            self.poll_endpoint(endpoint)
+            return
+        self.member.counts[HEALTH_CHECKS_SAVED] += 1
+        self.member.loop.spawn(self._answer(endpoint, known))
+
+    def on_attempt_failed(self, endpoint: str) -> None:
+        """Take a failure that this member has seen itself."""
+        self.core.record_failure(endpoint, clock.now())
+
+    def on_health_check_result(
+        self, endpoint: str, outcome: AttemptOutcome, seconds: float, load: float | None
+    ) -> None:
+        """Take the answer of an endpoint; one that answers without a load report tells gossip nothing."""
+        self.member.proxy.probe_told(endpoint, outcome, seconds, load)
+        now = clock.now()
+        if outcome is AttemptOutcome.OK and load is None:
+            return
+        self.core.on_poll_result(endpoint, load if outcome is AttemptOutcome.OK else None, now)
+        self._deliver()
+
+    # Calls of the fleet member.
+
+    def on_members_changed(self) -> None:
+        """Take the live members anew with the next tick."""
+        self.members_changed = True
+
+    def on_message(self, sender: Member, body: bytes, now: float) -> None:
+        """Take a payload of another member; a malformed one is counted and dropped."""
+        try:
+            message = MESSAGE_DECODER.decode(body)
+        except (msgspec.DecodeError, RecursionError):
+            self.member.counts[MALFORMED] += 1
+            return
+        self.core.on_message(sender.epoch, message, now)
+        self._deliver()
+
+    def tick(self, now: float) -> None:
+        """Run the core if it is due, and do what it leaves to be done."""
+        core = self.core
+        if now < core.next_due:
+            return
+        if self.members_changed:
+            self._update_members()
+        core.set_endpoints({server.name: server.zone for server in self.decisions.balancer.fleet})
+        core.tick(self.decisions.own(), now)
+        self._poll()
+        self._send()
+        self._deliver()
+        self._log_freshness(now)
+
+    def status(self, now: float) -> dict[str, Any]:
+        """Return the table for `/control/fleet`."""
+        names = {epoch: member.name for epoch, member in self.members.items()}
+        names[self.core.local.epoch] = self.member.name
+        owned = self.core.ownership.owned
+        return {
+            "rows": [
+                _status_row(endpoint, known, names, now)
+                for endpoint, known in sorted(self.core.evidence.items())
+            ],
+            "keeps": sorted(name for name, endpoint in owned.items() if not endpoint.is_deputy),
+            "deputy": sorted(name for name, endpoint in owned.items() if endpoint.is_deputy),
+            "counts": dict(self.core.counters),
+        }
+
+    def _answer(self, endpoint: str, known: LoadEstimate) -> Generator[float, None, None]:
+        """Answer in a turn of the loop of its own: the decisions are in the middle of a call."""
+        yield self.member.loop.now
+        self.decisions.balancer.probed(endpoint, AttemptOutcome.OK, 0.0, known.load, known.age)
+
+    def _update_members(self) -> None:
+        self.members_changed = False
+        self.members = {member.epoch: member for member in self.member.membership.live_members()}
+        self.core.set_members(
+            GossipMember(member.epoch, member.name, member.zone) for member in self.members.values()
+        )
+
+    def _poll(self) -> None:
+        polls = self.core.take_polls()
+        if not self.member.proxy.config.settings.health_checks:
+            return
+        for endpoint in polls:
+            self.member.counts[ENDPOINTS_POLLED] += 1
+            self.poll_endpoint(endpoint)
+
+    def _send(self) -> None:
+        for outgoing in self.core.take_outbox():
+            if receiver := self.members.get(outgoing.receiver):
+                self.member.membership.send_payload(receiver, GOSSIP_PAYLOAD, encode(outgoing.message))
+
+    def _deliver(self) -> None:
+        for estimate in self.core.take_estimates():
+            self.decisions.report_shared(estimate)
+
+    def _log_freshness(self, now: float) -> None:
+        limit = STALE_REPORTS * self.core.config.report_interval
+        fresh = any(now - known.at < limit for known in self.core.evidence.values())
+        if fresh != self.reports_are_fresh:
+            self.reports_are_fresh = fresh
+            members = len(self.core.ownership.members) + 1
+            self.member.log_event("gossip", on=fresh, servers=len(self.core.evidence), members=members)
+
+
+def _status_row(endpoint: str, known: EndpointEvidence, names: dict[int, str], now: float) -> dict[str, Any]:
+    report = known.report
+    return {
+        "server": endpoint,
+        "by": names.get(report.owner, ""),
+        "age": round(now - known.at, 2),
+        "load": report.load / LOAD_UNITS if report.load >= 0 else None,
+        "load_age": round(now - known.load_at, 2),
+        "held": report.connections,
+        "doubters": report.failing_members,
+    }
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -26,8 +26,8 @@
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.advertise import ADDRESSES, Addresses
 from onyxhollow.fleet.file import Duty, Fleet
+from onyxhollow.fleet.gossip_service import GOSSIP_PAYLOAD, GossipService
 from onyxhollow.fleet.lists import LIST, Lists
-from onyxhollow.fleet.shares import SHARE, Shares
 from onyxhollow.fleet.works import LeaderTask, WebhookTask
 from onyxhollow.interface import Endpoint, EndpointListKind
 from onyxhollow.leases import messages as said
@@ -121,7 +121,7 @@
         self.changer = Changer()
         self.lists: Lists | None = None
         share = self.told.share()
-        self.shares = Shares(self, share) if share else None
+        self.gossip = GossipService(self, share) if share else None
         self.closed = False
         self.runners: dict[str, LeaseRunner] = {}
         self.add(VOTERS, None, None)
@@ -207,8 +207,8 @@
             times.append(self.voter.due())
         if self.lists:
             times.append(self.lists.next_due())
-        if self.shares:
-            times.append(self.shares.next_due)
+        if self.gossip:
+            times.append(self.gossip.next_due)
         if self.addresses:
             times.append(self.addresses.next_due())
         return min(times)
@@ -231,8 +231,8 @@
                 self.say(runner, runner.claim.tick(now, self.rank(runner, now)))
         if self.lists:
             self.lists.tick(now)
-        if self.shares:
-            self.shares.tick(now)
+        if self.gossip:
+            self.gossip.tick(now)
         if self.addresses:
             self.addresses.tick(now)
         while (
@@ -284,8 +284,8 @@
         for change in self.membership.take_changes():
             member = change.member
             self.ranks.clear()
-            if self.shares:
-                self.shares.changed = True
+            if self.gossip:
+                self.gossip.on_members_changed()
             if member.state in (MemberState.SUSPECT, MemberState.DEAD):
                 self.trouble_at = now
             self.log_event(
@@ -364,9 +364,9 @@
             if self.lists:
                 self.lists.on_message(member, body, now)
             return
-        if kind == SHARE:
-            if self.shares:
-                self.shares.on_message(member, body, now)
+        if kind == GOSSIP_PAYLOAD:
+            if self.gossip:
+                self.gossip.on_message(member, body, now)
             return
         if kind == ADDRESSES:
             if self.addresses:
@@ -725,7 +725,7 @@
             "voters": {"version": self.voters.version, "names": self.voters.names},
             "voter": voter,
             "list": self.lists.state() if self.lists else None,
-            "sharing": self.shares.state(now) if self.shares else None,
+            "sharing": self.gossip.status(now) if self.gossip else None,
             "counts": dict(self.counts + self.membership.counters),
             "dropped": dict(self.authenticator.dropped),
         }
--- a/onyxhollow/gossip/__init__.py
+++ b/onyxhollow/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""What the members of a fleet tell one another of servers: loads, connections in sum, evidence of failure."""
+"""Gossip of load reports, connection counts and failures between the members of a fleet: a pure core."""
--- a/onyxhollow/gossip/messages.py
+++ b/onyxhollow/gossip/messages.py
@@ -1,37 +1,54 @@
-"""What is said, in MessagePack by msgspec, rows as arrays: each message fits one datagram."""
+"""Messages of load gossip, in MessagePack by msgspec with structs as arrays; each fits one datagram.
+
+The order of the fields is the format: names cost no bytes.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-ROOM = 940  # bytes of one message: a datagram less seal, names and what rides along
-ROW_BYTES = 26  # of a row beside its server's name, at the most
-COUNT_BYTES = 14
+MAX_MESSAGE_BYTES = 940  # a datagram less authentication code, names and piggybacked changes
+REPORT_BYTES = 26  # of a report besides its endpoint's name, at the most
+COUNT_BYTES = 14  # of a count besides its endpoint's name, at the most
+MILLISECONDS = 1000  # in a second
+LOAD_UNITS = 1000  # of a load of one, the capacity
+NO_LOAD = -1  # in place of a load that is not known
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
-    """What is known together of one server."""
+class EndpointReport(msgspec.Struct, array_like=True, frozen=True):
+    """What the owner of an endpoint has put together of it."""
 
-    server: str
-    by: int  # epoch of the member that keeps it
-    number: int  # rises with each row of that member's
+    endpoint: str
+    owner: int  # epoch of the member that owns it
+    sequence: int  # increases with each message of that member
     age: int  # milliseconds since it was put together
-    load: int  # thousandths of capacity, as the server reported; -1: no report
+    load: int  # thousandths of capacity, as the endpoint reported; NO_LOAD: no load report
     load_age: int  # milliseconds since that was reported, as of `age` ago
-    held: int  # open connections of all members in sum
-    doubters: int  # members whose dials or questions failed there of late
+    connections: int  # open connections of all members in sum
+    failing_members: int  # members whose attempts or health checks failed there lately
+
+
+class ReportPage(msgspec.Struct, array_like=True, frozen=True, tag=1):
+    """Reports that fit one datagram."""
+
+    reports: list[EndpointReport]
+
 
+class EndpointCount(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """One member's own connections and recent failures at an endpoint."""
 
-class Page(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    rows: list[Row]
+    endpoint: str
+    connections: int
+    failures: int
 
 
-class Counts(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """One member's own, to who keeps these servers: server, open connections, failures of late."""
+class ConnectionCounts(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """One member's own counts, for the owner of these endpoints or its deputy."""
 
-    number: int
-    rows: list[tuple[str, int, int]]
+    sequence: int
+    counts: list[EndpointCount]
 
 
-MESSAGES = msgspec.msgpack.Decoder(Page | Counts)
+Messages = ReportPage | ConnectionCounts
+MESSAGE_DECODER = msgspec.msgpack.Decoder(Messages)
 encode = msgspec.msgpack.Encoder().encode
--- a/onyxhollow/lab/together.py
+++ b/onyxhollow/lab/together.py
@@ -13,8 +13,10 @@
 import msgspec
 
 from onyxhollow.decision_adapter import report_shared
-from onyxhollow.gossip.core import GossipConfig, LoadGossip
-from onyxhollow.gossip.messages import Counts, Page
+from onyxhollow.gossip.config import GossipConfig
+from onyxhollow.gossip.load_gossip import LoadGossip
+from onyxhollow.gossip.messages import ConnectionCounts, ReportPage
+from onyxhollow.gossip.ownership import GossipMember
 
 if TYPE_CHECKING:
     from onyxhollow.lab.virtual import Instance, Virtual
@@ -44,19 +46,21 @@
     def joined(self, instance: Instance, epoch: int) -> None:
         """A proxy has started."""
         now, zone = self.world.agenda.now, self.world.zone_name(instance.zone)
-        core = LoadGossip(f"n{instance.number}", epoch, zone, self.terms, Random(epoch * 31 + 7), now)
+        core = LoadGossip(
+            GossipMember(epoch, f"n{instance.number}", zone), self.terms, Random(epoch * 31 + 7), now
+        )
         self.cores[instance.number], self.where[epoch] = core, instance.number
         self.world.agenda.after(SEEN if now else 0.0, self.meet)
-        self.world.agenda.at(core.due, self.tick, instance, core)
+        self.world.agenda.at(core.next_due, self.tick, instance, core)
 
     def left(self, number: int) -> None:
         if self.cores.pop(number, None):
             self.world.agenda.after(NOTICED, self.meet)
 
     def meet(self) -> None:
-        there = [(core.epoch, core.name, core.zone) for core in self.cores.values()]
+        there = [core.local for core in self.cores.values()]
         for core in self.cores.values():
-            core.meet(there)
+            core.set_members(there)
 
     def tick(self, instance: Instance, core: LoadGossip) -> None:
         if not instance.alive or self.cores.get(instance.number) is not core:
@@ -65,40 +69,40 @@
         if now < instance.stalled_until:
             self.world.agenda.at(instance.stalled_until, self.tick, instance, core)
             return
-        core.listed({server.name: server.zone for server in balancer.fleet})
+        core.set_endpoints({server.name: server.zone for server in balancer.fleet})
         own = {s.name: len(s.connections) for s in balancer.servers.values() if s.connections}
         if instance.number < self.trouble.liars:
             own = {name: 1000 * count for name, count in own.items()}
         core.tick(own, now)
         self.pass_on(instance, core)
-        self.world.agenda.at(core.due, self.tick, instance, core)
+        self.world.agenda.at(core.next_due, self.tick, instance, core)
 
     def pass_on(self, instance: Instance, core: LoadGossip) -> None:
         """What a core has left to be done."""
-        for server in core.ask:
+        for server in core.take_polls():
             instance.check_health(server, shared=True)
-        for epoch, message in core.out:
+        for outgoing in core.take_outbox():
+            epoch, message = outgoing.receiver, outgoing.message
             other = self.where.get(epoch)
             if other is None or self.cut(instance.number, other):
                 continue
-            if instance.number < self.trouble.liars and isinstance(message, Page):
+            if instance.number < self.trouble.liars and isinstance(message, ReportPage):
                 message = self.lie(message)
             there = self.world.proxies[other].zone
             self.messages += 1
             takes = self.engine.one_way(instance.zone, there, None)
-            self.world.agenda.after(takes, self.arrive, other, epoch, core.epoch, message)
-        news, core.ask, core.out, core.news = core.news, [], [], []
-        for one in news:
+            self.world.agenda.after(takes, self.arrive, other, epoch, core.local.epoch, message)
+        for one in core.take_estimates():
             report_shared(instance.balancer, one)
 
-    def arrive(self, number: int, epoch: int, sender: int, message: Page | Counts) -> None:
+    def arrive(self, number: int, epoch: int, sender: int, message: ReportPage | ConnectionCounts) -> None:
         core, instance = self.cores.get(number), self.engine.instances.get(number)
-        if core is None or instance is None or core.epoch != epoch:
+        if core is None or instance is None or core.local.epoch != epoch:
             return
         if self.world.agenda.now < instance.stalled_until:
             self.world.agenda.at(instance.stalled_until, self.arrive, number, epoch, sender, message)
             return
-        core.heard(sender, message, self.world.agenda.now)
+        core.on_message(sender, message, self.world.agenda.now)
         self.pass_on(instance, core)
 
     def cut(self, one: int, other: int) -> bool:
@@ -114,17 +118,17 @@
                     return True
         return False
 
-    def lie(self, page: Page) -> Page:
+    def lie(self, page: ReportPage) -> ReportPage:
         """Old news as new, loads turned round."""
         rows = [
             msgspec.structs.replace(
                 row,
                 age=0,
-                number=row.number + 1,
+                sequence=row.sequence + 1,
                 load_age=0,
                 load=max(0, 1300 - row.load),
-                held=self.rng.randrange(2000),
+                connections=self.rng.randrange(2000),
             )
-            for row in page.rows
+            for row in page.reports
         ]
-        return Page(rows)
+        return ReportPage(rows)
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from onyxhollow.decision_adapter import WELL
-from onyxhollow.gossip.core import GossipConfig
+from onyxhollow.gossip.config import GossipConfig
 from onyxhollow.interface import (
     AttemptOutcome,
     DeduplicationScope,
@@ -125,9 +125,9 @@
     def check_health(self, server: str, shared: bool = False) -> None:
         """shared: asked for all members, and not by the module."""
         target, now = self.world.by_name[server], self.now
-        if self.talk and not shared and (known := self.talk.cores[self.number].report(server, now)):
-            load, age = known
-            self.later(0.0, self.balancer.probed, server, AttemptOutcome.OK, 0.0, load, age)
+        if self.talk and not shared and (known := self.talk.cores[self.number].load_estimate(server, now)):
+            outcome = AttemptOutcome.OK
+            self.later(0.0, self.balancer.probed, server, outcome, 0.0, known.load, known.age)
             return
         self.world.ledger.count("probes")
         there = 3 * self.engine.one_way(self.zone, target.zone, None)
@@ -145,7 +145,7 @@
     def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.balancer.probed(server, end, took, load)
         if self.talk and (core := self.talk.cores.get(self.number)):
-            core.asked(server, load, self.now)
+            core.on_poll_result(server, load, self.now)
             self.talk.pass_on(self, core)
 
     def poll_endpoint_list(self) -> None:
@@ -281,7 +281,7 @@
         self.world.referee.dial_ended(self.now, held.sess.number, held.sent_at, end.never_ran)
         final = held.answered or held.standing
         if self.talk and not final and end not in WELL and held.server:
-            self.talk.cores[self.number].failed(held.server.name, self.now)
+            self.talk.cores[self.number].record_failure(held.server.name, self.now)
         if held.standing:
             self.held.pop(held.sess.number, None)
         if held.handle is not None:
--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -22,7 +22,9 @@
 LARGEST = 1 << 30  # bytes of one file
 # Log events that earlier versions wrote under another name: the reader knows both, so that old logs stay
 # readable.
-EVENT_ALIASES: dict[str, str] = {}
+EVENT_ALIASES: dict[str, str] = {
+    "sharing": "gossip",
+}
 SERVICE = {"out of service": "leaving", "in service": "in service", "stop": "stopping"}
 
 
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -23,9 +23,9 @@
 from onyxhollow.addresses.keeper import Keeper
 from onyxhollow.addresses.rules import Standing
 from onyxhollow.append_log import AppendLog
-from onyxhollow.fleet import advertise, gate, lists, node, shares, telling
+from onyxhollow.fleet import advertise, gate, gossip_service, lists, node, telling
 from onyxhollow.fleet.file import read_fleet
-from onyxhollow.gossip import messages as sharing
+from onyxhollow.gossip import messages as gossip
 from onyxhollow.leases import messages as duties
 from onyxhollow.leases.voter import Seat, Voter
 from onyxhollow.membership import messages as members
@@ -97,10 +97,15 @@
     standing.Stands(name="address-a", standing=1, keeper=82, number=83),
 ]
 SHARING = {
-    "page": sharing.Page(rows=[
-        sharing.Row(server="s1", by=301, number=302, age=303, load=304, load_age=305, held=306, doubters=307)
+    "page": gossip.ReportPage(reports=[
+        gossip.EndpointReport(
+            endpoint="s1", owner=301, sequence=302, age=303, load=304, load_age=305, connections=306,
+            failing_members=307,
+        )
     ]),
-    "counts": sharing.Counts(number=311, rows=[("s2", 312, 313)]),
+    "counts": gossip.ConnectionCounts(
+        sequence=311, counts=[gossip.EndpointCount(endpoint="s2", connections=312, failures=313)]
+    ),
 }  # fmt: skip
 LIST_ROWS = [
     {"host": "s3", "health": "leaving", "zone": "east"},
@@ -141,7 +146,7 @@
 SAID = {
     "duties": (DUTIES, duties.MESSAGES, duties.encode, duties.Messages),
     "addresses": (ADDRESSES, addressing.MESSAGES, addressing.encode, addressing.MESSAGES.type),
-    "sharing": (SHARING, sharing.MESSAGES, sharing.encode, sharing.MESSAGES.type),
+    "sharing": (SHARING, gossip.MESSAGE_DECODER, gossip.encode, gossip.Messages),
     "lists": (LISTS, telling.MESSAGES, telling.encode, telling.Messages),
     "packets": (PACKETS, members.PACKET_DECODER, members.encode, members.Messages),
 }
@@ -150,7 +155,7 @@
     "addresses": ([ORDER, DECIDED, FOR_ALL], addressing.WRITTEN, addressing.encode, addressing.Written),
     "gate": (GATE_ROWS, standing.RECORDS, standing.encode, standing.RECORDS.type),
 }
-MODULES = duties, addressing, sharing, telling, members, standing
+MODULES = duties, addressing, gossip, telling, members, standing
 
 
 def structs(value):
@@ -294,7 +299,7 @@
 
 
 def test_numbers_and_words_that_members_send_and_keep():
-    assert (node.DUTIES, lists.LIST, shares.SHARE, advertise.ADDRESSES) == (1, 2, 3, 4)
+    assert (node.DUTIES, lists.LIST, gossip_service.GOSSIP_PAYLOAD, advertise.ADDRESSES) == (1, 2, 3, 4)
     assert (node.HOLDS, node.VOTES) == (1, 2)
     life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
@@ -406,7 +411,13 @@
     timing, rules, share = fleet.told.terms(), fleet.told.rules(), fleet.told.share()
     assert (timing.period, timing.timeout, timing.sync_interval) == (1.25, 0.45, 11.5)
     assert (rules.lease, rules.rate_bound) == (3.75, 0.015)
-    assert (share.every, share.fan, share.report, share.renew, share.audit) == (0.35, 3, 6.5, 1.75, 31.5)
+    assert (
+        share.push_interval,
+        share.fanout,
+        share.poll_interval,
+        share.report_interval,
+        share.audit_interval,
+    ) == (0.35, 3, 6.5, 1.75, 31.5)
 
 
 def test_the_keepers_view_and_plan_are_told_as_recorded():
