--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -193,7 +193,7 @@
         rules = world.referee.verdict()
         count = sum(rules["broken"].values())  # type: ignore[attr-defined]
         broken_rules += count + len(engine.findings()["crashes"])
-        rests = sum("list rests" in (folder / name / f"n{n}.log").read_text() for n in range(6))
+        rests = sum("list polling suspended" in (folder / name / f"n{n}.log").read_text() for n in range(6))
         told.append(
             f"day {name}: rules broken {count}, proxies that were told the list {rests} of 6, "
             f"void {engine.findings()['void'] or 'no'}"
--- /dev/null
+++ b/onyxhollow/fleet/list_replication.py
@@ -0,0 +1,320 @@
+"""Replication of the endpoint list within a zone: one member follows the list service for the others.
+
+The publisher is the holder of a role's lease (a leader task); every member is a subscriber. This file
+connects both cores to the datagrams and to the proxy's own watch of the list service.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
+from onyxhollow.fleet import clock
+from onyxhollow.fleet.context import MemberContext
+from onyxhollow.fleet.list_messages import (
+    MESSAGE_DECODER,
+    Heartbeat,
+    ListMessage,
+    ListRecordsError,
+    ListUpdate,
+    Record,
+    ResyncRequest,
+    Suspicion,
+    decode_records,
+    draining_records,
+    encode,
+    encode_records,
+)
+from onyxhollow.fleet.list_publisher import Publisher
+from onyxhollow.fleet.list_subscriber import ListChange, Subscriber
+from onyxhollow.fleet.paced_sender import PacedSender
+from onyxhollow.interface import EndpointListKind
+from onyxhollow.membership.member_table import Member
+from onyxhollow.wire.discovery import ListError, read_list
+
+LIST_PAYLOAD = 2  # kind of a membership payload, and of a broadcast
+MIN_SNAPSHOT_INTERVAL = 0.2  # seconds between two snapshots for one member
+RESUME_DELAY_SHARE = 0.25  # of the longest poll interval: the longest random wait before polling again
+DRAINS_PER_BROADCAST = 8
+MAX_LOGGED_HOSTS = 24
+
+# Counters, by their names in /control/fleet.
+MALFORMED = "list: rubbish"
+VERSIONS_RECEIVED = "list: told versions"
+DROPPED_QUEUE_FULL = "list: not sent, too much waits"
+
+
+@dataclass(frozen=True, slots=True)
+class Publication:
+    """A term in which this member is the publisher."""
+
+    publisher: Publisher
+    lease_held: Callable[[], bool]
+
+
+class ListReplication:
+    """Publisher, while it holds the lease, and subscriber of one zone's endpoint list.
+
+    Attributes:
+        last_progress_at: When the list service last answered, seconds on the loop's clock.
+        superseded: Another member has published under a newer term.
+    """
+
+    def __init__(
+        self, member: MemberContext, role: str, zone: str | None, heartbeat_interval: float, service: str
+    ) -> None:
+        self.member = member
+        self.role = role
+        self.zone = zone
+        self.heartbeat_interval = heartbeat_interval
+        self.service = service
+        self.watch = member.proxy.discovery
+        self.service_address = self.watch.address  # `service` names this address, and none of a later reload
+        max_resume_delay = member.proxy.config.settings.max_poll_interval * RESUME_DELAY_SHARE
+        self.subscriber = Subscriber(role, self.source, heartbeat_interval, max_resume_delay, member.rng)
+        self.publication: Publication | None = None
+        self.sender = PacedSender(self._send_if_current)
+        self.last_progress_at = member.loop.now
+        self.superseded = False
+        self.snapshot_sent_at: dict[str, float] = {}  # by member name, seconds
+        self.broadcast_drains: set[tuple[str, Any]] = set()  # name and state of endpoints
+        self.is_applying = False  # a change received from the fleet is given to the watch
+
+    @property
+    def source(self) -> str:
+        """The list service that is followed: versions of two mean nothing to each other."""
+        address = self.watch.next or self.watch.address  # next: named by a reload, not polled yet
+        if self.service and address == self.service_address:
+            return self.service
+        return ":".join(map(str, address))
+
+    # The leader task.
+
+    def start(self, term: int, lease_held: Callable[[], bool], /) -> None:
+        """Publish from now on; `lease_held` is called before each message."""
+        self.last_progress_at = self.member.loop.now
+        publisher = Publisher(self.role, term, self.source)
+        self.publication = Publication(publisher, lease_held)
+        self.subscriber.polling_suspended = False
+        self.watch.rest(False)
+        if self.watch.version >= 0 and self.watch.rows:
+            publisher.update(self.watch.rows, self.watch.version)
+        publisher.next_heartbeat_at = clock.now()
+        self.member.task.wake()
+
+    def stop(self) -> None:
+        """Publish no more."""
+        self.publication = None
+
+    # Answers of the list service to this proxy.
+
+    def on_own_list(self, kind: EndpointListKind) -> None:
+        """Take note that the list service has answered this proxy, or has failed to."""
+        if kind is EndpointListKind.CACHED or self.is_applying:
+            return
+        failed = kind is EndpointListKind.FAILED
+        if not failed:
+            self.last_progress_at = self.member.loop.now
+            self.subscriber.on_own_answer()
+            self._broadcast_drains()
+        if self.publication is None:
+            return
+        if failed:
+            self.publication.publisher.disconnected = True
+            self.publication.publisher.next_heartbeat_at = clock.now()
+        else:
+            self._publish()
+        self.member.task.wake()
+
+    def _publish(self) -> None:
+        publication = self.publication
+        assert publication is not None
+        if publication.publisher.source != self.source:  # another list service, after a reload
+            term = publication.publisher.term
+            publication = Publication(Publisher(self.role, term, self.source), publication.lease_held)
+            self.publication = publication
+        for update in publication.publisher.update(self.watch.rows, self.watch.version):
+            for receiver in self._zone_members():
+                self._enqueue(receiver, update)
+
+    def _broadcast_drains(self) -> None:
+        """Broadcast drains that this proxy was the first to see: all must know, whoever publishes to them."""
+        records = draining_records(self.watch.rows.values())
+        fresh = [
+            record
+            for record in records
+            if (record["host"], record.get("health")) not in self.broadcast_drains
+        ]
+        self.broadcast_drains = {(record["host"], record.get("health")) for record in records}
+        for start in range(0, len(fresh), DRAINS_PER_BROADCAST):
+            bodies = encode_records(fresh[start : start + DRAINS_PER_BROADCAST])
+            if len(bodies) == 1:
+                update = ListUpdate(self.role, 0, self.source, self.watch.version, 0, 0, 1, bodies[0])
+                self.member.membership.broadcast(LIST_PAYLOAD, encode(update))
+
+    # Messages of other members.
+
+    def on_message(self, sender: Member, body: bytes, now: float) -> None:
+        """Take a payload of another member; a malformed one is counted and dropped."""
+        try:
+            message = MESSAGE_DECODER.decode(body)
+        except msgspec.DecodeError:
+            self.member.counts[MALFORMED] += 1
+            return
+        if message.role != self.role:
+            return
+        if isinstance(message, ResyncRequest | Suspicion):
+            self._on_request(sender, message, now)
+            return
+        self.subscriber.source = self.source
+        if self.publication and self.publication.lease_held():
+            if message.term > self.publication.publisher.term:
+                self.superseded = True
+            return
+        self._on_publication(sender, message, now)
+
+    def on_broadcast(self, body: bytes) -> None:
+        """Apply drains of any member at once; the version stays, since other changes may be missing."""
+        try:
+            update = MESSAGE_DECODER.decode(body)
+            if not isinstance(update, ListUpdate) or update.source != self.source:
+                return
+            drains = draining_records(decode_records([update.body]))
+        except (msgspec.DecodeError, ListRecordsError):
+            self.member.counts[MALFORMED] += 1
+            return
+        if not update.version > self.watch.version >= 0:
+            return
+        fresh = [record for record in drains if self._is_new_drain(record)]
+        if fresh and self._apply(ListChange(fresh, None, is_snapshot=False)):
+            hosts = [record["host"] for record in fresh][:MAX_LOGGED_HOSTS]
+            self.member.log_event("drains received", hosts=hosts, version=update.version)
+
+    def _on_request(self, sender: Member, request: ResyncRequest | Suspicion, now: float) -> None:
+        """Answer as the publisher, if this member is it."""
+        if self.publication is None or not self.publication.lease_held():
+            return
+        publisher = self.publication.publisher
+        if isinstance(request, Suspicion):
+            if request.version > self.watch.version and request.version > publisher.suspected_version:
+                publisher.suspected_version = request.version
+                self.watch.move_to(self.watch.address, anew=True)
+            return
+        if now - self.snapshot_sent_at.get(sender.name, -math.inf) >= MIN_SNAPSHOT_INTERVAL:
+            self.snapshot_sent_at[sender.name] = now
+            for update in publisher.snapshot():
+                self._enqueue(sender, update)
+
+    def _on_publication(self, sender: Member, message: Heartbeat | ListUpdate, now: float) -> None:
+        """Take a publisher's message as a subscriber."""
+        subscriber = self.subscriber
+        was_suspended = subscriber.polling_suspended
+        answer: ListChange | ResyncRequest | None
+        if isinstance(message, Heartbeat):
+            members = 1 + len(self._zone_members())
+            answer = subscriber.on_heartbeat(message, now, self.watch.version, members)
+            if subscriber.rejected_term == message.term and not subscriber.polling_suspended:
+                self._send(sender, Suspicion(self.role, message.term, self.source, self.watch.version))
+        else:
+            answer = subscriber.on_update(message, now, self.watch.version)
+        if isinstance(answer, ResyncRequest):
+            self._send(sender, answer)
+        elif isinstance(answer, ListChange):
+            if self._apply(answer):
+                self.member.counts[VERSIONS_RECEIVED] += 1
+            else:
+                subscriber.reject_publisher(now, "rows")
+        if subscriber.polling_suspended and not was_suspended:
+            self.watch.rest(True)
+            self.member.log_event(
+                "list polling suspended", duty=self.role, term=subscriber.term, version=self.watch.version
+            )
+
+    def _is_new_drain(self, record: Record) -> bool:
+        known = self.watch.rows.get(record["host"])
+        return known is not None and known.get("health") not in (record["health"], "left")
+
+    def _apply(self, change: ListChange) -> bool:
+        """Give a change to the watch as if the list service had sent it; return whether it could be read."""
+        answer = {
+            "seq": self.watch.version if change.version is None else change.version,
+            "whole": change.is_snapshot,
+            "hosts": change.records,
+        }
+        self.is_applying = True
+        try:
+            self.watch.take(change.records, read_list(answer, self.watch.clock, self.member.loop.now))
+        except ListError:
+            return False
+        finally:
+            self.is_applying = False
+        return True
+
+    # Sending.
+
+    def _zone_members(self) -> list[Member]:
+        live = self.member.membership.live_members()
+        return [member for member in live if self.zone in (None, member.zone)]
+
+    def _send(self, receiver: Member, message: ListMessage) -> None:
+        self.member.membership.send_payload(receiver, LIST_PAYLOAD, encode(message))
+
+    def _enqueue(self, receiver: Member, update: ListUpdate) -> None:
+        if not self.sender.enqueue(receiver, update, clock.now()):
+            self.member.counts[DROPPED_QUEUE_FULL] += 1
+
+    def _send_if_current(self, receiver: Member, update: ListUpdate) -> None:
+        """Send a queued update unless its term has ended."""
+        publication = self.publication
+        if publication and update.term == publication.publisher.term and publication.lease_held():
+            self._send(receiver, update)
+
+    def _send_heartbeats(self, publication: Publication, now: float) -> None:
+        publisher = publication.publisher
+        if now < publisher.next_heartbeat_at:
+            return
+        publisher.next_heartbeat_at = now + self.heartbeat_interval
+        for receiver in self._zone_members():
+            if not publication.lease_held():
+                break
+            self._send(receiver, publisher.heartbeat())
+        if self.watch.call is not None and not publisher.disconnected:
+            self.last_progress_at = self.member.loop.now  # its watch is open
+
+    # Time.
+
+    def tick(self, now: float) -> None:
+        """Do what is due."""
+        if self.publication:
+            self._send_heartbeats(self.publication, now)
+        self.sender.tick(now)
+        if self.subscriber.source != self.source:  # a reload names another list service
+            self.subscriber.follow_source(self.source)
+            self.watch.rest(False)
+        if self.subscriber.tick(now):
+            self.watch.soon = self.subscriber.audit_running  # answered at once: no watch is left open
+            self.watch.rest(False)
+            self.member.log_event(
+                "list polling resumed",
+                duty=self.role,
+                why=self.subscriber.resume_cause,
+                version=self.watch.version,
+            )
+
+    def next_due(self) -> float:
+        """Return when `tick` is to be called next, seconds."""
+        heartbeat_at = self.publication.publisher.next_heartbeat_at if self.publication else math.inf
+        return min(heartbeat_at, self.sender.next_due, self.subscriber.next_due())
+
+    def status(self) -> dict[str, Any]:
+        """Return the state for `/control/fleet`."""
+        return {
+            "duty": self.role,
+            "version": self.watch.version,
+            "rests": self.watch.resting,
+            "tells": self.publication is not None and self.publication.lease_held(),
+        }
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -28,7 +28,7 @@
 from onyxhollow.fleet.file import FleetConfig, RoleScope, RoleTable, TaskKind
 from onyxhollow.fleet.gossip_service import GOSSIP_PAYLOAD, GossipService
 from onyxhollow.fleet.leader_tasks import LeaderTask, WebhookTask
-from onyxhollow.fleet.lists import LIST, Lists
+from onyxhollow.fleet.list_replication import LIST_PAYLOAD, ListReplication
 from onyxhollow.interface import Endpoint, EndpointListKind
 from onyxhollow.leases import messages as said
 from onyxhollow.leases.candidate import Candidate, Transition, VoterMessage
@@ -46,7 +46,7 @@
 from onyxhollow.wire.channel import ListenError
 
 HOLDS, VOTES = 1, 2  # flags of a member: may hold duties; has a voter's memory
-DUTIES = 1  # kind of what is carried, beside LIST
+DUTIES = 1  # kind of what is carried, beside LIST_PAYLOAD
 READS = 64  # datagrams in one turn of the loop
 RATE, BURST = 1500.0, 3000.0  # datagrams sent a second, and at once; past them they are dropped and counted
 HISTORY = 200  # changes of holders that are remembered
@@ -120,7 +120,7 @@
         self.level, self.level_at = BURST, now
         self.look_at = self.ranks_until = now
         self.changer = Reconfiguration()
-        self.lists: Lists | None = None
+        self.list_replication: ListReplication | None = None
         share = self.file.gossip_config()
         self.gossip = GossipService(self, share) if share else None
         self.closed = False
@@ -158,7 +158,7 @@
         zone = self.zone if per_zone else None
         work: LeaderTask
         if role.task is TaskKind.LIST:
-            work = self.lists = Lists(self, name, zone, role.interval, role.service)
+            work = self.list_replication = ListReplication(self, name, zone, role.interval, role.service)
         else:
             host, _, port = role.call_address.rpartition(":")
             address = host, int(port)
@@ -208,8 +208,8 @@
         ]
         if self.voter:
             times.append(self.voter.next_due())
-        if self.lists:
-            times.append(self.lists.next_due())
+        if self.list_replication:
+            times.append(self.list_replication.next_due())
         if self.gossip:
             times.append(self.gossip.next_due)
         if self.addresses:
@@ -232,8 +232,8 @@
         for runner in self.runners.values():
             if now >= runner.claim.next_due():
                 self.say(runner, runner.claim.tick(now, self.rank(runner, now)))
-        if self.lists:
-            self.lists.tick(now)
+        if self.list_replication:
+            self.list_replication.tick(now)
         if self.gossip:
             self.gossip.tick(now)
         if self.addresses:
@@ -363,9 +363,9 @@
             self.membership.send_payload(member, DUTIES, said.encode(message))
 
     def take(self, member: Member, kind: int, body: bytes, now: float) -> None:
-        if kind == LIST:
-            if self.lists:
-                self.lists.on_message(member, body, now)
+        if kind == LIST_PAYLOAD:
+            if self.list_replication:
+                self.list_replication.on_message(member, body, now)
             return
         if kind == GOSSIP_PAYLOAD:
             if self.gossip:
@@ -383,9 +383,9 @@
         self.duties_heard(who_is(member), member.name, told, now)
 
     def take_event(self, kind: int, body: bytes, now: float) -> None:
-        if kind == LIST:
-            if self.lists:
-                self.lists.on_broadcast(body, now)
+        if kind == LIST_PAYLOAD:
+            if self.list_replication:
+                self.list_replication.on_broadcast(body)
             return
         if kind == ADDRESSES:
             if self.addresses:
@@ -736,7 +736,7 @@
             "duties": duties,
             "voters": {"version": self.voters.version, "names": self.voters.names},
             "voter": voter,
-            "list": self.lists.state() if self.lists else None,
+            "list": self.list_replication.status() if self.list_replication else None,
             "sharing": self.gossip.status(now) if self.gossip else None,
             "counts": dict(self.counts + self.membership.counters),
             "dropped": dict(self.authenticator.dropped),
@@ -821,8 +821,8 @@
     # told by the proxy
 
     def list_told(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
-        if self.lists:
-            self.lists.own_list(kind)
+        if self.list_replication:
+            self.list_replication.on_own_list(kind)
 
     def close(self) -> None:
         """The process ends: what it holds goes on to others at once."""
--- /dev/null
+++ b/onyxhollow/fleet/paced_sender.py
@@ -0,0 +1,40 @@
+"""Paced sending: a snapshot of the list for a whole zone is thousands of datagrams."""
+
+from __future__ import annotations
+
+import math
+from collections import deque
+from collections.abc import Callable
+
+from onyxhollow.fleet.list_messages import ListUpdate
+from onyxhollow.membership.member_table import Member
+
+GROUP_INTERVAL = 0.02  # seconds from one group of datagrams to the next
+GROUP_SIZE = 24  # datagrams
+MAX_QUEUED = 16384  # datagrams; further ones are dropped, and their receivers ask for a snapshot
+
+
+class PacedSender:
+    """A queue of updates that is sent a few at a time."""
+
+    def __init__(self, send: Callable[[Member, ListUpdate], None]) -> None:
+        self.send = send
+        self.queue: deque[tuple[Member, ListUpdate]] = deque()
+        self.next_due = math.inf  # seconds
+
+    def enqueue(self, receiver: Member, update: ListUpdate, now: float) -> bool:
+        """Queue an update; return False if the queue is full."""
+        if len(self.queue) >= MAX_QUEUED:
+            return False
+        self.queue.append((receiver, update))
+        self.next_due = min(self.next_due, now)
+        return True
+
+    def tick(self, now: float) -> None:
+        """Send the next group if it is due."""
+        if self.queue and now >= self.next_due:
+            self.next_due = now + GROUP_INTERVAL
+            for _ in range(min(GROUP_SIZE, len(self.queue))):
+                self.send(*self.queue.popleft())
+        if not self.queue:
+            self.next_due = math.inf
--- a/onyxhollow/lab/fleet/rig.py
+++ b/onyxhollow/lab/fleet/rig.py
@@ -440,9 +440,13 @@
         """Of each member that is up, whether it is told the list and does not ask for itself."""
         last: dict[str, str] = {}
         for line in self.lines:
-            if line.event in ("list rests", "list asks"):
+            if line.event in ("list polling suspended", "list polling resumed"):
                 last[line.process] = line.event
-        return [last.get(process.title) == "list rests" for process in self.now_by.values() if process.alive]
+        return [
+            last.get(process.title) == "list polling suspended"
+            for process in self.now_by.values()
+            if process.alive
+        ]
 
     def holds(self) -> list[Hold]:
         ends = {p.title: p.ended_at for p in self.processes if p.ended_at}
--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -24,6 +24,9 @@
 # readable.
 EVENT_ALIASES: dict[str, str] = {
     "sharing": "gossip",
+    "list rests": "list polling suspended",
+    "list asks": "list polling resumed",
+    "drains told": "drains received",
 }
 SERVICE = {"out of service": "leaving", "in service": "in service", "stop": "stopping"}
 
@@ -85,8 +88,8 @@
             self.list_version = int(told.get("version", -1))
         elif event == "probe" and told.get("load") is not None:
             self.loads[str(told["server"])] = float(told["load"]), at
-        elif event in ("list rests", "list asks"):
-            self.rests = event == "list rests"
+        elif event in ("list polling suspended", "list polling resumed"):
+            self.rests = event == "list polling suspended"
         elif event == "address":
             key = str(told["address"]), str(told["site"])
             self.addresses[key] = Address(*key, str(told["standing"]), str(told.get("cause", "")))
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -23,7 +23,7 @@
 from onyxhollow.addresses.keeper import Keeper
 from onyxhollow.addresses.rules import Standing
 from onyxhollow.append_log import AppendLog
-from onyxhollow.fleet import advertise, gate, gossip_service, lists, node, telling
+from onyxhollow.fleet import advertise, gate, gossip_service, list_messages, list_replication, node
 from onyxhollow.fleet.file import read_fleet
 from onyxhollow.gossip import messages as gossip
 from onyxhollow.leases import messages as leasing
@@ -121,12 +121,14 @@
 ]
 BODY = bytes.fromhex((DATA / "list-rows.hex").read_text())  # another zlib may pack them otherwise
 LISTS = {
-    "beat": telling.Beat(duty="list-east", term=401, source="lists", version=402, lost=True),
-    "rows": telling.Rows(
-        duty="list-east", term=411, source="lists", version=412, base=413, part=414, parts=415, body=BODY
+    "beat": list_messages.Heartbeat(
+        role="list-east", term=401, source="lists", version=402, disconnected=True
     ),
-    "want": telling.Want(duty="list-east", term=421, source="lists", have=422),
-    "doubt": telling.Doubt(duty="list-east", term=431, source="lists", version=432),
+    "rows": list_messages.ListUpdate(
+        role="list-east", term=411, source="lists", version=412, base=413, part=414, parts=415, body=BODY
+    ),
+    "want": list_messages.ResyncRequest(role="list-east", term=421, source="lists", known_version=422),
+    "doubt": list_messages.Suspicion(role="list-east", term=431, source="lists", version=432),
 }  # fmt: skip
 PARTS = {
     "ping": members.Ping(nonce=501),
@@ -138,7 +140,9 @@
         zone="east", flags=node.HOLDS | node.VOTES, suspected_by="m5",
     ),
     "sync": members.Sync(digest=551, joining=True),
-    "event": members.Broadcast(name="m6", epoch=561, sequence=562, kind=lists.LIST, body=b"event"),
+    "event": members.Broadcast(
+        name="m6", epoch=561, sequence=562, kind=list_replication.LIST_PAYLOAD, body=b"event"
+    ),
     "carried": members.Payload(kind=advertise.ADDRESSES, body=b"carried"),
 }  # fmt: skip
 
@@ -155,7 +159,7 @@
     "duties": (ELECTION, leasing.MESSAGE_DECODER, leasing.encode, leasing.LeaseMessage),
     "addresses": (ADDRESSES, addressing.MESSAGES, addressing.encode, addressing.MESSAGES.type),
     "sharing": (SHARING, gossip.MESSAGE_DECODER, gossip.encode, gossip.Messages),
-    "lists": (LISTS, telling.MESSAGES, telling.encode, telling.Messages),
+    "lists": (LISTS, list_messages.MESSAGE_DECODER, list_messages.encode, list_messages.Messages),
     "packets": (PACKETS, members.PACKET_DECODER, members.encode, members.Messages),
 }
 STORED = {
@@ -163,7 +167,7 @@
     "addresses": ([ORDER, DECIDED, FOR_ALL], addressing.WRITTEN, addressing.encode, addressing.Written),
     "gate": (GATE_ROWS, standing.RECORDS, standing.encode, standing.RECORDS.type),
 }
-MODULES = leasing, addressing, gossip, telling, members, standing
+MODULES = leasing, addressing, gossip, list_messages, members, standing
 
 
 def structs(value):
@@ -307,7 +311,12 @@
 
 
 def test_numbers_and_words_that_members_send_and_keep():
-    assert (node.DUTIES, lists.LIST, gossip_service.GOSSIP_PAYLOAD, advertise.ADDRESSES) == (1, 2, 3, 4)
+    assert (
+        node.DUTIES,
+        list_replication.LIST_PAYLOAD,
+        gossip_service.GOSSIP_PAYLOAD,
+        advertise.ADDRESSES,
+    ) == (1, 2, 3, 4)
     assert (node.HOLDS, node.VOTES) == (1, 2)
     life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
@@ -317,9 +326,9 @@
 
 
 def test_rows_of_a_list_are_packed_as_recorded():
-    assert telling.unpack([BODY]) == LIST_ROWS
-    assert zlib.decompress(b"".join(telling.pack(LIST_ROWS))) == zlib.decompress(BODY)
-    assert telling.drains(telling.unpack([BODY])) == LIST_ROWS[:1]
+    assert list_messages.decode_records([BODY]) == LIST_ROWS
+    assert zlib.decompress(b"".join(list_messages.encode_records(LIST_ROWS))) == zlib.decompress(BODY)
+    assert list_messages.draining_records(list_messages.decode_records([BODY])) == LIST_ROWS[:1]
 
 
 def test_a_sealed_packet_opens_and_is_sealed_again_as_recorded():
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -127,7 +127,7 @@
         line.process
         for line in rig.lines
         if (line.event == "list" and any(f"{host} draining" in row for row in line.told["rows"]))
-        or (line.event == "drains told" and host in line.told["hosts"])
+        or (line.event == "drains received" and host in line.told["hosts"])
     }
 
 
@@ -164,10 +164,10 @@
     rig, teller = listing(rig_of, ask_within=30.0)
     other = next(name for name in rig.names if name != teller)
     title = rig.now_by[other].title
-    audits = len(rig.said(title, "list asks"))  # now and then one asks all the same
+    audits = len(rig.said(title, "list polling resumed"))  # now and then one asks all the same
     rig.cut([teller], ["list"])
     rig.cut([other], [teller], both=True)  # it hears no teller and asks for itself
-    rig.wait(lambda: len(rig.said(title, "list asks")) > audits, 15, "one asks for itself")
+    rig.wait(lambda: len(rig.said(title, "list polling resumed")) > audits, 15, "one asks for itself")
     calls = rig.list.by_member()[other]
     rig.wait(
         lambda: rig.list.by_member()[other] > calls or other in rig.list.waiting_members(), 5, "it watches"
--- a/tests/test_list_replication.py
+++ b/tests/test_list_replication.py
@@ -1,49 +1,58 @@
-"""Replication of the endpoint list between members."""
+"""Replication of the endpoint list between members: publisher and subscriber."""
 
 from random import Random
 
-from onyxhollow.fleet import telling
+from onyxhollow.fleet.list_messages import Heartbeat, ListUpdate, ResyncRequest
+from onyxhollow.fleet.list_publisher import Publisher
+from onyxhollow.fleet.list_subscriber import MAX_PUBLISHER_LAG, Subscriber
 
 
-def listener(now=0.0):
-    return telling.Listener("list", "s", 0.5, 2.0, Random(1), now)
+def make_publisher():
+    return Publisher("list", 3, "s")
 
 
-def row(name, health="active"):
+def make_subscriber():
+    return Subscriber("list", "s", 0.5, 2.0, Random(1))
+
+
+def record(name, health="active"):
     return {"host": name, "health": health}
 
 
-def test_who_hears_its_own_version_rests_and_asks_again_by_chance_when_the_teller_is_silent():
-    teller, one = telling.Teller("list", 3, "s", 0.5), listener()
-    (told,) = teller.told({"s1": row("s1")}, 7)
-    taken = one.rows(told, 0.0, -1)
-    assert taken.rows == [row("s1")] and taken.version == 7 and taken.whole
-    assert one.beat(teller.beat(), 0.1, 7, 4) is None and one.resting
-    (told,) = teller.told({"s1": row("s1", "leaving"), "s2": row("s2")}, 8)
-    assert told.base == 7 and one.rows(told, 0.2, 7).rows == [row("s1", "leaving"), row("s2")]
-    assert isinstance(one.rows(told, 0.2, 6), telling.Want)  # one that missed 7 wants it all
-    assert not one.tick(1.6) and not one.tick(1.71)
-    assert 1.7 < one.ask_at <= 3.75
-    assert one.tick(3.75) and not one.resting
-
-
-def test_a_teller_that_lost_the_list_is_outdated_behind_or_tells_rubbish_is_left():
-    for told in ("lost", "rubbish", "behind", "outdated"):
-        teller, one = telling.Teller("list", 3, "s", 0.5), listener()
-        teller.told({"s1": row("s1")}, 7)
-        one.beat(teller.beat(), 0.0, 7, 4)
-        if told == "lost":
-            teller.lost = True
-            one.beat(teller.beat(), 0.1, 7, 4)
-        elif told == "rubbish":
-            one.rows(telling.Rows("list", 3, "s", 8, 7, 0, 1, b"x"), 0.1, 7)
-        elif told == "behind":
-            one.beat(teller.beat(), 0.1, 8, 4)
-            one.beat(teller.beat(), 0.1 + telling.BEHIND + 0.1, 8, 4)
+def test_a_subscriber_suspends_polling_at_its_own_version_and_resumes_when_the_publisher_is_silent():
+    publisher, subscriber = make_publisher(), make_subscriber()
+    (update,) = publisher.update({"s1": record("s1")}, 7)
+    change = subscriber.on_update(update, 0.0, -1)
+    assert change.records == [record("s1")] and change.version == 7 and change.is_snapshot
+    assert subscriber.on_heartbeat(publisher.heartbeat(), 0.1, 7, 4) is None and subscriber.polling_suspended
+    (update,) = publisher.update({"s1": record("s1", "leaving"), "s2": record("s2")}, 8)
+    assert update.base == 7
+    assert subscriber.on_update(update, 0.2, 7).records == [record("s1", "leaving"), record("s2")]
+    # One that missed 7 needs a snapshot.
+    assert isinstance(subscriber.on_update(update, 0.2, 6), ResyncRequest)
+    assert not subscriber.tick(1.6) and not subscriber.tick(1.71)
+    assert 1.7 < subscriber.resume_at <= 3.75
+    assert subscriber.tick(3.75) and not subscriber.polling_suspended
+
+
+def test_a_publisher_that_is_disconnected_outdated_behind_or_malformed_is_rejected():
+    for fault in ("disconnected", "malformed", "behind", "outdated"):
+        publisher, subscriber = make_publisher(), make_subscriber()
+        publisher.update({"s1": record("s1")}, 7)
+        subscriber.on_heartbeat(publisher.heartbeat(), 0.0, 7, 4)
+        if fault == "disconnected":
+            publisher.disconnected = True
+            subscriber.on_heartbeat(publisher.heartbeat(), 0.1, 7, 4)
+        elif fault == "malformed":
+            subscriber.on_update(ListUpdate("list", 3, "s", 8, 7, 0, 1, b"x"), 0.1, 7)
+        elif fault == "behind":
+            subscriber.on_heartbeat(publisher.heartbeat(), 0.1, 8, 4)
+            subscriber.on_heartbeat(publisher.heartbeat(), 0.1 + MAX_PUBLISHER_LAG + 0.1, 8, 4)
         else:
-            one.beat(telling.Beat("list", 4, "s", 7, False), 0.1, 7, 4)
-            assert one.beat(teller.beat(), 0.2, 6, 4) is None  # a Want else
-            assert one.heard_at == 0.1
+            subscriber.on_heartbeat(Heartbeat("list", 4, "s", 7, False), 0.1, 7, 4)
+            # Under the newer term it would be a ResyncRequest.
+            assert subscriber.on_heartbeat(publisher.heartbeat(), 0.2, 6, 4) is None
+            assert subscriber.received_at == 0.1
             continue
-        assert one.ask_at <= 0.1 + telling.BEHIND + 0.1 + 2.0, told
-        assert one.tick(one.ask_at)
+        assert subscriber.resume_at <= 0.1 + MAX_PUBLISHER_LAG + 0.1 + 2.0, fault
+        assert subscriber.tick(subscriber.resume_at)
