--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -15,6 +15,7 @@
 
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
+from onyxhollow.fleet.drain_broadcast import DrainBroadcast
 from onyxhollow.fleet.list_messages import (
     MESSAGE_DECODER,
     Heartbeat,
@@ -27,7 +28,6 @@
     decode_records,
     draining_records,
     encode,
-    encode_records,
 )
 from onyxhollow.fleet.list_publisher import Publisher
 from onyxhollow.fleet.list_subscriber import ListChange, Subscriber
@@ -39,7 +39,6 @@
 LIST_PAYLOAD = 2  # kind of a membership payload, and of a broadcast
 MIN_SNAPSHOT_INTERVAL = 0.2  # seconds between two snapshots for one member
 RESUME_DELAY_SHARE = 0.25  # of the longest poll interval: the longest random wait before polling again
-DRAINS_PER_BROADCAST = 8
 MAX_LOGGED_HOSTS = 24
 
 # Counters, by their names in /control/fleet.
@@ -81,7 +80,7 @@
         self.last_progress_at = member.loop.now
         self.superseded = False
         self.snapshot_sent_at: dict[str, float] = {}  # by member name, seconds
-        self.broadcast_drains: set[tuple[str, Any]] = set()  # name and state of endpoints
+        self.drains = DrainBroadcast(role)
         self.is_applying = False  # a change received from the fleet is given to the watch
 
     @property
@@ -142,19 +141,8 @@
                 self._enqueue(receiver, update)
 
     def _broadcast_drains(self) -> None:
-        """Broadcast drains that this proxy was the first to see: all must know, whoever publishes to them."""
-        records = draining_records(self.watch.rows.values())
-        fresh = [
-            record
-            for record in records
-            if (record["host"], record.get("health")) not in self.broadcast_drains
-        ]
-        self.broadcast_drains = {(record["host"], record.get("health")) for record in records}
-        for start in range(0, len(fresh), DRAINS_PER_BROADCAST):
-            bodies = encode_records(fresh[start : start + DRAINS_PER_BROADCAST])
-            if len(bodies) == 1:
-                update = ListUpdate(self.role, 0, self.source, self.watch.version, 0, 0, 1, bodies[0])
-                self.member.membership.broadcast(LIST_PAYLOAD, encode(update))
+        for update in self.drains.updates(self.watch.rows.values(), self.source, self.watch.version):
+            self.member.membership.broadcast(LIST_PAYLOAD, encode(update))
 
     # Messages of other members.
 
--- a/onyxhollow/gossip/auditor.py
+++ b/onyxhollow/gossip/auditor.py
@@ -1,6 +1,6 @@
 """Audits: now and then a member polls an endpoint that it does not own, and compares the owner's report.
 
-An owner whose report is far off twice in a row is distrusted for that endpoint for a while. Once is not
+An owner whose report is far off twice in a row is quarantined for that endpoint for a while. Once is not
 enough: loads do jump between a report and a poll.
 """
 
@@ -80,13 +80,13 @@
         else:
             self.counters[REPORTS_FAR_OFF] += 1
             self.recheck_at.pop(owner, None)
-            self.table.distrust(owner, now)
+            self.table.quarantine(owner, now)
 
     def _random_audit(self, now: float) -> list[str]:
         members = 1 + len(self.ownership.members)
         span = self.config.audit_interval * members / max(1, len(self.ownership.endpoints))
         self.audit_at = now + span * self.rng.uniform(0.5, 1.5)
-        self.table.expire_distrust(now)
+        self.table.expire_quarantine(now)
         self.started = {name: at for name, at in self.started.items() if now - at < MAX_REPORT_AGE}
         self.recheck_at = {owner: at for owner, at in self.recheck_at.items() if now - at < MAX_REPORT_AGE}
         others = [endpoint for endpoint in self.table.evidence if endpoint not in self.ownership.owned]
--- a/onyxhollow/gossip/evidence_table.py
+++ b/onyxhollow/gossip/evidence_table.py
@@ -29,7 +29,7 @@
 MAX_CONNECTIONS = 10_000_000  # of all members at one endpoint; more is no count
 STALE_REPORTS = 4  # report intervals after which a report answers no health check
 STALE_LOAD_POLLS = 1.5  # poll intervals after which a load answers no health check
-DISTRUST_SPAN = 30.0  # seconds for which an owner found far off is ignored, for that endpoint
+QUARANTINE_SPAN = 30.0  # seconds for which an owner found far off is ignored, for that endpoint
 MIN_FAILING_MEMBERS = 2  # one member, or one link, is no evidence against an endpoint
 SCORE_PER_FAILING_MEMBER = 0.5  # outlier score
 MAX_SHARED_SCORE = 1.5  # outlier score: below what ejects an endpoint, which takes own failures too
@@ -83,7 +83,7 @@
         self.surge = surge
         self.counters = counters
         self.evidence: dict[str, EndpointEvidence] = {}
-        self.distrusted: dict[OwnedBy, float] = {}  # until when, seconds
+        self.quarantined: dict[OwnedBy, float] = {}  # until when, seconds
         self.estimates: list[EndpointEstimate] = []  # until the shell takes them
 
     def on_report(self, report: EndpointReport, now: float) -> None:
@@ -97,7 +97,7 @@
         if not _is_valid(report):
             self.counters[REPORTS_INVALID] += 1
             return
-        if self.distrusted.get((report.endpoint, report.owner), -math.inf) > now:
+        if self.quarantined.get((report.endpoint, report.owner), -math.inf) > now:
             return
         at = now - report.age / MILLISECONDS
         if self._is_newer(report, at, now):
@@ -127,14 +127,14 @@
             return None
         return LoadEstimate(known.report.load / LOAD_UNITS, age)
 
-    def distrust(self, owner: OwnedBy, now: float) -> None:
+    def quarantine(self, owner: OwnedBy, now: float) -> None:
         """Ignore an owner's reports on an endpoint for a while, the stored one included."""
-        self.distrusted[owner] = now + DISTRUST_SPAN
+        self.quarantined[owner] = now + QUARANTINE_SPAN
         del self.evidence[owner[0]]
 
-    def expire_distrust(self, now: float) -> None:
-        """Forget distrust that has ended."""
-        self.distrusted = {owner: until for owner, until in self.distrusted.items() if until > now}
+    def expire_quarantine(self, now: float) -> None:
+        """End quarantines that are over."""
+        self.quarantined = {owner: until for owner, until in self.quarantined.items() if until > now}
 
     def retain_listed(self) -> list[str]:
         """Forget endpoints that have left the list; return their names."""
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Sharing: what members tell one another of servers. Cores in made-up time; the module with what it hears."""
+"""Load gossip: the cores in simulated time, and the balancing decisions with what gossip estimates."""
 
 from dataclasses import replace
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """Cores that hear one another after a moment, unless cut; servers with a load that anyone may ask for."""
+    """Cores that receive one another's messages at once, unless cut; servers whose load any core may poll."""
 
     def __init__(self, count, servers, zones=("a",), seed=1):
         self.now, self.rng = 100.0, Random(seed)
@@ -37,9 +37,9 @@
         self.own = {n: {} for n in range(count)}
         self.estimates = {n: {} for n in range(count)}
         self.where = {name: zones[n % len(zones)] for n, name in enumerate(self.loads)}
-        self.meet()
+        self.connect()
 
-    def meet(self):
+    def connect(self):
         live = [core.local for core in self.cores.values()]
         for core in self.cores.values():
             core.set_members(live)
@@ -68,7 +68,7 @@
                     self.estimates[n][estimate.endpoint] = estimate
 
 
-def test_all_learn_each_servers_load_and_connections_in_sum_and_few_ask_for_them():
+def test_all_members_learn_each_servers_load_and_total_connections_and_few_poll_it():
     fleet = Fleet(12, 6)
     for n in range(12):
         fleet.own[n] = {"s1": 2, f"s{n % 6}": 1 + (n % 6 == 1) * 2}
@@ -85,10 +85,10 @@
     assert all(len(asking) <= 4 for asking in by.values())  # owner, deputy, an audit or two
     fleet.own[3] = {}
     fleet.play(3.0)
-    assert fleet.estimates[7]["s1"].connections == 24  # one whose connections have ended is counted out
+    assert fleet.estimates[7]["s1"].connections == 24  # connections that have ended do not count
 
 
-def test_bytes_of_a_member_stay_the_same_however_many_there_are():
+def test_bytes_sent_by_a_member_do_not_grow_with_the_fleet():
     rates = []
     for count in (10, 40):
         fleet = Fleet(count, 20)
@@ -99,11 +99,11 @@
     assert max(rates) < CONFIG.fanout / CONFIG.push_interval * 1000 and rates[1] < 1.5 * rates[0]
 
 
-def test_a_deputy_takes_over_from_a_owner_that_has_gone_silent_and_gives_back():
+def test_a_deputy_takes_over_from_a_silent_owner_and_gives_back():
     fleet = Fleet(6, 3)
     fleet.play(4.0)
     owner = fleet.cores[0].ownership.owners["s0"][0] - 1
-    gone = fleet.cores.pop(owner)  # the others have not noticed
+    gone = fleet.cores.pop(owner)  # membership has not detected it yet
     fleet.loads["s0"] = 0.7
     fleet.play(3 * CONFIG.report_interval + CONFIG.poll_interval + 3.0)
     other = next(iter(fleet.cores))
@@ -113,7 +113,7 @@
     assert fleet.cores[other].evidence["s0"].report.owner == owner + 1
 
 
-def test_failures_are_evidence_of_as_many_as_have_seen_them():
+def test_failures_count_by_the_number_of_members_that_have_seen_them():
     fleet = Fleet(6, 3)
     fleet.play(3.0)
     fleet.cores[1].record_failure("s2", fleet.now)
@@ -125,7 +125,7 @@
     assert fleet.estimates[4]["s2"].outlier_score == 1.5
     fleet.play(9.0)
     assert fleet.estimates[4]["s2"].outlier_score == 0.0
-    fleet.dead.add("s1")  # answers no question: owner and deputy both see for themselves
+    fleet.dead.add("s1")  # answers no poll: owner and deputy both see it
     fleet.play(2 * CONFIG.poll_interval + 3.0)
     assert (
         fleet.estimates[5]["s1"].outlier_score >= 1.0
@@ -133,7 +133,7 @@
     )
 
 
-def test_absurd_rows_those_of_strangers_and_unlikely_counts_are_dropped_or_cut():
+def test_invalid_reports_reports_of_non_owners_and_implausible_counts_are_dropped_or_cut():
     fleet = Fleet(8, 2)
     fleet.own = {n: {"s0": 3} for n in range(8)}
     fleet.play(4.0)
@@ -172,7 +172,7 @@
     assert fleet.estimates[2]["s0"].connections < 8 * 3 + 8 * 3 + 8
 
 
-def test_a_owner_that_lies_is_found_by_those_who_look_for_themselves():
+def test_an_owner_that_lies_is_found_by_audits():
     fleet = Fleet(6, 2)
     fleet.play(3.0)
     owner = fleet.cores[0].ownership.owners["s1"][0] - 1
@@ -189,24 +189,24 @@
     assert core.counters["rows far off what was seen"] == 1
 
 
-def test_zones_cut_from_one_another_go_on_each_with_its_own_and_find_together_again():
+def test_partitioned_zones_go_on_each_with_its_own_reports_and_merge_again():
     fleet = Fleet(8, 4, zones=("a", "b"))
     fleet.own = {n: {"s0": 1} for n in range(8)}
     fleet.play(5.0)
     assert {fleet.estimates[n]["s0"].connections for n in range(8)} == {8}
     fleet.cut = {(a, b) for a in range(8) for b in range(8) if a % 2 != b % 2}
-    for n, core in fleet.cores.items():  # as membership tells it, in the end
+    for n, core in fleet.cores.items():  # as membership reports it after a while
         core.set_members([c.local for m, c in fleet.cores.items() if m % 2 == n % 2])
     fleet.play(8.0)
     assert {fleet.estimates[n]["s0"].connections for n in (0, 2, 4, 6)} == {4}
     assert all(fleet.cores[n].load_estimate("s0", fleet.now) for n in range(8))
     fleet.cut = set()
-    fleet.meet()
+    fleet.connect()
     fleet.play(8.0)
     assert {fleet.estimates[n]["s0"].connections for n in range(8)} == {8}
 
 
-# the module
+# The balancing decisions.
 
 
 FEW = {"health_checks": True, "health_check_price": 0.001, "instance_count": 100, "zone": "a"}
@@ -218,7 +218,7 @@
     return [host.balancer.servers[name] for name in names]
 
 
-def test_with_few_own_connections_near_servers_come_first_while_they_are_not_much_fuller(start):
+def test_with_few_own_connections_near_servers_come_first_unless_they_are_much_fuller(start):
     host = start(seed=3, **FEW)
     servers = zoned(host, **{f"s{n}": "a" if n < 5 else "b" for n in range(20)})
     host.balancer.asking = lambda *_: False
@@ -229,16 +229,16 @@
         counts[sess.server.zone] += 1
         sess.dial_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["a"] >= 35
-    for server in servers:  # told for the fleet: the near ones hold far more
-        load, held = (0.6, 60) if server.zone == "a" else (0.2, 20)
-        report_shared(host.balancer, EndpointEstimate(server.name, load, 0.0, held, 0.0, 0.0))
+    for server in servers:  # by the estimates the near ones have far more
+        load, connections = (0.6, 60) if server.zone == "a" else (0.2, 20)
+        report_shared(host.balancer, EndpointEstimate(server.name, load, 0.0, connections, 0.0, 0.0))
     for _ in range(40):
         counts[(sess := host.take()).server.zone] += 1
         sess.dial_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["b"] >= 25
 
 
-def test_what_the_fleet_knows_stands_for_reports_and_without_it_own_eyes_come_back(start):
+def test_estimates_replace_load_reports_and_health_checks_return_without_them(start):
     host = start(**FEW)
     a, b = zoned(host, a="a", b="a")
     for name, load in (("a", 0.5), ("b", 0.1)):
@@ -255,7 +255,7 @@
     assert len(host.asked("check_health")) > before
 
 
-def test_evidence_of_others_turns_traffic_away_and_bars_nobody_by_itself(start):
+def test_failures_seen_by_others_divert_traffic_but_do_not_eject_by_themselves(start):
     host = start(**FEW)
     a, *_ = zoned(host, a="a", b="a", c="a")
     for _ in range(5):
@@ -265,10 +265,10 @@
     assert not host.balancer.well(a)
 
 
-def test_a_server_passed_over_by_chance_has_room_for_a_sites_health_and_a_full_one_has_not():
-    told = replace(PLAIN, **FEW)
+def test_a_server_skipped_at_random_has_room_for_a_sites_health_and_a_full_one_has_not():
+    settings = replace(PLAIN, **FEW)
     decisions = DecisionAdapter(
-        lambda: 100.0, told, 1, Counters(), lambda line: None, lambda name: None, lambda: None
+        lambda: 100.0, settings, 1, Counters(), lambda line: None, lambda name: None, lambda: None
     )
     entries = [Endpoint(name, EndpointState.IN_SERVICE, zone="a") for name in "xy"]
     decisions.report_list(EndpointListKind.SNAPSHOT, entries)
@@ -279,10 +279,10 @@
     assert decisions.room("a") == (2, 1)
 
 
-# in virtual time
+# In virtual time.
 
 
-def test_in_virtual_time_sharing_asks_less_and_a_cut_or_a_liar_breaks_no_rule():
+def test_in_virtual_time_gossip_polls_less_and_a_partition_or_a_liar_breaks_no_rule():
     day = scenario.read("many-20x50")
     day = msgspec.structs.replace(day, seconds=12.0)
     probes = []
@@ -295,11 +295,11 @@
         world = engine.run()
         assert world.referee.verdict()["clean"] and world.ledger.figures()["service"] > 0.9
         probes.append(world.ledger.counts["probes"])
-    assert probes[1] < 0.7 * probes[0], probes  # servers that are hot are asked each second all the same
+    assert probes[1] < 0.7 * probes[0], probes  # hot servers are polled each second all the same
 
 
-def test_in_a_rush_each_goes_by_its_own_eyes_and_by_what_is_told_again_after_it():
-    """150 of 300 killed: all chose by the same old rows, and the dead ones' counts were still among them."""
+def test_in_a_surge_each_member_uses_its_own_measurements_and_afterwards_the_reports_again():
+    """150 of 300 killed: all chose by the same old reports, which still counted the dead's connections."""
     fleet = Fleet(8, 4)
     for n in range(8):
         fleet.own[n] = {name: 3 for name in fleet.loads}
