--- a/onyxhollow/fleet/gossip_service.py
+++ b/onyxhollow/fleet/gossip_service.py
@@ -66,7 +66,7 @@
     def on_health_check_result(
         self, endpoint: str, outcome: AttemptOutcome, seconds: float, load: float | None
     ) -> None:
-        """Take the answer of an endpoint; one that answers without a load report tells gossip nothing."""
+        """Take the answer of an endpoint; an answer without a load report is no evidence."""
         self.member.proxy.probe_told(endpoint, outcome, seconds, load)
         now = clock.now()
         if outcome is AttemptOutcome.OK and load is None:
@@ -77,7 +77,7 @@
     # Calls of the fleet member.
 
     def on_members_changed(self) -> None:
-        """Take the live members anew with the next tick."""
+        """Replace the live members at the next tick."""
         self.members_changed = True
 
     def on_message(self, sender: Member, body: bytes, now: float) -> None:
--- a/onyxhollow/fleet/list_messages.py
+++ b/onyxhollow/fleet/list_messages.py
@@ -65,7 +65,7 @@
 
 
 class ListRecordsError(Exception):
-    """The bodies of an update are no records of a list; the text says why."""
+    """The bodies of an update are no records of a list; the text gives the reason."""
 
 
 def encode_records(records: list[Record]) -> list[bytes]:
--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -56,7 +56,7 @@
 
 
 class ListReplication:
-    """Publisher, while it holds the lease, and subscriber of one zone's endpoint list.
+    """Publisher, while this member has the lease, and subscriber of one zone's endpoint list.
 
     Attributes:
         last_progress_at: When the list service last answered, seconds on the loop's clock.
--- a/onyxhollow/fleet/paced_sender.py
+++ b/onyxhollow/fleet/paced_sender.py
@@ -11,7 +11,7 @@
 
 GROUP_INTERVAL = 0.02  # seconds from one group of datagrams to the next
 GROUP_SIZE = 24  # datagrams
-MAX_QUEUED = 16384  # datagrams; further ones are dropped, and their receivers ask for a snapshot
+MAX_QUEUED = 16384  # datagrams; further ones are dropped, and their receivers request a snapshot
 
 
 class PacedSender:
--- a/onyxhollow/gossip/endpoint_reporter.py
+++ b/onyxhollow/gossip/endpoint_reporter.py
@@ -12,7 +12,7 @@
 from onyxhollow.gossip.ownership import MAX_LOAD, OwnedEndpoint, Ownership
 
 CHANGED_SHARE = 0.15  # of the connections, ...
-CHANGED_CONNECTIONS = 2.0  # ... and so many more: a change beyond asks for another load report
+CHANGED_CONNECTIONS = 2.0  # ... and so many more: a change beyond calls for another load report
 HOT_LOAD = 550  # thousandths of capacity from which an endpoint is polled with each report
 SILENT_REPORTS = 3  # report intervals after which a deputy takes over from a silent owner
 MIN_POLL_SHARE = 0.9  # of the report interval between two polls
--- a/onyxhollow/gossip/evidence_table.py
+++ b/onyxhollow/gossip/evidence_table.py
@@ -173,7 +173,7 @@
             return True
         if known.report.owner != report.owner:
             return at > known.at + self.config.push_interval
-        # Past this age any number counts: for longer no forged one keeps genuine reports out.
+        # Past this age any number counts: no forged number blocks genuine reports for longer.
         recent = now - known.at < STALE_REPORTS * self.config.report_interval
         return report.sequence > known.report.sequence or not recent
 
--- a/onyxhollow/gossip/load_gossip.py
+++ b/onyxhollow/gossip/load_gossip.py
@@ -38,7 +38,7 @@
         self.rng = rng
         self.counters: Counter[str] = Counter()
         self.outbox: list[OutgoingMessage] = []
-        self.polls: list[str] = []  # endpoints whose load is to be asked for
+        self.polls: list[str] = []  # endpoints whose load report is wanted now
         self.failures = FailureLog()
         self.surge = SurgeDetector()
         self.next_due = now + rng.random() * config.push_interval
--- a/onyxhollow/gossip/ownership.py
+++ b/onyxhollow/gossip/ownership.py
@@ -92,7 +92,7 @@
         return True
 
     def rank_if_due(self, now: float) -> bool:
-        """Rank the members anew if they or the endpoints have changed; return whether it was done."""
+        """Rank the members again if they or the endpoints have changed; return whether it was done."""
         if not self.is_stale or now < self.rank_at:
             return False
         self.is_stale = False
--- a/onyxhollow/membership/datagram_authenticator.py
+++ b/onyxhollow/membership/datagram_authenticator.py
@@ -32,7 +32,7 @@
 
 
 class KeyFileError(Exception):
-    """A key file cannot be used; the text says which, what was expected and what was found."""
+    """A key file cannot be used; the text names it, what was expected and what was found."""
 
 
 class DropReason(Enum):
--- a/onyxhollow/membership/failure_detector.py
+++ b/onyxhollow/membership/failure_detector.py
@@ -34,7 +34,7 @@
     indirect_at: float  # when indirect probes are sent, seconds
     ends_at: float  # seconds
     answered: bool = False
-    void: bool = False  # this process stalled meanwhile: no answer says nothing of the other
+    void: bool = False  # this process stalled meanwhile: a missing answer is no evidence
     indirect_sent: bool = False
     relays: int = 0
     nacks: int = 0
@@ -128,7 +128,7 @@
         return times
 
     def on_ack(self, ack: Ack, sender: Member, now: float) -> None:
-        """Take the answer to this member's probe, or pass one on to the member that asked for it."""
+        """Take the answer to this member's probe, or pass one on to the member that requested it."""
         probe = self.probe
         if probe and probe.nonce == ack.nonce:
             if not probe.answered and not probe.void:
--- a/onyxhollow/membership/flap_damping.py
+++ b/onyxhollow/membership/flap_damping.py
@@ -9,7 +9,7 @@
 PENALTY_HALF_LIFE = 60.0  # seconds
 MAX_PENALTY = 6.0
 SUPPRESS_THRESHOLD = 2.5  # penalty from which a name is damped
-REUSE_THRESHOLD = 1.0  # penalty down to which it stays damped
+REUSE_THRESHOLD = 1.0  # penalty at which a damped name is free again
 MAX_NAMES = 4096  # with a penalty; past them the one that failed longest ago is forgotten
 
 
--- a/onyxhollow/membership/link_statistics.py
+++ b/onyxhollow/membership/link_statistics.py
@@ -1,6 +1,6 @@
 """Statistics of the links to other members: when they were last received from, loss and round trip time.
 
-Only direct answers count: an indirect probe says nothing of the link itself.
+Only direct answers count: an indirect probe does not use the link.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         )
 
     def probe_finished(self, key: MemberKey, answered_directly: bool) -> None:
-        """Record the outcome of a probe. A link that was pruned meanwhile stays forgotten."""
+        """Record the outcome of a probe. A link that was pruned meanwhile is not created again."""
         link = self.links.get(key)
         if link is None:
             return
--- a/onyxhollow/membership/member_table.py
+++ b/onyxhollow/membership/member_table.py
@@ -85,7 +85,7 @@
 
 
 class MemberTable:
-    """The other members, and this member's own row."""
+    """The other members, and this member's own state."""
 
     def __init__(self, local: MemberUpdate) -> None:
         self.local = local
--- a/onyxhollow/membership/swim.py
+++ b/onyxhollow/membership/swim.py
@@ -107,7 +107,7 @@
 
     @property
     def local(self) -> MemberUpdate:
-        """This member's own row."""
+        """This member's own state, as others are sent it."""
         return self.table.local
 
     @property
@@ -249,7 +249,7 @@
             self._outbox.reply(OutgoingDatagram(source, packet.epoch, request), now)
             return
         if not sender.is_live:
-            if sender.state is MemberState.DEAD:  # told so, it refutes that
+            if sender.state is MemberState.DEAD:  # informed of it, it refutes that
                 row = [encode(sender.update())]
                 self._outbox.reply(OutgoingDatagram(source, packet.epoch, row), now)
             return
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -116,9 +116,9 @@
     rig = rig_of(members=5, duties=[LIST], **values)
     rig.start()
     rig.wait_members()
-    teller = rig.wait_holder("list/a")
-    rig.wait(lambda: sum(rig.ask_rests()) == 4, 15, "all but one are told the list")
-    return rig, teller
+    publisher = rig.wait_holder("list/a")
+    rig.wait(lambda: sum(rig.ask_rests()) == 4, 15, "all but one suspend polling")
+    return rig, publisher
 
 
 def drained(rig, host):
@@ -135,22 +135,22 @@
     return {process.title for process in rig.now_by.values() if process.alive and not process.stopped}
 
 
-def test_one_tells_the_list_and_the_others_ask_again_when_it_is_silent_cut_off_or_behind(rig_of):
-    rig, teller = listing(rig_of)
+def test_one_publishes_the_list_and_the_others_poll_again_when_it_is_silent_cut_off_or_behind(rig_of):
+    rig, publisher = listing(rig_of)
     before = len(rig.list.calls)
     rig.list.change("s1", health="leaving")
     rig.wait(lambda: drained(rig, "s1") == up(rig), 6, "the drain is known to all")
-    assert {member for _, member in rig.list.calls[before:]} <= {teller}
-    rig.stop(teller)  # silent; the others ask for themselves until another tells
+    assert {member for _, member in rig.list.calls[before:]} <= {publisher}
+    rig.stop(publisher)  # silent; the others poll for themselves until another publishes
     rig.list.change("s2", health="leaving")
     rig.wait(lambda: drained(rig, "s2") >= up(rig), 8.0, "a drain is known within the time the rule leaves")
-    second = rig.wait_holder("list/a", other_than=teller)
-    rig.go_on(teller)
-    rig.wait(lambda: sum(rig.ask_rests()) == 4, 15, "told again")
-    rig.cut([second], ["list"])  # it holds the duty and can't do it
+    second = rig.wait_holder("list/a", other_than=publisher)
+    rig.go_on(publisher)
+    rig.wait(lambda: sum(rig.ask_rests()) == 4, 15, "published again")
+    rig.cut([second], ["list"])  # it has the lease and can't follow the list
     rig.list.change("s3", health="leaving")
-    # Where its watch stood already it is found silent 3.5 s past its wait of 4 s; the others then ask spread
-    # over a quarter of the 8 s in which they are to ask.
+    # Where its watch stood already it is found silent 3.5 s past its wait of 4 s; the others then poll spread
+    # over a quarter of the 8 s of the longest poll interval.
     within = 4.0 + 3.5 + 8.0 / 4 + 2.0
     rig.wait(
         lambda: drained(rig, "s3") >= up(rig) - {rig.now_by[second].title}, within, "a drain is known to all"
@@ -160,20 +160,20 @@
     clean(rig)
 
 
-def test_a_drain_that_one_hears_of_by_itself_counts_for_all_at_once(rig_of):
-    rig, teller = listing(rig_of, ask_within=30.0)
-    other = next(name for name in rig.names if name != teller)
+def test_a_drain_that_one_member_sees_by_itself_counts_for_all_at_once(rig_of):
+    rig, publisher = listing(rig_of, ask_within=30.0)
+    other = next(name for name in rig.names if name != publisher)
     title = rig.now_by[other].title
-    audits = len(rig.said(title, "list polling resumed"))  # now and then one asks all the same
-    rig.cut([teller], ["list"])
-    rig.cut([other], [teller], both=True)  # it hears no teller and asks for itself
-    rig.wait(lambda: len(rig.said(title, "list polling resumed")) > audits, 15, "one asks for itself")
+    audits = len(rig.said(title, "list polling resumed"))  # audits
+    rig.cut([publisher], ["list"])
+    rig.cut([other], [publisher], both=True)  # it receives no heartbeat and polls for itself
+    rig.wait(lambda: len(rig.said(title, "list polling resumed")) > audits, 15, "one polls for itself")
     calls = rig.list.by_member()[other]
     rig.wait(
         lambda: rig.list.by_member()[other] > calls or other in rig.list.waiting_members(), 5, "it watches"
     )
     rig.list.change("s4", health="leaving")
-    rig.wait(lambda: drained(rig, "s4") >= up(rig) - {rig.now_by[teller].title}, 12, "all have heard of it")
+    rig.wait(lambda: drained(rig, "s4") >= up(rig) - {rig.now_by[publisher].title}, 12, "all know of it")
     clean(rig)
 
 
@@ -181,16 +181,16 @@
     return all(client.echoes > count + 3 for client, count in zip(clients, before, strict=True))
 
 
-def test_after_a_reload_that_names_another_list_service_each_asks_that_one_at_once(rig_of):
-    rig, teller = listing(rig_of, ask_within=60.0)
+def test_after_a_reload_that_names_another_list_service_each_polls_that_one_at_once(rig_of):
+    rig, publisher = listing(rig_of, ask_within=60.0)
     second = ListService(rig.loop, rig.links, [server_row(9, ("a",))])
-    names = [name for name in rig.names if name != teller]
+    names = [name for name in rig.names if name != publisher]
     for name in names:
         path = rig.folder / f"{name}.1.json"
         told = orjson.loads(path.read_bytes()) | {"discovery": text(second.desk(name).address)}
         path.write_bytes(orjson.dumps(told))
         rig.now_by[name].tell(signal.SIGHUP)
-    rig.wait(lambda: set(second.by_member()) == set(names), 8, "the other service is asked")
+    rig.wait(lambda: set(second.by_member()) == set(names), 8, "the other service is polled")
     rig.wait(
         lambda: all(
             "s9 in service" in line.told["rows"]
