--- a/onyxhollow/fleet/context.py
+++ b/onyxhollow/fleet/context.py
@@ -15,7 +15,8 @@
 from onyxhollow.leases.messages import VoterSet
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.loop import Loop, Task
-from onyxhollow.membership.swim import Member, SwimMembership
+from onyxhollow.membership.member_table import Member
+from onyxhollow.membership.swim import SwimMembership
 
 
 class MemberContext(Protocol):
--- a/onyxhollow/fleet/datagram_transport.py
+++ b/onyxhollow/fleet/datagram_transport.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable, Iterator
 
 from onyxhollow.fleet import clock
-from onyxhollow.membership.messages import LARGEST, Address, Packet
-from onyxhollow.membership.seal import DatagramAuthenticator
-from onyxhollow.membership.swim import Out
+from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator
+from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES, Address, Packet
+from onyxhollow.membership.outbox import OutgoingDatagram
 from onyxhollow.wire.channel import ListenError
 
 RECEIVE_BUFFER = 1 << 20  # bytes
@@ -58,18 +58,18 @@
         """The packets that wait and are authentic, with their sources: a bounded number."""
         for _ in range(MAX_RECEIVES):
             try:
-                datagram, source = self._socket.recvfrom(LARGEST + 1)
+                datagram, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
             except OSError:
                 continue  # a refusal of something sent before
             self.counts["datagrams in"] += 1
             self.counts["bytes in"] += len(datagram)
-            packet = self.authenticator.open(datagram)
+            packet = self.authenticator.verify(datagram)
             if packet:
                 yield packet, (source[0], source[1])
 
-    def send_all(self, outbox: Iterable[Out]) -> None:
+    def send_all(self, outbox: Iterable[OutgoingDatagram]) -> None:
         """Sends as many as the rate allows; the others are dropped and counted."""
         now = clock.now()
         self._tokens = min(SEND_BURST, self._tokens + (now - self._refilled_at) * SEND_RATE)
@@ -85,9 +85,9 @@
         """Closes the socket."""
         self._socket.close()
 
-    def _send(self, out: Out) -> None:
-        datagram = self.authenticator.close(out.parts, out.to)
-        if len(datagram) > LARGEST:  # it would be dropped there, and nobody here would know
+    def _send(self, out: OutgoingDatagram) -> None:
+        datagram = self.authenticator.sign(out.messages, out.receiver_epoch)
+        if len(datagram) > MAX_DATAGRAM_BYTES:  # it would be dropped there, and nobody here would know
             self.counts["not sent: larger than a datagram"] += 1
             return
         self.counts["datagrams out"] += 1
--- a/onyxhollow/fleet/identity.py
+++ b/onyxhollow/fleet/identity.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxhollow.membership.swim import Member
+from onyxhollow.membership.member_table import Member
 
 SEPARATOR = "~"  # between the name and the epoch of a process id
 
