--- a/onyxhollow/benchlink/link.py
+++ b/onyxhollow/benchlink/link.py
@@ -115,7 +115,7 @@
             raise WireError(f"form: impossible value {form!r}")
         if entries is not None and not isinstance(entries, list):
             raise WireError(f"membersList: impossible value {entries!r}")
-        self.balancer.server_list(LISTS[form], [read_entry(row) for row in entries or []])
+        self.balancer.on_endpoint_list(LISTS[form], [read_entry(row) for row in entries or []])
 
     def report(self, stats: Any) -> float | None:
         """The load over capacity in a load report, by the field name the settings give; None if not there."""
@@ -138,7 +138,7 @@
         token, band, tenant, left, load, group = self.describe(values)
         listener = self.settings.listeners[band]
         who = self.settings.tenants.get(tenant)
-        sess = self.balancer.take(token, listener, who, group, left, load)
+        sess = self.balancer.admit(token, listener, who, group, left, load)
         if not sess.answered:
             self.sessions[token] = sess
 
@@ -152,14 +152,14 @@
 
     def begun(self, corr: Any, _no: Any, _server: Any, took: Any, *_: Any) -> None:
         if sess := self.sessions.get(whole(corr, "corr")):
-            sess.accepted(whole(took, "tookNs") / 1e9)
+            sess.on_established(whole(took, "tookNs") / 1e9)
 
     def change(self, corr: Any, _no: Any, _server: Any, what: Any, value: Any, *_: Any) -> None:
         if sess := self.sessions.get(whole(corr, "corr")):
             if what == NOTE_LOAD:
-                sess.load_news(figure(value, "value") / 1e6)
+                sess.on_load(figure(value, "value") / 1e6)
             elif what == NOTE_DELAY:
-                sess.delay_news(figure(value, "value") / 1e3)
+                sess.on_message_delay(figure(value, "value") / 1e3)
 
     def answer(self, corr: Any, took: Any, how: Any, complete: Any, *rest: Any) -> None:
         corr = whole(corr, "corr")
@@ -172,15 +172,15 @@
             del self.sessions[corr]
         end = ENDS.get(whole(how, "how"), AttemptOutcome.UNKNOWN)
         load = self.report(rest[2] if len(rest) > 2 else None)
-        if end is AttemptOutcome.CANCELLED and sess.standing:
-            sess.client_gone()  # this wire does not say whether its server sent it away or the client left
-        sess.dial_ended(end, complete, whole(took, "tookNs") / 1e9, load)
+        if end is AttemptOutcome.CANCELLED and sess.established:
+            sess.on_client_gone()  # this wire does not say whether its server sent it away or the client left
+        sess.on_attempt_ended(end, complete, whole(took, "tookNs") / 1e9, load)
 
     def cancelledByClient(self, corr: Any, *_: Any) -> None:  # noqa: N802 - the wire's own word
         if sess := self.sessions.get(whole(corr, "corr")):
-            if not sess.dialling:
+            if not sess.attempt_in_flight:
                 del self.sessions[corr]
-            sess.client_gone()
+            sess.on_client_gone()
 
     def elapsed(self, *_: Any) -> None:
         self.balancer.tick()
@@ -188,7 +188,7 @@
     def probed(self, server: Any, how: Any, took: Any, stats: Any = None, *_: Any) -> None:
         end = ENDS.get(whole(how, "how"), AttemptOutcome.UNKNOWN)
         took = whole(took or 0, "tookNs") / 1e9
-        self.balancer.probed(word(server, "server"), end, took, self.report(stats))
+        self.balancer.on_health_check(word(server, "server"), end, took, self.report(stats))
 
     def neighbourSays(self, *_: Any) -> None:  # noqa: N802 - the wire's own word
         """Peers' messages: nothing here is decided by them."""
--- a/onyxhollow/decision_adapter.py
+++ b/onyxhollow/decision_adapter.py
@@ -21,10 +21,11 @@
     Settings,
     Tenant,
 )
-from onyxhollow.policy import FULL_LOAD, SHED_LOAD, Balancer, Session
+from onyxhollow.policy import Balancer, Session
+from onyxhollow.policy.load_reports import FULL_LOAD, SHED_LOAD
 from onyxhollow.state_snapshot import avoided, describe, take_back
 
-WELL = (
+NOT_FAILURES = (
     AttemptOutcome.OK,
     AttemptOutcome.CANCELLED,
     AttemptOutcome.NOT_SENT,
@@ -97,28 +98,28 @@
         self.dialling = self.call_back = False
         self.answered = self.answered or final
         if self.sess:
-            if end not in WELL and not final and self.sess.server:
-                self.decisions.dial_failed(self.sess.server.name)
-            self.sess.dial_ended(end, final, took, load)
+            if end not in NOT_FAILURES and not final and self.sess.endpoint:
+                self.decisions.dial_failed(self.sess.endpoint.name)
+            self.sess.on_attempt_ended(end, final, took, load)
 
     def report_accepted(self, took: float) -> None:
         self.answered = True
         if self.sess:
-            self.sess.accepted(took)
+            self.sess.on_established(took)
 
     def report_load(self, load: float) -> None:
         if self.sess:
-            self.sess.load_news(load)
+            self.sess.on_load(load)
 
     def report_delay(self, delay: float) -> None:
         if self.sess:
-            self.sess.delay_news(delay)
+            self.sess.on_message_delay(delay)
 
     def report_gone(self) -> None:
         """The client has left; a dial still out is called back where that is allowed."""
         self.answered = True
         if self.sess:
-            self.sess.client_gone()
+            self.sess.on_client_gone()
 
     def forget(self) -> None:
         """However its connection ended: the module must not count it among the open ones for ever."""
@@ -133,9 +134,9 @@
 
         end: how the dial that was out has ended; None if it waits for one."""
         if self.sess is not None:
-            self.sess.give_up = -math.inf
+            self.sess.deadline = -math.inf
             if end is None:
-                self.sess.balancer.dial(self.sess)
+                self.sess.balancer.attempt(self.sess)
             else:
                 self.report(end, took, load=load)
         chosen, self.chosen, self.answered = self.chosen, None, True
@@ -148,10 +149,10 @@
     load = news.load
     if load is not None and load >= SHED_LOAD and balancer.rng.random() * load >= load - FULL_LOAD:
         load = SHED_LOAD - 0.01  # all are told at once: as many as are too much move theirs, the others wait
-    balancer.probed(news.server, AttemptOutcome.OK, 0.0, load, news.age, news.held)
-    server = balancer.servers.get(news.server)
-    if server and (more := news.doubt - server.score(balancer.host.now)) > 0.0:
-        balancer.blame(server, more)
+    balancer.on_health_check(news.server, AttemptOutcome.OK, 0.0, load, news.age, news.held)
+    server = balancer.tracked.get(news.server)
+    if server and (more := news.doubt - server.outlier_score(balancer.host.now)) > 0.0:
+        balancer.record_failure(server, more)
 
 
 class DecisionAdapter:
@@ -188,7 +189,7 @@
         load: float | None,
     ) -> SessionHandle:
         handle = SessionHandle(self, wake)
-        handle.sess = self.balancer.take(handle, listener, tenant, group, left, load)
+        handle.sess = self.balancer.admit(handle, listener, tenant, group, left, load)
         return handle
 
     def adopt(
@@ -205,17 +206,17 @@
         handle = SessionHandle(self, wake)
         handle.sess = self.balancer.adopt(handle, listener, tenant, group, load, server)
         if handle.sess and placed:
-            handle.sess.placed = True
-            if handle.sess.server:  # the load that its server has told of holds this one already
-                handle.sess.server.load_count += 1
+            handle.sess.placed_here = True
+            if handle.sess.endpoint:  # the load that its server has told of holds this one already
+                handle.sess.endpoint.connections_at_report += 1
         handle.dialling = handle.answered = True
         return handle
 
     def all_adopted(self) -> None:
         """Servers that drain were told of before their connections came."""
-        for server in self.balancer.servers.values():
-            if server.readiness is EndpointState.DRAINING and not server.leaving:
-                self.balancer.hand_off(server, "drain", told=True)
+        for server in self.balancer.tracked.values():
+            if server.state is EndpointState.DRAINING and not server.migration:
+                self.balancer.start_migration(server, "drain", forced=True)
 
     def describe(self) -> tuple[dict[str, Any], list[dict[str, Any]]]:
         """What the module knows, as plain values for a successor."""
@@ -225,28 +226,32 @@
         return take_back(self.balancer, common, records)
 
     def report_list(self, kind: EndpointListKind, entries: Iterable[Endpoint] = ()) -> None:
-        self.balancer.server_list(kind, entries)
+        self.balancer.on_endpoint_list(kind, entries)
 
     def report_probe(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
-        self.balancer.probed(server, end, took, load)
+        self.balancer.on_health_check(server, end, took, load)
 
     def report_shared(self, news: Shared) -> None:
         report_shared(self.balancer, news)
 
     def own(self) -> dict[str, int]:
         """Open connections and dials out, by server."""
-        return {s.name: len(s.connections) for s in self.balancer.servers.values() if s.connections}
+        return {s.name: len(s.connections) for s in self.balancer.tracked.values() if s.connections}
 
     def room(self, zone: str) -> tuple[int, int]:
         """Servers in service, and those that take something new; of a zone if it has any. What this balancer
         passes over for a moment by chance, as it does with few connections, has room all the same."""
         balancer, now = self.balancer, self.clock()
-        servers = [s for s in balancer.fleet if s.zone == zone] or balancer.fleet
-        room = [s for s in servers if balancer.load_of(s) < FULL_LOAD and s.score(now) <= balancer.bar]
+        servers = [s for s in balancer.endpoints if s.zone == zone] or balancer.endpoints
+        room = [
+            s
+            for s in servers
+            if balancer.load_of(s) < FULL_LOAD and s.outlier_score(now) <= balancer.ejection_threshold
+        ]
         return len(servers), len(room)
 
-    def resettle(self, settings: Settings) -> None:
-        self.balancer.resettle(settings)
+    def reconfigure(self, settings: Settings) -> None:
+        self.balancer.reconfigure(settings)
 
     def avoided(self) -> tuple[int, int]:
         return avoided(self.balancer)
--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -54,7 +54,7 @@
 from onyxhollow.loop import Task
 from onyxhollow.management.api import PLAIN, Answer
 from onyxhollow.membership.swim import Member
-from onyxhollow.policy import Pace
+from onyxhollow.policy.migration import StagedMigration
 from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.discovery import Call, ListError, StatusError
@@ -302,7 +302,7 @@
         self.local: list[Message] = []
         self.due = self.move_at = clock.now()
         self.leaving: dict[str, float] = {}  # addresses that an order has withdrawn here, and until when
-        self.pace: Pace | None = None
+        self.pace: StagedMigration | None = None
         self.number = 0
         self.seen: list[Seen] = []
         if self.site:
@@ -708,7 +708,7 @@
             if sess.open and not sess.stopping and sess.opening is not None and sess.opening.listener in go
         ]
         if self.pace is None:
-            self.pace = Pace(len(live))
+            self.pace = StagedMigration(len(live))
             self.node.log_event("address leaves", names=sorted(self.leaving), connections=len(live))
         moved = live[: self.pace.allowance(None, None)]
         for sess in moved:
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -757,15 +757,15 @@
             {
                 "name": s.name,
                 "zone": s.zone,
-                "state": s.readiness.value,
+                "state": s.state.value,
                 "own": len(s.connections),
                 "size": s.size,
-                "load": round(s.load, 3) if at - s.load_at < 60 else None,
-                "load_age": round(at - s.load_at, 1) if at - s.load_at < 60 else None,
-                "distrust": round(s.score(at), 2),
+                "load": round(s.load, 3) if at - s.load_reported_at < 60 else None,
+                "load_age": round(at - s.load_reported_at, 1) if at - s.load_reported_at < 60 else None,
+                "distrust": round(s.outlier_score(at), 2),
                 "arrives": s.arrival is not None,
             }
-            for s in sorted(balancer.servers.values(), key=lambda s: s.name)
+            for s in sorted(balancer.tracked.values(), key=lambda s: s.name)
         ]
 
     def tell_history(self, query: str) -> Answer:
--- a/onyxhollow/fleet/shares.py
+++ b/onyxhollow/fleet/shares.py
@@ -46,7 +46,7 @@
     def answer(self, server: str, load: float, age: float) -> Any:
         """In a turn of its own: the module is in the middle of asking."""
         yield self.node.loop.now
-        self.decisions.balancer.probed(server, AttemptOutcome.OK, 0.0, load, age)
+        self.decisions.balancer.on_health_check(server, AttemptOutcome.OK, 0.0, load, age)
 
     def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.node.proxy.probe_told(server, end, took, load)
@@ -80,7 +80,7 @@
             self.changed = False
             self.there = {member.epoch: member for member in self.node.membership.live_members()}
             core.meet([(member.epoch, member.name, member.zone) for member in self.there.values()])
-        core.listed({server.name: server.zone for server in self.decisions.balancer.fleet})
+        core.listed({server.name: server.zone for server in self.decisions.balancer.endpoints})
         core.tick(self.decisions.own(), now)
         asks, core.ask = core.ask, []
         if self.node.proxy.config.settings.health_checks:
--- a/onyxhollow/lab/baselines.py
+++ b/onyxhollow/lab/baselines.py
@@ -1,7 +1,7 @@
 """Policies to compare with, behind the module's own door. They keep the four rules and are else plain.
 
 Drains: connections placed are moved evenly over a few seconds. Cold servers: each balancer keeps its
-share of the budget, by the module's own ColdBudget. TrueState sees the true state of all servers; no real
+share of the budget, by the module's own SlowStartBudget. TrueState sees the true state of all servers; no real
 policy can."""
 
 from __future__ import annotations
@@ -23,7 +23,9 @@
     Settings,
     Tenant,
 )
-from onyxhollow.policy import TICK, ColdBudget, draw
+from onyxhollow.policy.estimators import stable_uniform
+from onyxhollow.policy.slow_start import SlowStartBudget
+from onyxhollow.policy.state import TICK
 
 if TYPE_CHECKING:
     from onyxhollow.lab.world import servers
@@ -47,7 +49,7 @@
         self.learn(entry)
 
     def learn(self, entry: Endpoint) -> None:
-        self.readiness, self.size, self.started = entry.state, entry.weight, entry.started_at
+        self.state, self.size, self.started_at = entry.state, entry.weight, entry.started_at
         self.zone, self.cell = entry.zone, entry.cell
 
 
@@ -61,39 +63,39 @@
             token: Hashable,
             listener: Listener,
             tenant: Tenant | None,
-            give_up: float,
+            deadline: float,
         ) -> None:
             self.balancer, self.token, self.listener, self.tenant = balancer, token, listener, tenant
-            self.give_up = give_up
-            self.tried: list[Known] = []
-            self.dialling = self.standing = self.answered = False
+            self.deadline = deadline
+            self.attempted: list[Known] = []
+            self.attempt_in_flight = self.established = self.answered = False
             self.ran_at: Known | None = None
             self.ran_since = 0.0
             self.server: Known | None = None
 
-        def accepted(self, took: float) -> None:
-            self.standing = self.answered = True
+        def on_established(self, took: float) -> None:
+            self.established = self.answered = True
 
-        def load_news(self, load: float) -> None: ...
+        def on_load(self, load: float) -> None: ...
 
-        def delay_news(self, delay: float) -> None: ...
+        def on_message_delay(self, delay: float) -> None: ...
 
-        def client_gone(self) -> None:
+        def on_client_gone(self) -> None:
             self.answered = True
 
-        def dial_ended(
+        def on_attempt_ended(
             self, end: AttemptOutcome, final: bool, took: float, load: float | None = None
         ) -> None:
-            if not self.dialling or self.server is None:
+            if not self.attempt_in_flight or self.server is None:
                 return
-            self.dialling, stood, self.standing = False, self.standing, False
+            self.attempt_in_flight, stood, self.established = False, self.established, False
             self.server.open.pop(self, None)
             if not end.never_ran and not stood and self.ran_at is None:
                 self.ran_at = self.server
             if final or stood:
                 self.answered = True
             elif not self.answered:
-                self.balancer.dial(self)
+                self.balancer.attempt(self)
 
     def __init__(self, host: Host, settings: Settings, seed: int, world: World) -> None:
         self.host, self.settings, self.rng, self.world = host, settings, Random(seed), world
@@ -102,13 +104,13 @@
         self.waiting: list[Plain.Session] = []
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.counter, self.look_at = 0, 0.0
-        self.budget = ColdBudget(host.now)
-        self.budget.settle(settings)
+        self.budget = SlowStartBudget(host.now)
+        self.budget.apply_settings(settings)
         host.set_timer(host.now + TICK)
 
     # the module's door
 
-    def server_list(self, kind: EndpointListKind, entries: Iterable[Endpoint]) -> None:
+    def on_endpoint_list(self, kind: EndpointListKind, entries: Iterable[Endpoint]) -> None:
         if kind is EndpointListKind.FAILED:
             self.lost, self.ask_at = True, self.host.now + ASK_EVERY * (0.5 + self.rng.random())
             return
@@ -118,17 +120,18 @@
         for entry in entries:
             absent.discard(entry.name)
             known = self.servers.get(entry.name)
-            news = known is None or known.readiness is EndpointState.IN_SERVICE
+            news = known is None or known.state is EndpointState.IN_SERVICE
             known = known or self.servers.setdefault(entry.name, Known(entry))
-            if entry.started_at != known.started:
-                self.budget.tokens[known] = (draw(known.name, self.settings.instance_index), self.host.now)  # type: ignore[index]
+            if entry.started_at != known.started_at:
+                phase = stable_uniform(known.name, self.settings.instance_index)
+                self.budget.tokens[known] = (phase, self.host.now)  # type: ignore[index]
             known.learn(entry)
             if entry.state is EndpointState.DRAINING and news:
                 self.drain(known)
         for name in sorted(absent):
-            self.servers[name].readiness = EndpointState.REMOVED
+            self.servers[name].state = EndpointState.REMOVED
 
-    def take(
+    def admit(
         self,
         token: Hashable,
         listener: Listener,
@@ -139,7 +142,7 @@
     ) -> Plain.Session:
         sess = Plain.Session(self, token, listener, tenant, self.host.now + time_left)
         self.budget.arrived(self.host.now)
-        self.dial(sess)
+        self.attempt(sess)
         return sess
 
     def adopt(
@@ -154,11 +157,11 @@
         if (server := self.servers.get(name)) is None:
             return None
         sess = Plain.Session(self, token, listener, tenant, float("inf"))
-        sess.server, sess.dialling, sess.standing, sess.answered = server, True, True, True
+        sess.server, sess.attempt_in_flight, sess.established, sess.answered = server, True, True, True
         server.open[sess] = None
         return sess
 
-    def probed(self, name: str, end: AttemptOutcome, took: float, load: float | None) -> None: ...
+    def on_health_check(self, name: str, end: AttemptOutcome, took: float, load: float | None) -> None: ...
 
     def tick(self) -> None:
         now = self.host.now
@@ -171,28 +174,28 @@
             self.look_at = now + HOLD
             waiting, self.waiting = self.waiting, []
             for sess in waiting:
-                self.dial(sess)
+                self.attempt(sess)
         self.host.set_timer(now + TICK)
 
     # within
 
     def drain(self, server: Known) -> None:
-        moving = [sess for sess in server.open if sess.standing]
+        moving = [sess for sess in server.open if sess.established]
         for place, sess in enumerate(moving):
             self.counter += 1
             when = self.host.now + DRAIN_OVER * (place + 1) / len(moving)
             heapq.heappush(self.due, (when, self.counter, lambda sess=sess: self.move(sess)))  # type: ignore[misc]
 
     def move(self, sess: Plain.Session) -> None:
-        if sess.standing and sess.server is not None:
-            sess.standing = False
+        if sess.established and sess.server is not None:
+            sess.established = False
             sess.server.open.pop(sess, None)
             self.host.migrate(sess.token)
 
     def allowed(self, sess: Plain.Session, server: Known) -> bool:
         """Rules 2 and 3, and the cold budget."""
         now, listener, first = self.host.now, sess.listener, sess.ran_at
-        if server.readiness is not EndpointState.IN_SERVICE:
+        if server.state is not EndpointState.IN_SERVICE:
             return False
         if first is not None and listener.idempotency is not Idempotency.IDEMPOTENT:
             if (
@@ -207,23 +210,23 @@
             }
             if not same[listener.deduplication_scope]:
                 return False
-        return self.budget.grow(server, self.fill(), now) >= 1.0  # type: ignore[arg-type]
+        return self.budget.refill(server, self.fill(), now) >= 1.0  # type: ignore[arg-type]
 
     def fill(self) -> float:
         """Own connections that fill a warm server, per size; taken to be what it has now."""
-        warm = [s for s in self.servers.values() if not self.budget.cold(s, self.host.now)]  # type: ignore[arg-type]
+        warm = [s for s in self.servers.values() if not self.budget.warming_up(s, self.host.now)]  # type: ignore[arg-type]
         size = sum(s.size for s in warm)
         return max(0.5, sum(len(s.open) for s in warm)) / size if size else 1.0
 
-    def dial(self, sess: Plain.Session) -> None:
-        if sess.answered or sess.dialling:
+    def attempt(self, sess: Plain.Session) -> None:
+        if sess.answered or sess.attempt_in_flight:
             return
-        now, left = self.host.now, sess.give_up - self.host.now
-        spent = left <= 0 or len(sess.tried) >= self.settings.max_attempts
+        now, left = self.host.now, sess.deadline - self.host.now
+        spent = left <= 0 or len(sess.attempted) >= self.settings.max_attempts
         fit = [] if spent else [s for s in self.servers.values() if self.allowed(sess, s)]
-        fit = [s for s in fit if s not in sess.tried] or fit
+        fit = [s for s in fit if s not in sess.attempted] or fit
         if not fit:
-            if not spent and not sess.tried and left > sess.listener.attempt_timeout / 2:
+            if not spent and not sess.attempted and left > sess.listener.attempt_timeout / 2:
                 self.waiting.append(sess)
             else:
                 self.end(sess)
@@ -231,16 +234,16 @@
         if (server := self.choose(fit, sess)) is None:
             self.end(sess)
             return
-        if self.budget.cold(server, now):  # type: ignore[arg-type]
-            level = self.budget.grow(server, self.fill(), now)  # type: ignore[arg-type]
+        if self.budget.warming_up(server, now):  # type: ignore[arg-type]
+            level = self.budget.refill(server, self.fill(), now)  # type: ignore[arg-type]
             self.budget.tokens[server] = (level - 1.0, now)  # type: ignore[index]
-        sess.server, sess.dialling = server, True
-        sess.tried.append(server)
+        sess.server, sess.attempt_in_flight = server, True
+        sess.attempted.append(server)
         if sess.ran_at is None:
             sess.ran_since = now
         server.open[sess] = None
         last = (
-            len(sess.tried) >= self.settings.max_attempts
+            len(sess.attempted) >= self.settings.max_attempts
             or sess.listener.idempotency is Idempotency.NON_IDEMPOTENT
         )
         self.host.start_attempt(
@@ -305,7 +308,7 @@
             if bad or self.world.cuts and self.world.blocked(self.settings.instance_index, server):
                 return 100.0, False
             there = group < 0 or group in server.groups
-            out = sum(1 for other in known.open if not other.standing)
+            out = sum(1 for other in known.open if not other.established)
             wanted = server.demand + server.group_load() + unit * (1 + out)
             wanted += 0.0 if there else self.world.scenario.fleet.group_cost * unit
             capacity = server.capacity(now)
--- a/onyxhollow/lab/broken.py
+++ b/onyxhollow/lab/broken.py
@@ -6,7 +6,8 @@
 
 from onyxhollow.interface import EndpointState
 from onyxhollow.lab.scenario import Scenario, decode
-from onyxhollow.policy import Balancer, Server, Session
+from onyxhollow.policy import Balancer, Session
+from onyxhollow.policy.tracked import TrackedEndpoint
 
 DAY = """
 title = "{title}"
@@ -27,46 +28,48 @@
 
     forgotten = 0
 
-    def end(self, sess: Session) -> None:
+    def finish(self, sess: Session) -> None:
         self.forgotten += 1
         if self.forgotten % 2:
-            super().end(sess)
+            super().finish(sess)
 
 
 class Repeating(Balancer):
     """Rule 2: dials again whatever may have run."""
 
-    def dial(self, sess: Session) -> None:
-        sess.may_run_at = None
-        super().dial(sess)
+    def attempt(self, sess: Session) -> None:
+        sess.may_have_run_on = None
+        super().attempt(sess)
 
-    def dial_time(self, sess: Session, left: float) -> float:
+    def attempt_timeout(self, sess: Session, left: float) -> float:
         return min(left, sess.listener.handshake_objective)
 
 
 class DeafToDrains(Balancer):
     """Rule 3: goes on placing on servers told draining."""
 
-    def leave(self, server: Server, readiness: EndpointState) -> None:
-        if readiness is EndpointState.REMOVED:
-            super().leave(server, readiness)
+    def withdraw(self, server: TrackedEndpoint, new_state: EndpointState) -> None:
+        if new_state is EndpointState.REMOVED:
+            super().withdraw(server, new_state)
 
-    def server_list(self, kind: Any, entries: Any) -> None:
+    def on_endpoint_list(self, kind: Any, entries: Any) -> None:
         entries = list(entries)
-        super().server_list(kind, entries)
-        self.fleet = list(self.servers.values())
-        self.draw_working()
+        super().on_endpoint_list(kind, entries)
+        self.endpoints = list(self.tracked.values())
+        self.redraw_subset()
 
 
 class Rushing(Balancer):
     """Rule 4: sends all to a server that has just come."""
 
-    def eased(self, server: Server, sess: Session) -> bool:
+    def within_slow_start(self, server: TrackedEndpoint, sess: Session) -> bool:
         return True
 
-    def pick(self, sess: Session) -> Server | None:
-        arriving = [server for server in self.fleet if server.started is not None]
-        return max(arriving, key=lambda server: server.started or 0.0) if arriving else super().pick(sess)
+    def select(self, sess: Session) -> TrackedEndpoint | None:
+        arriving = [server for server in self.endpoints if server.started_at is not None]
+        return (
+            max(arriving, key=lambda server: server.started_at or 0.0) if arriving else super().select(sess)
+        )
 
 
 def day(title: str, more: str) -> Scenario:
--- a/onyxhollow/lab/decisions.py
+++ b/onyxhollow/lab/decisions.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
-import inspect
+import importlib
+import io
 import re
 import subprocess
 import sys
-import types
+import tarfile
+import tempfile
 from collections.abc import Callable
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
@@ -36,10 +38,10 @@
         return None
 
     changes: dict[str, dict[str, Any]] = {
-        "no-distrust": {"blame": nothing},
-        "no-hand-off": {"hand_off": nothing},
-        "no-cold-budget": {"eased": lambda *_: True},
-        "no-probing": {"probe_round": nothing, "asking": lambda *_: False},
+        "no-distrust": {"record_failure": nothing},
+        "no-hand-off": {"start_migration": nothing},
+        "no-cold-budget": {"within_slow_start": lambda *_: True},
+        "no-probing": {"health_check_round": nothing, "awaits_load_report": lambda *_: False},
         "no-gate": {"load_of": lambda *_: 0.0},
     }
     for method, instead in changes[name].items():
@@ -50,45 +52,54 @@
 ABLATIONS = ("no-distrust", "no-hand-off", "no-cold-budget", "no-probing", "no-gate")
 
 
-def text_at(revision: str) -> str:
-    """policy.py as it stood at a commit of this repository. Raises PolicyError."""
-    wanted = f"policy {revision}: expected a name of onyxhollow lab list, or a commit with policy.py"
+def read_at(revision: str) -> dict[str, str]:
+    """The texts of onyxhollow/policy/ as they stood at a commit of this repository, by file name.
+
+    Raises:
+        PolicyError: there is no such commit, or the package was not there yet.
+    """
+    wanted = f"policy {revision}: expected a name of onyxhollow lab list, or a commit with onyxhollow/policy/"
     if not re.fullmatch(r"[0-9A-Za-z][0-9A-Za-z_./~^-]{0,80}", revision):
         raise PolicyError(wanted)  # an option of git's, for one
     root = str(Path(__file__).resolve().parents[2])
-    asked = ["git", "-C", root, "show", f"{revision}:onyxhollow/policy.py"]
+    asked = ["git", "-C", root, "archive", "--format=tar", revision, "onyxhollow/policy"]
     try:
-        got = subprocess.run(asked, capture_output=True, text=True, timeout=20, check=False)
+        got = subprocess.run(asked, capture_output=True, timeout=20, check=False)
     except OSError as error:
         raise PolicyError(f"policy {revision}: git: {error.strerror}") from None
     if got.returncode:
         raise PolicyError(wanted)
-    return got.stdout
-
-
-def at_revision(revision: str) -> type[policy.Balancer]:
-    """The module of an earlier commit, on today's interface. Raises PolicyError."""
-    source = text_at(revision)
-    module = types.ModuleType(f"onyxhollow_policy_{revision}")
-    sys.modules[module.__name__] = module
-    try:
-        exec(compile(source, f"{revision}:onyxhollow/policy.py", "exec"), module.__dict__)
-    except ImportError as error:
-        raise PolicyError(f"policy {revision}: does not fit today's interface: {error}") from None
-    balancer: type[policy.Balancer] = module.Balancer
-    if "came_back" in inspect.signature(balancer.take).parameters:
-        return with_came_back(balancer)
-    return balancer
+    with tarfile.open(fileobj=io.BytesIO(got.stdout)) as files:
+        texts = {Path(row.name).name: files.extractfile(row) for row in files if row.isfile()}
+        return {name: text.read().decode() for name, text in sorted(texts.items()) if text}
 
 
-def with_came_back(old: type[policy.Balancer]) -> type[policy.Balancer]:
-    """Earlier modules were told with each session whether its client had been cut off or moved before."""
+def text_at(revision: str) -> str:
+    """All texts of the module at a commit, one after another. Raises PolicyError."""
+    return "".join(read_at(revision).values())
 
-    class Told(old):  # type: ignore[misc, valid-type]
-        def take(self, token: Any, *values: Any) -> Any:
-            return super().take(token, *values, token.came_back)
 
-    return Told
+def at_revision(revision: str) -> type[policy.Balancer]:
+    """The module of an earlier commit, on today's interface. Raises PolicyError.
+
+    Its files are loaded as a package of another name, beside today's.
+    """
+    texts = read_at(revision)
+    package = "onyxhollow_policy_" + re.sub(r"\W", "_", revision)
+    with tempfile.TemporaryDirectory() as folder:
+        place = Path(folder) / package
+        place.mkdir()
+        for name, text in texts.items():
+            (place / name).write_text(re.sub(r"\bonyxhollow\.policy\b", package, text))
+        sys.path.insert(0, folder)
+        try:
+            importlib.invalidate_caches()
+            balancer: type[policy.Balancer] = importlib.import_module(package).Balancer
+        except ImportError as error:
+            raise PolicyError(f"policy {revision}: does not fit today's interface: {error}") from None
+        finally:
+            sys.path.remove(folder)
+    return balancer
 
 
 def find(name: str) -> Maker:
--- a/onyxhollow/lab/pictures.py
+++ b/onyxhollow/lab/pictures.py
@@ -18,15 +18,15 @@
         Server(
             s.name,
             s.zone,
-            s.readiness.value,
+            s.state.value,
             len(s.connections),
             s.size,
-            round(s.load, 3) if now - s.load_at < OLD else None,
-            round(now - s.load_at, 1) if now - s.load_at < OLD else None,
-            round(s.score(now), 2),
+            round(s.load, 3) if now - s.load_reported_at < OLD else None,
+            round(now - s.load_reported_at, 1) if now - s.load_reported_at < OLD else None,
+            round(s.outlier_score(now), 2),
             s.arrival is not None,
         )
-        for s in sorted(balancer.servers.values(), key=lambda s: s.name)
+        for s in sorted(balancer.tracked.values(), key=lambda s: s.name)
     ]
     stalled = instance.stalled_until > now
     return View(
--- a/onyxhollow/lab/together.py
+++ b/onyxhollow/lab/together.py
@@ -65,8 +65,8 @@
         if now < instance.stalled_until:
             self.world.agenda.at(instance.stalled_until, self.tick, instance, core)
             return
-        core.listed({server.name: server.zone for server in balancer.fleet})
-        own = {s.name: len(s.connections) for s in balancer.servers.values() if s.connections}
+        core.listed({server.name: server.zone for server in balancer.endpoints})
+        own = {s.name: len(s.connections) for s in balancer.tracked.values() if s.connections}
         if instance.number < self.trouble.liars:
             own = {name: 1000 * count for name, count in own.items()}
         core.tick(own, now)
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -9,7 +9,7 @@
 from collections.abc import Hashable
 from typing import Any
 
-from onyxhollow.decision_adapter import WELL
+from onyxhollow.decision_adapter import NOT_FAILURES
 from onyxhollow.gossip.core import GossipConfig
 from onyxhollow.interface import (
     AttemptOutcome,
@@ -127,7 +127,7 @@
         target, now = self.world.by_name[server], self.now
         if self.talk and not shared and (known := self.talk.cores[self.number].report(server, now)):
             load, age = known
-            self.later(0.0, self.balancer.probed, server, AttemptOutcome.OK, 0.0, load, age)
+            self.later(0.0, self.balancer.on_health_check, server, AttemptOutcome.OK, 0.0, load, age)
             return
         self.world.ledger.count("probes")
         there = 3 * self.engine.one_way(self.zone, target.zone, None)
@@ -143,7 +143,7 @@
             self.later(1.3 * there, self.probed, server, AttemptOutcome.OK, 1.3 * there, load)
 
     def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
-        self.balancer.probed(server, end, took, load)
+        self.balancer.on_health_check(server, end, took, load)
         if self.talk and (core := self.talk.cores.get(self.number)):
             core.asked(server, load, self.now)
             self.talk.pass_on(self, core)
@@ -171,7 +171,7 @@
         ]
         for row in rows:
             self.world.referee.heard(self.now, self.number, row.name, row.readiness, row.started)
-        self.balancer.server_list(kind, entries)
+        self.balancer.on_endpoint_list(kind, entries)
 
     def note(self, rows: list[Row], whole: bool, version: int) -> None:
         self.seen = version
@@ -211,7 +211,7 @@
         )
         held = self.held[sess.number] = Held(sess)
         listener, tenant, group = self.engine.describe(sess)
-        held.handle = self.balancer.take(
+        held.handle = self.balancer.admit(
             held, listener, tenant, group, max(0.0, sess.deadline - self.now), None
         )
 
@@ -265,7 +265,7 @@
             return
         held.standing = held.answered = True
         self.world.referee.answered(self.now, self.number, held.sess.number, "up")
-        held.handle.accepted(self.now - held.sent_at)
+        held.handle.on_established(self.now - held.sent_at)
         self.world.up(held.sess, server)
 
     def timed_out(self, held: Held, dial: int) -> None:
@@ -280,12 +280,12 @@
             self.world.ledger.count(f"dial: {end.value}")
         self.world.referee.dial_ended(self.now, held.sess.number, held.sent_at, end.never_ran)
         final = held.answered or held.standing
-        if self.talk and not final and end not in WELL and held.server:
+        if self.talk and not final and end not in NOT_FAILURES and held.server:
             self.talk.cores[self.number].failed(held.server.name, self.now)
         if held.standing:
             self.held.pop(held.sess.number, None)
         if held.handle is not None:
-            held.handle.dial_ended(end, final, self.now - held.sent_at, None)
+            held.handle.on_attempt_ended(end, final, self.now - held.sent_at, None)
 
     def left(self, sess: Session) -> None:
         """The client has gone."""
@@ -300,12 +300,12 @@
         self.held.pop(sess.number, None)
         if not held.answered:
             held.answered = True
-            held.handle.client_gone()
+            held.handle.on_client_gone()
 
     def gone(self, held: Held) -> None:
         """Its end is no word of its server: the module would take it for one that sends its clients away."""
         if held.handle is not None:
-            held.handle.client_gone()
+            held.handle.on_client_gone()
 
     def ended(self, sess: Session, sent_away: bool) -> None:
         if held := self.held.get(sess.number):
@@ -325,11 +325,11 @@
             self.later(STOP_STEP, self.stop_step, last)
             return
         for held in [held for held in self.held.values() if not held.standing and not held.answered]:
-            held.handle.give_up = -math.inf
+            held.handle.deadline = -math.inf
             if held.out:
                 self.dial_over(held, held.dial, AttemptOutcome.CANCELLED)
             else:
-                self.balancer.dial(held.handle)
+                self.balancer.attempt(held.handle)
 
 
 class Virtual:
@@ -449,7 +449,7 @@
     def load_changed(self, sess: Session) -> None:
         if (instance := self.instances.get(sess.proxy)) and (held := instance.held.get(sess.number)):
             if held.handle is not None and held.standing:
-                instance.when_able(held.handle.load_news, (sess.load,))
+                instance.when_able(held.handle.on_load, (sess.load,))
 
     def crash(self, number: int) -> None:
         if instance := self.instances.pop(number, None):
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -512,7 +512,7 @@
         self.probes.settle(settings.load_field, config.probe_time)
         wait = watch_wait(settings.max_poll_interval, settings.instance_count)
         self.discovery.settle(wait, pushed=not settings.list_is_polled)
-        self.decisions.resettle(settings)
+        self.decisions.reconfigure(settings)
 
     def print_counters(self) -> None:
         gauges = {
--- /dev/null
+++ b/onyxhollow/policy/balancer.py
@@ -0,0 +1,130 @@
+"""The instance: its calls from the host, its one timer, and the binding of the decisions to its state.
+
+Decides little itself: each call goes to the module named for it. Guards against what was learnt under other
+settings being read under new ones.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+from collections.abc import Hashable
+
+from onyxhollow.interface import Host, Listener, Settings, Tenant
+from onyxhollow.policy import (
+    admission,
+    arrivals,
+    endpoints,
+    handoff,
+    health_checks,
+    load_reports,
+    outlier_detection,
+    selection,
+    subset,
+)
+from onyxhollow.policy.session import Session
+from onyxhollow.policy.state import TICK, PolicyState
+
+
+class Balancer(PolicyState):
+    """The decisions of one proxy, made for the host that carries it.
+
+    The host hands over the endpoint list (`on_endpoint_list`), sessions (`admit`, `adopt`), load reports
+    (`on_health_check`) and its one timer (`tick`). What happens to a session is a call on the session.
+    """
+
+    # Bound, not wrapped: one selection makes dozens of these calls, and a wrapper would add one to each.
+    load_of = load_reports.load_of
+    record_load = load_reports.record_load
+    record_failure = outlier_detection.record_failure
+    record_outcome = outlier_detection.record_outcome
+    eligible = selection.eligible
+    cost = selection.cost
+    affinity_endpoint = selection.affinity_endpoint
+    select = selection.select
+    within_slow_start = arrivals.within_slow_start
+    rebalance_subset = subset.rebalance_subset
+    redraw_subset = subset.redraw_subset
+    refresh_health = subset.refresh_health
+    start_migration = handoff.start_migration
+    on_endpoint_list = endpoints.on_endpoint_list
+    withdraw = endpoints.withdraw
+    health_check_round = health_checks.health_check_round
+    awaits_load_report = health_checks.awaits_load_report
+    on_health_check = health_checks.on_health_check
+    admit = admission.admit
+    attempt = admission.attempt
+    attempt_timeout = admission.attempt_timeout
+    finish = admission.finish
+    serve_queue = admission.serve_queue
+
+    def __init__(self, host: Host, settings: Settings, seed: int) -> None:
+        super().__init__(host, seed)
+        first_poll = self.rng.random()
+        self.poll_needed = settings.list_is_polled
+        self.apply_settings(settings)
+        self.poll_at = host.now + first_poll * min(self.poll_spread, self.max_poll_interval / 2)
+        self.rebalance_subset()
+        host.set_timer(host.now + TICK)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Take over settings, at the start or later."""
+        self.read_settings(settings)
+        health_checks.start_rounds(self)
+
+    def reconfigure(self, settings: Settings) -> None:
+        """Take over other settings in a running instance.
+
+        What was learnt under another meaning of the weight or of groups is dropped; the list must be told
+        complete again, and gives sizes by the new one.
+        """
+        if settings.live_weights != self.live_weights:
+            self.largest_weights.clear()
+            self.load_calibration.clear()
+            for endpoint in self.tracked.values():
+                endpoint.shared_connections = 0.0
+                endpoint.shared_connections_at = -math.inf
+        if settings.group_affinity != self.group_affinity:
+            self.affinity.clear()
+            self.group_rates.clear()
+        self.poll_needed = settings.list_is_polled or self.list_failures > 0
+        self.apply_settings(settings)
+        self.host.log(
+            f"settings: live weights {self.live_weights}, groups {self.group_affinity}, probes "
+            f"{self.checks_per_session:g}, balancers {self.instance_count}, own connections "
+            f"{self.own_connections.total()}"
+        )
+        self.redraw_subset()
+
+    def tick(self) -> None:
+        """Do what has fallen due, serve the queue, and set the timer again."""
+        now = self.host.now
+        endpoints.poll_if_due(self)
+        while self.timers and self.timers[0][0] <= now:
+            heapq.heappop(self.timers)[2]()
+        self.serve_queue()
+        self.host.set_timer(now + TICK)
+
+    def adopt(
+        self,
+        token: Hashable,
+        listener: Listener,
+        tenant: Tenant | None,
+        group: Hashable,
+        load: float | None,
+        name: str,
+    ) -> Session | None:
+        """Count a connection that was open at an endpoint before this instance started.
+
+        It is not moved off a drain. None if the endpoint is not in the list.
+        """
+        endpoint = self.tracked.get(name)
+        if endpoint is None:
+            return None
+        session = Session(self, token, listener, tenant, group, math.inf, load)
+        session.endpoint = endpoint
+        session.attempt_in_flight = True
+        session.established = True
+        session.answered = True
+        session.occupy(endpoint)
+        return session
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -56,19 +56,19 @@
 
     def servers(self, *names, kind=EndpointListKind.SNAPSHOT, **values):
         state = values.pop("state", EndpointState.IN_SERVICE)
-        self.balancer.server_list(kind, [Endpoint(name, state, **values) for name in names])
-        return [self.balancer.servers.get(name) for name in names]
+        self.balancer.on_endpoint_list(kind, [Endpoint(name, state, **values) for name in names])
+        return [self.balancer.tracked.get(name) for name in names]
 
     def loads(self, **reported):
         for name, load in reported.items():
-            self.balancer.probed(name, AttemptOutcome.OK, 0.01, load)
+            self.balancer.on_health_check(name, AttemptOutcome.OK, 0.01, load)
 
     def take(self, listener=CALLS, group=None, stands=True, tenant=None, took=0.01):
         self.taken += 1
         token = 10000 + self.taken
-        sess = self.balancer.take(token, listener, tenant, group, listener.attempt_timeout, None)
-        if stands and sess.dialling:
-            sess.accepted(took)
+        sess = self.balancer.admit(token, listener, tenant, group, listener.attempt_timeout, None)
+        if stands and sess.attempt_in_flight:
+            sess.on_established(took)
         return sess
 
 
@@ -84,7 +84,7 @@
 
 @pytest.fixture
 def lost():
-    return lambda sess, end=AttemptOutcome.RESET: sess.dial_ended(end, False, 0.1)
+    return lambda sess, end=AttemptOutcome.RESET: sess.on_attempt_ended(end, False, 0.1)
 
 
 class Peer:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -93,7 +93,7 @@
     def broken(*_):
         raise KeyError("lost my way")
 
-    monkeypatch.setattr("onyxhollow.policy.Balancer.take", broken)
+    monkeypatch.setattr("onyxhollow.policy.Balancer.admit", broken)
     code, out, _ = talk(*begin())
     assert code == 0 and any(x[0] == "internalError" and "lost my way" in x[2] for x in out)
 
@@ -101,7 +101,7 @@
 def test_an_open_connection_that_ends_as_withdrawn_is_not_held_against_its_server(monkeypatch):
     """The client left, or its server sent it away: this wire has one word for both."""
     blamed = []
-    monkeypatch.setattr("onyxhollow.policy.Balancer.blame", lambda *told: blamed.append(told))
+    monkeypatch.setattr("onyxhollow.policy.Balancer.record_failure", lambda *told: blamed.append(told))
     begun = ["begun", 3, 9, 0, "10.0.0.1:80", 5000000]
     end = ["answer", 3, 9, 0, 125, True, "10.0.0.1:80", 1000, None]
     code, _, errors = talk(*begin(), ["sync", 6000000000], begun, ["go"], ["sync", 7000000000], end, ["go"])
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -68,17 +68,17 @@
     proxy.answer_list(json.dumps(whole(8, *rows)).encode())
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
     balancer, now = proxy.proxy.decisions.balancer, proxy.proxy.loop.now
-    cold = [name for name, server in balancer.servers.items() if balancer.budget.cold(server, now)]
-    assert cold == ["b"] and balancer.servers["b"].started == pytest.approx(now, abs=0.5)
+    cold = [name for name, server in balancer.tracked.items() if balancer.slow_start.warming_up(server, now)]
+    assert cold == ["b"] and balancer.tracked["b"].started_at == pytest.approx(now, abs=0.5)
     # Started anew, it is cold again; the same start told once more changes nothing.
     monkeypatch.setattr(time, "time", lambda: true() - step)
     proxy.idle(0.05)
     rows[0]["born_ms"] = round((new + 0.05) * 1000)
-    arrival = balancer.servers["b"].arrival
+    arrival = balancer.tracked["b"].arrival
     proxy.answer_list(json.dumps({"seq": 9, "whole": False, "hosts": rows[:2]}).encode())
     proxy.until(lambda: proxy.proxy.discovery.version == 9)
-    assert balancer.budget.cold(balancer.servers["a"], proxy.proxy.loop.now)
-    assert balancer.servers["b"].arrival is arrival
+    assert balancer.slow_start.warming_up(balancer.tracked["a"], proxy.proxy.loop.now)
+    assert balancer.tracked["b"].arrival is arrival
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -173,7 +173,7 @@
 
 def test_a_request_with_hardly_any_time_left_as_its_connection_comes_up_is_refused_unsent(late, monkeypatch):
     # Held up for a moment the line would go out after the client's end.
-    monkeypatch.setattr("onyxhollow.policy.LEAST_LEFT", 1.0, raising=False)  # the connection takes a second
+    monkeypatch.setattr("onyxhollow.policy.retry.MIN_TIME_LEFT", 1.0)  # the connection takes a second
     proxy = late("a")
     client = proxy.open(wait=1900)
     connecting(proxy).toys["a"].let_in()
@@ -282,7 +282,7 @@
             server.sock.sendall(line)
         except TimeoutError:
             proxy.idle(0.01)
-    live.handle.decisions.move(live.handle)
+    live.handle.decisions.migrate(live.handle)
     proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.leaving)
     monkeypatch.setattr(sessions, "YOUNG", 0.0)
     others = [proxy.client(b"PING\r\n") for _ in range(40)]
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -51,7 +51,7 @@
     server.say(b"\n")
     proxy.until(lambda: client.read().endswith(b"m 2\r\n"))
     (live,) = proxy.proxy.sessions.table.live
-    assert live.handle.sess.load == 12.5 / 1e6 and live.handle.sess.server.delay.value < 0.1
+    assert live.handle.sess.load == 12.5 / 1e6 and live.handle.sess.endpoint.message_delay.value < 0.1
 
 
 @pytest.mark.parametrize(
@@ -199,7 +199,7 @@
 def test_late_echoes_are_told_once_a_second_a_server_and_not_for_this_process_own_pause(loopback):
     proxy = loopback()
     both = [proxy.standing(), proxy.standing()]
-    late = proxy.proxy.decisions.balancer.servers["a"]
+    late = proxy.proxy.decisions.balancer.tracked["a"]
     for client, server in both:
         client.say(b"m 1\r\n")
         proxy.until(lambda server=server: server.read())
@@ -207,15 +207,15 @@
     for _, server in both:
         server.say(b"m 1\r\n")
     proxy.until(lambda: all(client.read() == b"m 1\r\n" for client, _ in both))
-    assert late.delay.value == 0.0
+    assert late.message_delay.value == 0.0
     for client, _ in both:
         client.say(b"m 2\r\n")
     proxy.idle(0.25)
     for _, server in both:
         server.say(b"m 2\r\n")
-    proxy.until(lambda: late.delay.value > 0.2)
+    proxy.until(lambda: late.message_delay.value > 0.2)
     proxy.idle(0.05)
-    assert late.score(proxy.proxy.loop.now) <= 0.31  # two connections, one word
+    assert late.outlier_score(proxy.proxy.loop.now) <= 0.31  # two connections, one word
 
 
 def test_a_connection_from_before_the_start_is_tried_until_its_server_is_up(loopback):
@@ -231,7 +231,7 @@
     assert server.got == b"OPEN 9b1f 7f3a c=calls,d=2000,at=a\r\n"
     server.say(b"UP r9\r\n")
     proxy.until(lambda: client.read() == b"UP r9\r\n")
-    assert len(proxy.proxy.decisions.balancer.servers["a"].connections) == 1
+    assert len(proxy.proxy.decisions.balancer.tracked["a"].connections) == 1
 
 
 def test_a_client_from_before_the_start_that_leaves_meanwhile_is_not_waited_on(loopback):
@@ -301,8 +301,8 @@
     client.say(b"OPEN 5 6 c=calls,d=9\r\n" * 300)
     proxy.until(lambda: client.read() == b"ERR\r\n" and client.end == "closed")
     proxy.until(lambda: server.read() and server.end and not proxy.proxy.sessions.table.live)
-    told = proxy.proxy.decisions.balancer.servers["a"]
-    assert told.distrust == 0.0 and not told.connections and proxy.counts["dials"] == 1
+    told = proxy.proxy.decisions.balancer.tracked["a"]
+    assert told.recorded_score == 0.0 and not told.connections and proxy.counts["dials"] == 1
 
 
 def test_a_session_that_two_servers_fail_is_held_against_one_of_them_at_the_most(loopback):
@@ -313,7 +313,7 @@
     first.say(b"ERR\r\n")
     proxy.until(lambda: other.asked()).say(b"ERR\r\n")
     proxy.until(lambda: client.read() == b"BUSY\r\n")
-    assert sorted(s.distrust for s in proxy.proxy.decisions.balancer.servers.values()) == [0.0, 1.0]
+    assert sorted(s.recorded_score for s in proxy.proxy.decisions.balancer.tracked.values()) == [0.0, 1.0]
 
 
 def test_twenty_megabytes_are_thrown_away_while_others_are_served(loopback):
@@ -366,7 +366,7 @@
     proxy.until(lambda: client.read() is not None and client.end)
     proxy.until(lambda: server.read() is not None and server.end)
     assert proxy.counts["malformed lines"] == 2 and not proxy.counts["failures"]
-    assert not proxy.proxy.decisions.balancer.servers["a"].connections
+    assert not proxy.proxy.decisions.balancer.tracked["a"].connections
 
 
 def test_a_client_whose_server_sends_what_is_no_line_is_moved(loopback):
@@ -375,7 +375,7 @@
     client, server = proxy.standing()
     server.say(b"x" * 5000)
     proxy.until(lambda: client.read() == b"MOVE\r\n" and client.end == "closed")
-    assert not proxy.proxy.decisions.balancer.servers["a"].connections
+    assert not proxy.proxy.decisions.balancer.tracked["a"].connections
 
 
 def test_half_a_line_or_a_line_that_may_be_on_its_way_is_not_cut_off_to_make_room(loopback, monkeypatch):
@@ -399,7 +399,7 @@
 
     proxy = loopback()
     client, _ = proxy.standing()
-    monkeypatch.setattr("onyxhollow.policy.Balancer.take", broken)
+    monkeypatch.setattr("onyxhollow.policy.Balancer.admit", broken)
     bad = proxy.open()
     proxy.until(lambda: bad.read() and bad.end)
     assert bad.got == b"ERR\r\n" and proxy.counts["failures"] == 1 and not client.read() and not client.end
@@ -423,7 +423,7 @@
     standing = [proxy.standing() for _ in range(6)]
     client = proxy.open()
     proxy.until(lambda: client.read() == b"BUSY\r\n")
-    assert proxy.counts["dials"] == 6 and proxy.proxy.decisions.balancer.servers["a"].distrust == 0.0
+    assert proxy.counts["dials"] == 6 and proxy.proxy.decisions.balancer.tracked["a"].recorded_score == 0.0
     assert not any(peer.read() or peer.end for peer, _ in standing)
 
 
@@ -436,7 +436,10 @@
     monkeypatch.setattr(Channel, "dial", none_left)
     proxy.until(lambda: client.read() == b"BUSY\r\n")
     proxy.until(lambda: proxy.counts["probes without a descriptor"])
-    assert proxy.counts["dials not sent"] == 2 and proxy.proxy.decisions.balancer.servers["a"].distrust == 0.0
+    assert (
+        proxy.counts["dials not sent"] == 2
+        and proxy.proxy.decisions.balancer.tracked["a"].recorded_score == 0.0
+    )
 
 
 def test_shares_of_few_descriptors_and_little_memory_are_taken_anew_by_a_reload(loopback):
@@ -495,7 +498,7 @@
 def test_after_a_call_turned_away_the_module_says_when_to_ask_and_the_next_watches_are_spread(
     loopback, monkeypatch
 ):
-    monkeypatch.setattr("onyxhollow.policy.Random.uniform", lambda self, low, high: high)
+    monkeypatch.setattr("onyxhollow.policy.state.Random.uniform", lambda self, low, high: high)
     monkeypatch.setattr("onyxhollow.wire.discovery.Random.random", lambda self: 0.5)
     proxy, new = loopback(), Toy()
     proxy.until(lambda: proxy.list.asked())
@@ -546,7 +549,7 @@
     proxy.proxy.probes.probe("a")
     proxy.until(lambda: proxy.toys["a"].asked()).say(b"PONG x0=" + load + b"\r\n")
     proxy.until(lambda: proxy.counts["probes ok"] == 1)
-    assert proxy.proxy.decisions.balancer.servers["a"].load_at == -math.inf
+    assert proxy.proxy.decisions.balancer.tracked["a"].load_reported_at == -math.inf
 
 
 @pytest.mark.parametrize(
@@ -630,7 +633,7 @@
     proxy.answer_list(whole(proxy, 2, ("a",), ("b", "leaving")), toy=new)
     proxy.until(lambda: peer.read().startswith(b"GET /v1/endpoints?index=2&wait=5000"))
     balancer = proxy.proxy.decisions.balancer
-    assert [s.name for s in balancer.fleet] == ["a"] and not proxy.counts["list failures"]
+    assert [s.name for s in balancer.endpoints] == ["a"] and not proxy.counts["list failures"]
     assert old.read() is not None and old.end and not client.end
 
 
@@ -647,7 +650,7 @@
     nobody.sock.close()
     proxy.reload_to(nobody)
     proxy.until(lambda: proxy.counts["list failures"] >= 2)  # unreachable: asked again
-    assert not proxy.proxy.decisions.balancer.fleet and len(proxy.proxy.decisions.balancer.servers) == 1
+    assert not proxy.proxy.decisions.balancer.endpoints and len(proxy.proxy.decisions.balancer.tracked) == 1
 
 
 def test_reloads_in_a_row_end_at_the_last_address_and_a_bad_file_changes_nothing(loopback):
@@ -687,10 +690,12 @@
 
     standing = [accepted() for _ in range(4)]
     out = proxy.open(wait=5000), dialled()  # a dial that is out all the while
-    source = max(balancer.servers.values(), key=lambda s: sum(x.standing for x in s.connections))
-    source.set_up.value = 9.0  # slower than any receiver: the pace would be halved by chance on a loopback
-    balancer.blame(source, 5.0)  # its hand-off is under way while the settings change
-    pace = source.leaving
+    source = max(balancer.tracked.values(), key=lambda s: sum(x.established for x in s.connections))
+    source.handshake_time.value = (
+        9.0  # slower than any receiver: the pace would be halved by chance on a loopback
+    )
+    balancer.record_failure(source, 5.0)  # its hand-off is under way while the settings change
+    pace = source.migration
     live = replace(
         old,
         live_weights=True,
@@ -705,12 +710,12 @@
     for count, settings, size, held in ((2, live, 4.0, 7.0), (3, old, 0.5, 0.0)):
         proxy.config = replace(proxy.config, settings=settings)
         proxy.proxy.reload()
-        assert balancer.live_sizes is settings.live_weights and source.leaving in (pace, None)
+        assert balancer.live_weights is settings.live_weights and source.migration in (pace, None)
         peer = proxy.until(lambda n=count: proxy.list.asked(n))
         assert peer.got.startswith(b"GET /v1/endpoints HTTP")  # whole: weights mean another thing now
         proxy.answer_list(body, count=count)
-        proxy.until(lambda n=size: balancer.servers["b"].size == n)
-        assert balancer.servers["b"].held == held
+        proxy.until(lambda n=size: balancer.tracked["b"].size == n)
+        assert balancer.tracked["b"].shared_connections == held
         standing.append(accepted())
 
     def bad():
@@ -740,7 +745,7 @@
     assert server.got == b"STATS\r\n"
     server.say(b"PONG qps=3,x0=0.5\r\n")
     balancer = proxy.proxy.decisions.balancer
-    proxy.until(lambda: balancer.servers["a"].load == 0.5)
+    proxy.until(lambda: balancer.tracked["a"].load == 0.5)
     assert list(proxy.proxy.probes.standing) == ["a"]
     server.sock.close()
     proxy.until(lambda: not proxy.proxy.probes.standing)
@@ -754,7 +759,7 @@
     proxy.until(lambda: server.read() == b"STATS\r\nSTATS\r\n", within=9)  # on the same connection
     server.say(b"PONG x0=0.2\r\n")
     proxy.until(lambda: proxy.counts["probes ok"] == 1)
-    assert proxy.proxy.decisions.balancer.servers["a"].load == 0.2
+    assert proxy.proxy.decisions.balancer.tracked["a"].load == 0.2
 
 
 def test_a_stop_moves_the_open_ones_answers_the_waiting_and_serves_late_comers(loopback):
@@ -779,7 +784,7 @@
     proxy.proxy.loop.spawn(proxy.proxy.stop())
     proxy.until(lambda: not proxy.proxy.loop.running, within=3)
     assert client.read() == b"ERR\r\n" and server.read() and server.end == "closed"
-    assert not proxy.proxy.decisions.balancer.servers["a"].connections and not proxy.counts["failures"]
+    assert not proxy.proxy.decisions.balancer.tracked["a"].connections and not proxy.counts["failures"]
 
 
 def test_the_program_reloads_on_sighup_and_stops_on_sigterm_without_an_error(tmp_path):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -174,7 +174,7 @@
     host.servers("a", "b", "c")
     host.loads(a=0.9)
     for _ in range(3):
-        host.balancer.blame(host.balancer.servers["b"], 1.0)
+        host.balancer.record_failure(host.balancer.tracked["b"], 1.0)
     assert avoided(host.balancer) == (3, 1)
 
 
@@ -486,8 +486,8 @@
         server.say(b"m 3\r\n")
         overlap.until(lambda c=client: c.read() == b"m 3\r\n")
     balancer = new.proxy.decisions.balancer
-    (held,) = (len(s.connections) for s in balancer.servers.values())
-    assert held == 42 and all(sess.placed for s in balancer.servers.values() for sess in s.connections)
+    (held,) = (len(s.connections) for s in balancer.tracked.values())
+    assert held == 42 and all(sess.placed_here for s in balancer.tracked.values() for sess in s.connections)
     assert new.counts["dials"] == 0  # nothing was dialled anew
     told = read_figures(new.ask("counters")[1])
     assert (told["lb_inflight", None], told["lb_success_total", "calls"]) == (42, 0)
@@ -573,22 +573,22 @@
     old.servers("a", "b", "c")
     old.loads(a=0.5, c=0.2)
     for _ in range(3):
-        old.balancer.blame(old.balancer.servers["b"], 1.0)
+        old.balancer.record_failure(old.balancer.tracked["b"], 1.0)
     for host in (old, new):
         host.servers("d", kind=EndpointListKind.DELTA, started_at=1009.0)
-    budget = old.balancer.budget
-    budget.tokens[old.balancer.servers["d"]] = (0.1, old.now)  # the rest is spent
+    budget = old.balancer.slow_start
+    budget.tokens[old.balancer.tracked["d"]] = (0.1, old.now)  # the rest is spent
     common, records = json.loads(json.dumps(describe(old.balancer)))
     for broken in ({"load": -1}, {"distrust": float("nan")}, {"set_up": [1]}, {"tokens": True}):
         with pytest.raises((ValueError, TypeError)):
             take_back(new.balancer, common, [*records[:3], {**records[3], **broken}])
     assert avoided(new.balancer) == (4, 0)  # nothing of it was used
     assert take_back(new.balancer, common, [*records, {**records[0], "name": "nobody"}]) == 4
-    servers = new.balancer.servers
-    assert avoided(new.balancer) == (4, 1) and servers["b"].score(new.now) > 2.9
-    assert 0.5 <= servers["a"].load < 0.6 and servers["a"].heard and servers["d"].arrival
-    assert new.balancer.budget.tokens[servers["d"]] == (pytest.approx(0.1), new.now)
-    assert new.balancer.budget.rate(new.now) == pytest.approx(old.balancer.budget.rate(old.now))
+    servers = new.balancer.tracked
+    assert avoided(new.balancer) == (4, 1) and servers["b"].outlier_score(new.now) > 2.9
+    assert 0.5 <= servers["a"].load < 0.6 and servers["a"].ever_used and servers["d"].arrival
+    assert new.balancer.slow_start.tokens[servers["d"]] == (pytest.approx(0.1), new.now)
+    assert new.balancer.slow_start.rate(new.now) == pytest.approx(old.balancer.slow_start.rate(old.now))
 
 
 def test_a_successor_that_hears_no_list_goes_on_from_the_old_ones_and_takes_clients(overlap, monkeypatch):
@@ -597,11 +597,11 @@
     rows = [old.row("a"), old.row("a", "leaving") | {"host": "b"}]
     whole = {"seq": 41, "whole": True, "hosts": rows}
     old.answer_list(json.dumps(whole).encode())
-    overlap.until(lambda: len(old.proxy.decisions.balancer.servers) == 2)
+    overlap.until(lambda: len(old.proxy.decisions.balancer.tracked) == 2)
     new = overlap.start(known=False)
     old.proxy.discovery.address = new.config.discovery  # one service for both
     overlap.until(lambda: new.proxy.service.ready, within=1.0)
-    told = {server.name: server.readiness.value for server in new.proxy.decisions.balancer.servers.values()}
+    told = {server.name: server.state.value for server in new.proxy.decisions.balancer.tracked.values()}
     assert told == {"a": "in service", "b": "draining"} and new.proxy.discovery.version == 41
 
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -208,27 +208,27 @@
 
 def zoned(host, **names):
     entries = [Endpoint(name, EndpointState.IN_SERVICE, zone=zone) for name, zone in names.items()]
-    host.balancer.server_list(EndpointListKind.SNAPSHOT, entries)
-    return [host.balancer.servers[name] for name in names]
+    host.balancer.on_endpoint_list(EndpointListKind.SNAPSHOT, entries)
+    return [host.balancer.tracked[name] for name in names]
 
 
 def test_with_few_own_connections_near_servers_come_first_while_they_are_not_much_fuller(start):
     host = start(seed=3, **FEW)
     servers = zoned(host, **{f"s{n}": "a" if n < 5 else "b" for n in range(20)})
-    host.balancer.asking = lambda *_: False
+    host.balancer.awaits_load_report = lambda *_: False
     counts = {"a": 0, "b": 0}
     for _ in range(40):
         host.loads(**{s.name: 0.3 for s in servers})
         sess = host.take()
-        counts[sess.server.zone] += 1
-        sess.dial_ended(AttemptOutcome.OK, True, 0.0)
+        counts[sess.endpoint.zone] += 1
+        sess.on_attempt_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["a"] >= 35
     for server in servers:  # told for the fleet: the near ones hold far more
         load, held = (0.6, 60) if server.zone == "a" else (0.2, 20)
         report_shared(host.balancer, News(server.name, load, 0.0, held, 0.0, 0.0))
     for _ in range(40):
-        counts[(sess := host.take()).server.zone] += 1
-        sess.dial_ended(AttemptOutcome.OK, True, 0.0)
+        counts[(sess := host.take()).endpoint.zone] += 1
+        sess.on_attempt_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["b"] >= 25
 
 
@@ -237,8 +237,8 @@
     a, b = zoned(host, a="a", b="a")
     for name, load in (("a", 0.5), ("b", 0.1)):
         report_shared(host.balancer, News(name, load, 1.0, round(load * 100), 0.5, 0.0))
-    host.balancer.budget.since -= 20.0  # so few come that the room is hardly ever shared out
-    assert host.take().server is b and not host.asked("check_health")
+    host.balancer.slow_start.since -= 20.0  # so few come that the room is hardly ever shared out
+    assert host.take().endpoint is b and not host.asked("check_health")
     report_shared(host.balancer, News("b", None, 3.0, 40, 0.0, 0.0))  # many have come since that report
     assert host.balancer.load_of(b) == pytest.approx(0.4, abs=0.01)
     host.wait(9.0)  # nobody tells any more
@@ -252,9 +252,9 @@
     a, *_ = zoned(host, a="a", b="a", c="a")
     for _ in range(5):
         report_shared(host.balancer, News("a", 0.1, 0.0, 10, 0.0, 1.5))
-    assert a.score(host.now) == pytest.approx(1.5) and host.balancer.well(a)
-    host.balancer.blame(a, 1.0)
-    assert not host.balancer.well(a)
+    assert a.outlier_score(host.now) == pytest.approx(1.5) and host.balancer.eligible(a)
+    host.balancer.record_failure(a, 1.0)
+    assert not host.balancer.eligible(a)
 
 
 def test_a_server_passed_over_by_chance_has_room_for_a_sites_health_and_a_full_one_has_not():
@@ -264,9 +264,9 @@
     )
     entries = [Endpoint(name, EndpointState.IN_SERVICE, zone="a") for name in "xy"]
     decisions.report_list(EndpointListKind.SNAPSHOT, entries)
-    servers = decisions.balancer.servers
-    servers["x"].strained_at = 100.0
-    assert not decisions.balancer.well(servers["x"]) and decisions.room("a") == (2, 2)
+    servers = decisions.balancer.tracked
+    servers["x"].overloaded_at = 100.0
+    assert not decisions.balancer.eligible(servers["x"]) and decisions.room("a") == (2, 2)
     decisions.report_probe("y", AttemptOutcome.OK, 0.0, 0.9)
     assert decisions.room("a") == (2, 1)
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -17,7 +17,8 @@
     Idempotency,
     Tenant,
 )
-from onyxhollow.policy import Pace, Rate, draw
+from onyxhollow.policy.estimators import ArrivalRate, stable_uniform
+from onyxhollow.policy.migration import StagedMigration
 
 ONCE = replace(CALLS, idempotency=Idempotency.NON_IDEMPOTENT)
 REFERENCED = replace(
@@ -35,7 +36,7 @@
 def test_own_connections_even_out_per_registered_size(host):
     host.servers("a", "b", "c", weight=1.0)
     host.servers("d", kind=EndpointListKind.DELTA, weight=3.0)
-    host.balancer.servers["d"].arrival = None
+    host.balancer.tracked["d"].arrival = None
     for _ in range(120):
         host.take()
     counts = placed(host)
@@ -45,22 +46,22 @@
 def test_the_remembered_best_is_looked_at_beside_the_two_drawn(host):
     servers = host.servers(*"abcdefghij")
     for server in servers[1:]:
-        host.take().server.heard = True
-        server.heard = True
-        host.balancer.blame(server, 1.0)
-    host.balancer.memory[None] = servers[0]
+        host.take().endpoint.ever_used = True
+        server.ever_used = True
+        host.balancer.record_failure(server, 1.0)
+    host.balancer.affinity[None] = servers[0]
     servers[0].connections.clear()
-    assert host.take().server is servers[0]
+    assert host.take().endpoint is servers[0]
 
 
 def test_a_server_not_heard_of_starts_at_the_mean(host):
     old = host.servers("a", "b")
     for _ in range(20):
         host.take()
-    host.balancer.review()
+    host.balancer.rebalance_subset()
     host.servers("c", kind=EndpointListKind.DELTA)
-    host.balancer.servers["c"].arrival = None
-    weigh = [host.balancer.weight(s, None, None) for s in (*old, host.balancer.servers["c"])]
+    host.balancer.tracked["c"].arrival = None
+    weigh = [host.balancer.cost(s, None, None) for s in (*old, host.balancer.tracked["c"])]
     assert weigh[2] == pytest.approx(sum(weigh[:2]) / 2)
 
 
@@ -69,14 +70,14 @@
     for seed in (1, 2, 3):
         host = start(seed, group_affinity=True)
         host.servers(*"abcdef", weight=4.0)
-        host.balancer.fill = 5.0
-        homes |= {host.take(group="g7").server.name for _ in range(3)}
+        host.balancer.full_connections = 5.0
+        homes |= {host.take(group="g7").endpoint.name for _ in range(3)}
     assert len(homes) == 1
 
 
 def test_the_pace_of_each_stage_and_its_throttles():
     def rate(moved, source=None, receiver=None):
-        pace = Pace(40)
+        pace = StagedMigration(40)
         pace.moved = moved
         return sum(pace.allowance(source, receiver) for _ in range(4)) / 4
 
@@ -90,16 +91,16 @@
     (a,) = host.servers("a")
     sessions = [host.take() for _ in range(40)]
     for load, sess in enumerate(sessions):
-        sess.load_news(float(40 - load))
+        sess.on_load(float(40 - load))
     host.balancer.adopt(7, CALLS, None, None, 0.0, "a")
     host.servers("b", kind=EndpointListKind.DELTA)
     host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
-    assert host.take(stands=False).server is not a
+    assert host.take(stands=False).endpoint is not a
     host.wait(2.2)
     moved = [token for (token,) in host.asked("migrate")]
     assert moved[:6] == [s.token for s in sessions[:-7:-1]] and 7 not in moved
-    sessions[0].dial_ended(AttemptOutcome.OK, True, 9.0)
-    assert a.leaving.moved == len(moved) + 1
+    sessions[0].on_attempt_ended(AttemptOutcome.OK, True, 9.0)
+    assert a.migration.moved == len(moved) + 1
 
 
 def test_a_receiver_slower_than_before_the_notice_halves_the_hand_off(host):
@@ -108,7 +109,7 @@
         host.take(took=0.01)
     host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
     first = len(host.asked("migrate"))
-    b.set_up.add(0.1, host.now)
+    b.handshake_time.add(0.1, host.now)
     host.wait(2.2)
     assert first and len(host.asked("migrate")) - first <= first
 
@@ -129,7 +130,7 @@
     for _ in range(160):
         host.wait(0.25)
         host.take()
-    assert host.balancer.servers["d"].arrival is None and placed(host)["d"] >= 30
+    assert host.balancer.tracked["d"].arrival is None and placed(host)["d"] >= 30
 
 
 def test_an_overfull_server_gives_up_those_from_before_the_start_too_while_most_others_have_room(start):
@@ -158,11 +159,11 @@
         for _ in range(60):
             host.take()
         for server in others:
-            server.set_up.add(0.2, host.now)  # far away: twenty times the source's
+            server.handshake_time.add(0.2, host.now)  # far away: twenty times the source's
         host.loads(b=0.3, c=0.3)
         host.wait(0.6)
-        a.load, a.load_at, a.load_count = load, host.now, len(a.connections)
-        host.balancer.hand_off(a, "the story")
+        a.load, a.load_reported_at, a.connections_at_report = load, host.now, len(a.connections)
+        host.balancer.start_migration(a, "the story")
         moved.append(len(host.asked("migrate")))
     assert moved == [2, 0] and len(a.connections) >= 18
 
@@ -180,13 +181,13 @@
         host.wait(0.1)
         host.servers("b", kind=EndpointListKind.DELTA, started_at=started)
         host.wait(0.2)
-        assert least <= sum(sess.dialling for sess in waiting) <= most
+        assert least <= sum(sess.attempt_in_flight for sess in waiting) <= most
 
 
 def test_all_servers_cold_sessions_are_held_and_then_refused_at_half_time(host):
     host.servers("a")
     host.servers("a", kind=EndpointListKind.DELTA, started_at=host.now)
-    host.balancer.budget.seen = 0.0
+    host.balancer.slow_start.seen = 0.0
     sess = host.take()
     host.wait(0.9)
     assert not host.asked("start_attempt") and not host.asked("reject")
@@ -200,11 +201,11 @@
     host.servers("a", "b")
     sess = host.take(stands=False)
     for _ in range(3):
-        sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
+        sess.on_attempt_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
     assert not host.asked("reject")
-    sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
+    sess.on_attempt_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
     assert len(host.asked("reject")) == 1 and len(host.asked("start_attempt")) == 4
-    sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
+    sess.on_attempt_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
     assert len(host.asked("reject")) == 1
 
 
@@ -212,11 +213,11 @@
     host = start(cancellation=True)
     a, b = host.servers("a", "b")
     gone = host.take(stands=False)
-    gone.client_gone()
+    gone.on_client_gone()
     assert host.asked("cancel_attempt") == [(gone.token, 0)]
-    gone.dial_ended(AttemptOutcome.TIMEOUT, False, 0.3)
-    a.strained_at = b.strained_at = host.now
-    host.take(stands=False).client_gone()
+    gone.on_attempt_ended(AttemptOutcome.TIMEOUT, False, 0.3)
+    a.overloaded_at = b.overloaded_at = host.now
+    host.take(stands=False).on_client_gone()
     host.wait(5.0)
     assert len(host.asked("start_attempt")) == 1 and not host.asked("reject")
 
@@ -240,7 +241,7 @@
     sess = host.take(REFERENCED, stands=False)
     host.servers("b", kind=EndpointListKind.DELTA, cell=cells[1])
     host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.REMOVED)
-    host.balancer.servers["b"].arrival = None
+    host.balancer.tracked["b"].arrival = None
     host.wait(later)
     lost(sess, AttemptOutcome.TIMEOUT)
     assert (len(host.asked("start_attempt")) == 2) is again
@@ -250,7 +251,7 @@
 def test_rule_3_a_server_absent_from_a_full_list_gets_nothing(host):
     host.servers("a", "b")
     host.servers("b")
-    assert {host.take().server.name for _ in range(30)} == {"b"}
+    assert {host.take().endpoint.name for _ in range(30)} == {"b"}
 
 
 def test_a_lost_list_is_asked_for_again_before_silence_counts_as_told(start):
@@ -276,7 +277,7 @@
         for seed in range(count):
             host = start(seed, list_is_polled=True, instance_count=count)
             host.wait(6.0)
-            host.balancer.server_list(EndpointListKind.FAILED, [])
+            host.balancer.on_endpoint_list(EndpointListKind.FAILED, [])
             host.did.clear()
             for _ in range(100):
                 host.wait(0.05)
@@ -284,7 +285,7 @@
                     made += 1
                     host.did.clear()
                     host.wait(2.0)
-                    host.balancer.server_list(EndpointListKind.FAILED, [])
+                    host.balancer.on_endpoint_list(EndpointListKind.FAILED, [])
         return made
 
     assert calls(40) <= 40 * 2 and calls(4) >= 4 * 2
@@ -293,7 +294,7 @@
         host.wait(6.5)
         assert host.asked("poll_endpoint_list")  # the first within 5 s, the others within 6 s of a failure
         host.did.clear()
-        host.balancer.server_list(EndpointListKind.FAILED, [])
+        host.balancer.on_endpoint_list(EndpointListKind.FAILED, [])
     sess = host.take(stands=False)
     host.wait(2.0)
     assert sess.answered and len(host.asked("reject")) == 1
@@ -303,11 +304,11 @@
     a, *_ = host.servers(*"abcde")
     for _ in range(50):
         host.take()
-    mine = [s for s in a.connections if s.placed]
+    mine = [s for s in a.connections if s.placed_here]
     for sess in mine[:6]:
-        sess.delay_news(1.0)
-        host.balancer.blame(a, 1.0)
-        host.balancer.review()
+        sess.on_message_delay(1.0)
+        host.balancer.record_failure(a, 1.0)
+        host.balancer.rebalance_subset()
     before = placed(host)["a"]
     host.wait(1.2)
     assert {token for (token,) in host.asked("migrate")} <= {s.token for s in mine} and host.asked("migrate")
@@ -315,22 +316,26 @@
         host.take()
     assert placed(host)["a"] == before
     host.wait(60.0)
-    assert a.leaving is None
+    assert a.migration is None
 
 
 def test_a_store_that_is_slow_for_all_makes_no_server_stand_out(host, lost):
     servers = host.servers(*"abcd")
     for _ in range(6):
         for server in servers:
-            host.balancer.blame(server, 1.0)
+            host.balancer.record_failure(server, 1.0)
         host.wait(0.1)
-    assert host.take().server in servers and not any(s.leaving for s in servers)
+    assert host.take().endpoint in servers and not any(s.migration for s in servers)
 
 
 def test_a_server_cold_in_the_first_list_is_eased_in(host):
-    host.balancer.server_list(EndpointListKind.CACHED, [])
+    host.balancer.on_endpoint_list(EndpointListKind.CACHED, [])
     a, b = host.servers("a", started_at=host.now - 1.0) + host.servers("b", kind=EndpointListKind.DELTA)
-    assert a.arrival and host.balancer.budget.cold(a, host.now) and not host.balancer.budget.cold(b, host.now)
+    assert (
+        a.arrival
+        and host.balancer.slow_start.warming_up(a, host.now)
+        and not host.balancer.slow_start.warming_up(b, host.now)
+    )
 
 
 def test_a_server_is_not_filled_past_its_load_and_own_placings_count_at_once(host):
@@ -341,20 +346,20 @@
     host.loads(a=0.9, b=0.4)
     host.wait(0.1)
     before = len(a.connections)
-    waiting = [s for _ in range(40) if (s := host.take()).server is None]
+    waiting = [s for _ in range(40) if (s := host.take()).endpoint is None]
     assert len(a.connections) == before and waiting and len(b.connections) > 10
     host.loads(b=0.1)
     host.wait(0.1)
-    assert waiting[0].server is b
+    assert waiting[0].endpoint is b
 
 
 @pytest.mark.parametrize("late", [False, True])
 def test_a_server_that_sheds_or_is_late_is_not_refilled_at_once(host, lost, late):
     a, _ = host.servers("a", "b")
     sessions = [host.take() for _ in range(10)]
-    mine = [s for s in sessions if s.server is a]
+    mine = [s for s in sessions if s.endpoint is a]
     if late:
-        mine[0].delay_news(0.5)
+        mine[0].on_message_delay(0.5)
     else:
         lost(mine[0])
     before = placed(host)["a"]
@@ -374,7 +379,7 @@
     host.loads(b=0.5, a=1.2)
     host.wait(20.0)
     moved = len(host.asked("migrate"))
-    assert 4 <= moved < 30 and a.leaving is None
+    assert 4 <= moved < 30 and a.migration is None
 
 
 def test_overload_admits_by_utility_and_within_the_customers_share(start):
@@ -395,7 +400,7 @@
 
 def test_servers_are_probed_often_only_while_one_is_strained(start):
     host = start(health_checks=True, health_check_price=0.01)
-    host.balancer.asking = lambda *_: False  # asked loads have a story of their own
+    host.balancer.awaits_load_report = lambda *_: False  # asked loads have a story of their own
     a, *_ = host.servers(*"abcdefgh")
 
     def probes():
@@ -406,29 +411,29 @@
         return len(host.asked("check_health")) - before
 
     calm = probes()
-    a.strained_at = host.now
+    a.overloaded_at = host.now
     assert 4 <= calm <= 14 and probes() >= 2 * calm
 
 
 def test_messages_late_for_over_a_second_start_a_hand_off_until_they_are_not(host):
     a, *_ = host.servers(*"abcde")
-    mine = next(sess for sess in [host.take() for _ in range(50)] if sess.server is a)
-    mine.delay_news(1.0)
+    mine = next(sess for sess in [host.take() for _ in range(50)] if sess.endpoint is a)
+    mine.on_message_delay(1.0)
     host.wait(0.5)
     assert not host.asked("migrate")
     host.wait(0.5)
-    mine.delay_news(1.0)
+    mine.on_message_delay(1.0)
     host.wait(0.1)
     assert host.asked("migrate")
     host.wait(5.0)
-    assert a.leaving is None and a.connections
+    assert a.migration is None and a.connections
 
 
 def test_a_store_too_slow_for_any_dial_stretches_the_dial_times_too(host, lost):
     host.servers("a", "b")
     lost(host.take(stands=False), AttemptOutcome.TIMEOUT)
     assert [timeout for *_, timeout in host.asked("start_attempt")] == pytest.approx([0.3, 0.3])
-    host.take(stands=False).dial_ended(AttemptOutcome.TIMEOUT, False, 0.3)
+    host.take(stands=False).on_attempt_ended(AttemptOutcome.TIMEOUT, False, 0.3)
     assert host.asked("start_attempt")[-1][-1] > 0.4
 
 
@@ -449,17 +454,17 @@
     a, b = host.servers("a", "b")
     sess = host.take()
     asked = host.asked("check_health")[0][0]
-    assert sess.server is None and not host.asked("start_attempt")
+    assert sess.endpoint is None and not host.asked("start_attempt")
     host.wait(0.2)
     host.loads(**{name: 0.1 for name in "ab" if name != asked})
     host.wait(0.2)
-    assert sess.server is (a if asked == "b" else b)
+    assert sess.endpoint is (a if asked == "b" else b)
 
 
 def test_a_balancer_restarted_on_a_small_fleet_dials_at_once(start):
     host = start(health_checks=True, health_check_price=0.001, instance_count=4)
     host.servers(*"abcd")
-    assert host.take().server and not host.asked("check_health")
+    assert host.take().endpoint and not host.asked("check_health")
 
 
 def test_a_group_whose_homes_are_full_waits_and_is_not_strewn(start):
@@ -468,14 +473,14 @@
     host.loads(**{s.name: 0.1 for s in servers})
     stretch = set()
     for _ in range(17):
-        home = host.balancer.home(host.take(group="g", stands=False))
+        home = host.balancer.affinity_endpoint(host.take(group="g", stands=False))
         if home is not None:
-            home.strained_at = host.now
+            home.overloaded_at = host.now
             stretch.add(home)
     before = len(host.asked("start_attempt"))
-    host.balancer.asking = lambda *_: False
+    host.balancer.awaits_load_report = lambda *_: False
     sess = host.take(group="g", stands=False)
-    assert 4 <= len(stretch) <= 16 and sess.server is None and len(host.asked("start_attempt")) == before
+    assert 4 <= len(stretch) <= 16 and sess.endpoint is None and len(host.asked("start_attempt")) == before
 
 
 def test_a_cold_server_is_home_to_its_groups_as_far_as_its_budget_goes(start):
@@ -485,14 +490,16 @@
     balancer = host.balancer
 
     def first(group):
-        return balancer.fleet[balancer.ring[bisect(balancer.ring, (draw(group), 0)) % len(balancer.ring)][1]]
+        return balancer.endpoints[
+            balancer.ring[bisect(balancer.ring, (stable_uniform(group), 0)) % len(balancer.ring)][1]
+        ]
 
     sess = host.take(group=next(f"g{n}" for n in range(1000) if first(f"g{n}") is cold), stands=False)
-    balancer.memory.clear()
-    balancer.budget.tokens[cold], cold.arrival.credit = (1.0, host.now), 1
-    assert balancer.home(sess) is cold
-    balancer.budget.tokens[cold] = (0.0, host.now)
-    assert balancer.home(sess) in old  # not held until there is more: it meets at the next one
+    balancer.affinity.clear()
+    balancer.slow_start.tokens[cold], cold.arrival.credit = (1.0, host.now), 1
+    assert balancer.affinity_endpoint(sess) is cold
+    balancer.slow_start.tokens[cold] = (0.0, host.now)
+    assert balancer.affinity_endpoint(sess) in old  # not held until there is more: it meets at the next one
 
 
 def test_room_that_all_balancers_see_is_not_filled_by_all_at_once(start):
@@ -502,8 +509,8 @@
             host = start(seed, **FEW)
             host.servers("a", *(f"s{n}" for n in range(15)))
             host.loads(a=0.6, **{f"s{n}": 0.9 for n in range(15)})
-            host.balancer.look()
-            host.balancer.budget.seen, host.balancer.fill = 1.0, 2.0
+            host.balancer.refresh_health()
+            host.balancer.slow_start.seen, host.balancer.full_connections = 1.0, 2.0
             host.take()
             placed += len(host.asked("start_attempt"))
         return placed
@@ -524,7 +531,7 @@
         host.wait(3.0 + n / 50)
         sess = host.take(stands=False)
         sess.group = "g"
-        if (home := host.balancer.home(sess)) is not None:
+        if (home := host.balancer.affinity_endpoint(sess)) is not None:
             homes.add(home.name)
     assert 1 <= len(homes) <= 2
 
@@ -536,8 +543,10 @@
         host = start(seed, group_affinity=True, **FEW, **told)
         host.servers(*(f"s{n}" for n in range(12)), weight=4.0)
         host.loads(**{f"s{n}": 0.5 for n in range(12)})
-        host.balancer.look()
-        assert host.balancer.fill == pytest.approx(600 / 100 / 48)  # nothing open here: the fleet's as told
+        host.balancer.refresh_health()
+        assert host.balancer.full_connections == pytest.approx(
+            600 / 100 / 48
+        )  # nothing open here: the fleet's as told
         host.take(group="g", stands=False)
         placed.append(len(host.asked("start_attempt")))
     assert sum(placed) > 12  # by own connections alone, none, it would be a few
@@ -545,24 +554,24 @@
 
 def test_a_working_set_is_part_of_a_large_fleet_and_is_refilled_without_moving_connections(host):
     servers = host.servers(*(f"s{n}" for n in range(80)))
-    first = set(host.balancer.working)
+    first = set(host.balancer.subset)
     assert len(first) == 16
     for _ in range(40):
         host.take()
     gone = {s.name for s in servers if s in first and s is not servers[-1]}
     host.servers(*gone, kind=EndpointListKind.DELTA, state=EndpointState.REMOVED)
-    assert len(host.balancer.working) == 16 and not gone & {s.name for s in host.balancer.working}
-    before = set(host.balancer.working)
+    assert len(host.balancer.subset) == 16 and not gone & {s.name for s in host.balancer.subset}
+    before = set(host.balancer.subset)
     host.wait(60.0)
-    assert set(host.balancer.working) != before and not host.asked("migrate")
+    assert set(host.balancer.subset) != before and not host.asked("migrate")
 
 
 def test_the_work_for_a_session_does_not_grow_with_the_fleet(start):
     def looks(size):
         host = start(group_affinity=True, **FEW)
         host.loads(**{s.name: 0.1 for s in host.servers(*(f"s{n}" for n in range(size)))})
-        well, seen = host.balancer.well, []
-        host.balancer.well = lambda *what: seen.append(what) or well(*what)
+        well, seen = host.balancer.eligible, []
+        host.balancer.eligible = lambda *what: seen.append(what) or well(*what)
         for n in range(50):
             host.take(group=f"g{n}")
         return len(seen)
@@ -574,7 +583,7 @@
     hosts = [start(seed, instance_count=100, instance_index=seed) for seed in range(100)]
     for host in hosts:
         host.servers(*(f"s{n}" for n in range(20)))
-        host.balancer.probes = 0.1
+        host.balancer.checks_per_session = 0.1
         for _ in range(10):
             host.take()
             host.wait(2.0)
@@ -607,7 +616,7 @@
         host.servers("c", kind=EndpointListKind.DELTA, started_at=host.now)
         host.wait(5.0)
         for server in warm:
-            server.strained_at = math.inf  # nothing else is open: all that comes wants the cold one
+            server.overloaded_at = math.inf  # nothing else is open: all that comes wants the cold one
     began = hosts[0].now - 5.0
     for step in range(20):
         for host in hosts:
@@ -624,17 +633,17 @@
     host.servers("a", "b", "c", "d")
     for _ in range(80):
         host.take()
-    host.balancer.review()
-    usual = host.balancer.mean
+    host.balancer.rebalance_subset()
+    usual = host.balancer.mean_connections
     host.servers("a", "b", "c", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
-    assert host.balancer.mean <= 1.2 * usual
+    assert host.balancer.mean_connections <= 1.2 * usual
 
 
 def test_a_long_queue_keeps_no_session_past_its_dial_timeout(host):
     (a,) = host.servers("a")
     low, high = replace(CALLS, utility=1.0), replace(CALLS, utility=5.0)
     for step in range(40):
-        a.strained_at = host.now
+        a.overloaded_at = host.now
         host.take(low if step < 10 else high, stands=False)
         host.wait(0.1)
     assert [token for token, _ in host.asked("reject")][:18] == [10001 + n for n in range(18)]
@@ -645,12 +654,12 @@
     sess = host.take()
     host.servers("a", "a")
     host.wait(0.1)
-    assert sess.server is host.balancer.servers["a"] and len(host.balancer.fleet) == 1
+    assert sess.endpoint is host.balancer.tracked["a"] and len(host.balancer.endpoints) == 1
     host.servers(*(f"s{n}" for n in range(1000)))
     host.servers("a", kind=EndpointListKind.DELTA, weight=3.0, zone="z")
-    assert len(host.balancer.fleet) == 1001 and len(host.balancer.servers["a"].places) == 6
+    assert len(host.balancer.endpoints) == 1001 and len(host.balancer.tracked["a"].ring_positions) == 6
     host.servers(kind=EndpointListKind.SNAPSHOT)
-    assert not host.balancer.working and host.take(stands=False).server is None
+    assert not host.balancer.subset and host.take(stands=False).endpoint is None
 
 
 def test_a_weight_that_moves_with_load_is_taken_for_connections_and_not_for_a_size(start):
@@ -658,17 +667,17 @@
     host = start(live_weights=True, group_affinity=True, instance_count=8)
     servers = host.servers("a", "b", "c", weight=4.0, machine_type="m")
     host.servers("d", kind=EndpointListKind.DELTA, weight=2.0, machine_type="n")
-    places = {s.name: list(s.places) for s in host.balancer.fleet}
+    places = {s.name: list(s.ring_positions) for s in host.balancer.endpoints}
     host.servers("a", kind=EndpointListKind.DELTA, weight=0.4, machine_type="m")
     host.servers("b", kind=EndpointListKind.DELTA, weight=1.0, machine_type="m")
-    assert [s.size for s in host.balancer.fleet] == [4.0, 4.0, 4.0, 2.0]
-    assert {s.name: list(s.places) for s in host.balancer.fleet} == places
-    assert [round(s.held, 6) for s in servers] == [9.0, 3.0, 0.0]
+    assert [s.size for s in host.balancer.endpoints] == [4.0, 4.0, 4.0, 2.0]
+    assert {s.name: list(s.ring_positions) for s in host.balancer.endpoints} == places
+    assert [round(s.shared_connections, 6) for s in servers] == [9.0, 3.0, 0.0]
     host.loads(a=0.9)
     assert host.balancer.load_of(servers[1]) == pytest.approx(0.3)  # told of one, and so of all of its kind
     host.servers("a", kind=EndpointListKind.DELTA, weight=0.5, machine_type="m")
     assert host.balancer.load_of(servers[0]) == pytest.approx(0.7)  # its report is carried on
-    weigh = [host.balancer.weight(s, None, None) for s in servers]
+    weigh = [host.balancer.cost(s, None, None) for s in servers]
     assert weigh == sorted(weigh, reverse=True) and len(set(weigh)) == 3
     host.servers("a", kind=EndpointListKind.DELTA, weight=0.0, machine_type="m")  # says nothing
     assert servers[0].size == 4.0 and host.balancer.load_of(servers[0]) == pytest.approx(0.7)
@@ -681,7 +690,9 @@
     )
     early.servers("a", "b", "c", weight=4.0, machine_type="m")
     late.servers("a", "b", "c", weight=0.5, machine_type="m")
-    assert [s.places for s in early.balancer.fleet] == [s.places for s in late.balancer.fleet]
+    assert [s.ring_positions for s in early.balancer.endpoints] == [
+        s.ring_positions for s in late.balancer.endpoints
+    ]
 
 
 def test_a_groups_home_is_near_only_while_the_fleet_is_empty_by_a_crossings_price(start):
@@ -690,11 +701,11 @@
         host = start(group_affinity=True, zone="here", cross_zone_price=price)
         host.servers(*(f"far{n}" for n in range(30)), zone="there")
         host.servers(*(f"near{n}" for n in range(30)), kind=EndpointListKind.DELTA, zone="here")
-        for server in host.balancer.fleet:
+        for server in host.balancer.endpoints:
             server.arrival = None
-        host.loads(**{s.name: load for s in host.balancer.fleet})
-        host.balancer.review()
-        homes = [host.balancer.home(host.take(group=f"g{n}", stands=False)) for n in range(20)]
+        host.loads(**{s.name: load for s in host.balancer.endpoints})
+        host.balancer.rebalance_subset()
+        homes = [host.balancer.affinity_endpoint(host.take(group=f"g{n}", stands=False)) for n in range(20)]
         assert (sum(s.zone == "here" for s in homes) >= 16) is near
 
 
@@ -707,11 +718,11 @@
             host = start(seed, group_affinity=True, **FEW)
             host.servers(*(f"s{n}" for n in range(16)))
             host.loads(**{f"s{n}": 0.6 for n in range(16)})
-            host.balancer.look()
-            host.balancer.budget.seen, host.balancer.fill = 1.0, 2.0
-            host.balancer.demand["one"] = Rate(host.now)
+            host.balancer.refresh_health()
+            host.balancer.slow_start.seen, host.balancer.full_connections = 1.0, 2.0
+            host.balancer.group_rates["one"] = ArrivalRate(host.now)
             for _ in range(others):
-                host.balancer.demand["one"].arrived(host.now)
+                host.balancer.group_rates["one"].arrived(host.now)
             host.take(group="one")
             placed[-1] += len(host.asked("start_attempt"))
     assert 0 < placed[0] < placed[1] / 2
@@ -723,16 +734,20 @@
     a, b = host.servers("a", "b", weight=4.0, machine_type="m")
     sess, live = host.take(), replace(PLAIN, group_affinity=True, live_weights=True)
     host.loads(a=0.4, b=0.2)
-    host.balancer.resettle(live)
+    host.balancer.reconfigure(live)
     host.servers("a", "b", weight=0.4, machine_type="m")
     host.servers("b", kind=EndpointListKind.DELTA, weight=4.0, machine_type="m")
-    assert host.balancer.load_of(a) == pytest.approx(0.4) and (a.size, a.held) == (4.0, 9.0)
+    assert host.balancer.load_of(a) == pytest.approx(0.4) and (a.size, a.shared_connections) == (4.0, 9.0)
     host.loads(a=0.5)
-    host.balancer.resettle(replace(PLAIN, group_affinity=True))
-    assert not host.balancer.brims and host.balancer.load_of(a) == pytest.approx(0.5)
+    host.balancer.reconfigure(replace(PLAIN, group_affinity=True))
+    assert not host.balancer.load_calibration and host.balancer.load_of(a) == pytest.approx(0.5)
     host.servers("a", "b", weight=2.0, machine_type="m")
-    assert (a.size, a.held, b.size) == (2.0, 0.0, 2.0)
-    assert sess.server in (a, b) and sess in sess.server.connections and len(host.asked("start_attempt")) == 1
+    assert (a.size, a.shared_connections, b.size) == (2.0, 0.0, 2.0)
+    assert (
+        sess.endpoint in (a, b)
+        and sess in sess.endpoint.connections
+        and len(host.asked("start_attempt")) == 1
+    )
 
 
 def test_servers_full_by_a_guess_alone_are_asked_while_sessions_wait(start):
@@ -744,17 +759,17 @@
         host.take()
     host.wait(0.6)
     host.loads(a=0.4, b=0.4)
-    held = [len(server.connections) for server in host.balancer.servers.values()]
+    held = [len(server.connections) for server in host.balancer.tracked.values()]
     asked = len(host.asked("check_health"))
-    while not host.balancer.waiting:
+    while not host.balancer.queue:
         host.take()
     host.wait(0.45)
-    grown = [len(server.connections) for server in host.balancer.servers.values()]
+    grown = [len(server.connections) for server in host.balancer.tracked.values()]
     assert any(new > 1.5 * old for new, old in zip(grown, held, strict=True))
     assert 2 <= len(host.asked("check_health")) - asked <= 6
     host.loads(a=0.4, b=0.4)
     host.wait(0.1)
-    assert not host.balancer.waiting
+    assert not host.balancer.queue
 
 
 def test_six_in_ten_servers_replaced_in_one_answer_get_nothing_more_and_nobody_is_left_unanswered(start):
@@ -763,7 +778,7 @@
     for _ in range(40):
         host.take()
     old, before = {f"s{n}" for n in range(6)}, len(host.asked("start_attempt"))
-    host.balancer.server_list(
+    host.balancer.on_endpoint_list(
         EndpointListKind.DELTA,
         [
             *(Endpoint(name, EndpointState.REMOVED) for name in sorted(old)),
@@ -776,7 +791,7 @@
         host.wait(0.2)
     fresh = [server for _, server, _ in host.asked("start_attempt")[before:]]
     assert not old & set(fresh) and any(name.startswith("t") for name in fresh)
-    assert all(sess.standing or sess.answered for sess in late)
+    assert all(sess.established or sess.answered for sess in late)
     assert len(fresh) + len(host.asked("reject")) == 40
 
 
@@ -790,7 +805,7 @@
     assert all(sess.answered for sess in waiting) and len(host.asked("reject")) == 5
     host.servers("a", "b")
     host.wait(1.0)
-    assert host.take().standing and len(host.asked("reject")) == 5
+    assert host.take().established and len(host.asked("reject")) == 5
 
 
 def test_a_load_beyond_all_measure_keeps_its_server_out_and_all_figures_finite(start):
@@ -801,41 +816,41 @@
         host.take()
         host.wait(0.5)
     balancer = host.balancer
-    assert set(placed(host)) == {"b"} and 0.0 < balancer.fill < math.inf
+    assert set(placed(host)) == {"b"} and 0.0 < balancer.full_connections < math.inf
     host.loads(a=0.1)
     host.wait(2.0)
-    assert balancer.well(balancer.servers["a"])
+    assert balancer.eligible(balancer.tracked["a"])
 
 
 def test_a_server_that_sends_a_client_away_or_refuses_connections_is_left_at_once(host, lost):
     """The list was late: clients went from one draining server to the next, and to ports that were shut."""
     servers = host.servers("a", "b", "c")
     sess = host.take()
-    away = sess.server
-    sess.dial_ended(AttemptOutcome.CANCELLED, True, 20.0)
-    assert not host.balancer.well(away)
-    assert {host.take().server for _ in range(20)} == {*servers} - {away}
+    away = sess.endpoint
+    sess.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
+    assert not host.balancer.eligible(away)
+    assert {host.take().endpoint for _ in range(20)} == {*servers} - {away}
     host.wait(4.0)  # no verdict for good
-    assert host.balancer.well(away)
+    assert host.balancer.eligible(away)
     host.wait(40.0)
     lost(host.take(stands=False), AttemptOutcome.CONNECT_FAILED)  # 0.1 s: it may only be slow
-    assert all(host.balancer.well(server) for server in servers)
+    assert all(host.balancer.eligible(server) for server in servers)
     sess = host.take(stands=False)
-    shut = sess.server
-    sess.dial_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
-    assert not host.balancer.well(shut) and sess.server is not shut
+    shut = sess.endpoint
+    sess.on_attempt_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
+    assert not host.balancer.eligible(shut) and sess.endpoint is not shut
 
 
 def test_a_client_that_leaves_or_is_moved_from_here_says_nothing_of_its_server(host):
     host.servers("a")
     left, moved = host.take(), host.take()
-    left.client_gone()
-    left.dial_ended(AttemptOutcome.CANCELLED, True, 20.0)
-    moved.server.strained_at = host.now
-    host.balancer.hand_off(moved.server, "a story")
+    left.on_client_gone()
+    left.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
+    moved.endpoint.overloaded_at = host.now
+    host.balancer.start_migration(moved.endpoint, "a story")
     assert host.asked("migrate")
-    moved.dial_ended(AttemptOutcome.CANCELLED, True, 20.0)
-    assert moved.server.score(host.now) == 0.0
+    moved.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
+    assert moved.endpoint.outlier_score(host.now) == 0.0
 
 
 def blind(start, **changes):
@@ -850,14 +865,14 @@
     host, servers = blind(start, max_retry_after=1.0)
     for _ in range(200):
         host.take()
-        host.balancer.look()
+        host.balancer.refresh_health()
     counts = placed(host)
     assert set(counts.values()) == {13} and len(counts) == 4  # 0.65 of 20 each, and nothing past it
     host.wait(3.0)
     assert len(host.asked("reject")) == 200 - 52
     host.loads(a=0.1)  # the first report that is heard ends the guessing
-    host.balancer.look()
-    assert not host.balancer.blind and host.balancer.well(servers[0])
+    host.balancer.refresh_health()
+    assert not host.balancer.loads_unknown and host.balancer.eligible(servers[0])
 
 
 def test_where_no_load_is_told_a_group_has_one_home_for_all_zones_and_a_shedding_server_rests_longer(start):
@@ -868,12 +883,12 @@
             host.servers(
                 name, kind=EndpointListKind.DELTA, zone="north" if name in "ab" else "south", weight=4.0
             )
-        host.balancer.look()
-        homes.add(host.take(group="g7").server.name)
+        host.balancer.refresh_health()
+        homes.add(host.take(group="g7").endpoint.name)
     assert len(homes) == 1
-    server = host.balancer.servers[homes.pop()]
-    server.strained_at = host.now
+    server = host.balancer.tracked[homes.pop()]
+    server.overloaded_at = host.now
     host.wait(4.0)
-    assert not host.balancer.well(server)
+    assert not host.balancer.eligible(server)
     host.wait(1.0)
-    assert host.balancer.well(server)
+    assert host.balancer.eligible(server)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -228,8 +228,8 @@
     index = 0
     while True:
         shimmed.plan.fail(call, error, index, times)
-        for server in balancer.servers.values():
-            server.distrust, server.strained_at = 0.0, -1e9
+        for server in balancer.tracked.values():
+            server.recorded_score, server.overloaded_at = 0.0, -1e9
         before = shimmed.proxy.loop.epoll.polls
         servers, peers = play(shimmed)
         for peer in peers:
@@ -238,7 +238,7 @@
         hit = shimmed.plan.hits
         shimmed.plan.fail("", 0, 0)
         if name in SHORTAGES or name in ("EINTR", "EAGAIN"):
-            assert not [s for s in balancer.servers.values() if s.distrust], (
+            assert not [s for s in balancer.tracked.values() if s.recorded_score], (
                 "a shortage is held against a server"
             )
         check(shimmed, servers, peers, whose)
