--- a/onyxhollow/lab/baselines.py
+++ b/onyxhollow/lab/baselines.py
@@ -1,7 +1,7 @@
 """Policies to compare with, behind the module's own door. They keep the four rules and are else plain.
 
 Drains: connections placed are moved evenly over a few seconds. Cold servers: each balancer keeps its
-share of the budget, by the module's own SlowStartBudget. TrueState sees the true state of all servers; no real
+share of the budget, by the own SlowStartBudget of the module. TrueState sees the true state; no real
 policy can."""
 
 from __future__ import annotations
--- a/onyxhollow/policy/arrivals.py
+++ b/onyxhollow/policy/arrivals.py
@@ -60,7 +60,7 @@
         allowed = arrival.allowance(mean_latency(state, others), endpoint.latency(now))
         arrival.credited_at = now
         arrival.credit = arrival.credit or max(1, allowed)
-    due = arrival.credit > 0 or session.was_queued and not cold  # else refused beside an idle endpoint
+    due = arrival.credit > 0 or (session.was_queued and not cold)  # else refused beside an idle endpoint
     return due and state.slow_start.refill(endpoint, state.full_connections, now) >= 1
 
 
--- a/onyxhollow/policy/handoff.py
+++ b/onyxhollow/policy/handoff.py
@@ -28,7 +28,7 @@
 def start_migration(state: PolicyState, source: TrackedEndpoint, reason: str, forced: bool = False) -> None:
     """Begin to hand off an endpoint's connections; forced: by a drain notice, whatever is under way."""
     in_service = source.state is EndpointState.IN_SERVICE
-    if source.connections and (forced or in_service and not source.migration):
+    if source.connections and (forced or (in_service and not source.migration)):
         source.migration = StagedMigration(len(source.connections), source.latency(state.host.now))
         state.host.log(f"hand-off {source.name}: {reason}, own connections {source.migration.count}")
         migrate_step(state, source, source.migration)
--- a/onyxhollow/policy/outlier_detection.py
+++ b/onyxhollow/policy/outlier_detection.py
@@ -47,7 +47,7 @@
         endpoint.handshake_time.add(max(took, session.listener.handshake_objective), state.host.now)
         if outcome is AttemptOutcome.TIMEOUT:
             state.handshake_time.add(took, state.host.now)
-    if outcome is AttemptOutcome.OVERLOADED or session.established and outcome is AttemptOutcome.RESET:
+    if outcome is AttemptOutcome.OVERLOADED or (session.established and outcome is AttemptOutcome.RESET):
         endpoint.overloaded_at = state.host.now  # it sheds: refilled at once it would drop them again
     nobody_listens = outcome is AttemptOutcome.CONNECT_FAILED and took < TICK
     if sent_away or nobody_listens:
--- a/onyxhollow/policy/retry.py
+++ b/onyxhollow/policy/retry.py
@@ -1,8 +1,8 @@
 """What may be attempted again, where, and in what time.
 
-Decides from the listener's idempotency, the endpoint on which a session may first have run, and the time left.
-Guards against running a request twice, against a write that comes too late for its client, and against a
-slow store that fails each early attempt.
+Decides from the listener's idempotency, the endpoint on which a session may first have run, and the
+time left. Guards against running a request twice, against a write that comes too late for its client, and
+against a slow store that fails each early attempt.
 """
 
 from __future__ import annotations
@@ -67,8 +67,10 @@
     return (
         session.deadline - now <= MIN_TIME_LEFT
         or len(session.attempted) >= session.max_attempts
-        or len(session.attempted) > 0
-        and not any(may_attempt_at(session, endpoint, now) for endpoint in endpoints)
+        or (
+            len(session.attempted) > 0
+            and not any(may_attempt_at(session, endpoint, now) for endpoint in endpoints)
+        )
     )
 
 
--- a/onyxhollow/policy/selection.py
+++ b/onyxhollow/policy/selection.py
@@ -48,7 +48,7 @@
     now = state.host.now
     full = state.full_connections
     arrival = endpoint.arrival
-    if endpoint.ever_used or arrival and arrival.moved < arrival.count:
+    if endpoint.ever_used or (arrival and arrival.moved < arrival.count):
         own: float = len(endpoint.connections)
     else:
         own = state.mean_connections * endpoint.size
--- a/onyxhollow/policy/subset.py
+++ b/onyxhollow/policy/subset.py
@@ -31,7 +31,7 @@
 
 
 def redraw_subset(state: PolicyState) -> None:
-    """Replace members that are gone, ejected or full by others drawn at random, then refresh the estimates."""
+    """Replace members that are gone, ejected or full by others drawn at random; refresh the estimates."""
     warm = [s for s in state.endpoints if not s.arrival]  # the rest would swell the slow-start budget
     own = sum(len(s.connections) for s in warm)
     state.total_size = sum(s.size for s in warm or state.endpoints) or 1.0
@@ -54,7 +54,7 @@
 
 
 def refresh_health(state: PolicyState) -> None:
-    """Compute anew, from the subset, the ejection threshold, the eligible share and what fills an endpoint."""
+    """Compute again, of the subset, the ejection threshold, the eligible share and what fills an endpoint."""
     now = state.host.now
     subset = state.subset
     state.ejection_threshold = ejection_threshold([s.outlier_score(now) for s in subset])
