--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -25,26 +25,28 @@
 from onyxhollow.append_log import AppendLog, AppendLogError
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.advertise import ADDRESSES, Addresses
-from onyxhollow.fleet.file import Duty, Fleet
-from onyxhollow.fleet.lists import LIST, Lists
-from onyxhollow.fleet.shares import SHARE, Shares
-from onyxhollow.fleet.works import LeaderTask, WebhookTask
+from onyxhollow.fleet.file import FleetConfig, RoleScope, RoleTable, TaskKind
+from onyxhollow.fleet.gossip_service import GOSSIP_PAYLOAD, GossipService
+from onyxhollow.fleet.leader_tasks import LeaderTask, WebhookTask
+from onyxhollow.fleet.list_replication import LIST_PAYLOAD, ListReplication
 from onyxhollow.interface import Endpoint, EndpointListKind
 from onyxhollow.leases import messages as said
-from onyxhollow.leases.change import Changer
-from onyxhollow.leases.claim import Claim, Said, State, Turn
-from onyxhollow.leases.messages import VOTERS, Council
+from onyxhollow.leases.candidate import Candidate, Transition, VoterMessage
+from onyxhollow.leases.candidate_states import CandidateState
+from onyxhollow.leases.messages import VOTERS_ROLE, VoterSet
+from onyxhollow.leases.reconfiguration import Reconfiguration
 from onyxhollow.leases.voter import Voter
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.loop import READ, Task
 from onyxhollow.management.api import PLAIN, Answer
-from onyxhollow.membership.messages import LARGEST, MemberState, Update
-from onyxhollow.membership.seal import DatagramAuthenticator
-from onyxhollow.membership.swim import Member, SwimMembership
+from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator
+from onyxhollow.membership.member_table import Member
+from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES, MemberState, MemberUpdate
+from onyxhollow.membership.swim import SwimMembership
 from onyxhollow.wire.channel import ListenError
 
 HOLDS, VOTES = 1, 2  # flags of a member: may hold duties; has a voter's memory
-DUTIES = 1  # kind of what is carried, beside LIST
+DUTIES = 1  # kind of what is carried, beside LIST_PAYLOAD
 READS = 64  # datagrams in one turn of the loop
 RATE, BURST = 1500.0, 3000.0  # datagrams sent a second, and at once; past them they are dropped and counted
 HISTORY = 200  # changes of holders that are remembered
@@ -75,15 +77,15 @@
 class LeaseRunner:
     """One duty at this member: its claim, and the work while it is held."""
 
-    def __init__(self, claim: Claim, zone: str | None, work: LeaderTask | None) -> None:
+    def __init__(self, claim: Candidate, zone: str | None, work: LeaderTask | None) -> None:
         self.claim, self.zone, self.work = claim, zone, work
         self.held_at = self.quiet_until = self.recorded = 0.0
         self.failures = 0
 
 
 class Node:
-    def __init__(self, proxy: Proxy, fleet: Fleet) -> None:
-        self.proxy, self.fleet, self.told = proxy, fleet, fleet.told
+    def __init__(self, proxy: Proxy, fleet: FleetConfig) -> None:
+        self.proxy, self.fleet, self.file = proxy, fleet, fleet.file
         self.loop, self.log, self.counters = proxy.loop, proxy.log, proxy.counters
         self.name, self.zone = proxy.config.name, proxy.config.settings.zone
         self.epoch = clock.new_epoch()
@@ -102,10 +104,10 @@
         now = clock.now()
         self.started = self.trouble_at = now
         self.stalled_told = 0.0
-        self.seal = DatagramAuthenticator(self.told.fleet, self.name, self.epoch, fleet.keys)
-        me = Update(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
-        self.membership = SwimMembership(me, self.told.terms(), self.rng, fleet.seeds, now)
-        self.voters = Council(0, tuple(self.told.voters))
+        self.authenticator = DatagramAuthenticator(self.file.fleet, self.name, self.epoch, fleet.keys)
+        me = MemberUpdate(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
+        self.membership = SwimMembership(me, self.file.protocol_config(), self.rng, fleet.seeds, now)
+        self.voters = VoterSet(0, tuple(self.file.voters))
         self.records: AppendLog | None = None
         self.voter: Voter | None = None
         self.records_at = now
@@ -117,14 +119,14 @@
         self.local: deque[tuple[str, Any]] = deque()  # said to oneself
         self.level, self.level_at = BURST, now
         self.look_at = self.ranks_until = now
-        self.changer = Changer()
-        self.lists: Lists | None = None
-        share = self.told.share()
-        self.shares = Shares(self, share) if share else None
+        self.changer = Reconfiguration()
+        self.list_replication: ListReplication | None = None
+        share = self.file.gossip_config()
+        self.gossip = GossipService(self, share) if share else None
         self.closed = False
         self.runners: dict[str, LeaseRunner] = {}
-        self.add(VOTERS, None, None)
-        for duty in self.told.duty:
+        self.add(VOTERS_ROLE, None, None)
+        for duty in self.file.roles:
             self.add_duty(duty)
         self.addresses = Addresses(self, fleet.addresses) if fleet.addresses else None
         for name, zone, work in self.addresses.duties() if self.addresses else ():
@@ -145,26 +147,28 @@
             listen=fleet.listen,
             advertise=fleet.advertise,
             epoch=self.epoch,
-            voters=self.told.voters,
+            voters=self.file.voters,
             zone=self.zone,
             version=__version__,
         )
 
-    def add_duty(self, duty: Duty) -> None:
-        name = f"{duty.name}/{self.zone}" if duty.per == "zone" else duty.name
-        zone = self.zone if duty.per == "zone" else None
+    def add_duty(self, role: RoleTable) -> None:
+        per_zone = role.scope is RoleScope.ZONE
+        name = f"{role.name}/{self.zone}" if per_zone else role.name
+        zone = self.zone if per_zone else None
         work: LeaderTask
-        if duty.work == "list":
-            work = self.lists = Lists(self, name, zone, duty.every, duty.service)
+        if role.task is TaskKind.LIST:
+            work = self.list_replication = ListReplication(self, name, zone, role.interval, role.service)
         else:
-            host, _, port = duty.call.rpartition(":")
+            host, _, port = role.call_address.rpartition(":")
+            address = host, int(port)
             work = WebhookTask(
-                self.loop, (host, int(port)), duty.path, name, self.process_id, duty.every, self.counters.add
+                self.loop, address, role.path, name, self.process_id, role.interval, self.counters.add
             )
         self.add(name, zone, work)
 
     def add(self, name: str, zone: str | None, work: LeaderTask | None) -> None:
-        claim = Claim(name, self.process_id, self.told.rules(), self.voters, self.rng, clock.now())
+        claim = Candidate(name, self.process_id, self.file.lease_timing(), self.voters, self.rng, clock.now())
         self.runners[name] = LeaseRunner(claim, zone, work)
 
     def log_event(self, event: str, **values: Any) -> None:
@@ -176,14 +180,14 @@
         now = clock.now()
         for _ in range(READS):
             try:
-                datagram, source = self.sock.recvfrom(LARGEST + 1)
+                datagram, source = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
             except OSError:
                 continue  # a refusal of something sent before
             self.counts["datagrams in"] += 1
             self.counts["bytes in"] += len(datagram)
-            if packet := self.seal.open(datagram):
+            if packet := self.authenticator.verify(datagram):
                 self.membership.on_message(now, packet, (source[0], source[1]))
         self.step()
 
@@ -200,14 +204,14 @@
         times = [
             self.membership.next_due,
             self.look_at,
-            *(runner.claim.due() for runner in self.runners.values()),
+            *(runner.claim.next_due() for runner in self.runners.values()),
         ]
         if self.voter:
-            times.append(self.voter.due())
-        if self.lists:
-            times.append(self.lists.next_due())
-        if self.shares:
-            times.append(self.shares.next_due)
+            times.append(self.voter.next_due())
+        if self.list_replication:
+            times.append(self.list_replication.next_due())
+        if self.gossip:
+            times.append(self.gossip.next_due)
         if self.addresses:
             times.append(self.addresses.next_due())
         return min(times)
@@ -223,15 +227,15 @@
         if now >= self.look_at:
             self.look_at = now + LOOK
             self.look(now)
-        if self.voter and now >= self.voter.due():
+        if self.voter and now >= self.voter.next_due():
             self.tick_voter(now)
         for runner in self.runners.values():
-            if now >= runner.claim.due():
+            if now >= runner.claim.next_due():
                 self.say(runner, runner.claim.tick(now, self.rank(runner, now)))
-        if self.lists:
-            self.lists.tick(now)
-        if self.shares:
-            self.shares.tick(now)
+        if self.list_replication:
+            self.list_replication.tick(now)
+        if self.gossip:
+            self.gossip.tick(now)
         if self.addresses:
             self.addresses.tick(now)
         while (
@@ -241,11 +245,9 @@
             or self.membership.received_broadcasts
         ):
             self.take_changes(now)
-            carried, self.membership.received_payloads = self.membership.received_payloads, []
-            for member, part in carried:
+            for member, part in self.membership.take_payloads():
                 self.take(member, part.kind, part.body, now)
-            events, self.membership.received_broadcasts = self.membership.received_broadcasts, []
-            for event in events:
+            for event in self.membership.take_broadcasts():
                 self.take_event(event.kind, event.body, now)
             while self.local:
                 name, told = self.local.popleft()
@@ -258,14 +260,13 @@
         now = clock.now()
         self.level = min(BURST, self.level + (now - self.level_at) * RATE)
         self.level_at = now
-        out, self.membership.outbox = self.membership.outbox, []
-        for one in out:
+        for one in self.membership.take_outbox():
             if self.level < 1.0:
                 self.counts["not sent: too much at once"] += 1
                 continue
             self.level -= 1.0
-            datagram = self.seal.close(one.parts, one.to)
-            if len(datagram) > LARGEST:  # it would be dropped there, and nobody here would know
+            datagram = self.authenticator.sign(one.messages, one.receiver_epoch)
+            if len(datagram) > MAX_DATAGRAM_BYTES:  # it would be dropped there, and nobody here would know
                 self.counts["not sent: larger than a datagram"] += 1
                 continue
             self.counts["datagrams out"] += 1
@@ -278,17 +279,16 @@
     # members
 
     def tell_stalls(self) -> None:
-        if self.membership.stalled - self.stalled_told >= STALL_TOLD:
-            self.log_event("stalled", seconds=round(self.membership.stalled - self.stalled_told, 3))
-            self.stalled_told = self.membership.stalled
+        if self.membership.stalled_seconds - self.stalled_told >= STALL_TOLD:
+            self.log_event("stalled", seconds=round(self.membership.stalled_seconds - self.stalled_told, 3))
+            self.stalled_told = self.membership.stalled_seconds
 
     def take_changes(self, now: float) -> None:
-        changes, self.membership.changes = self.membership.changes, []
-        for change in changes:
+        for change in self.membership.take_changes():
             member = change.member
             self.ranks.clear()
-            if self.shares:
-                self.shares.changed = True
+            if self.gossip:
+                self.gossip.on_members_changed()
             if member.state in (MemberState.SUSPECT, MemberState.DEAD):
                 self.trouble_at = now
             self.log_event(
@@ -296,7 +296,7 @@
                 member=member.name,
                 epoch=member.epoch,
                 life=member.state.name.lower(),
-                why=change.why,
+                why=change.cause,
                 there=self.membership.live_count(),
             )
 
@@ -313,11 +313,11 @@
 
     def order(self, runner: LeaseRunner) -> list[str]:
         """Who may hold a duty, the preferred first: by rendezvous hashing (Thaler, Ravishankar, 1998)."""
-        duty = runner.claim.duty
+        duty = runner.claim.role
         if (known := self.ranks.get(duty)) is not None:
             return known
         now = clock.now()
-        damped = self.membership.damping.damped
+        damped = self.membership.flap_damping.is_damped
         able = {
             (
                 member.state is MemberState.SUSPECT,
@@ -342,7 +342,7 @@
 
     # what duties say
 
-    def say(self, runner: LeaseRunner, told: Said) -> None:
+    def say(self, runner: LeaseRunner, told: list[VoterMessage]) -> None:
         for voter, message in told:
             self.send_to_voter(voter, message)
 
@@ -363,62 +363,62 @@
             self.membership.send_payload(member, DUTIES, said.encode(message))
 
     def take(self, member: Member, kind: int, body: bytes, now: float) -> None:
-        if kind == LIST:
-            if self.lists:
-                self.lists.on_message(member, body, now)
+        if kind == LIST_PAYLOAD:
+            if self.list_replication:
+                self.list_replication.on_message(member, body, now)
             return
-        if kind == SHARE:
-            if self.shares:
-                self.shares.on_message(member, body, now)
+        if kind == GOSSIP_PAYLOAD:
+            if self.gossip:
+                self.gossip.on_message(member, body, now)
             return
         if kind == ADDRESSES:
             if self.addresses:
                 self.addresses.on_message(member, body, now)
             return
         try:
-            told = said.MESSAGES.decode(body)
+            told = said.MESSAGE_DECODER.decode(body)
         except (msgspec.DecodeError, RecursionError):
             self.counts["duties: rubbish"] += 1
             return
         self.duties_heard(who_is(member), member.name, told, now)
 
     def take_event(self, kind: int, body: bytes, now: float) -> None:
-        if kind == LIST:
-            if self.lists:
-                self.lists.on_broadcast(body, now)
+        if kind == LIST_PAYLOAD:
+            if self.list_replication:
+                self.list_replication.on_broadcast(body)
             return
         if kind == ADDRESSES:
             if self.addresses:
                 self.addresses.on_broadcast(body)
             return
         with contextlib.suppress(msgspec.DecodeError):
-            told = said.MESSAGES.decode(body)
-            if isinstance(told, said.Held):
-                self.heard_of(told.duty, told.term, told.who, now)
-            elif isinstance(told, said.Learn):
-                self.learn(told.council, now)
+            told = said.MESSAGE_DECODER.decode(body)
+            if isinstance(told, said.LeaderAnnouncement):
+                self.heard_of(told.role, told.term, told.holder, now)
+            elif isinstance(told, said.ConfigurationCommitted):
+                self.learn(told.voter_set, now)
 
     def duties_heard(self, who: str, name: str, told: Any, now: float) -> None:
-        if isinstance(told, said.Answer):
-            runner = self.runners.get(told.duty)
+        if isinstance(told, said.VoteResponse):
+            runner = self.runners.get(told.role)
             if runner:
-                self.say(runner, runner.claim.heard(clock.now(), name, told))
-                if told.council:
-                    self.learn(told.council, now)
-        elif isinstance(told, said.Offer):
-            if (runner := self.runners.get(told.duty)) and self.rank(runner, now) is not None:
-                self.say(runner, runner.claim.offered(now, told.term))
-        elif isinstance(told, said.Command):
-            if (runner := self.runners.get(told.duty)) and runner.claim.holds(now):
-                self.obey(runner, told.to, now)
-            elif not told.passed and (known := self.holder(told.duty)) not in ("", self.process_id):
-                self.send_to_process(known, said.Command(told.duty, told.to, True))
-        elif isinstance(told, said.Change):
+                self.say(runner, runner.claim.on_response(clock.now(), name, told))
+                if told.voter_set:
+                    self.learn(told.voter_set, now)
+        elif isinstance(told, said.LeaseOffer):
+            if (runner := self.runners.get(told.role)) and self.rank(runner, now) is not None:
+                self.say(runner, runner.claim.on_offer(now, told.term))
+        elif isinstance(told, said.HandOverCommand):
+            if (runner := self.runners.get(told.role)) and runner.claim.holds(now):
+                self.obey(runner, told.target, now)
+            elif not told.forwarded and (known := self.holder(told.role)) not in ("", self.process_id):
+                self.send_to_process(known, said.HandOverCommand(told.role, told.target, True))
+        elif isinstance(told, said.ReplaceVoterCommand):
             self.start_change(told, now)
-        elif isinstance(told, said.Accepted):
+        elif isinstance(told, said.ReconfigurationResponse):
             self.accepted(name, told, now)
-        elif isinstance(told, said.Learn):
-            self.learn(told.council, now)
+        elif isinstance(told, said.ConfigurationCommitted):
+            self.learn(told.voter_set, now)
             self.vote(who, name, told, now)
         else:
             self.vote(who, name, told, now)
@@ -432,7 +432,7 @@
             self.addresses.learn_holder(duty, term, who)
         self.history.append({"duty": duty, "term": term, "who": who, "t": round(self.loop.now, 3)})
         if runner := self.runners.get(duty):
-            runner.claim.highest = max(runner.claim.highest, term)
+            runner.claim.highest_term = max(runner.claim.highest_term, term)
 
     def holder(self, duty: str) -> str:
         """Who holds a duty, by the newest that is known here: by itself, by news, as a voter."""
@@ -440,10 +440,10 @@
         if runner and runner.claim.holds(clock.now()):
             return self.process_id
         found = [self.holders.get(duty, (0, ""))]
-        if self.voter and (seat := self.voter.seats.get(duty)):
-            found.append((seat.term, seat.holder))
+        if self.voter and (slot := self.voter.slots.get(duty)):
+            found.append((slot.term, slot.holder))
         if runner and runner.claim.holder:
-            found.append((runner.claim.highest, runner.claim.holder))
+            found.append((runner.claim.highest_term, runner.claim.holder))
         who = max(found)[1]
         return who if who != self.process_id and self.find_member(who) else ""
 
@@ -459,21 +459,21 @@
                 self.waits_for = str(error)
                 self.log_event("voter waits", why=self.waits_for[:200])
             return
-        voter = Voter(self.name, self.voters, self.told.leases.lease, now)
+        voter = Voter(self.name, self.voters, self.file.leases.duration, now)
         try:
-            voter.remember([said.ROWS.decode(row) for row in records.rows], now)
+            voter.restore([said.RECORD_DECODER.decode(row) for row in records.bodies], now)
         except msgspec.DecodeError as error:
             self.log_event("voter waits", why=f"{records.path}: not a voter's records: {error}"[:200])
             records.close()
             return
         self.records, self.voter = records, voter
-        self.learn(voter.council, now)
+        self.learn(voter.voter_set, now)
         self.log_event(
             "voter",
-            blank=voter.blank,
-            records=len(records.rows),
-            cut=records.cut,
-            council=voter.council.version,
+            blank=voter.recovering,
+            records=len(records.bodies),
+            cut=records.torn_tail,
+            council=voter.voter_set.version,
         )
 
     def write(self, rows: list[Any]) -> bool:
@@ -482,8 +482,8 @@
         if not rows:
             return True
         try:
-            if len(self.records.rows) + len(rows) > COMPACT:
-                self.records.rewrite([said.encode(row) for row in self.voter.rows()])
+            if len(self.records.bodies) + len(rows) > COMPACT:
+                self.records.rewrite([said.encode(row) for row in self.voter.records()])
             else:
                 self.records.append(*(said.encode(row) for row in rows))
         except OSError as error:
@@ -500,7 +500,7 @@
     def vote(self, who: str, name: str, told: Any, now: float) -> None:
         if self.voter is None:
             return
-        answers, rows = self.voter.heard(clock.now(), name, told)
+        answers, rows = self.voter.on_message(clock.now(), name, told)
         if not self.write(rows):
             self.voter.undo()
             return
@@ -512,24 +512,24 @@
         told, rows = self.voter.tick(now)
         if rows:
             if self.write(rows):
-                self.log_event("voter remembers", duties=len(self.voter.seats))
+                self.log_event("voter remembers", duties=len(self.voter.slots))
             else:
-                self.voter.blank = True
+                self.voter.recovering = True
         for name, message in told:
             self.send_to_voter(name, message)
 
-    def learn(self, council: Council, now: float) -> None:
+    def learn(self, council: VoterSet, now: float) -> None:
         if council.version <= self.voters.version:
             return
         self.voters = council
         for runner in self.runners.values():
-            if runner.claim.council.version < council.version:
-                runner.claim.council = council
+            if runner.claim.voter_set.version < council.version:
+                runner.claim.voter_set = council
         self.log_event("voters", version=council.version, names=council.names)
-        if self.voter and self.voter.council.version < council.version:
-            _, rows = self.voter.heard(now, self.name, said.Learn(council))
+        if self.voter and self.voter.voter_set.version < council.version:
+            _, rows = self.voter.on_message(now, self.name, said.ConfigurationCommitted(council))
             self.write(rows)
-        self.membership.broadcast(DUTIES, said.encode(said.Learn(council)))
+        self.membership.broadcast(DUTIES, said.encode(said.ConfigurationCommitted(council)))
 
     # holding
 
@@ -553,13 +553,16 @@
                 )
             elif runner.work and runner.work.superseded:
                 self.give_up(runner, "a newer term was seen", now)
-            elif runner.work and self.loop.now - runner.work.last_progress_at > self.told.leases.patience:
+            elif (
+                runner.work
+                and self.loop.now - runner.work.last_progress_at > self.file.leases.progress_timeout
+            ):
                 self.give_up(runner, "no progress", now)
             else:
-                if now - runner.held_at > self.told.leases.patience:
+                if now - runner.held_at > self.file.leases.progress_timeout:
                     runner.failures = 0  # it gets things done again
                 self.give_back(runner, now)
-        if self.changer.busy or self.runners[VOTERS].claim.pending:
+        if self.changer.in_progress or self.runners[VOTERS_ROLE].claim.pending:
             self.propose(now)
 
     def successor(self, runner: LeaseRunner) -> str:
@@ -570,7 +573,7 @@
 
     def give_back(self, runner: LeaseRunner, now: float) -> None:
         """To the preferred member, once it has been steady for long enough and all have been quiet."""
-        steady, order = self.told.leases.steady, self.order(runner)
+        steady, order = self.file.leases.stability_period, self.order(runner)
         if (
             not order
             or order[0] == self.process_id
@@ -592,7 +595,7 @@
         if to and not found:
             claim = runner.claim
             self.log_event(
-                "duty", duty=claim.duty, change="kept", term=claim.term, cause=f"{to} can't hold it"
+                "duty", duty=claim.role, change="kept", term=claim.term, cause=f"{to} can't hold it"
             )
             return
         if not to:
@@ -605,65 +608,71 @@
         """The work ends first, then the voters are told, then the one who is to follow: a gap, never an
         overlap."""
         claim = runner.claim
-        if claim.state is not State.HOLDING or to == self.process_id:
+        if claim.state is not CandidateState.HOLDING or to == self.process_id:
             return
         if runner.work:
             runner.work.stop()
         self.say(runner, claim.end(clock.now(), cause))
         if to:
-            self.send_to_process(to, said.Offer(claim.duty, claim.term))
+            self.send_to_process(to, said.LeaseOffer(claim.role, claim.term))
 
     def settle(self, runner: LeaseRunner, now: float) -> None:
         """What has become of a claim: the work begins or ends."""
         claim = runner.claim
-        turns, claim.turns = claim.turns, []
+        turns, claim.transitions = claim.transitions, []
         for turn in turns:
-            if turn.held:
+            if turn.began:
                 self.begin(runner, turn, now)
             else:
                 if runner.work:
                     runner.work.stop()
-                self.log_event("duty", duty=claim.duty, change="ended", term=turn.term, cause=turn.cause)
-        if self.told.record and claim.state is State.HOLDING and claim.until != runner.recorded:
-            runner.recorded = claim.until
-            left = claim.until - clock.now()
-            self.log_event("lease", duty=claim.duty, term=claim.term, left=round(left, 4))
+                self.log_event("duty", duty=claim.role, change="ended", term=turn.term, cause=turn.cause)
+        if (
+            self.file.log_renewals
+            and claim.state is CandidateState.HOLDING
+            and claim.expires_at != runner.recorded
+        ):
+            runner.recorded = claim.expires_at
+            left = claim.expires_at - clock.now()
+            self.log_event("lease", duty=claim.role, term=claim.term, left=round(left, 4))
 
-    def begin(self, runner: LeaseRunner, turn: Turn, now: float) -> None:
+    def begin(self, runner: LeaseRunner, turn: Transition, now: float) -> None:
         claim, term = runner.claim, turn.term
         runner.held_at = now
-        left = claim.until - clock.now()
+        left = claim.expires_at - clock.now()
         self.log_event(
             "duty",
-            duty=claim.duty,
+            duty=claim.role,
             change="held",
             term=term,
             cause=turn.cause,
             gap=round(turn.waited, 4),
             left=round(left, 4),
         )
-        self.heard_of(claim.duty, term, self.process_id, now)
-        self.membership.broadcast(DUTIES, said.encode(said.Held(claim.duty, term, self.process_id)))
+        self.heard_of(claim.role, term, self.process_id, now)
+        self.membership.broadcast(
+            DUTIES, said.encode(said.LeaderAnnouncement(claim.role, term, self.process_id))
+        )
         if runner.work:
             runner.work.start(term, lambda: claim.term == term and claim.holds(clock.now()))
 
     # changing the voters
 
-    def start_change(self, told: said.Change, now: float) -> None:
-        if self.runners[VOTERS].claim.holds(now) and not self.changer.busy:
-            self.changer.wish = told
+    def start_change(self, told: said.ReplaceVoterCommand, now: float) -> None:
+        if self.runners[VOTERS_ROLE].claim.holds(now) and not self.changer.in_progress:
+            self.changer.command = told
             self.propose(now)
 
     def propose(self, now: float) -> None:
-        runner = self.runners[VOTERS]
+        runner = self.runners[VOTERS_ROLE]
         self.say(runner, self.changer.propose(now, runner.claim, self.voters))
 
-    def accepted(self, name: str, told: said.Accepted, now: float) -> None:
+    def accepted(self, name: str, told: said.ReconfigurationResponse, now: float) -> None:
         before = self.voters
-        if council := self.changer.accepted(now, self.runners[VOTERS].claim, before, name, told):
+        if council := self.changer.on_response(now, self.runners[VOTERS_ROLE].claim, before, name, told):
             self.learn(council, now)
             for each in {*before.names, *council.names}:
-                self.send_to_voter(each, said.Learn(council))
+                self.send_to_voter(each, said.ConfigurationCommitted(council))
 
     # operators
 
@@ -680,9 +689,9 @@
                 "for": round(now - m.since, 1),
                 "votes": bool(m.flags & VOTES),
                 "holds": bool(m.flags & HOLDS),
-                "damped": self.membership.damping.damped(m.name, now),
+                "damped": self.membership.flap_damping.is_damped(m.name, now),
             }
-            for m in sorted(self.membership.members.values(), key=lambda m: m.who)
+            for m in sorted(self.membership.members.values(), key=lambda m: m.key)
         ]
         duties = []
         for duty, runner in sorted(self.runners.items()):
@@ -694,7 +703,7 @@
                     "term": term,
                     "holder": who,
                     "here": claim.state.value,
-                    "left": round(max(0.0, claim.until - now), 3) if claim.holds(now) else None,
+                    "left": round(max(0.0, claim.expires_at - now), 3) if claim.holds(now) else None,
                     "order": [name_of(one) for one in self.order(runner)[:3]],
                 }
             )
@@ -704,20 +713,20 @@
         voter = None
         if self.voter:
             voter = {
-                "blank": self.voter.blank,
+                "blank": self.voter.recovering,
                 "disk": not self.disk_fails,
-                "duties": len(self.voter.seats),
+                "duties": len(self.voter.slots),
                 "changing": self.voter.pending is not None,
             }
         told = {
             "me": self.process_id,
             "zone": self.zone,
             "there": self.membership.live_count(),
-            "health": self.membership.health,
-            "stalled": round(self.membership.stalled, 3),
-            "stalls": self.membership.counts["stalls"],
-            "stalled_ago": round(now - self.membership.stalled_at, 2)
-            if self.membership.stalls_seen
+            "health": self.membership.local_health.score,
+            "stalled": round(self.membership.stalled_seconds, 3),
+            "stalls": self.membership.counters["stalls"],
+            "stalled_ago": round(now - self.membership.last_stall_at, 2)
+            if self.membership.last_stall_at is not None
             else None,
             "version": __version__,
             "service": self.proxy.service.state.value,
@@ -727,10 +736,10 @@
             "duties": duties,
             "voters": {"version": self.voters.version, "names": self.voters.names},
             "voter": voter,
-            "list": self.lists.state() if self.lists else None,
-            "sharing": self.shares.state(now) if self.shares else None,
-            "counts": dict(self.counts + self.membership.counts),
-            "dropped": dict(self.seal.dropped),
+            "list": self.list_replication.status() if self.list_replication else None,
+            "sharing": self.gossip.status(now) if self.gossip else None,
+            "counts": dict(self.counts + self.membership.counters),
+            "dropped": dict(self.authenticator.dropped),
         }
         return 200, orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE), JSON
 
@@ -740,11 +749,11 @@
             {
                 "to": name,
                 "epoch": epoch,
-                "heard": round(min(1e6, now - link.heard_at), 2),
-                "asked": link.asked,
-                "asked_ago": round(min(1e6, now - link.asked_at), 2),
-                "lost": round(link.lost, 3),
-                "rtt_ms": round(1000 * link.rtt, 2),
+                "heard": round(min(1e6, now - link.received_at), 2),
+                "asked": link.probes,
+                "asked_ago": round(min(1e6, now - link.probed_at), 2),
+                "lost": round(link.loss_rate, 3),
+                "rtt_ms": round(1000 * link.round_trip_time, 2),
             }
             for (name, epoch), link in sorted(self.membership.links.items())
         ]
@@ -784,12 +793,12 @@
             return 404, f"to: expected a member that is there, got {to[:80]!r}\n".encode(), PLAIN
         if not (who := self.holder(duty)):
             return 409, f"{duty}: no holder is known\n".encode(), PLAIN
-        self.send_to_process(who, said.Command(duty, to))
+        self.send_to_process(who, said.HandOverCommand(duty, to))
         self.task.wake()
         return 200, f"told {who}\n".encode(), PLAIN
 
     def change_voters(self, query: str) -> Answer:
-        """voters?remove=NAME&add=NAME: passed on to the holder of VOTERS."""
+        """voters?remove=NAME&add=NAME: passed on to the holder of VOTERS_ROLE."""
         asked = dict(parse_qsl(query))
         remove, add = asked.get("remove", ""), asked.get("add", "")
         names = self.voters.names
@@ -803,17 +812,17 @@
                 f"add: expected a member that is there and no voter, got {add[:80]!r}\n".encode(),
                 PLAIN,
             )
-        if not (who := self.holder(VOTERS)):
+        if not (who := self.holder(VOTERS_ROLE)):
             return 409, b"no holder of the duty of changing voters is known\n", PLAIN
-        self.send_to_process(who, said.Change(remove, add))
+        self.send_to_process(who, said.ReplaceVoterCommand(remove, add))
         self.task.wake()
         return 200, f"told {who}\n".encode(), PLAIN
 
     # told by the proxy
 
     def list_told(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
-        if self.lists:
-            self.lists.own_list(kind)
+        if self.list_replication:
+            self.list_replication.on_own_list(kind)
 
     def close(self) -> None:
         """The process ends: what it holds goes on to others at once."""
@@ -833,7 +842,7 @@
             self.addresses.close()
 
 
-def attach(fleet: Fleet) -> Callable[[Proxy], None]:
+def attach(fleet: FleetConfig) -> Callable[[Proxy], None]:
     def put_on(proxy: Proxy) -> None:
         Node(proxy, fleet)
 
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -23,45 +23,53 @@
 from onyxhollow.addresses.keeper import Keeper
 from onyxhollow.addresses.rules import Standing
 from onyxhollow.append_log import AppendLog
-from onyxhollow.fleet import advertise, gate, lists, node, shares, telling
+from onyxhollow.fleet import advertise, gate, gossip_service, list_messages, list_replication, node
 from onyxhollow.fleet.file import read_fleet
-from onyxhollow.gossip import messages as sharing
-from onyxhollow.leases import messages as duties
-from onyxhollow.leases.voter import Seat, Voter
+from onyxhollow.gossip import messages as gossip
+from onyxhollow.leases import messages as leasing
+from onyxhollow.leases.voter import Voter
+from onyxhollow.leases.voter_slot import VoterSlot
 from onyxhollow.membership import messages as members
-from onyxhollow.membership.seal import DatagramAuthenticator
+from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator
 
 DATA = pathlib.Path(__file__).parent / "data" / "compatibility" / "fleet"
 
 # What the recordings say. Within one struct no two values are alike, and none is its field's default.
-COUNCIL = duties.Council(version=31, names=("voter-a", "voter-b", "voter-c"))
-LATER = duties.Council(version=32, names=("voter-a", "voter-b", "voter-d"))
-PENDING = duties.Proposal(term=63, council=LATER)
-DUTIES = {
-    "ask": duties.Ask(duty="d1", term=101, who="m~1", round=102, lease=3.5, version=103, look=True),
-    "answer": duties.Answer(
-        duty="d2", term=111, round=112, yes=True, highest=113, holder="m~2", left=2.5, why="held",
-        council=COUNCIL, pending=PENDING,
+COUNCIL = leasing.VoterSet(version=31, names=("voter-a", "voter-b", "voter-c"))
+LATER = leasing.VoterSet(version=32, names=("voter-a", "voter-b", "voter-d"))
+PENDING = leasing.PendingVoterSet(term=63, voter_set=LATER)
+ELECTION = {
+    "ask": leasing.VoteRequest(
+        role="d1", term=101, candidate="m~1", round=102, lease_duration=3.5, voter_set_version=103,
+        pre_vote=True,
     ),
-    "release": duties.Release(duty="d3", term=121, who="m~3"),
-    "offer": duties.Offer(duty="d4", term=131),
-    "recall": duties.Recall(round=141),
-    "recalled": duties.Recalled(round=151, blank=True, terms={"d5": (152, "m~5")}, council=COUNCIL),
-    "propose": duties.Propose(term=161, round=162, council=LATER),
-    "accepted": duties.Accepted(round=171, yes=True, highest=172, version=173),
-    "learn": duties.Learn(council=COUNCIL),
-    "command": duties.Command(duty="d6", to="m6", passed=True),
-    "held": duties.Held(duty="d7", term=181, who="m~7"),
-    "change": duties.Change(remove="voter-c", add="voter-d"),
+    "answer": leasing.VoteResponse(
+        role="d2", term=111, round=112, granted=True, highest_term=113, holder="m~2", remaining=2.5,
+        refusal=leasing.Refusal.HELD, voter_set=COUNCIL, pending=PENDING,
+    ),
+    "release": leasing.ReleaseNotice(role="d3", term=121, holder="m~3"),
+    "offer": leasing.LeaseOffer(role="d4", term=131),
+    "recall": leasing.StateQuery(round=141),
+    "recalled": leasing.StateResponse(
+        round=151, recovering=True, known_terms={"d5": (152, "m~5")}, voter_set=COUNCIL
+    ),
+    "propose": leasing.ReconfigurationRequest(term=161, round=162, voter_set=LATER),
+    "accepted": leasing.ReconfigurationResponse(
+        round=171, accepted=True, highest_term=172, voter_set_version=173
+    ),
+    "learn": leasing.ConfigurationCommitted(voter_set=COUNCIL),
+    "command": leasing.HandOverCommand(role="d6", target="m6", forwarded=True),
+    "held": leasing.LeaderAnnouncement(role="d7", term=181, holder="m~7"),
+    "change": leasing.ReplaceVoterCommand(remove="voter-c", add="voter-d"),
 }  # fmt: skip
-VOTER_ROWS = [
-    duties.Seated(council=COUNCIL),
-    duties.Granted(duty="list-east", term=41, who="m~41", lease=3.75),
-    duties.Granted(duty="call-out", term=52, who="m~52", lease=3.75),
-    duties.Released(duty="call-out", term=52),
-    duties.Granted(duty="known", term=9, who="", lease=0.0),
-    duties.Accepting(proposal=PENDING),
-    duties.Remembers(),
+VOTER_RECORDS = [
+    leasing.VoterSetChanged(voter_set=COUNCIL),
+    leasing.LeaseGrant(role="list-east", term=41, holder="m~41", lease_duration=3.75),
+    leasing.LeaseGrant(role="call-out", term=52, holder="m~52", lease_duration=3.75),
+    leasing.LeaseReleased(role="call-out", term=52),
+    leasing.LeaseGrant(role="known", term=9, holder="", lease_duration=0.0),
+    leasing.ProposalAccepted(pending=PENDING),
+    leasing.MemoryRecovered(),
 ]
 ORDER = addressing.Order(
     id="1f-2", number=21, verb="drain", address="address-a", site="east", who="operator-a", why="works",
@@ -97,10 +105,15 @@
     standing.Stands(name="address-a", standing=1, keeper=82, number=83),
 ]
 SHARING = {
-    "page": sharing.Page(rows=[
-        sharing.Row(server="s1", by=301, number=302, age=303, load=304, load_age=305, held=306, doubters=307)
+    "page": gossip.ReportPage(reports=[
+        gossip.EndpointReport(
+            endpoint="s1", owner=301, sequence=302, age=303, load=304, load_age=305, connections=306,
+            failing_members=307,
+        )
     ]),
-    "counts": sharing.Counts(number=311, rows=[("s2", 312, 313)]),
+    "counts": gossip.ConnectionCounts(
+        sequence=311, counts=[gossip.EndpointCount(endpoint="s2", connections=312, failures=313)]
+    ),
 }  # fmt: skip
 LIST_ROWS = [
     {"host": "s3", "health": "leaving", "zone": "east"},
@@ -108,47 +121,53 @@
 ]
 BODY = bytes.fromhex((DATA / "list-rows.hex").read_text())  # another zlib may pack them otherwise
 LISTS = {
-    "beat": telling.Beat(duty="list-east", term=401, source="lists", version=402, lost=True),
-    "rows": telling.Rows(
-        duty="list-east", term=411, source="lists", version=412, base=413, part=414, parts=415, body=BODY
+    "beat": list_messages.Heartbeat(
+        role="list-east", term=401, source="lists", version=402, disconnected=True
+    ),
+    "rows": list_messages.ListUpdate(
+        role="list-east", term=411, source="lists", version=412, base=413, part=414, parts=415, body=BODY
     ),
-    "want": telling.Want(duty="list-east", term=421, source="lists", have=422),
-    "doubt": telling.Doubt(duty="list-east", term=431, source="lists", version=432),
+    "want": list_messages.ResyncRequest(role="list-east", term=421, source="lists", known_version=422),
+    "doubt": list_messages.Suspicion(role="list-east", term=431, source="lists", version=432),
 }  # fmt: skip
 PARTS = {
     "ping": members.Ping(nonce=501),
     "ack": members.Ack(nonce=511),
-    "ping-for": members.PingFor(nonce=521, name="m3", epoch=522, address=("192.0.2.3", 523)),
+    "ping-for": members.PingRequest(nonce=521, name="m3", epoch=522, address=("192.0.2.3", 523)),
     "nack": members.Nack(nonce=531),
-    "update": members.Update(
-        name="m4", epoch=541, incarnation=542, life=members.MemberState.DEAD, address=("192.0.2.4", 543),
-        zone="east", flags=node.HOLDS | node.VOTES, by="m5",
+    "update": members.MemberUpdate(
+        name="m4", epoch=541, incarnation=542, state=members.MemberState.DEAD, address=("192.0.2.4", 543),
+        zone="east", flags=node.HOLDS | node.VOTES, suspected_by="m5",
     ),
     "sync": members.Sync(digest=551, joining=True),
-    "event": members.Event(name="m6", epoch=561, number=562, kind=lists.LIST, body=b"event"),
-    "carried": members.Carried(kind=advertise.ADDRESSES, body=b"carried"),
+    "event": members.Broadcast(
+        name="m6", epoch=561, sequence=562, kind=list_replication.LIST_PAYLOAD, body=b"event"
+    ),
+    "carried": members.Payload(kind=advertise.ADDRESSES, body=b"carried"),
 }  # fmt: skip
 
 
 def packet(part):
-    return members.Packet(fleet="fleet-one", name="m1", epoch=11, number=12, to=13, parts=[part])
+    return members.Packet(
+        fleet="fleet-one", name="m1", epoch=11, sequence=12, receiver_epoch=13, messages=[part]
+    )
 
 
 PACKETS = {name: packet(part) for name, part in PARTS.items()}
 # file: what it says, its decoder, its encoder, the kinds that it has to have
 SAID = {
-    "duties": (DUTIES, duties.MESSAGES, duties.encode, duties.Messages),
+    "duties": (ELECTION, leasing.MESSAGE_DECODER, leasing.encode, leasing.LeaseMessage),
     "addresses": (ADDRESSES, addressing.MESSAGES, addressing.encode, addressing.MESSAGES.type),
-    "sharing": (SHARING, sharing.MESSAGES, sharing.encode, sharing.MESSAGES.type),
-    "lists": (LISTS, telling.MESSAGES, telling.encode, telling.Messages),
-    "packets": (PACKETS, members.PACKETS, members.encode, members.Parts),
+    "sharing": (SHARING, gossip.MESSAGE_DECODER, gossip.encode, gossip.Messages),
+    "lists": (LISTS, list_messages.MESSAGE_DECODER, list_messages.encode, list_messages.Messages),
+    "packets": (PACKETS, members.PACKET_DECODER, members.encode, members.Messages),
 }
 STORED = {
-    "voter": (VOTER_ROWS, duties.ROWS, duties.encode, duties.Rows),
+    "voter": (VOTER_RECORDS, leasing.RECORD_DECODER, leasing.encode, leasing.VoterRecord),
     "addresses": ([ORDER, DECIDED, FOR_ALL], addressing.WRITTEN, addressing.encode, addressing.Written),
     "gate": (GATE_ROWS, standing.RECORDS, standing.encode, standing.RECORDS.type),
 }
-MODULES = duties, addressing, sharing, telling, members, standing
+MODULES = leasing, addressing, gossip, list_messages, members, standing
 
 
 def structs(value):
@@ -172,27 +191,27 @@
 
 def read_values(fleet):
     """Each value of a fleet file and of its file of addresses, by its key in the file."""
-    told, shared = fleet.told, fleet.addresses
-    timing, leases, share, policy = told.membership, told.leases, told.sharing, shared.policy
+    file, shared = fleet.file, fleet.addresses
+    timing, leases, share, policy = file.membership, file.leases, file.sharing, shared.policy
     main = {
-        "fleet": told.fleet, "key_file": told.key_file, "listen": told.listen, "voters": told.voters,
-        "advertise": told.advertise, "folder": told.folder, "seeds": told.seeds, "addresses": told.addresses,
-        "record": told.record,
-        "membership": {"period": timing.period, "timeout": timing.timeout, "sync": timing.sync},
+        "fleet": file.fleet, "key_file": file.key_file, "listen": file.listen, "voters": file.voters,
+        "advertise": file.advertise, "folder": file.folder, "seeds": file.seeds, "addresses": file.addresses,
+        "record": file.log_renewals,
+        "membership": {"period": timing.period, "timeout": timing.timeout, "sync": timing.sync_interval},
         "leases": {
-            "lease": leases.lease, "rate_bound": leases.rate_bound, "steady": leases.steady,
-            "patience": leases.patience,
+            "lease": leases.duration, "rate_bound": leases.rate_bound, "steady": leases.stability_period,
+            "patience": leases.progress_timeout,
         },
         "sharing": {
-            "on": share.on, "every": share.every, "fan": share.fan, "report": share.report,
-            "renew": share.renew, "audit": share.audit,
+            "on": share.enabled, "every": share.push_interval, "fan": share.fanout,
+            "report": share.poll_interval, "renew": share.report_interval, "audit": share.audit_interval,
         },
         "duty": [
             {
-                "name": d.name, "work": d.work, "per": d.per, "call": d.call, "path": d.path,
-                "service": d.service, "every": d.every,
+                "name": role.name, "work": role.task, "per": role.scope, "call": role.call_address,
+                "path": role.path, "service": role.service, "every": role.interval,
             }
-            for d in told.duty
+            for role in file.roles
         ],
     }  # fmt: skip
     addresses = {
@@ -258,8 +277,8 @@
 def test_stores_are_read_and_written_as_recorded(name, tmp_path):
     rows, decoder, encode, _ = STORED[name]
     old = AppendLog(stored(name, tmp_path / "old"), name)
-    assert (old.cut, old.fresh) == ("", False)
-    assert [decoder.decode(body) for body in old.rows] == rows
+    assert (old.torn_tail, old.is_new) == ("", False)
+    assert [decoder.decode(body) for body in old.bodies] == rows
     for way in ("append", "rewrite"):
         new = AppendLog(str(tmp_path / way), name)
         bodies = [encode(row) for row in rows]
@@ -292,19 +311,24 @@
 
 
 def test_numbers_and_words_that_members_send_and_keep():
-    assert (node.DUTIES, lists.LIST, shares.SHARE, advertise.ADDRESSES) == (1, 2, 3, 4)
+    assert (
+        node.DUTIES,
+        list_replication.LIST_PAYLOAD,
+        gossip_service.GOSSIP_PAYLOAD,
+        advertise.ADDRESSES,
+    ) == (1, 2, 3, 4)
     assert (node.HOLDS, node.VOTES) == (1, 2)
     life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
     assert [int(one) for one in (Standing.WITHDRAWN, Standing.LESSER, Standing.ADVERTISED)] == [0, 1, 2]
-    assert (duties.VOTERS, advertise.KEEPER) == ("voters", "addresses")
+    assert (leasing.VOTERS_ROLE, advertise.KEEPER) == ("voters", "addresses")
     assert advertise.announcer_of("east") == "announcer/east"
 
 
 def test_rows_of_a_list_are_packed_as_recorded():
-    assert telling.unpack([BODY]) == LIST_ROWS
-    assert zlib.decompress(b"".join(telling.pack(LIST_ROWS))) == zlib.decompress(BODY)
-    assert telling.drains(telling.unpack([BODY])) == LIST_ROWS[:1]
+    assert list_messages.decode_records([BODY]) == LIST_ROWS
+    assert zlib.decompress(b"".join(list_messages.encode_records(LIST_ROWS))) == zlib.decompress(BODY)
+    assert list_messages.draining_records(list_messages.decode_records([BODY])) == LIST_ROWS[:1]
 
 
 def test_a_sealed_packet_opens_and_is_sealed_again_as_recorded():
@@ -312,28 +336,28 @@
     ours, second = read_fleet(str(DATA / "fleet.toml"), {}.get).keys
     assert (ours, second) == (bytes(range(24)), bytes(range(0xF0, 0x100)))
     sender = DatagramAuthenticator("fleet-one", "m1", 11, [ours])
-    sender.number = 11
-    assert sender.close([members.encode(part) for part in PARTS.values()], 13) == datagram
+    sender.sequence = 11
+    assert sender.sign([members.encode(part) for part in PARTS.values()], 13) == datagram
     for held in ([ours], [second, ours]):
-        opened = DatagramAuthenticator("fleet-one", "m2", 13, held).open(datagram)
-        assert opened == msgspec.structs.replace(packet(None), parts=list(PARTS.values()))
-    assert DatagramAuthenticator("fleet-one", "m2", 13, [second]).open(datagram) is None
+        opened = DatagramAuthenticator("fleet-one", "m2", 13, held).verify(datagram)
+        assert opened == msgspec.structs.replace(packet(None), messages=list(PARTS.values()))
+    assert DatagramAuthenticator("fleet-one", "m2", 13, [second]).verify(datagram) is None
 
 
 def test_a_voter_starts_from_its_recorded_memory(tmp_path):
     mine = MagicMock()
     mine.fleet.folder, mine.name, mine.voters = stored("voter", tmp_path), "voter-b", LATER
-    mine.told.leases.lease = 3.75
+    mine.file.leases.duration = 3.75
     node.Node.open_records(mine, 1000.0)
     voter = mine.voter
     assert isinstance(voter, Voter)
-    assert voter.seats == {
-        "list-east": Seat(41, "m~41", 1003.75),
-        "call-out": Seat(52),
-        "known": Seat(9),
+    assert voter.slots == {
+        "list-east": VoterSlot(41, "m~41", 1003.75),
+        "call-out": VoterSlot(52),
+        "known": VoterSlot(9),
     }
-    assert (voter.council, voter.pending, voter.blank) == (COUNCIL, PENDING, False)
-    mine.records.rewrite([duties.encode(row) for row in voter.rows()])
+    assert (voter.voter_set, voter.pending, voter.recovering) == (COUNCIL, PENDING, False)
+    mine.records.rewrite([leasing.encode(row) for row in voter.records()])
     assert (tmp_path / "voter").read_bytes() == (DATA / "voter-anew").read_bytes()
     mine.records.close()
 
@@ -386,7 +410,7 @@
 def test_the_files_of_a_fleet_say_what_they_said():
     fleet = read_fleet(str(DATA / "fleet.toml"), {}.get)
     for told, values, name in zip(
-        (fleet.told, fleet.addresses), read_values(fleet), ("fleet", "addresses"), strict=True
+        (fleet.file, fleet.addresses), read_values(fleet), ("fleet", "addresses"), strict=True
     ):
         said = tomllib.loads((DATA / f"{name}.toml").read_text())
         given = orjson.loads(orjson.dumps(values))
@@ -401,10 +425,17 @@
     assert fleet.folder == str(DATA / "remembered")
     elsewhere = read_fleet(str(DATA / "fleet.toml"), {"LB_FLEET_LISTEN": "192.0.2.99:7199"}.get)
     assert elsewhere.listen == elsewhere.advertise == ("192.0.2.99", 7199)
-    timing, rules, share = fleet.told.terms(), fleet.told.rules(), fleet.told.share()
-    assert (timing.period, timing.timeout, timing.sync_every) == (1.25, 0.45, 11.5)
-    assert (rules.lease, rules.rate_bound) == (3.75, 0.015)
-    assert (share.every, share.fan, share.report, share.renew, share.audit) == (0.35, 3, 6.5, 1.75, 31.5)
+    timing, rules = fleet.file.protocol_config(), fleet.file.lease_timing()
+    share = fleet.file.gossip_config()
+    assert (timing.period, timing.timeout, timing.sync_interval) == (1.25, 0.45, 11.5)
+    assert (rules.duration, rules.rate_bound) == (3.75, 0.015)
+    assert (
+        share.push_interval,
+        share.fanout,
+        share.poll_interval,
+        share.report_interval,
+        share.audit_interval,
+    ) == (0.35, 3, 6.5, 1.75, 31.5)
 
 
 def test_the_keepers_view_and_plan_are_told_as_recorded():
@@ -430,7 +461,7 @@
     addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
     core = Announcer(addresses, addresses.site[0], 91, 1000.0)
     mine, calls = MagicMock(), []
-    mine.running, mine.shared.node.process_id = 1, "m~10"
+    mine.run_number, mine.shared.node.process_id = 1, "m~10"
     mine.shared.node.loop.now, mine.shared.told.every = 1000.0, 0.625
     mine.act = lambda this, core, target, still: calls.append(target) or iter(())
     for stands in ({}, {"address-a": (2, 2)}):
