--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -666,7 +666,7 @@
         proxy, rows = self.node.proxy, []
         service = proxy.service
         ready = service.ready and not service.replaced
-        servers, with_room = proxy.decisions.room(self.node.zone)
+        servers, with_room = proxy.decisions.count_with_capacity(self.node.zone)
         live: dict[str, int] = {}
         for sess in proxy.sessions.table.live:
             if sess.open and sess.opening is not None:
--- a/onyxhollow/fleet/gossip_service.py
+++ b/onyxhollow/fleet/gossip_service.py
@@ -39,7 +39,7 @@
         self.reports_are_fresh = False  # as last logged
         self.poll_endpoint: Callable[[str], None] = self.decisions.check_health
         self.decisions.check_health = self.check_health
-        self.decisions.dial_failed = self.on_attempt_failed
+        self.decisions.on_attempt_failed = self.on_attempt_failed
         member.proxy.probes.told = self.on_health_check_result
         member.proxy.probes.most = MAX_HEALTH_CHECK_CONNECTIONS
 
@@ -98,7 +98,7 @@
         if self.members_changed:
             self._update_members()
         core.set_endpoints({server.name: server.zone for server in self.decisions.balancer.endpoints})
-        core.tick(self.decisions.own(), now)
+        core.tick(self.decisions.own_connections(), now)
         self._poll()
         self._send()
         self._deliver()
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -119,8 +119,8 @@
             config.seed,
             self.counters,
             log=lambda line: self.log.event("mode", line=line),
-            probe=self.probes.probe,
-            watch=self.discovery.ask,
+            check_health=self.probes.probe,
+            poll_endpoint_list=self.discovery.ask,
         )
         self.decisions.report_list(EndpointListKind.CACHED, config.known.entries)
         self.sessions = Sessions(
@@ -181,7 +181,7 @@
 
     def tell_figures(self, _: str) -> Answer:
         counts = self.counters.counts
-        listed, down = self.decisions.avoided()
+        listed, down = self.decisions.count_avoided()
         refused = counts["reloads refused"]
         values = (
             ("backend_calls_total", counts["dials written whole"]),
@@ -268,7 +268,7 @@
 
     def probe_told(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.log.event("probe", server=server, end=end.value, took=round(took, 4), load=load)
-        self.decisions.report_probe(server, end, took, load)
+        self.decisions.report_health_check(server, end, took, load)
 
     def ticks(self) -> Generator[float, None, None]:
         """The module's one timer. A failure in it is logged, and the timer goes on."""
@@ -374,7 +374,7 @@
                 self.discovery.clock.take_over(common["starts"])
                 if not self.list_heard and common["discovery"] == list(self.config.discovery):
                     self.take_list(read_list(common["list"], self.discovery.clock, self.loop.now))
-                servers = self.decisions.take_back(common, records)
+                servers = self.decisions.restore_snapshot(common, records)
                 self.log.event("taken over", servers=servers, version=common["list"]["seq"])
                 return
             except StateError as error:
@@ -395,7 +395,7 @@
 
     def hand_over(self, handover: Handover, token: str) -> None:
         try:
-            common, records = self.decisions.describe()
+            common, records = self.decisions.take_snapshot()
             common |= {"discovery": self.discovery.address, "list": self.discovery.known()}
             common["starts"] = self.discovery.clock.starts
             handover.write_state(token, common, records)
@@ -406,7 +406,7 @@
     def receive(self, handover: Handover) -> Receiver | None:
         try:
             return Receiver(
-                self.loop, handover.passing_path, self.sessions.receive, self.decisions.all_adopted
+                self.loop, handover.passing_path, self.sessions.receive, self.decisions.on_all_adopted
             )
         except OSError as error:  # a path too long, perhaps: its clients are moved then
             self.log.event("nothing passed on", why=str(error))
--- a/onyxhollow/wire/sessions.py
+++ b/onyxhollow/wire/sessions.py
@@ -129,7 +129,7 @@
         delay = now - sent.at - stalled
         if delay >= max(LONG, stalled) and now - self.late_told.get(server, -math.inf) >= LATE_AGAIN:
             self.late_told[server] = now
-            handle.report_delay(delay)
+            handle.report_message_delay(delay)
 
     def make_room(self) -> bool:
         """Connections that ask for nothing must not take the place of those that do."""
@@ -252,7 +252,7 @@
                 self.answer(False)
         finally:
             if self.handle is not None:
-                self.handle.forget()
+                self.handle.close()
             self.shared.table.remove(self)
             for channel in (self.client, self.server):
                 if channel is not None and channel.wake == self.wake:
@@ -351,51 +351,51 @@
         left = opening.left - min(HURRY, opening.left / 10)
         if shared.service.is_any(ServicePhase.OUT_OF_SERVICE):
             left = -math.inf  # the module refuses it
-        handle = self.handle = shared.decisions.take(
+        handle = self.handle = shared.decisions.admit(
             self.wake, listener, tenant, opening.group, left, opening.load
         )
         errors = 0
         while True:
-            choice = yield from handle.pick(self.gone)
+            choice = yield from handle.wait_for_selection(self.gone)
             if choice is None:
-                self.conclude(handle, handle.give_up().refused)
+                self.conclude(handle, handle.give_up().rejected)
                 return
-            if choice.server is None:
-                self.answer(choice.refused, choice.retry_after)
+            if choice.endpoint is None:
+                self.answer(choice.rejected, choice.retry_after)
                 return
             if self.absent():
-                self.conclude(handle, handle.give_up(AttemptOutcome.NOT_SENT).refused)
+                self.conclude(handle, handle.give_up(AttemptOutcome.NOT_SENT).rejected)
                 return
-            self.name = choice.server
+            self.name = choice.endpoint
             self.dials += 1
             self.counters.add("dials")
             started = self.loop.now
-            dialled = yield from self.dial(choice.server, choice.time)
+            dialled = yield from self.dial(choice.endpoint, choice.timeout)
             took, end = self.loop.now - started, dialled.end
             if self.open:
                 self.counters.add("sessions accepted")
-                handle.report_accepted(took)
+                handle.report_established(took)
                 yield from self.relay(handle)
                 return
             self.counters.add(f"dials {end.value}")
             self.shared.log(
                 "dial",
                 id=opening.name,
-                server=choice.server,
+                server=choice.endpoint,
                 end=end.value,
                 took=round(took, 4),
-                given=round(choice.time, 3),
+                given=round(choice.timeout, 3),
                 since=round(self.loop.now - took_at, 4),
             )
             if self.absent() or self.stopping:
-                self.conclude(handle, handle.give_up(end, took, dialled.load).refused)
+                self.conclude(handle, handle.give_up(end, took, dialled.load).rejected)
                 return
             errors += end is AttemptOutcome.ERROR
             if errors > 1 and end is AttemptOutcome.ERROR:
                 # Two servers that both fail it: what this client sent is at fault (the id of a session open
                 # at another proxy, say), which says nothing of them. It may have run all the same.
                 end = AttemptOutcome.CANCELLED
-            handle.report(end, took, False, dialled.load)
+            handle.report_ended(end, took, False, dialled.load)
 
     def conclude(self, handle: SessionHandle, refused: bool) -> None:
         """Nothing more is tried: the client has left, or the proxy stops."""
@@ -407,7 +407,7 @@
     def leave(self, handle: SessionHandle, refused: bool) -> None:
         """The client has gone before it was answered. One that has only ended its sending still reads: it
         gets its final answer all the same, which is lost on the way to one that is not there."""
-        handle.report_gone()
+        handle.report_client_gone()
         if not self.end:
             self.counters.add("clients gone before an answer")
             self.end = "client gone"
@@ -459,8 +459,8 @@
         """Whether the dial that is out is to end now, and as what."""
         handle = self.handle
         if handle is not None and self.absent() and not handle.answered:
-            handle.report_gone()  # where it is allowed, the module calls the dial back
-        if handle.call_back if handle is not None else self.absent():
+            handle.report_client_gone()  # where it is allowed, the module calls the dial back
+        if handle.cancel_requested if handle is not None else self.absent():
             return AttemptOutcome.CANCELLED
         return AttemptOutcome.CANCELLED if self.stopping else None
 
@@ -501,9 +501,12 @@
                 self.client_left(handle, started)
             elif self.passing is not None and (yield from self.pass_on(handle, self.passing, started)):
                 pass
-            elif handle.move or self.stopping:
+            elif handle.migrate_requested or self.stopping:
                 self.move(
-                    handle, "moved" if handle.move else "moved at stop", AttemptOutcome.CANCELLED, started
+                    handle,
+                    "moved" if handle.migrate_requested else "moved at stop",
+                    AttemptOutcome.CANCELLED,
+                    started,
                 )
             elif (look_at := self.look_at_echoes(handle)) <= self.loop.now:
                 # A machine that vanished says nothing, and keep-alive does not notice.
@@ -540,7 +543,7 @@
     ) -> Generator[float, None, bool]:
         """Whether the successor has it now. While it may have, nothing is read here; the copies of this
         process are only closed: shut down, the connections would end for the successor too."""
-        client, server, sess, opening = self.client, self.server, handle.sess, self.opening
+        client, server, sess, opening = self.client, self.server, handle.session, self.opening
         assert server is not None and opening is not None
         if self.stopping or client.broken or server.broken or sess is None:
             self.passing, self.passed = None, False
@@ -576,8 +579,8 @@
         self.end = "passed on"
         client.close()
         server.close()
-        handle.report_gone()
-        handle.report(AttemptOutcome.CANCELLED, self.loop.now - started, True)
+        handle.report_client_gone()
+        handle.report_ended(AttemptOutcome.CANCELLED, self.loop.now - started, True)
         return True
 
     def pass_to_client(self, handle: SessionHandle, server: Channel) -> bool:
@@ -646,8 +649,8 @@
             self.server.finish()
         self.end = why
         if end is AttemptOutcome.CANCELLED:
-            handle.report_gone()  # ended by this proxy, not by its server: it says nothing of that
-        handle.report(end, self.loop.now - started, True)
+            handle.report_client_gone()  # ended by this proxy, not by its server: it says nothing of that
+        handle.report_ended(end, self.loop.now - started, True)
 
     def finish_with(self, handle: SessionHandle, end: AttemptOutcome, started: float) -> None:
         """The server has ended it: the client's side ends the same way, after the last bytes."""
@@ -660,7 +663,7 @@
             self.client.finish()
         if server is not None:
             server.close()
-        handle.report(end, self.loop.now - started, True)
+        handle.report_ended(end, self.loop.now - started, True)
 
     def client_left(self, handle: SessionHandle, started: float) -> None:
         self.counters.add("connections ended by the client")
@@ -674,8 +677,8 @@
             else:
                 self.server.finish()
         self.client.close()
-        handle.report_gone()
-        handle.report(AttemptOutcome.CANCELLED, self.loop.now - started, True)
+        handle.report_client_gone()
+        handle.report_ended(AttemptOutcome.CANCELLED, self.loop.now - started, True)
 
     def stop(self) -> None:
         """This proxy stops: an open connection is moved; one that waits is answered now."""
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -121,11 +121,12 @@
 def server_told(s, proxy):
     """What the decisions know of one server."""
     b, now = proxy.decisions.balancer, proxy.loop.now
-    figures = [(f.value, now - f.at) if f.value else None for f in (s.set_up, s.delay)]
-    tokens = b.budget.tokens[s][0] if s in b.budget.tokens else None
+    figures = [(f.value, now - f.at) if f.value else None for f in (s.handshake_time, s.message_delay)]
+    tokens = b.slow_start.tokens[s][0] if s in b.slow_start.tokens else None
     return (
-        (s.readiness.value, s.zone, s.cell, s.kind, s.size, s.started, proxy.addresses.find(s.name)),
-        (len(s.connections), s.heard, s.load, now - s.load_at, s.score(now), now - s.strained_at),
+        (s.state.value, s.zone, s.cell, s.machine_type, s.size, s.started_at, proxy.addresses.find(s.name)),
+        (len(s.connections), s.ever_used, s.load, now - s.load_reported_at)
+        + (s.outlier_score(now), now - s.overloaded_at),
         *figures,
         (s.arrival.count, s.arrival.moved, tokens) if s.arrival else None,
     )
@@ -135,10 +136,10 @@
     """What all decisions know."""
     b, now = proxy.decisions.balancer, proxy.loop.now
     return {
-        "setting_up": (b.setting_up.value, now - b.setting_up.at),
-        "taken": (b.budget.rate(now), now - b.budget.since),
+        "setting_up": (b.handshake_time.value, now - b.handshake_time.at),
+        "taken": (b.slow_start.rate(now), now - b.slow_start.since),
         "seq": proxy.discovery.version,
-        "servers": {name: server_told(s, proxy) for name, s in b.servers.items()},
+        "servers": {name: server_told(s, proxy) for name, s in b.tracked.items()},
     }
 
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -274,9 +274,9 @@
     decisions.report_list(EndpointListKind.SNAPSHOT, entries)
     servers = decisions.balancer.tracked
     servers["x"].overloaded_at = 100.0
-    assert not decisions.balancer.eligible(servers["x"]) and decisions.room("a") == (2, 2)
-    decisions.report_probe("y", AttemptOutcome.OK, 0.0, 0.9)
-    assert decisions.room("a") == (2, 1)
+    assert not decisions.balancer.eligible(servers["x"]) and decisions.count_with_capacity("a") == (2, 2)
+    decisions.report_health_check("y", AttemptOutcome.OK, 0.0, 0.9)
+    assert decisions.count_with_capacity("a") == (2, 1)
 
 
 # in virtual time
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -51,7 +51,7 @@
     server.say(b"\n")
     proxy.until(lambda: client.read().endswith(b"m 2\r\n"))
     (live,) = proxy.proxy.sessions.table.live
-    assert live.handle.sess.load == 12.5 / 1e6 and live.handle.sess.endpoint.message_delay.value < 0.1
+    assert live.handle.session.load == 12.5 / 1e6 and live.handle.session.endpoint.message_delay.value < 0.1
 
 
 @pytest.mark.parametrize(
@@ -132,7 +132,7 @@
             if live.client.full:
                 break
     assert live.client.out and len(live.client.out) < 100_000  # bounded: the server is not read on
-    live.handle.sess.balancer.host.migrate(live.handle)
+    live.handle.session.balancer.host.migrate(live.handle)
     proxy.until(lambda: not proxy.proxy.sessions.table.live)
     proxy.until(lambda: client.read().endswith(b"MOVE\r\n") and client.end == "closed")
     assert set(client.got.split(b"\r\n")) == {line[:-2], b"MOVE", b""}
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -21,7 +21,7 @@
 from onyxhollow.lifecycle.config import ConfigError, decode, needs_restart, read_config
 from onyxhollow.lifecycle.handover import Handover, StateError, decode_state, encode_state, given_socket
 from onyxhollow.management import metrics
-from onyxhollow.state_snapshot import avoided, describe, take_back
+from onyxhollow.state_snapshot import count_avoided, restore_snapshot, take_snapshot
 from onyxhollow.wire import sessions
 from onyxhollow.wire.channel import ListenError
 from onyxhollow.wire.passing import Receiver
@@ -175,7 +175,7 @@
     host.loads(a=0.9)
     for _ in range(3):
         host.balancer.record_failure(host.balancer.tracked["b"], 1.0)
-    assert avoided(host.balancer) == (3, 1)
+    assert count_avoided(host.balancer) == (3, 1)
 
 
 def test_clients_are_sent_away_between_lines_and_what_still_comes_is_served(served, monkeypatch):
@@ -312,7 +312,7 @@
     on_its_way = proxy.open("calls")
     proxy.until(lambda: proxy.proxy.sessions.taken == 2)
     for live in proxy.proxy.sessions.table.live:
-        assert live.handle.sess.listener is CALLS
+        assert live.handle.session.listener is CALLS
     monkeypatch.setattr(sessions.Sessions, "listener", lambda self, name: self.listeners.get(name))
     too_late = proxy.open("calls")
     proxy.until(lambda: too_late.read() == b"ERR\r\n")
@@ -578,14 +578,14 @@
         host.servers("d", kind=EndpointListKind.DELTA, started_at=1009.0)
     budget = old.balancer.slow_start
     budget.tokens[old.balancer.tracked["d"]] = (0.1, old.now)  # the rest is spent
-    common, records = json.loads(json.dumps(describe(old.balancer)))
+    common, records = json.loads(json.dumps(take_snapshot(old.balancer)))
     for broken in ({"load": -1}, {"distrust": float("nan")}, {"set_up": [1]}, {"tokens": True}):
         with pytest.raises((ValueError, TypeError)):
-            take_back(new.balancer, common, [*records[:3], {**records[3], **broken}])
-    assert avoided(new.balancer) == (4, 0)  # nothing of it was used
-    assert take_back(new.balancer, common, [*records, {**records[0], "name": "nobody"}]) == 4
+            restore_snapshot(new.balancer, common, [*records[:3], {**records[3], **broken}])
+    assert count_avoided(new.balancer) == (4, 0)  # nothing of it was used
+    assert restore_snapshot(new.balancer, common, [*records, {**records[0], "name": "nobody"}]) == 4
     servers = new.balancer.tracked
-    assert avoided(new.balancer) == (4, 1) and servers["b"].outlier_score(new.now) > 2.9
+    assert count_avoided(new.balancer) == (4, 1) and servers["b"].outlier_score(new.now) > 2.9
     assert 0.5 <= servers["a"].load < 0.6 and servers["a"].ever_used and servers["d"].arrival
     assert new.balancer.slow_start.tokens[servers["d"]] == (pytest.approx(0.1), new.now)
     assert new.balancer.slow_start.rate(new.now) == pytest.approx(old.balancer.slow_start.rate(old.now))
