--- a/onyxhollow/counters.py
+++ b/onyxhollow/counters.py
@@ -1,38 +1,61 @@
-"""Counts of what the proxy takes in, sends and answers, and the one check for what must hold."""
+"""Counts of what the proxy takes in, sends and answers, and the one check of what must hold."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterable
 
-ENDS = ACCEPTED, REFUSED, TORN_DOWN = "accepted", "refused", "torn down"  # what a client was told
+# What a session's client was answered; names of the metrics page and the logs.
+ACCEPTED = "accepted"
+REFUSED = "refused"
+TORN_DOWN = "torn down"
+ENDS = (ACCEPTED, REFUSED, TORN_DOWN)
 
 
 class Counters:
-    """Named counts, gauges beside them read off when asked."""
+    """Named counts of one process.
+
+    Attributes:
+        counts: by name.
+        ends: of sessions, by answer and then by listener.
+    """
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.ends: dict[str, dict[str, int]] = {end: {} for end in ENDS}  # of sessions, by listener
+        self.ends: dict[str, dict[str, int]] = {end: {} for end in ENDS}
 
     def open_listeners(self, names: Iterable[str]) -> None:
-        """From now on they stand among the ends; one that is dropped later keeps its counts."""
+        """Show these listeners from now on, at 0 too; one that is dropped later keeps its counts."""
         for counts in self.ends.values():
             for name in names:
                 counts.setdefault(name, 0)
 
     def ended(self, end: str, listener: str) -> None:
+        """Count a session's answer, one of `ENDS`."""
         self.ends[end][listener] = self.ends[end].get(listener, 0) + 1
 
     def add(self, name: str, amount: int = 1) -> None:
+        """Add to a named count."""
         self.counts[name] += amount
 
     def must(self, holds: bool, what: str) -> bool:
-        """What must hold: asserted in debug builds, counted in release builds (python -O)."""
+        """Check what must hold: asserted in debug builds, counted in release builds (python -O).
+
+        Args:
+            holds: whether it does.
+            what: the rule, in words.
+
+        Returns:
+            Whether it holds.
+
+        Raises:
+            AssertionError: it does not, in a debug build.
+        """
         assert holds, what
         if not holds:
             self.counts[f"broken: {what}"] += 1
         return holds
 
     def snapshot(self) -> dict[str, int]:
+        """Return the named counts, in order of their names."""
         return dict(sorted(self.counts.items()))
--- a/onyxhollow/policy/endpoints.py
+++ b/onyxhollow/policy/endpoints.py
@@ -40,11 +40,11 @@
     entries = list(entries)
     learn_sizes(state, entries)
     first = not state.tracked
-    absent = set(state.tracked) if kind is not EndpointListKind.DELTA else set()
+    missing = set(state.tracked) if kind is not EndpointListKind.DELTA else set()
     for entry in entries:
-        absent.discard(entry.name)
+        missing.discard(entry.name)
         on_endpoint_update(state, entry, first)
-    for name in sorted(absent):
+    for name in sorted(missing):
         state.withdraw(state.tracked[name], EndpointState.REMOVED)
     state.endpoints = [s for s in state.tracked.values() if s.state is EndpointState.IN_SERVICE]
     if state.live_weights:
--- a/onyxhollow/settings.py
+++ b/onyxhollow/settings.py
@@ -1,123 +1,206 @@
-"""Decodes the settings object of the wire."""
+"""Decodes the settings object of the wire, which names its keys as the operators' pages do.
+
+Spans on the wire are nanoseconds; here all times are seconds. Each error names the setting, what was expected
+and what was found.
+"""
 
 from __future__ import annotations
 
+import math
 from collections.abc import Iterable, Mapping
 from typing import Any
 
 from onyxhollow.interface import DeduplicationScope, Idempotency, Listener, Settings, Tenant
 
+NANOSECONDS = 1e9  # in a second
 DISCOVERY = ("on_request", "pushed")
 WEIGHTS = ("none", "nominal", "rough", "live")
-REPEATS = {
+SEMANTICS = {
     "read_like": Idempotency.IDEMPOTENT,
     "idempotency_key": Idempotency.KEYED,
     "non_idempotent": Idempotency.NON_IDEMPOTENT,
 }
+REPORTING = ("probe", "answers")  # ways of reporting load that a health check gets an answer by
+LOAD_FIELD = "x0"  # the report's field that may hold load over capacity
 
 
 class WireError(Exception):
     """A line that does not follow the wire."""
 
 
+class SettingError(WireError):
+    """A value that is missing, or is not what its setting expects."""
+
+
 def whole(value: Any, what: str, low: int = 0) -> int:
+    """Return an integer from `low`.
+
+    Raises:
+        SettingError: it is none; the text begins with `what`.
+    """
     if isinstance(value, bool) or not isinstance(value, int) or value < low:
-        raise WireError(f"{what}: expected a whole number from {low}, got {value!r}")
+        raise SettingError(f"{what}: expected a whole number from {low}, got {value!r}")
     return value
 
 
 def number(values: Mapping[str, Any], name: str, default: float | None = None, low: float = 0.0) -> float:
+    """Return a finite number from `low`.
+
+    Raises:
+        SettingError: it is none, or missing without a default.
+    """
     value = values.get(name)
     if value is None:
         if default is None:
-            raise WireError(f"missing setting {name}: expected a number")
+            raise SettingError(f"missing setting {name}: expected a number")
         return default
-    if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value < float("inf"):
-        raise WireError(f"setting {name}: expected a number from {low:g}, got {value!r}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value < math.inf:
+        raise SettingError(f"setting {name}: expected a number from {low:g}, got {value!r}")
     return float(value)
 
 
 def seconds(values: Mapping[str, Any], name: str, default: float | None = None) -> float:
-    return number(values, name, None if default is None else default * 1e9) / 1e9
+    """Return a span in seconds, given in nanoseconds; the default is in seconds. Raises SettingError."""
+    return number(values, name, None if default is None else default * NANOSECONDS) / NANOSECONDS
 
 
 def section(values: Mapping[str, Any], name: str, needed: bool = False) -> Mapping[str, Any]:
+    """Return an object, empty if it is missing and not needed.
+
+    Raises:
+        SettingError: it is none, or missing though needed.
+    """
     value = values.get(name)
-    if value is None and not needed:
+    if value is None:
+        if needed:
+            raise SettingError(f"missing setting {name}: expected an object")
         return {}
     if not isinstance(value, Mapping):
-        said = f"missing setting {name}: expected an object"
-        raise WireError(said if value is None else f"setting {name}: expected an object, got {value!r:.40}")
+        raise SettingError(f"setting {name}: expected an object, got {value!r:.40}")
     return value
 
 
 def rows(values: Mapping[str, Any], name: str, needed: bool = False) -> list[Mapping[str, Any]]:
+    """Return a list of objects, empty if it is missing and not needed.
+
+    Raises:
+        SettingError: it is none, or missing though needed.
+    """
     value = values.get(name)
     if value is None and not needed:
         return []
     if not isinstance(value, list) or not all(isinstance(row, Mapping) for row in value):
         got = "nothing" if value is None else f"{value!r:.40}"
-        raise WireError(f"setting {name}: expected a list of objects, got {got}")
+        raise SettingError(f"setting {name}: expected a list of objects, got {got}")
     return value
 
 
 def text(values: Mapping[str, Any], name: str, default: str | None = None) -> str:
+    """Return a text.
+
+    Raises:
+        SettingError: it is none, or missing without a default.
+    """
     value = values.get(name, default)
     if not isinstance(value, str):
         got = "nothing" if value is None else f"{value!r:.40}"
-        raise WireError(f"setting {name}: expected text, got {got}")
+        raise SettingError(f"setting {name}: expected text, got {got}")
     return value
 
 
 def one_of(values: Mapping[str, Any], name: str, choices: Iterable[str], default: str | None = None) -> str:
-    value, known = text(values, name, default), list(choices)
+    """Return a text that is one of the choices.
+
+    Raises:
+        SettingError: it is none of them, or missing without a default.
+    """
+    value = text(values, name, default)
+    known = list(choices)
     if value not in known:
-        raise WireError(f"setting {name}: expected one of {', '.join(known)}, got {value!r}")
+        raise SettingError(f"setting {name}: expected one of {', '.join(known)}, got {value!r}")
     return value
 
 
-def read_listener(row: Mapping[str, Any], message_target: float) -> Listener:
-    semantics = one_of(row, "semantics", REPEATS)
-    scope = one_of(row, "group", (s.value for s in DeduplicationScope), "all")
+def item_of(values: Any, place: int) -> Any:
+    """Return the item at that place, None if the values are no list or too short."""
+    return values[place] if isinstance(values, list) and place < len(values) else None
+
+
+def read_listener(row: Mapping[str, Any], message_objective: float) -> Listener:
+    """Return one listener; the message objective is in seconds. Raises SettingError."""
+    semantics = one_of(row, "semantics", SEMANTICS)
+    scope = one_of(row, "group", (choice.value for choice in DeduplicationScope), "all")
     return Listener(
         name=text(row, "name"),
-        handshake_objective=number(row, "handshakeTargetNs", low=1.0) / 1e9,
-        attempt_timeout=number(row, "dialTimeoutNs", low=1.0) / 1e9,
+        handshake_objective=number(row, "handshakeTargetNs", low=1.0) / NANOSECONDS,
+        attempt_timeout=number(row, "dialTimeoutNs", low=1.0) / NANOSECONDS,
         utility=number(row, "utility", 1.0),
-        idempotency=REPEATS[semantics],
+        idempotency=SEMANTICS[semantics],
         deduplication_scope=DeduplicationScope(scope),
         deduplication_window=seconds(row, "windowNs", 0.0),
-        message_objective=message_target,
+        message_objective=message_objective,
     )
 
 
-def read_settings(options: Any) -> tuple[Settings, list[str]]:
-    """The settings and the names of the load report's fields."""
-    if not isinstance(options, Mapping):
-        raise WireError("settings: expected an object")
-    ceilings, rules = section(options, "ceilings"), section(options, "rules", needed=True)
-    extra, report = section(options, "extra"), section(options, "report")
-    targets = extra.get("messageAimNs") or []
+def read_listeners(options: Mapping[str, Any], extra: Mapping[str, Any]) -> dict[str, Listener]:
+    """Return the listeners by name.
+
+    Raises:
+        SettingError: one is not as expected, or there is none.
+    """
     listeners = []
     for place, row in enumerate(rows(options, "listeners", needed=True)):
-        told = targets[place] if isinstance(targets, list) and place < len(targets) else 0
-        listeners.append(read_listener(row, told / 1e9 if isinstance(told, int | float) else 0.0))
+        objective = item_of(extra.get("messageAimNs"), place) or 0
+        objective = objective / NANOSECONDS if isinstance(objective, int | float) else 0.0
+        listeners.append(read_listener(row, objective))
     if not listeners:
-        raise WireError("setting listeners: expected one at least, got none")
-    quotas = extra.get("tenantQuotaConnections") or []
-    customers = []
+        raise SettingError("setting listeners: expected one at least, got none")
+    return {listener.name: listener for listener in listeners}
+
+
+def read_tenants(options: Mapping[str, Any], extra: Mapping[str, Any]) -> dict[str, Tenant]:
+    """Return the tenants by name. Raises SettingError."""
+    tenants = []
     for place, row in enumerate(rows(options, "tenants")):
-        quota = {"quota": quotas[place] if isinstance(quotas, list) and place < len(quotas) else None}
-        customers.append(Tenant(text(row, "name"), number(row, "share", 0.0), number(quota, "quota", 0.0)))
+        quota = {"quota": item_of(extra.get("tenantQuotaConnections"), place)}
+        tenants.append(Tenant(text(row, "name"), number(row, "share", 0.0), number(quota, "quota", 0.0)))
+    return {tenant.name: tenant for tenant in tenants}
+
+
+def read_report_fields(options: Mapping[str, Any]) -> list[str]:
+    """Return the names of the load report's fields, in their order.
+
+    Raises:
+        SettingError: they are no list of names.
+    """
+    fields = section(options, "report").get("fields") or []
+    if not isinstance(fields, list) or not all(isinstance(name, str) for name in fields):
+        raise SettingError("setting fields: not a list of names")
+    return fields
+
+
+def read_settings(options: Any) -> tuple[Settings, list[str]]:
+    """Return the settings, and the names of the load report's fields.
+
+    Raises:
+        SettingError: a value is missing, or is not what its setting expects.
+    """
+    if not isinstance(options, Mapping):
+        raise SettingError("settings: expected an object")
+    ceilings = section(options, "ceilings")
+    rules = section(options, "rules", needed=True)
+    extra = section(options, "extra")
+    report = section(options, "report")
+    listeners = read_listeners(options, extra)
+    tenants = read_tenants(options, extra)
     discovery = one_of(options, "discovery", DISCOVERY, "on_request")
     weights = one_of(options, "weightKind", WEIGHTS, "nominal")
-    fields = report.get("fields") or []
-    if not isinstance(fields, list) or not all(isinstance(name, str) for name in fields):
-        raise WireError("setting fields: not a list of names")
-    load_field = "x0" if "x0" in fields and "over" in str(extra.get("reportX0", "")) else ""
+    fields = read_report_fields(options)
+    reports_load = LOAD_FIELD in fields and "over" in str(extra.get("reportX0", ""))
+    heeds_retry_after = ceilings.get("retryAfter") is True
     settings = Settings(
-        listeners={row.name: row for row in listeners},
-        tenants={row.name: row for row in customers},
+        listeners=listeners,
+        tenants=tenants,
         instance_index=int(number(options, "me", 0)),
         instance_count=int(number(options, "peersTotal", 1, low=1)),
         zone=text(options, "zone", ""),
@@ -128,16 +211,14 @@
         overload_multiple=number(rules, "fallMultiple", 1.0),
         overload_window=seconds(rules, "fallNs", 1.0),
         max_attempts=int(number(ceilings, "mostDials", 1, low=1)),
-        health_checks=ceilings.get("probes") is True and report.get("how") in ("probe", "answers"),
+        health_checks=ceilings.get("probes") is True and report.get("how") in REPORTING,
         health_check_price=number(section(options, "charges"), "probe", 0.0),
         cross_zone_price=number(section(options, "charges"), "crossZone", 0.0),
         cancellation=ceilings.get("cancelling") is True,
-        max_retry_after=seconds(ceilings, "maxRetryAfterNs", 0.0)
-        if ceilings.get("retryAfter") is True
-        else 0.0,
+        max_retry_after=seconds(ceilings, "maxRetryAfterNs", 0.0) if heeds_retry_after else 0.0,
         over_quota_utility=number(options, "overageUtility", 1.0),
         group_affinity=extra.get("groups") is True,
         live_weights=weights == "live",
-        load_field=load_field,
+        load_field=LOAD_FIELD if reports_load else "",
     )
     return settings, fields
