--- /dev/null
+++ b/tests/test_load_reports.py
@@ -0,0 +1,55 @@
+"""What fills an endpoint where little or nothing is reported."""
+
+import math
+
+import pytest
+from decision_setups import FEW_CONNECTIONS, placements, without_reports
+
+from onyxhollow.interface import (
+    Tenant,
+)
+
+
+def test_after_a_restart_among_many_an_endpoint_has_capacity_for_a_share_of_the_tenants_quotas(start):
+    told = {"tenants": {"acme": Tenant("acme", 1.0, 600.0)}}
+    placed = []
+    for seed in range(20):
+        host = start(seed, group_affinity=True, **FEW_CONNECTIONS, **told)
+        host.servers(*(f"s{n}" for n in range(12)), weight=4.0)
+        host.loads(**{f"s{n}": 0.5 for n in range(12)})
+        host.balancer.refresh_health()
+        assert host.balancer.full_connections == pytest.approx(
+            600 / 100 / 48
+        )  # nothing open here: the fleet's as told
+        host.take(group="g", stands=False)
+        placed.append(len(host.asked("start_attempt")))
+    assert sum(placed) > 12  # by own connections alone, none, it would be a few
+
+
+def test_a_load_beyond_all_measure_bars_its_endpoint_and_all_estimates_stay_finite(start):
+    host = start(**FEW_CONNECTIONS)
+    host.servers("a", "b", weight=4.0)
+    for _ in range(20):
+        host.loads(a=1e308, b=0.1)
+        host.take()
+        host.wait(0.5)
+    balancer = host.balancer
+    assert set(placements(host)) == {"b"} and 0.0 < balancer.full_connections < math.inf
+    host.loads(a=0.1)
+    host.wait(2.0)
+    assert balancer.eligible(balancer.tracked["a"])
+
+
+def test_without_load_reports_the_own_part_of_the_tenants_quotas_bounds_an_endpoint(start):
+    """On 200 proxies without reports a group's home was filled until it threw its connections out."""
+    host, servers = without_reports(start, max_retry_after=1.0)
+    for _ in range(200):
+        host.take()
+        host.balancer.refresh_health()
+    counts = placements(host)
+    assert set(counts.values()) == {13} and len(counts) == 4  # 0.65 of 20 each, and nothing past it
+    host.wait(3.0)
+    assert len(host.asked("reject")) == 200 - 52
+    host.loads(a=0.1)  # the first report that is heard ends the guessing
+    host.balancer.refresh_health()
+    assert not host.balancer.loads_unknown and host.balancer.eligible(servers[0])
