--- a/onyxhollow/fleet/gossip_service.py
+++ b/onyxhollow/fleet/gossip_service.py
@@ -39,7 +39,7 @@
         self.reports_are_fresh = False  # as last logged
         self.poll_endpoint: Callable[[str], None] = self.decisions.check_health
         self.decisions.check_health = self.check_health
-        self.decisions.dial_failed = self.on_attempt_failed
+        self.decisions.on_attempt_failed = self.on_attempt_failed
         member.proxy.probes.told = self.on_health_check_result
         member.proxy.probes.most = MAX_HEALTH_CHECK_CONNECTIONS
 
@@ -97,8 +97,8 @@
             return
         if self.members_changed:
             self._update_members()
-        core.set_endpoints({server.name: server.zone for server in self.decisions.balancer.fleet})
-        core.tick(self.decisions.own(), now)
+        core.set_endpoints({server.name: server.zone for server in self.decisions.balancer.endpoints})
+        core.tick(self.decisions.own_connections(), now)
         self._poll()
         self._send()
         self._deliver()
@@ -122,7 +122,7 @@
     def _answer(self, endpoint: str, known: LoadEstimate) -> Generator[float, None, None]:
         """Answer in a turn of the loop of its own: the decisions are in the middle of a call."""
         yield self.member.loop.now
-        self.decisions.balancer.probed(endpoint, AttemptOutcome.OK, 0.0, known.load, known.age)
+        self.decisions.balancer.on_health_check(endpoint, AttemptOutcome.OK, 0.0, known.load, known.age)
 
     def _update_members(self) -> None:
         self.members_changed = False
--- a/onyxhollow/fleet/shared_addresses/connection_drain.py
+++ b/onyxhollow/fleet/shared_addresses/connection_drain.py
@@ -5,7 +5,7 @@
 from onyxhollow.addresses.file import AddressesFile, Service
 from onyxhollow.addresses.messages import DrainRequest
 from onyxhollow.fleet.context import MemberContext
-from onyxhollow.policy import Pace
+from onyxhollow.policy.migration import StagedMigration
 
 INTERVAL = 1.0  # seconds between steps; the pace counts connections a second
 REQUEST_LIFETIME = 3.0  # seconds for which an announcer's request counts
@@ -23,7 +23,7 @@
         self.member = member
         self.services = config.services
         self.requested: dict[str, float] = {}
-        self.pace: Pace | None = None
+        self.pace: StagedMigration | None = None
         self.next_due = now
 
     def on_request(self, message: DrainRequest, now: float) -> None:
@@ -52,7 +52,7 @@
             and session.opening.listener in listeners
         ]
         if self.pace is None:
-            self.pace = Pace(len(sessions))
+            self.pace = StagedMigration(len(sessions))
             self.member.log_event("address drain", names=sorted(self.requested), connections=len(sessions))
         # A second address may begin to drain, and sessions may still open: the pace is for all of them.
         self.pace.count = max(self.pace.count, len(sessions))
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -27,6 +27,7 @@
 from onyxhollow.fleet import (
     gossip_service,
     identity,
+    lease_messenger,
     list_messages,
     list_replication,
     route_guard,
@@ -340,12 +341,12 @@
 
 def test_numbers_and_words_that_members_send_and_keep():
     assert (
-        node.DUTIES,
+        lease_messenger.LEASE_PAYLOAD,
         list_replication.LIST_PAYLOAD,
         gossip_service.GOSSIP_PAYLOAD,
         messenger.ADDRESSES,
     ) == (1, 2, 3, 4)
-    assert (node.HOLDS, node.VOTES) == (1, 2)
+    assert (identity.MAY_HOLD_ROLES, identity.VOTES) == (1, 2)
     life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
     assert [int(one) for one in (Preference.WITHDRAWN, Preference.LOWERED, Preference.ADVERTISED)] == [
