--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -134,7 +134,7 @@
         f"weights {weights}, list {how}, groups {'on' if settings.group_affinity else 'off'}, "
         f"a probe costs {settings.health_check_price:g}, a crossing {settings.cross_zone_price:g}"
     )
-    print(f"servers known {len(config.known.entries)}, listeners {len(settings.listeners)}")
+    print(f"servers known {len(config.known.endpoints)}, listeners {len(settings.listeners)}")
     if fleet:
         duties = ", ".join(f"{duty.name} ({duty.work}, one a {duty.per})" for duty in fleet.told.duty)
         print(
--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -57,7 +57,7 @@
 from onyxhollow.policy import Pace
 from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import Channel
-from onyxhollow.wire.discovery import Call, ListError, StatusError
+from onyxhollow.wire.endpoint_list_watch import DiscoveryConnection, DiscoveryStatusError, EndpointListError
 
 if TYPE_CHECKING:
     from onyxhollow.fleet.node import Node
@@ -192,10 +192,10 @@
                     yield from self.act(this, core, target, still)
                 last = quote(",".join(row.name for row in core.rows.values() if row.last))
                 yield from self.act(this, core, f"/alive?term={core.term}&last={last}", still)
-            except StatusError as error:
+            except DiscoveryStatusError as error:
                 self.hang_up()
                 self.superseded = self.superseded or error.status == 409
-            except (ListError, OSError, h11.ProtocolError, ValueError, KeyError):
+            except (EndpointListError, OSError, h11.ProtocolError, ValueError, KeyError):
                 if self.running == this:
                     self.hang_up()
             if self.running == this:
@@ -217,14 +217,14 @@
         until = loop.now + GATE_ANSWERS
         if self.caller is None or not self.caller.reusable:
             self.hang_up()
-            self.caller = Call(loop, self.address, self.pool, self.wake)
+            self.caller = DiscoveryConnection(loop, self.address, self.pool, self.wake)
         caller = self.caller
         while caller.channel.connecting:
             if loop.now >= until or self.running != this:
-                raise ListError("not up")
+                raise EndpointListError("not up")
             yield until
         if not still():  # the last thing before the act
-            raise ListError("the lease has ended")
+            raise EndpointListError("the lease has ended")
         body = yield from caller.get(target, until, lambda: self.running != this, "POST")
         told = orjson.loads(body)
         table = {name: (int(row["wanted"]), row["told"]) for name, row in told["rows"].items()}
@@ -609,17 +609,17 @@
             due = loop.now + GATE_TOLD * self.node.rng.uniform(0.8, 1.2)
             if self.seen:
                 words = "&".join(f"{quote(row.address)}={row.health:.3f}" for row in self.seen)
-                caller: Call | None = None
+                caller: DiscoveryConnection | None = None
                 try:
                     until = loop.now + GATE_ANSWERS
-                    caller = Call(loop, address, pool, self.node.task.wake)
+                    caller = DiscoveryConnection(loop, address, pool, self.node.task.wake)
                     while caller.channel.connecting and loop.now < until:
                         yield min(until, loop.now + 0.05)
                     if not caller.channel.connecting:
                         target = f"/seen?member={quote(self.node.name)}&{words}"
                         asking = caller.get(target, until, never, "POST")
                         yield from (min(when, loop.now + 0.05) for when in asking)
-                except (ListError, OSError, h11.ProtocolError):
+                except (EndpointListError, OSError, h11.ProtocolError):
                     pass
                 if caller:
                     caller.channel.close()
@@ -646,7 +646,7 @@
             went = False
             try:
                 at = ("127.0.0.1" if host == "0.0.0.0" else host, port)
-                channel = Channel.dial(loop, at, pool, lambda to=task: to[0].wake())  # type: ignore[misc]
+                channel = Channel.connect(loop, at, pool, lambda to=task: to[0].wake())  # type: ignore[misc]
             except OSError:
                 self.doors[service.name].tried(False)
                 continue
@@ -659,7 +659,7 @@
                 if (line := channel.line()) is not None:
                     went = bytes(line[:2]) == b"UP"
                     break
-                channel.settle(False)
+                channel.set_paused(False)
                 yield min(until, loop.now + 0.05)
             channel.close()
             self.doors[service.name].tried(went)
@@ -671,8 +671,8 @@
         servers, with_room = proxy.decisions.room(self.node.zone)
         live: dict[str, int] = {}
         for sess in proxy.sessions.table.live:
-            if sess.open and sess.opening is not None:
-                live[sess.opening.listener] = live.get(sess.opening.listener, 0) + 1
+            if sess.is_open and sess.request is not None:
+                live[sess.request.listener] = live.get(sess.request.listener, 0) + 1
         for told in self.told.service:
             door = self.doors[told.name]
             names = told.listeners or list(proxy.counters.ends[ACCEPTED])
@@ -705,7 +705,7 @@
         live = [
             sess
             for sess in self.node.proxy.sessions.table.live
-            if sess.open and not sess.stopping and sess.opening is not None and sess.opening.listener in go
+            if sess.is_open and not sess.stopping and sess.request is not None and sess.request.listener in go
         ]
         if self.pace is None:
             self.pace = Pace(len(live))
--- a/onyxhollow/fleet/gate.py
+++ b/onyxhollow/fleet/gate.py
@@ -260,7 +260,7 @@
         """One command at a time; each is taken or failed before the next."""
         while True:
             try:
-                self.channel = Channel.dial(
+                self.channel = Channel.connect(
                     self.loop, read_address(self.told.speaker, ""), self.pool, self.wake
                 )
                 until = self.loop.now + TAKES
@@ -290,8 +290,8 @@
             due = [name for name, standing in self.table.stands.items() if self.taken[name] is not standing]
             due.sort(key=lambda name: -self.table.stands[name])
             if not due:
-                channel.inbox.rest()  # nothing is owed: what comes says only that it lives
-                channel.settle(False)
+                channel.inbox.take_rest()  # nothing is owed: what comes says only that it lives
+                channel.set_paused(False)
                 yield self.loop.now + 1.0
                 continue
             name, standing = due[0], self.table.stands[due[0]]
@@ -299,8 +299,8 @@
             channel.write(command.encode() + b"\n")
             got, until = b"", self.loop.now + TAKES
             while b"\n" not in got and len(got) < LONGEST_LINE:  # ends with a bare LF, as its API does
-                got += channel.inbox.rest()
-                channel.settle(False)
+                got += channel.inbox.take_rest()
+                channel.set_paused(False)
                 if b"\n" not in got:
                     if self.loop.now >= until or channel.ended:
                         break
--- a/onyxhollow/fleet/lists.py
+++ b/onyxhollow/fleet/lists.py
@@ -13,7 +13,7 @@
 from onyxhollow.fleet import clock, telling
 from onyxhollow.interface import EndpointListKind
 from onyxhollow.membership.swim import Member
-from onyxhollow.wire.discovery import ListError, read_list
+from onyxhollow.wire.endpoint_list_watch import EndpointListError, decode_endpoint_list
 
 if TYPE_CHECKING:
     from onyxhollow.fleet.node import Node
@@ -44,7 +44,9 @@
     @property
     def source(self) -> str:
         """Which list service is followed: versions of two mean nothing to each other."""
-        address = self.discovery.next or self.discovery.address  # next: named by a reload, not asked yet
+        address = (
+            self.discovery.next_address or self.discovery.address
+        )  # next: named by a reload, not asked yet
         return self.service if self.service and address == self.address else ":".join(map(str, address))
 
     # as a duty's work
@@ -53,9 +55,9 @@
         self.last_progress_at = self.node.loop.now
         self.teller, self.still = telling.Teller(self.duty, term, self.source, self.every), still
         self.listener.resting = False
-        self.discovery.rest(False)
-        if self.discovery.version >= 0 and self.discovery.rows:
-            self.teller.told(self.discovery.rows, self.discovery.version)
+        self.discovery.set_suspended(False)
+        if self.discovery.version >= 0 and self.discovery.records:
+            self.teller.told(self.discovery.records, self.discovery.version)
         self.teller.next_beat = clock.now()
         self.node.task.wake()
 
@@ -83,7 +85,7 @@
         else:
             if self.teller.source != self.source:  # another list service, after a reload
                 self.teller = telling.Teller(self.duty, self.teller.term, self.source, self.every)
-            for rows in self.teller.told(self.discovery.rows, self.discovery.version):
+            for rows in self.teller.told(self.discovery.records, self.discovery.version):
                 for member in self.zone_members():
                     self.queue(member, rows)
         self.node.task.wake()
@@ -96,8 +98,10 @@
         }
         self.taking = True
         try:
-            self.discovery.take(told.rows, read_list(body, self.discovery.clock, self.node.loop.now))
-        except ListError:
+            self.discovery.apply(
+                told.rows, decode_endpoint_list(body, self.discovery.clock, self.node.loop.now)
+            )
+        except EndpointListError:
             return False
         finally:
             self.taking = False
@@ -105,7 +109,7 @@
 
     def tell_drains(self) -> None:
         """What an own call has told of servers that drain: all are to know, whoever tells their list."""
-        rows = telling.drains(list(self.discovery.rows.values()))
+        rows = telling.drains(list(self.discovery.records.values()))
         fresh = [row for row in rows if (row["host"], row.get("health")) not in self.drains_told]
         self.drains_told = {(row["host"], row.get("health")) for row in rows}
         self.drains_told |= {(row["host"], "left") for row in rows if row.get("health") == "left"}
@@ -150,7 +154,7 @@
         elif isinstance(answer, telling.Take):
             self.node.counts["list: told versions"] += 1
         if self.listener.resting and not rested:
-            self.discovery.rest(True)
+            self.discovery.set_suspended(True)
             self.node.log_event(
                 "list rests", duty=self.duty, term=self.listener.term, version=self.discovery.version
             )
@@ -161,7 +165,7 @@
         if isinstance(told, telling.Doubt):
             if told.version > self.discovery.version and told.version > self.teller.doubted:
                 self.teller.doubted = told.version
-                self.discovery.move_to(self.discovery.address, anew=True)
+                self.discovery.switch_to(self.discovery.address, anew=True)
             return
         if now - self.answered.get(member.name, -math.inf) >= WANTS_EVERY:
             self.answered[member.name] = now
@@ -179,7 +183,7 @@
             self.node.counts["list: rubbish"] += 1
             return
         if told.version > self.discovery.version >= 0:
-            known = self.discovery.rows
+            known = self.discovery.records
             fresh = [
                 row
                 for row in rows
@@ -210,7 +214,7 @@
                 if not self.still():
                     break
                 self.say(member, self.teller.beat())
-            if self.discovery.call is not None and not self.teller.lost:
+            if self.discovery.connection is not None and not self.teller.lost:
                 self.last_progress_at = self.node.loop.now  # its watch is open
         if self.waiting and now >= self.sends_at:
             self.sends_at = now + SENDS
@@ -223,11 +227,11 @@
         # a reload names another list service: its list is not told yet
         if self.listener.source != self.source:
             self.listener.source, self.listener.resting = self.source, False
-            self.discovery.rest(False)
+            self.discovery.set_suspended(False)
         if self.listener.tick(now):
             # answered at once, news or none: no watch is left open
-            self.discovery.soon = self.listener.auditing
-            self.discovery.rest(False)
+            self.discovery.answer_at_once = self.listener.auditing
+            self.discovery.set_suspended(False)
             self.node.log_event(
                 "list asks", duty=self.duty, why=self.listener.why, version=self.discovery.version
             )
@@ -240,6 +244,6 @@
         return {
             "duty": self.duty,
             "version": self.discovery.version,
-            "rests": self.discovery.resting,
+            "rests": self.discovery.suspended,
             "tells": self.teller is not None and self.still(),
         }
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -192,7 +192,7 @@
             try:
                 self.step()
             except Exception as error:  # leases run out by themselves; members and duties must go on
-                self.proxy.failed("fleet", error)
+                self.proxy.report_failure("fleet", error)
                 yield self.loop.now + LOOK
             yield self.loop.now + max(0.001, self.next_due() - clock.now())
 
@@ -720,7 +720,7 @@
             if self.membership.stalls_seen
             else None,
             "version": __version__,
-            "service": self.proxy.service.state.value,
+            "service": self.proxy.service.phase.value,
             "links": self.links(now),
             "servers": self.servers(),
             "members": members,
@@ -811,7 +811,7 @@
 
     # told by the proxy
 
-    def list_told(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
+    def on_endpoint_list(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
         if self.lists:
             self.lists.own_list(kind)
 
--- a/onyxhollow/fleet/shares.py
+++ b/onyxhollow/fleet/shares.py
@@ -30,7 +30,7 @@
         self.probe_server: Callable[[str], None] = self.decisions.check_health
         self.decisions.check_health = self.probe
         self.decisions.dial_failed = lambda server: self.core.failed(server, clock.now())
-        node.proxy.probes.told, node.proxy.probes.most = self.probed, STANDING
+        node.proxy.health_checker.on_result, node.proxy.health_checker.max_connections = self.probed, STANDING
 
     # what the module asks for, and what it is told
 
@@ -49,7 +49,7 @@
         self.decisions.balancer.probed(server, AttemptOutcome.OK, 0.0, load, age)
 
     def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
-        self.node.proxy.probe_told(server, end, took, load)
+        self.node.proxy.on_health_check(server, end, took, load)
         now = clock.now()
         if end is AttemptOutcome.OK and load is None:
             return  # it answers, and reports nothing
--- a/onyxhollow/fleet/works.py
+++ b/onyxhollow/fleet/works.py
@@ -14,7 +14,7 @@
 from onyxhollow.loop import Loop, Task
 from onyxhollow.membership.messages import Address
 from onyxhollow.wire.buffers import BufferPool
-from onyxhollow.wire.discovery import Call, ListError, StatusError
+from onyxhollow.wire.endpoint_list_watch import DiscoveryConnection, DiscoveryStatusError, EndpointListError
 
 ANSWER = 1.0  # seconds for a called address to answer
 
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.pool = BufferPool()
         self.running = 0  # which of its runs is the present one
-        self.caller: Call | None = None
+        self.caller: DiscoveryConnection | None = None
         self.task: Task | None = None
 
     def stop(self) -> None:
@@ -84,10 +84,10 @@
             due, number = self.loop.now + self.every, number + 1
             try:
                 yield from self.act(this, f"{self.target}&term={term}&number={number}", still)
-            except StatusError as error:
+            except DiscoveryStatusError as error:
                 self.hang_up()
                 self.superseded = error.status == 409
-            except (ListError, OSError, h11.ProtocolError):
+            except (EndpointListError, OSError, h11.ProtocolError):
                 if self.running == this:
                     self.hang_up()
             while self.running == this and self.loop.now < due:
@@ -97,11 +97,11 @@
         until = self.loop.now + ANSWER
         if self.caller is None or not self.caller.reusable:
             self.hang_up()
-            self.caller = Call(self.loop, self.address, self.pool, self.wake)
+            self.caller = DiscoveryConnection(self.loop, self.address, self.pool, self.wake)
         caller = self.caller
         while caller.channel.connecting:  # written before it is up, an act would go out unlooked at
             if self.loop.now >= until or self.running != this:
-                raise ListError("not up")
+                raise EndpointListError("not up")
             yield until
         if not still():  # the last thing before the act
             self.count("acts not done: the lease had ended")
--- a/onyxhollow/lifecycle/config.py
+++ b/onyxhollow/lifecycle/config.py
@@ -12,7 +12,12 @@
 
 from onyxhollow.interface import Settings
 from onyxhollow.settings import WireError, read_settings, rows, seconds, section, text, whole
-from onyxhollow.wire.discovery import ListError, ServerList, read_address, read_list
+from onyxhollow.wire.endpoint_list_watch import (
+    EndpointList,
+    EndpointListError,
+    decode_address,
+    decode_endpoint_list,
+)
 from onyxhollow.wire.remote_clock import RemoteClock
 from onyxhollow.wire.tables import Address
 
@@ -28,12 +33,12 @@
     discovery: Address
     management: Address | None  # where operators call
     seed: int
-    sockets: int
-    memory: int  # bytes
-    known: ServerList
+    max_sockets: int
+    memory_bytes: int  # bytes
+    known: EndpointList
     settings: Settings
-    connect_time: float  # seconds for a connection to come up
-    probe_time: float  # seconds for a probe to be answered
+    connect_timeout: float  # seconds for a connection to come up
+    health_check_timeout: float  # seconds for a probe to be answered
     clock: RemoteClock = field(default_factory=RemoteClock, compare=False)  # that the known list was read by
     keys: frozenset[str] = frozenset()  # all that the file names, but the servers known
 
@@ -52,7 +57,7 @@
         raise ConfigError(f"{path}: not an object")
     try:
         return decode(told, environment)
-    except (WireError, ListError) as error:
+    except (WireError, EndpointListError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
@@ -92,16 +97,16 @@
     management = environment.get("LB_MANAGEMENT") or told.get("management")
     return Config(
         name=environment.get("LB_NAME") or text(told, "name", "proxy"),
-        listen=read_address(environment.get("LB_LISTEN") or told.get("listen")),
-        discovery=read_address(environment.get("LB_DISCOVERY") or told.get("discovery")),
-        management=read_address(management) if management else None,
+        listen=decode_address(environment.get("LB_LISTEN") or told.get("listen")),
+        discovery=decode_address(environment.get("LB_DISCOVERY") or told.get("discovery")),
+        management=decode_address(management) if management else None,
         seed=start,
-        sockets=whole(limits.get("sockets", 1024), "limits: sockets", 64),
-        memory=whole(limits.get("memory_mb", 64), "limits: memory_mb", 16) << 20,
-        known=read_list(told.get("known") or {"seq": -1, "hosts": []}, clock, time.monotonic()),
+        max_sockets=whole(limits.get("sockets", 1024), "limits: sockets", 64),
+        memory_bytes=whole(limits.get("memory_mb", 64), "limits: memory_mb", 16) << 20,
+        known=decode_endpoint_list(told.get("known") or {"seq": -1, "hosts": []}, clock, time.monotonic()),
         clock=clock,
         settings=settings,
-        connect_time=seconds(section(options, "ceilings"), "connectTimeoutNs", 1.0) or 1.0,
-        probe_time=min(seconds(row, "handshakeTargetNs") for row in rows(options, "listeners")),
+        connect_timeout=seconds(section(options, "ceilings"), "connectTimeoutNs", 1.0) or 1.0,
+        health_check_timeout=min(seconds(row, "handshakeTargetNs") for row in rows(options, "listeners")),
         keys=key_paths({name: None if name == "known" else value for name, value in told.items()}),
     )
--- a/onyxhollow/lifecycle/handover.py
+++ b/onyxhollow/lifecycle/handover.py
@@ -92,7 +92,7 @@
             os.path.join(folder, f"onyxhollow-{part}") for part in ("serving", "successor")
         )
         self.token = f"{os.getpid()}-{time.monotonic_ns()}"
-        self.passing_path = os.path.join(folder, f"onyxhollow-{self.token}")
+        self.handoff_path = os.path.join(folder, f"onyxhollow-{self.token}")
         self.state_path, self.written_for = os.path.join(folder, "onyxhollow-state"), ""
         self.serving: int | None = None
         self.successor: int | None = None
@@ -101,12 +101,12 @@
         while (held := hold(self.successor_path)) is None and time.monotonic() < until:
             time.sleep(0.01)
         self.successor = held
-        self.alone = self.successor is None  # two others are there: this one follows nobody
-        if self.move_up():
+        self.has_no_role = self.successor is None  # two others are there: this one follows nobody
+        if self.take_over():
             return
-        self.say(STARTING)
+        self.announce(STARTING)
 
-    def move_up(self) -> bool:
+    def take_over(self) -> bool:
         """Whether this process is the one that serves, now that the one before it may have ended."""
         if self.serving is None and self.successor is not None:
             if (held := hold(self.serving_path)) is not None:
@@ -120,7 +120,7 @@
     def follows(self) -> bool:
         return self.successor is not None
 
-    def say(self, state: str, path: str = "") -> None:
+    def announce(self, state: str, path: str = "") -> None:
         """path: where open connections may be passed on to."""
         if self.successor is not None:
             word = orjson.dumps({"version": VERSION, "token": self.token, "state": state, "path": path})
@@ -148,7 +148,7 @@
             raise StateError(str(error.strerror)) from None
         return decode_state(text, self.token, time.monotonic())
 
-    def heard(self) -> dict[str, Any]:
+    def successor_announcement(self) -> dict[str, Any]:
         """What a living successor says; nothing if there is none."""
         if self.serving is None:
             return {}
--- a/onyxhollow/lifecycle/log.py
+++ b/onyxhollow/lifecycle/log.py
@@ -14,18 +14,20 @@
 
 class Log:
     def __init__(self, fd: int, name: str) -> None:
-        self.fd, self.name, self.held, self.dropped = fd, name, bytearray(), 0
-        self.levels: dict[str, tuple[float, float, int]] = {}  # lines that may go, at a time; kept back since
+        self.fd, self.name, self.unwritten, self.dropped = fd, name, bytearray(), 0
+        self.rate_limits: dict[
+            str, tuple[float, float, int]
+        ] = {}  # lines that may go, at a time; kept back since
 
     def event(self, event: str, **values: Any) -> None:
         now = time.monotonic()
-        level, at, kept_back = self.levels.get(event, (BURST, now, 0))
+        level, at, kept_back = self.rate_limits.get(event, (BURST, now, 0))
         level = min(BURST, level + (now - at) * RATE)
         if level < 1.0:
-            self.levels[event] = level, now, kept_back + 1
+            self.rate_limits[event] = level, now, kept_back + 1
             self.dropped += 1
             return
-        self.levels[event] = level - 1.0, now, 0
+        self.rate_limits[event] = level - 1.0, now, 0
         if kept_back:
             values["kept_back"] = kept_back  # of this kind, since the last that went
         # For people the time of day, which may be stepped; spans are told by the monotonic figure beside it.
@@ -33,17 +35,17 @@
         row = {**times, "proxy": self.name, "event": event, **values}
         line = orjson.dumps(row, default=str, option=orjson.OPT_APPEND_NEWLINE)
         # A pipe that nobody reads would stop the whole proxy: its log is given up before its sessions.
-        if len(self.held) + len(line) > HELD:
+        if len(self.unwritten) + len(line) > HELD:
             self.dropped += 1
             return
-        self.held += line
+        self.unwritten += line
         self.flush()
 
     def flush(self) -> None:
         try:
-            while self.held:
-                del self.held[: os.write(self.fd, self.held)]
+            while self.unwritten:
+                del self.unwritten[: os.write(self.fd, self.unwritten)]
         except BlockingIOError:
             return
         except OSError:
-            self.held.clear()
+            self.unwritten.clear()
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -27,12 +27,17 @@
 from onyxhollow.service_state import ServicePhase, ServiceState
 from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import ListenError, listen_socket
-from onyxhollow.wire.discovery import Discovery, ServerList, read_list, watch_wait
-from onyxhollow.wire.passing import Passing, Receiver
-from onyxhollow.wire.probes import Probes
-from onyxhollow.wire.sessions import Sessions, turn_away
+from onyxhollow.wire.endpoint_list_watch import (
+    EndpointList,
+    EndpointListWatch,
+    decode_endpoint_list,
+    watch_wait,
+)
+from onyxhollow.wire.handoff_channel import HandoffReceiver, HandoffSender
+from onyxhollow.wire.health_checks import HealthChecker
+from onyxhollow.wire.session_registry import SessionRegistry, turn_away
 from onyxhollow.wire.system_errors import LOST_IN_ACCEPT, Fault, fault_of
-from onyxhollow.wire.tables import Addresses
+from onyxhollow.wire.tables import EndpointAddresses
 
 ACCEPTS = 64  # connections taken in one turn of the loop, so that those open are not kept waiting
 OWN = 12  # descriptors that are no connections: the loop's, the listener, standard ones, signals, the file
@@ -58,7 +63,7 @@
 class Part(Protocol):
     """Something beside the sessions that this process carries: told what it may need to know."""
 
-    def list_told(self, kind: EndpointListKind, entries: list[Endpoint]) -> None: ...
+    def on_endpoint_list(self, kind: EndpointListKind, entries: list[Endpoint]) -> None: ...
 
     def close(self) -> None:
         """The process ends now."""
@@ -73,23 +78,23 @@
         given: socket.socket | None = None,
         handover: Handover | None = None,
     ) -> None:
-        self.config, self.read_again = config, read_again
-        self.counters, self.pool, self.addresses = Counters(), BufferPool(), Addresses()
+        self.config, self.reread_config = config, read_again
+        self.counters, self.pool, self.addresses = Counters(), BufferPool(), EndpointAddresses()
         self.log = Log(out, config.name)
-        self.loop = Loop(self.failed)
+        self.loop = Loop(self.report_failure)
         follows = handover is not None and handover.follows
         waits = follows or not config.settings.list_is_polled
         self.service = ServiceState(ServicePhase.STARTING if waits else ServicePhase.IN_SERVICE)
-        self.drains = 0  # times that clients were sent away
+        self.drain_count = 0  # times that clients were sent away
         self.listener = given or listen_socket(config.listen, "listen")
-        self.handover, self.list_heard = handover, False
+        self.handover, self.list_received = handover, False
         self.list_answered = False  # the first call has been answered, or has failed
         self.stop_begun = False
         self.successor_path = ""
         settings = config.settings
         for name, address in config.known.addresses.items():
-            self.addresses.learn(name, address)
-        self.discovery = Discovery(
+            self.addresses.store(name, address)
+        self.discovery = EndpointListWatch(
             self.loop,
             self.pool,
             self.counters,
@@ -99,19 +104,19 @@
             version=config.known.version,
             pushed=not settings.list_is_polled,
             addresses=self.addresses,
-            told=self.list_told,
+            told=self.on_endpoint_list,
             log=self.log.event,
             seed=config.seed,
             soon=follows,
         )
-        self.probes = Probes(
+        self.health_checker = HealthChecker(
             self.loop,
             self.pool,
             self.counters,
             self.addresses,
             settings.load_field,
-            config.probe_time,
-            told=self.probe_told,
+            config.health_check_timeout,
+            told=self.on_health_check,
         )
         self.decisions = DecisionAdapter(
             lambda: self.loop.now,
@@ -119,11 +124,11 @@
             config.seed,
             self.counters,
             log=lambda line: self.log.event("mode", line=line),
-            probe=self.probes.probe,
-            watch=self.discovery.ask,
+            probe=self.health_checker.start_check,
+            watch=self.discovery.poll,
         )
-        self.decisions.report_list(EndpointListKind.CACHED, config.known.entries)
-        self.sessions = Sessions(
+        self.decisions.report_list(EndpointListKind.CACHED, config.known.endpoints)
+        self.sessions = SessionRegistry(
             self.loop,
             self.pool,
             self.counters,
@@ -132,40 +137,40 @@
             settings.listeners,
             settings.tenants,
             settings.load_field,
-            config.connect_time,
+            config.connect_timeout,
             self.service,
             self.log.event,
         )
         self.parts: list[Part] = []
         self.routes: dict[str, dict[str, Callable[[str], Answer]]] = {
-            "/control/ready": {"GET": self.tell_ready},
-            "/control/counters": {"GET": self.tell_figures},
+            "/control/ready": {"GET": self.answer_ready},
+            "/control/counters": {"GET": self.answer_metrics},
             "/control/out-of-service": {"POST": self.out_of_service},
             "/control/in-service": {"POST": self.in_service},
         }
         self.management = self.open_management(config)
-        self.take_limits(config)
+        self.apply_limits(config)
         self.loop.spawn(self.ticks())
         self.follower: Task | None = None
         self.starter: Task | None = None
-        self.take_clients()
+        self.update_accepting()
         if handover is not None:
             self.follower = self.loop.spawn(self.follow(handover))
         if waits and not follows:
-            self.starter = self.loop.spawn(self.hear_list())
+            self.starter = self.loop.spawn(self.await_first_list())
 
-    def take_limits(self, config: Config) -> None:
+    def apply_limits(self, config: Config) -> None:
         """Shares of what is told: fixed figures that suit a thousand descriptors leave nothing of few."""
         longest = max(row.attempt_timeout for row in config.settings.listeners.values())
         self.stop_span = min(LONGEST_STOP, longest) + STOP_MORE - STOP_MARGIN
-        descriptors = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - OWN
+        descriptors = min(config.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - OWN
         if self.management:  # operators are answered when sessions have used up all the rest
-            self.management.most = max(8, min(64, descriptors // 16))
-            descriptors -= self.management.most + 2
+            self.management.max_connections = max(8, min(64, descriptors // 16))
+            descriptors -= self.management.max_connections + 2
         self.accepts_to = descriptors - descriptors // 16  # the last are for dials, probes and the list alone
-        self.sessions.descriptors = descriptors - descriptors // 8
-        self.probes.most = min(64, descriptors // 8)
-        self.pool.full = max(4096, min(32768, config.memory // 8 // descriptors))
+        self.sessions.connection_limit = descriptors - descriptors // 8
+        self.health_checker.max_connections = min(64, descriptors // 8)
+        self.pool.high_water_mark = max(4096, min(32768, config.memory_bytes // 8 // descriptors))
 
     # asked by operators
 
@@ -174,18 +179,18 @@
             return None
         return Management(self.loop, config.management, self.counters, self.routes)
 
-    def tell_ready(self, _: str) -> Answer:
+    def answer_ready(self, _: str) -> Answer:
         if not self.service.ready:
-            return 503, f"{self.service.state.value}\n".encode(), PLAIN
+            return 503, f"{self.service.phase.value}\n".encode(), PLAIN
         return 200, b"ready\n", PLAIN
 
-    def tell_figures(self, _: str) -> Answer:
+    def answer_metrics(self, _: str) -> Answer:
         counts = self.counters.counts
         listed, down = self.decisions.avoided()
         refused = counts["reloads refused"]
         values = (
             ("backend_calls_total", counts["dials written whole"]),
-            ("inflight", self.sessions.taken),
+            ("inflight", self.sessions.active_count),
             ("hosts_listed", listed),
             ("hosts_down", down),
             ("reconfig_ok_total", counts["reloads"] - refused),
@@ -201,18 +206,18 @@
 
     def out_of_service(self, _: str) -> Answer:
         if self.service.ready:
-            self.drains += 1
-            self.service.state = ServicePhase.DRAINING
-            self.log.event("out of service", live=self.sessions.taken, within=AWAY_SPAN)
-            self.loop.spawn(self.drain(self.drains))
+            self.drain_count += 1
+            self.service.phase = ServicePhase.DRAINING
+            self.log.event("out of service", live=self.sessions.active_count, within=AWAY_SPAN)
+            self.loop.spawn(self.drain(self.drain_count))
         return 200, b"out of service\n", PLAIN
 
     def in_service(self, _: str) -> Answer:
         if self.service.stopping:
             return 503, b"stopping\n", PLAIN
         if self.service.is_any(ServicePhase.DRAINING, ServicePhase.OUT_OF_SERVICE):
-            self.service.state = ServicePhase.IN_SERVICE
-            self.log.event("in service", live=self.sessions.taken)
+            self.service.phase = ServicePhase.IN_SERVICE
+            self.log.event("in service", live=self.sessions.active_count)
         return 200, b"in service\n", PLAIN
 
     def drain(self, this: int) -> Generator[float, None, None]:
@@ -222,25 +227,25 @@
         last = began + AWAY_SPAN
 
         def wanted() -> bool:
-            return self.service.is_any(ServicePhase.DRAINING) and self.drains == this
+            return self.service.is_any(ServicePhase.DRAINING) and self.drain_count == this
 
         yield from self.loop.sleep(AWAY_FROM)
-        yield from self.send_away(last - AWAY_MARGIN, wanted)
+        yield from self.migrate_clients(last - AWAY_MARGIN, wanted)
         yield from self.loop.sleep(last - self.loop.now)
         if wanted():
-            self.service.state = ServicePhase.OUT_OF_SERVICE
-            left = [sess for sess in self.sessions.table.live if sess.opening is not None]
+            self.service.phase = ServicePhase.OUT_OF_SERVICE
+            left = [sess for sess in self.sessions.table.live if sess.request is not None]
             for sess in left:
                 sess.stop()
             self.log.event("sent away", left=len(left), took=round(self.loop.now - began, 2))
             yield from self.loop.sleep(AWAY_HELD)
-            for leaving in list(self.pool.leaving.values()):
+            for leaving in list(self.pool.closing.values()):
                 if leaving.since < self.loop.now - AWAY_HELD / 2:  # told to move, reads nothing: not held on
                     leaving.close()
 
     # told by the wire
 
-    def hear_list(self) -> Generator[float, None, None]:
+    def await_first_list(self) -> Generator[float, None, None]:
         """Where the list is pushed, what its service has counts as told from this process's first moment: the
         list from the file may name servers that have been told to drain since, and no client is taken by it
         before the service has been heard or has failed."""
@@ -248,25 +253,25 @@
         while not self.list_answered and self.loop.now < until:
             yield until
         if self.service.is_any(ServicePhase.STARTING):
-            self.service.state = ServicePhase.IN_SERVICE
-            self.take_clients()
+            self.service.phase = ServicePhase.IN_SERVICE
+            self.update_accepting()
 
-    def list_told(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
+    def on_endpoint_list(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
         self.list_answered = True
         if self.starter:
             self.starter.wake()
-        if not self.list_heard and kind is not EndpointListKind.FAILED:
-            self.list_heard = True
+        if not self.list_received and kind is not EndpointListKind.FAILED:
+            self.list_received = True
             if self.follower:
                 self.follower.wake()
         try:
             self.decisions.report_list(kind, entries)
             for part in self.parts:
-                part.list_told(kind, entries)
+                part.on_endpoint_list(kind, entries)
         except Exception as error:  # the list must go on being followed
-            self.failed("list", error)
+            self.report_failure("list", error)
 
-    def probe_told(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
+    def on_health_check(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.log.event("probe", server=server, end=end.value, took=round(took, 4), load=load)
         self.decisions.report_probe(server, end, took, load)
 
@@ -278,25 +283,25 @@
             try:
                 self.decisions.tick()
             except Exception as error:
-                self.failed("tick", error)
+                self.report_failure("tick", error)
                 self.decisions.due = self.loop.now + 0.05
 
-    def take_clients(self) -> None:
+    def update_accepting(self) -> None:
         """Begins to accept, or ceases to, as the state says."""
         if self.listener.fileno() >= 0:
             self.loop.watch(self.listener.fileno(), READ if self.service.accepts else 0, self.accept)
 
     def accept(self, _: int) -> None:
         """The listener is ready."""
-        self.accept_some()
+        self.accept_batch()
 
-    def accept_some(self) -> bool:
+    def accept_batch(self) -> bool:
         """Takes the connections that the system has accepted, some at a time; whether there are no more."""
         for _ in range(ACCEPTS):
-            if self.pool.open >= self.accepts_to:
+            if self.pool.open_connections >= self.accepts_to:
                 self.sessions.make_room()
-            if self.pool.open >= self.accepts_to:
-                self.rest("accepts put off for want of room")
+            if self.pool.open_connections >= self.accepts_to:
+                self.pause_accepting("accepts put off for want of room")
                 return False
             try:
                 sock, _peer = self.listener.accept()
@@ -306,13 +311,13 @@
                 if error.errno in LOST_IN_ACCEPT:
                     continue  # that connection has gone already
                 short = fault_of(error) is Fault.SHORTAGE
-                self.rest("accepts without a descriptor" if short else "accepts that failed")
+                self.pause_accepting("accepts without a descriptor" if short else "accepts that failed")
                 return False
             self.counters.add("connections accepted")
-            self.take_in(sock)
+            self.open_session(sock)
         return False
 
-    def take_in(self, sock: socket.socket) -> None:
+    def open_session(self, sock: socket.socket) -> None:
         """Makes a session of a connection. One that can't be set up is owed its answer all the same."""
         try:
             sock.setblocking(False)
@@ -323,38 +328,38 @@
             self.counters.add("connections refused for want of room")
             turn_away(sock)
 
-    def rest(self, why: str) -> None:
+    def pause_accepting(self, why: str) -> None:
         """Told again at once for as long as connections wait, the loop would spin on them."""
         self.counters.add(why)
         if self.listener.fileno() in self.loop.watched:
             self.loop.watch(self.listener.fileno(), 0, None)
-            self.loop.spawn(self.accept_again())
+            self.loop.spawn(self.resume_accepting())
 
-    def accept_again(self) -> Generator[float, None, None]:
+    def resume_accepting(self) -> Generator[float, None, None]:
         yield from self.loop.sleep(NO_DESCRIPTOR)
-        self.take_clients()
+        self.update_accepting()
 
     # two processes of one proxy
 
     def follow(self, handover: Handover) -> Generator[float, None, None]:
         """A successor takes clients once it has heard the list, and serves alone when the one before it has
         ended. One that serves looks out for a successor."""
-        if handover.alone:
+        if handover.has_no_role:
             self.log.event("nothing handed over", why="two other processes of this proxy are there")
         if handover.follows:
             began = self.loop.now
-            self.discovery.ask()
+            self.discovery.poll()
             yield from self.take_back(handover, began + STATE_WAIT)
-            while not self.list_heard and self.loop.now < began + LIST_HEARD:
+            while not self.list_received and self.loop.now < began + LIST_HEARD:
                 yield began + LIST_HEARD
             if self.service.stopping:
                 return
             receiver = self.receive(handover)
-            self.service.state = ServicePhase.IN_SERVICE
-            self.take_clients()
-            handover.say(TAKING, receiver.path if receiver else "")
-            self.log.event("successor", list_heard=self.list_heard, took=round(self.loop.now - began, 3))
-            while not handover.move_up():
+            self.service.phase = ServicePhase.IN_SERVICE
+            self.update_accepting()
+            handover.announce(TAKING, receiver.path if receiver else "")
+            self.log.event("successor", list_heard=self.list_received, took=round(self.loop.now - began, 3))
+            while not handover.take_over():
                 yield from self.loop.sleep(LOOK)
             taken = self.counters.counts["connections taken over"]
             self.log.event("predecessor ended", after=round(self.loop.now - began, 2), taken_over=taken)
@@ -371,9 +376,9 @@
             yield from self.loop.sleep(STATE_LOOK)
             try:
                 common, records = handover.read_state()
-                self.discovery.clock.take_over(common["starts"])
-                if not self.list_heard and common["discovery"] == list(self.config.discovery):
-                    self.take_list(read_list(common["list"], self.discovery.clock, self.loop.now))
+                self.discovery.clock.restore(common["starts"])
+                if not self.list_received and common["discovery"] == list(self.config.discovery):
+                    self.take_list(decode_endpoint_list(common["list"], self.discovery.clock, self.loop.now))
                 servers = self.decisions.take_back(common, records)
                 self.log.event("taken over", servers=servers, version=common["list"]["seq"])
                 return
@@ -384,29 +389,29 @@
                 break
         self.log.event("started without", why=why[:200])
 
-    def take_list(self, told: ServerList) -> None:
+    def take_list(self, told: EndpointList) -> None:
         """The list as the process before this one had it; the next call goes on from there."""
-        if not told.entries:
+        if not told.endpoints:
             return
         for name, address in told.addresses.items():
-            self.addresses.learn(name, address)
+            self.addresses.store(name, address)
         self.discovery.version = told.version
-        self.decisions.report_list(EndpointListKind.CACHED, told.entries)
+        self.decisions.report_list(EndpointListKind.CACHED, told.endpoints)
 
     def hand_over(self, handover: Handover, token: str) -> None:
         try:
             common, records = self.decisions.describe()
-            common |= {"discovery": self.discovery.address, "list": self.discovery.known()}
+            common |= {"discovery": self.discovery.address, "list": self.discovery.snapshot()}
             common["starts"] = self.discovery.clock.starts
             handover.write_state(token, common, records)
             self.log.event("handed over", servers=len(records))
         except Exception as error:  # a successor without it is better than no successor
-            self.failed("hand-over", error)
+            self.report_failure("hand-over", error)
 
-    def receive(self, handover: Handover) -> Receiver | None:
+    def receive(self, handover: Handover) -> HandoffReceiver | None:
         try:
-            return Receiver(
-                self.loop, handover.passing_path, self.sessions.receive, self.decisions.all_adopted
+            return HandoffReceiver(
+                self.loop, handover.handoff_path, self.sessions.accept_handoff, self.decisions.all_adopted
             )
         except OSError as error:  # a path too long, perhaps: its clients are moved then
             self.log.event("nothing passed on", why=str(error))
@@ -416,17 +421,17 @@
         """Open connections go to the successor, those that come up later as they do; for as long as it is
         there. What it does not take is moved."""
         try:
-            passing = Passing(self.loop, path)
+            passing = HandoffSender(self.loop, path)
         except OSError as error:
             self.log.event("nothing passed on", why=str(error))
             return
         while self.sessions.table.live and self.loop.now < last - STOP_MARGIN and not passing.broken:
-            room = passing.room
+            room = passing.free_slots
             for sess in self.sessions.table.live:
                 if room <= 0:
                     break
-                if sess.open and sess.passed is None and sess.passing is None:
-                    sess.passing, room = passing, room - 1
+                if sess.is_open and sess.handoff_taken is None and sess.handoff_sender is None:
+                    sess.handoff_sender, room = passing, room - 1
                     sess.wake()
             yield from self.loop.sleep(PASS_STEP)
         passing.close()
@@ -435,17 +440,17 @@
     def look_at_successor(self, handover: Handover) -> None:
         """While a successor takes clients this process accepts none: of two that place new sessions side by
         side each would need its part of every budget. If it dies, all is as before."""
-        heard = handover.heard()
+        heard = handover.successor_announcement()
         if heard.get("state") == STARTING and (token := str(heard.get("token", ""))) != handover.written_for:
             self.hand_over(handover, token)
         state, self.successor_path = heard.get("state", ""), str(heard.get("path", ""))
         if (state == TAKING) is not self.service.replaced:
             self.service.replaced = state == TAKING
             change = "replaced" if self.service.replaced else "successor gone"
-            self.log.event(change, live=self.sessions.taken)
-            self.take_clients()
+            self.log.event(change, live=self.sessions.active_count)
+            self.update_accepting()
 
-    def failed(self, where: str, error: BaseException) -> None:
+    def report_failure(self, where: str, error: BaseException) -> None:
         self.counters.add("failures")
         trace = traceback.format_exception(error)
         self.log.event("failure", where=where, error=repr(error), trace="".join(trace)[-2000:])
@@ -469,9 +474,9 @@
         self.log.event(
             "start",
             listen=self.config.listen,
-            servers=len(self.config.known.entries),
-            sockets=self.config.sockets,
-            memory=self.config.memory >> 20,
+            servers=len(self.config.known.endpoints),
+            sockets=self.config.max_sockets,
+            memory=self.config.memory_bytes >> 20,
         )
         self.loop.run()
         self.print_counters()
@@ -481,7 +486,7 @@
         go on, also during a stop, for which new ones are still placed."""
         self.counters.add("reloads")
         try:
-            fresh = self.read_again()
+            fresh = self.reread_config()
             if left := needs_restart(self.config, fresh):
                 raise ConfigError(left)
         except ConfigError as error:  # missing, half-written, bad: the old one holds
@@ -492,32 +497,34 @@
         self.log.event(
             "reload",
             discovery=fresh.discovery,
-            sockets=fresh.sockets,
-            memory=fresh.memory >> 20,
+            sockets=fresh.max_sockets,
+            memory=fresh.memory_bytes >> 20,
             settings=changed,
         )
         self.config = fresh
-        self.take_limits(fresh)
+        self.apply_limits(fresh)
         if changed:
             self.counters.add("settings taken over")
-            self.settle(fresh)
-        self.discovery.move_to(fresh.discovery, anew=changed)
+            self.apply_settings(fresh)
+        self.discovery.switch_to(fresh.discovery, anew=changed)
 
-    def settle(self, config: Config) -> None:
+    def apply_settings(self, config: Config) -> None:
         """Other settings, between two turns of the loop: no session sees half of them. Those taken before
         keep their listener's terms and their dials; the list is asked for whole: its weights may mean another
         thing now."""
         settings = config.settings
-        self.sessions.settle(settings.listeners, settings.tenants, settings.load_field, config.connect_time)
-        self.probes.settle(settings.load_field, config.probe_time)
+        self.sessions.apply_settings(
+            settings.listeners, settings.tenants, settings.load_field, config.connect_timeout
+        )
+        self.health_checker.apply_settings(settings.load_field, config.health_check_timeout)
         wait = watch_wait(settings.max_poll_interval, settings.instance_count)
-        self.discovery.settle(wait, pushed=not settings.list_is_polled)
+        self.discovery.apply_settings(wait, pushed=not settings.list_is_polled)
         self.decisions.resettle(settings)
 
     def print_counters(self) -> None:
         gauges = {
             "live": len(self.sessions.table),
-            "connections": self.pool.open,
+            "connections": self.pool.open_connections,
             "log lines dropped": self.log.dropped,
         }
         self.log.event("counters", **self.counters.snapshot(), **gauges)
@@ -535,35 +542,35 @@
         began, last = self.loop.now, self.loop.now + self.stop_span
         self.log.event("stop", live=len(self.sessions.table), within=round(self.stop_span, 2))
         if self.handover is not None:
-            self.handover.say(STOPPING)  # called off, a successor gives the clients back
+            self.handover.announce(STOPPING)  # called off, a successor gives the clients back
             self.look_at_successor(self.handover)
         if self.service.replaced:  # nothing new comes here
-            self.service.state = ServicePhase.HANDING_OVER
+            self.service.phase = ServicePhase.HANDING_OVER
             if self.successor_path:
                 yield from self.pass_on(self.successor_path, last)
         else:
-            self.service.state = ServicePhase.STOPPING
-            self.take_clients()  # those too that were waiting for it to start
+            self.service.phase = ServicePhase.STOPPING
+            self.update_accepting()  # those too that were waiting for it to start
             yield from self.loop.sleep(STILL_COMING)
         yield from self.stop_listening(last)
-        yield from self.send_away(last - STOP_MARGIN / 2, lambda: bool(self.sessions.table.live))
+        yield from self.migrate_clients(last - STOP_MARGIN / 2, lambda: bool(self.sessions.table.live))
         if self.sessions.table.live:
             yield from self.loop.sleep(last - self.loop.now)
         for sess in list(self.sessions.table.live):
             sess.stop()
         until = self.loop.now + LAST_LINES
-        while self.loop.now < until and (self.sessions.table.live or self.pool.leaving):
+        while self.loop.now < until and (self.sessions.table.live or self.pool.closing):
             yield from self.loop.sleep(STOP_STEP)
         for part in self.parts:
             part.close()
         self.log.event("stopped", live=len(self.sessions.table), took=round(self.loop.now - began, 2))
         self.loop.running = False
 
-    def send_away(self, last: float, wanted: Callable[[], bool]) -> Generator[float, None, None]:
+    def migrate_clients(self, last: float, wanted: Callable[[], bool]) -> Generator[float, None, None]:
         """Moves open connections one after another, spread over the time until `last`."""
         due = 0.0
         while wanted() and (now := self.loop.now) < last:
-            open_ones = [sess for sess in self.sessions.table.live if sess.open and not sess.stopping]
+            open_ones = [sess for sess in self.sessions.table.live if sess.is_open and not sess.stopping]
             due += len(open_ones) * STOP_STEP / max(STOP_STEP, last - now)
             due, whole = math.modf(due)
             for sess in open_ones[: int(whole)]:
@@ -575,7 +582,7 @@
         accepted by the machine and is owed an answer. By `last` it is closed in any case."""
         if self.listener.fileno() < 0:
             return
-        while self.service.accepts and not self.accept_some() and self.loop.now < last:
+        while self.service.accepts and not self.accept_batch() and self.loop.now < last:
             resting = self.listener.fileno() not in self.loop.watched
             yield self.loop.now + (NO_DESCRIPTOR if resting else 0.0)
         self.loop.watch(self.listener.fileno(), 0, None)
--- a/onyxhollow/loop.py
+++ b/onyxhollow/loop.py
@@ -49,14 +49,14 @@
 
 class Loop:
     def __init__(self, failed: Callable[[str, BaseException], None]) -> None:
-        self.failed = failed
+        self.report_failure = failed
         self.epoll = select.epoll()
         self.watched: dict[int, tuple[int, Callable[[int], None]]] = {}
         self.runnable: deque[Task] = deque()
         self.due: list[tuple[float, int, Task]] = []
         self.counter, self.running, self.now = 0, True, time.monotonic()
         self.stalled = 0.0  # seconds for which this process stood still, by how late its timers came
-        self.hurry: UrgentDescriptors | None = None
+        self.urgent: UrgentDescriptors | None = None
 
     def read_clock(self) -> float:
         """The time at this moment, for what can't go by the time at which the turn began."""
@@ -88,7 +88,7 @@
             return
         except Exception as error:  # the failure of one coroutine is its own, not the proxy's
             task.done = True
-            self.failed("coroutine", error)
+            self.report_failure("coroutine", error)
             return
         self.arm(task)
 
@@ -126,13 +126,13 @@
         self.now = time.monotonic()
         for fd, what in events:
             self.call(fd, what)
-            if self.hurry:
-                self.hurry.look()
+            if self.urgent:
+                self.urgent.serve_ready()
         self.fire_due()
         for _ in range(len(self.runnable)):
             self.step(self.runnable.popleft())
-            if self.hurry:
-                self.hurry.look()
+            if self.urgent:
+                self.urgent.serve_ready()
 
     def poll(self, nap: float) -> list[tuple[int, int]]:
         """What has come within that time; nothing, a moment later, where the system can't tell."""
@@ -141,7 +141,7 @@
         except InterruptedError:
             return []
         except OSError as error:
-            self.failed("poll", error)
+            self.report_failure("poll", error)
             time.sleep(POLL_PAUSE)
             return []
 
@@ -151,7 +151,7 @@
         try:
             self.watched[fd][1](what)
         except Exception as error:
-            self.failed("descriptor", error)
+            self.report_failure("descriptor", error)
 
     def run(self) -> None:
         while self.running:
@@ -163,9 +163,9 @@
     It stands in for the loop where a channel is given one."""
 
     def __init__(self, loop: Loop) -> None:
-        self.loop, self.epoll, self.looked = loop, select.epoll(), 0.0
+        self.loop, self.epoll, self.served_at = loop, select.epoll(), 0.0
         self.spawn = loop.spawn
-        loop.hurry = self
+        loop.urgent = self
 
     @property
     def now(self) -> float:
@@ -176,9 +176,9 @@
         listen_for(self.epoll, fd, known[0] if known else 0, events if call else 0)
         self.loop.watch(fd, events, call)
 
-    def look(self) -> None:
+    def serve_ready(self) -> None:
         now = time.monotonic()
-        if now - max(self.looked, self.loop.now) >= SOON:
-            self.looked = now
+        if now - max(self.served_at, self.loop.now) >= SOON:
+            self.served_at = now
             for fd, what in self.epoll.poll(0):
                 self.loop.call(fd, what)
--- a/onyxhollow/management/api.py
+++ b/onyxhollow/management/api.py
@@ -29,16 +29,18 @@
 
     def __init__(self, loop: Loop, address: Address, counters: Counters, routes: Routes) -> None:
         self.listener = listen_socket(address, "management")
-        self.loop, self.hurry, self.pool = loop, UrgentDescriptors(loop), BufferPool()
+        self.loop, self.urgent, self.pool = loop, UrgentDescriptors(loop), BufferPool()
         self.counters, self.routes = counters, routes
-        self.most = 16  # connections; past them the longest without a whole call makes room
-        self.callers: dict[Caller, None] = {}  # without a whole call yet, in order of their coming
+        self.max_connections = 16  # connections; past them the longest without a whole call makes room
+        self.pending: dict[
+            ManagementConnection, None
+        ] = {}  # without a whole call yet, in order of their coming
         self.sweeper = loop.spawn(self.sweep())
-        self.hurry.watch(self.listener.fileno(), READ, self.accept)
+        self.urgent.watch(self.listener.fileno(), READ, self.accept)
 
     def accept(self, _: int) -> None:
         for _ in range(ACCEPTS):
-            while self.pool.open >= self.most and self.make_room():
+            while self.pool.open_connections >= self.max_connections and self.make_room():
                 pass
             try:
                 sock, _peer = self.listener.accept()
@@ -47,28 +49,30 @@
                     continue
                 return  # none, or gone already; it is told again as long as one waits
             sock.setblocking(False)
-            self.callers[Caller(self, sock)] = None
+            self.pending[ManagementConnection(self, sock)] = None
         self.sweeper.wake()
 
     def make_room(self) -> bool:
         """Closes one that has been answered, else the one that has said nothing whole for longest."""
-        if self.pool.leaving:
-            next(iter(self.pool.leaving.values())).close()
+        if self.pool.closing:
+            next(iter(self.pool.closing.values())).close()
             return True
-        if (oldest := next(iter(self.callers), None)) is None:
+        if (oldest := next(iter(self.pending), None)) is None:
             return False
         oldest.channel.ready(READ)  # its call may have come just now
-        if oldest in self.callers:
+        if oldest in self.pending:
             self.counters.add("operators' calls closed for room")
-            oldest.leave()
+            oldest.close()
         return True
 
     def sweep(self) -> Generator[float, None, None]:
         while True:
-            while (oldest := next(iter(self.callers), None)) and self.loop.now >= oldest.came + PATIENCE:
+            while (
+                oldest := next(iter(self.pending), None)
+            ) and self.loop.now >= oldest.accepted_at + PATIENCE:
                 self.counters.add("operators' calls given up")
-                oldest.leave()
-            yield oldest.came + PATIENCE if oldest else math.inf
+                oldest.close()
+            yield oldest.accepted_at + PATIENCE if oldest else math.inf
 
     def find(self, method: str, target: str) -> tuple[Answer, str]:
         """The answer, and the methods that the path takes if this was none of them."""
@@ -83,65 +87,67 @@
         try:
             return call(query), ""
         except Exception as error:  # an operator is owed an answer all the same
-            self.loop.failed("management", error)
+            self.loop.report_failure("management", error)
             return (500, b"failed\n", PLAIN), ""
 
 
-class Caller:
+class ManagementConnection:
     def __init__(self, shared: Management, sock: socket.socket) -> None:
-        self.shared, self.came = shared, shared.loop.now
-        self.speaker = h11.Connection(h11.SERVER, max_incomplete_event_size=LONGEST_HEAD)
-        self.asked: h11.Request | None = None
+        self.shared, self.accepted_at = shared, shared.loop.now
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=LONGEST_HEAD)
+        self.request: h11.Request | None = None
         self.body = 0
-        self.channel = Channel(shared.hurry, sock, shared.pool, self.step)
+        self.channel = Channel(shared.urgent, sock, shared.pool, self.on_data)
 
-    def leave(self) -> None:
-        self.shared.callers.pop(self, None)
+    def close(self) -> None:
+        self.shared.pending.pop(self, None)
         self.channel.close()
 
-    def step(self) -> None:
+    def on_data(self) -> None:
         """Bytes have come, or the end."""
-        if self not in self.shared.callers:
+        if self not in self.shared.pending:
             return
         if len(self.channel.inbox):
-            self.speaker.receive_data(self.channel.inbox.rest())
-            self.channel.settle(False)
+            self.http.receive_data(self.channel.inbox.take_rest())
+            self.channel.set_paused(False)
         try:
-            while (event := self.speaker.next_event()) is not h11.NEED_DATA:
+            while (event := self.http.next_event()) is not h11.NEED_DATA:
                 if isinstance(event, h11.Request):
-                    self.asked = event
-                    if self.speaker.they_are_waiting_for_100_continue:
+                    self.request = event
+                    if self.http.they_are_waiting_for_100_continue:
                         go_on = h11.InformationalResponse(status_code=100, headers=[])
-                        self.channel.write(self.speaker.send(go_on) or b"")
+                        self.channel.write(self.http.send(go_on) or b"")
                 elif isinstance(event, h11.Data):
                     self.body += len(event.data)
                     if self.body > LONGEST_BODY:
-                        self.answer((413, b"body too long\n", PLAIN))
+                        self.respond((413, b"body too long\n", PLAIN))
                         return
-                elif isinstance(event, h11.EndOfMessage) and self.asked is not None:
-                    found, allowed = self.shared.find(self.asked.method.decode(), self.asked.target.decode())
-                    self.answer(found, allowed)
+                elif isinstance(event, h11.EndOfMessage) and self.request is not None:
+                    found, allowed = self.shared.find(
+                        self.request.method.decode(), self.request.target.decode()
+                    )
+                    self.respond(found, allowed)
                     return
                 else:
                     break
         except h11.RemoteProtocolError as error:
-            self.answer((error.error_status_hint, b"not a call that can be read\n", PLAIN))
+            self.respond((error.error_status_hint, b"not a call that can be read\n", PLAIN))
             return
         if self.channel.ended:
-            self.leave()  # half a call, and then the end
+            self.close()  # half a call, and then the end
 
-    def answer(self, found: Answer, allowed: str = "") -> None:
+    def respond(self, found: Answer, allowed: str = "") -> None:
         status, body, kind = found
-        self.shared.callers.pop(self, None)
+        self.shared.pending.pop(self, None)
         self.shared.counters.add(f"operators' calls answered {status}")
         headers = [("Content-Type", kind), ("Content-Length", str(len(body))), ("Connection", "close")]
         if allowed:
             headers.append(("Allow", allowed))
-        head_only = self.asked is not None and self.asked.method == b"HEAD"
+        head_only = self.request is not None and self.request.method == b"HEAD"
         parts = [
             h11.Response(status_code=status, headers=headers),
             *([] if head_only else [h11.Data(data=body)]),
             h11.EndOfMessage(),
         ]
-        self.channel.write(b"".join(self.speaker.send(part) or b"" for part in parts))
+        self.channel.write(b"".join(self.http.send(part) or b"" for part in parts))
         self.channel.finish(PATIENCE)
--- a/onyxhollow/service_state.py
+++ b/onyxhollow/service_state.py
@@ -16,11 +16,11 @@
 
 class ServiceState:
     def __init__(self, state: ServicePhase) -> None:
-        self.state = state
+        self.phase = state
         self.replaced = False  # a successor takes the clients; if it dies, this process does again
 
     def is_any(self, *states: ServicePhase) -> bool:
-        return self.state in states
+        return self.phase in states
 
     @property
     def ready(self) -> bool:
--- a/onyxhollow/wire/buffers.py
+++ b/onyxhollow/wire/buffers.py
@@ -10,17 +10,17 @@
 KEPT = 64  # spare buffers kept for reuse
 
 
-class LongLineError(Exception):
+class LineTooLongError(Exception):
     """A line over the 4 KiB that the wire allows."""
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class ClosingConnection:
     """A connection that only ends in order: nothing more is taken from it."""
 
     since: float
     close: Callable[[], None]
-    unsent: Callable[[], bool]  # whether last bytes, a final answer perhaps, are still to go out on it
+    has_unsent: Callable[[], bool]  # whether last bytes, a final answer perhaps, are still to go out on it
 
 
 class BufferPool:
@@ -30,9 +30,13 @@
 
     def __init__(self) -> None:
         self.spare: list[bytearray] = []
-        self.open = 0
-        self.full = 32 * 1024  # bytes waiting to be written to one side past which the other is not read on
-        self.leaving: dict[int, Leaving] = {}  # by descriptor, in the order in which they began to end
+        self.open_connections = 0
+        self.high_water_mark = (
+            32 * 1024
+        )  # bytes waiting to be written to one side past which the other is not read on
+        self.closing: dict[
+            int, ClosingConnection
+        ] = {}  # by descriptor, in the order in which they began to end
 
     def borrow(self) -> bytearray:
         return self.spare.pop() if self.spare else bytearray(SIZE)
@@ -50,7 +54,7 @@
         self.data: bytearray | None = None
         self.start = self.end = self.scanned = 0
 
-    def space(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Where the next read goes: never empty unless whole lines wait to be used."""
         if self.data is None:
             self.data = self.pool.borrow()
@@ -61,16 +65,16 @@
             self.start, self.end = 0, rest
         return memoryview(self.data)[self.end :]
 
-    def filled(self, count: int) -> None:
+    def commit(self, count: int) -> None:
         self.end += count
 
-    def put(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         """Bytes that were read elsewhere."""
         if data:
-            self.space()[: len(data)] = data
-            self.filled(len(data))
+            self.free_space()[: len(data)] = data
+            self.commit(len(data))
 
-    def unused(self) -> bytes:
+    def unread(self) -> bytes:
         return bytes(memoryview(self.data)[self.start : self.end]) if self.data is not None else b""
 
     def __len__(self) -> int:
@@ -84,17 +88,17 @@
         if place < 0:
             self.scanned = self.end
             if len(self) > LONGEST_LINE:
-                raise LongLineError
+                raise LineTooLongError
             return None
         if place + 2 - self.start > LONGEST_LINE:
-            raise LongLineError
+            raise LineTooLongError
         line = memoryview(self.data)[self.start : place + 2]
         self.start = self.scanned = place + 2
         return line
 
-    def rest(self) -> bytes:
+    def take_rest(self) -> bytes:
         """What is left at the end of a connection: a line without its end."""
-        left = self.unused()
+        left = self.unread()
         self.start = self.end
         return left
 
@@ -104,6 +108,6 @@
             self.pool.give_back(self.data)
             self.data, self.start, self.end, self.scanned = None, 0, 0, 0
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         self.start = self.end
         self.release()
--- a/onyxhollow/wire/channel.py
+++ b/onyxhollow/wire/channel.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Generator
 
 from onyxhollow.loop import READ, WRITE, Loop, UrgentDescriptors
-from onyxhollow.wire.buffers import BufferPool, Leaving, LineBuffer
+from onyxhollow.wire.buffers import BufferPool, ClosingConnection, LineBuffer
 from onyxhollow.wire.system_errors import SHORTAGE_PAUSE, Fault, fault_of
 from onyxhollow.wire.tables import Address
 
@@ -31,16 +31,18 @@
         connecting: bool = False,
     ) -> None:
         self.loop, self.sock, self.fd, self.wake = loop, sock, sock.fileno(), wake
-        self.pool, self.inbox, self.out = pool, LineBuffer(pool), bytearray()
+        self.pool, self.inbox, self.outgoing = pool, LineBuffer(pool), bytearray()
         self.connecting, self.paused = connecting, False
-        self.ended = self.broken = self.closed = self.wrote = False  # ended: told its end; broken: by a reset
-        self.draining, self.came = False, 0.0  # its bytes are thrown away; when the last of them came
-        self.resting = False  # this machine is short of something: it is not listened to for a moment
+        self.ended = self.broken = self.closed = self.flushed = (
+            False  # ended: told its end; broken: by a reset
+        )
+        self.draining, self.last_read_at = False, 0.0  # its bytes are thrown away; when the last of them came
+        self.backing_off = False  # this machine is short of something: it is not listened to for a moment
         self.loop.watch(self.fd, self.events(), self.ready)  # OSError: no connection is made of it
-        pool.open += 1
+        pool.open_connections += 1
 
     @classmethod
-    def dial(cls, loop: Loop, address: Address, pool: BufferPool, wake: Callable[[], None]) -> Channel:
+    def connect(cls, loop: Loop, address: Address, pool: BufferPool, wake: Callable[[], None]) -> Channel:
         """A connection on its way up; OSError if it can't even be begun."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
@@ -57,39 +59,39 @@
         """What is to be listened for."""
         if self.connecting:
             return WRITE
-        return (0 if self.ended or self.paused else READ) | (WRITE if self.out else 0)
+        return (0 if self.ended or self.paused else READ) | (WRITE if self.outgoing else 0)
 
-    def listen(self) -> None:
-        if self.closed or self.resting:
+    def update_interest(self) -> None:
+        if self.closed or self.backing_off:
             return
         try:
             self.loop.watch(self.fd, self.events(), self.ready)
         except OSError:  # the system has no room for it now
-            self.rest()
+            self.back_off()
 
-    def rest(self) -> None:
+    def back_off(self) -> None:
         """This machine is short of something: nothing is lost by it, and nothing known of the other side.
 
         Told again at once that the connection is ready, the loop would spin."""
-        if not self.resting and not self.closed:
-            self.resting = True
+        if not self.backing_off and not self.closed:
+            self.backing_off = True
             self.loop.watch(self.fd, 0, None)
-            self.loop.spawn(self.go_on(self.loop.now + SHORTAGE_PAUSE))
+            self.loop.spawn(self.resume_at(self.loop.now + SHORTAGE_PAUSE))
 
-    def go_on(self, at: float) -> Generator[float, None, None]:
+    def resume_at(self, at: float) -> Generator[float, None, None]:
         while self.loop.now < at:
             yield at
-        self.resting = False
+        self.backing_off = False
         if not self.closed and not self.broken:
             if not self.connecting:
                 self.flush()
-            self.listen()
+            self.update_interest()
 
     def ready(self, events: int) -> None:
         if self.connecting:
-            stands = self.came_up()
+            stands = self.connection_result()
             if stands is None:
-                self.rest()
+                self.back_off()
                 return
             self.ended = self.broken = not stands
             self.connecting = False
@@ -102,9 +104,9 @@
         if not self.ended and not self.paused and events & ~WRITE:
             self.read()
         self.wake()
-        self.listen()
+        self.update_interest()
 
-    def came_up(self) -> bool | None:
+    def connection_result(self) -> bool | None:
         """Whether the connection stands, once the system has told that it does or has failed.
 
         None: the system can't say now."""
@@ -115,70 +117,70 @@
 
     def read(self) -> None:
         if self.draining:
-            self.throw_away()
+            self.discard_input()
             return
-        space = self.inbox.space()
+        space = self.inbox.free_space()
         if not space:
             self.paused = True
             return
-        self.inbox.filled(self.receive(space))
+        self.inbox.commit(self.receive(space))
 
     def receive(self, space: memoryview | bytearray, flags: int = 0) -> int:
         """How many bytes have come: 0 also at the end and after a reset."""
         try:
             count = self.sock.recv_into(space, len(space), flags)
         except OSError as error:
-            self.not_received(fault_of(error))
+            self.on_read_error(fault_of(error))
             return 0
         if not count:
             self.ended = True
         return count
 
-    def not_received(self, fault: Fault) -> None:
+    def on_read_error(self, fault: Fault) -> None:
         if fault is Fault.SHORTAGE:
-            self.rest()
+            self.back_off()
         elif fault is not Fault.NOT_READY:
             self.ended = self.broken = True
-            self.out.clear()
+            self.outgoing.clear()
 
-    def throw_away(self) -> None:
+    def discard_input(self) -> None:
         for _ in range(THROWS):
             if not self.receive(THROWN, socket.MSG_TRUNC):  # TCP: not even copied
                 return
-            self.came = self.loop.now
+            self.last_read_at = self.loop.now
 
     def line(self) -> memoryview | None:
         return self.inbox.line()
 
-    def settle(self, paused: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """After its lines were used: gives an empty buffer back and reads on unless told to pause."""
         self.inbox.release()
         if paused != self.paused:
             self.paused = paused
-            self.listen()
+            self.update_interest()
 
     def write(self, data: bytes | memoryview) -> None:
         """Sends at once what goes; only the rest is copied."""
         if self.closed or self.broken:
             return
-        if not self.out and not self.connecting:
+        if not self.outgoing and not self.connecting:
             sent = self.send(data)
             if self.broken:
                 return
             if sent == len(data):
-                self.wrote = True
+                self.flushed = True
                 return
             data = memoryview(data)[sent:]
-        self.out += data
-        self.listen()
+        self.outgoing += data
+        self.update_interest()
 
     def flush(self) -> None:
-        if not self.out:
+        if not self.outgoing:
             return
-        sent = self.send(self.out)
+        sent = self.send(self.outgoing)
         if not self.broken:
-            del self.out[:sent]
-            self.wrote = self.wrote or not self.out
+            del self.outgoing[:sent]
+            self.flushed = self.flushed or not self.outgoing
 
     def send(self, data: bytes | memoryview | bytearray) -> int:
         """How many bytes the system has taken: none also where it can't just now, or never will."""
@@ -187,31 +189,31 @@
         except OSError as error:
             fault = fault_of(error)
         if fault is Fault.SHORTAGE:
-            self.rest()
+            self.back_off()
         elif fault is not Fault.NOT_READY:
-            self.fail()
+            self.on_write_error()
         return 0
 
-    def fail(self) -> None:
+    def on_write_error(self) -> None:
         """A write failed. What the other side said before it went, BYE perhaps, is still there to be read."""
         if not self.ended and not self.paused:
             self.read()
         self.ended = self.broken = True
-        self.out.clear()
+        self.outgoing.clear()
         self.loop.watch(self.fd, 0, None)
         self.wake()
 
     @property
-    def full(self) -> bool:
-        return len(self.out) > self.pool.full
+    def is_full(self) -> bool:
+        return len(self.outgoing) > self.pool.high_water_mark
 
     def close(self) -> None:
         if not self.closed:
             self.loop.watch(self.fd, 0, None)
             self.closed = self.ended = True
-            self.pool.open -= 1
-            self.pool.leaving.pop(self.fd, None)
-            self.inbox.drop()
+            self.pool.open_connections -= 1
+            self.pool.closing.pop(self.fd, None)
+            self.inbox.discard()
             self.sock.close()
 
     def reset(self) -> None:
@@ -225,8 +227,10 @@
         """Ends it in order: what is to be written goes out, what still comes is read and thrown away. Closed
         with bytes unread the system would reset it, and its last line would be lost on the way."""
         if not self.closed:
-            self.draining, self.came = True, self.loop.now
-            self.pool.leaving[self.fd] = Leaving(self.loop.now, self.close, lambda: bool(self.out))
+            self.draining, self.last_read_at = True, self.loop.now
+            self.pool.closing[self.fd] = ClosingConnection(
+                self.loop.now, self.close, lambda: bool(self.outgoing)
+            )
             task = self.loop.spawn(self.drain(self.loop.now + patience))
             self.wake = task.wake
 
@@ -234,17 +238,17 @@
         shut = False
         try:
             while self.loop.now < until and not self.broken and not self.closed:
-                self.inbox.drop()
-                self.settle(False)
-                if not self.out and not shut:
+                self.inbox.discard()
+                self.set_paused(False)
+                if not self.outgoing and not shut:
                     shut, until = True, self.loop.now + DRAINED
                     try:
                         self.sock.shutdown(socket.SHUT_WR)
                     except OSError:
                         return
-                if shut and (self.ended or self.loop.now >= self.came + LINGER):
+                if shut and (self.ended or self.loop.now >= self.last_read_at + LINGER):
                     return
-                yield min(until, self.came + LINGER) if shut else until
+                yield min(until, self.last_read_at + LINGER) if shut else until
         finally:
             self.close()
 
--- a/onyxhollow/wire/carried.py
+++ b/onyxhollow/wire/connection_handoff.py
@@ -7,22 +7,22 @@
 
 from onyxhollow.interface import DeduplicationScope, Idempotency, Listener
 from onyxhollow.wire.buffers import SIZE
-from onyxhollow.wire.messages import Opening, read_opening
+from onyxhollow.wire.messages import OpenRequest, parse_open_request
 
 
 @dataclass(frozen=True, slots=True)
-class Carried:
+class ConnectionHandoff:
     """All that an open connection takes along to another process. Both read one monotonic clock."""
 
-    opening: Opening
+    request: OpenRequest
     listener: Listener  # with the terms that it was taken under
-    server: str
-    started: float
-    heard: float
-    out: list[float]  # when lines went to the server that it has not brought back
+    endpoint: str
+    started_at: float
+    last_echo_at: float
+    in_flight: list[float]  # when lines went to the server that it has not brought back
     load: float | None
-    last: bytes  # the server's word before its end, if it has said one
-    read: tuple[bytes, bytes]  # from client and server, and not used yet
+    final_word: bytes  # the server's word before its end, if it has said one
+    unread: tuple[bytes, bytes]  # from client and server, and not used yet
     unsent: tuple[bytes, bytes]  # to client and server
 
 
@@ -54,7 +54,7 @@
     )
 
 
-def read_carried(record: dict[str, Any]) -> Carried:
+def read_carried(record: dict[str, Any]) -> ConnectionHandoff:
     def pair(name: str) -> tuple[bytes, bytes]:
         client, server = record[name]
         if name == "read" and max(len(client), len(server)) > SIZE:
@@ -63,8 +63,8 @@
 
     listener = decode_listener(record["listener"])
     load = record["load"]
-    return Carried(
-        read_opening(record["line"].encode("latin-1")),
+    return ConnectionHandoff(
+        parse_open_request(record["line"].encode("latin-1")),
         listener,
         str(record["server"]),
         float(record["started"]),
--- a/onyxhollow/wire/passing.py
+++ b/onyxhollow/wire/handoff_channel.py
@@ -21,13 +21,13 @@
 READS = 16  # messages read in one turn of the loop
 
 
-class Passing:
+class HandoffSender:
     """The old process's end."""
 
     def __init__(self, loop: Loop, path: str) -> None:
         self.loop, self.sent = loop, 0
         self.broken = False
-        self.waiting: dict[int, Callable[[bool], None]] = {}  # told whether it has been taken
+        self.unacknowledged: dict[int, Callable[[bool], None]] = {}  # told whether it has been taken
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
         try:
             self.sock.setblocking(False)
@@ -38,8 +38,8 @@
         loop.watch(self.sock.fileno(), READ, self.ready)
 
     @property
-    def room(self) -> int:
-        return 0 if self.broken else WINDOW - len(self.waiting)
+    def free_slots(self) -> int:
+        return 0 if self.broken else WINDOW - len(self.unacknowledged)
 
     def send(self, record: dict[str, Any], fds: list[int], told: Callable[[bool], None]) -> bool:
         """False if it can't be sent; told is called later otherwise, once."""
@@ -51,14 +51,14 @@
             socket.send_fds(self.sock, [message], fds)
         except OSError:  # also when there is no room: it is moved then
             return False
-        self.waiting[self.sent] = told
+        self.unacknowledged[self.sent] = told
         return True
 
     def ready(self, _: int) -> None:
         try:
             while answer := self.sock.recv(64):
                 which, word = answer.split(b" ")
-                if told := self.waiting.pop(int(which), None):
+                if told := self.unacknowledged.pop(int(which), None):
                     told(word == b"taken")
         except BlockingIOError:
             return
@@ -71,12 +71,12 @@
             self.broken = True
             self.loop.watch(self.sock.fileno(), 0, None)
             self.sock.close()
-            waiting, self.waiting = self.waiting, {}
+            waiting, self.unacknowledged = self.unacknowledged, {}
             for told in waiting.values():
                 told(False)
 
 
-class Receiver:
+class HandoffReceiver:
     """The successor's end. take gets a record and the sockets, and says whether it has them now."""
 
     def __init__(
@@ -118,11 +118,11 @@
             if not message:
                 self.close()
                 return
-            answer = self.taken(message, fds)
+            answer = self.answer_for(message, fds)
             with contextlib.suppress(OSError):  # it has died: what it passed on is served all the same
                 self.sender.send(answer)
 
-    def taken(self, message: bytes, fds: list[int]) -> bytes:
+    def answer_for(self, message: bytes, fds: list[int]) -> bytes:
         socks: list[socket.socket] = []
         number = 0
         try:
@@ -132,7 +132,7 @@
             if record["version"] == VERSION and len(socks) == 2 and self.take(record, *socks):
                 return b"%d taken" % number
         except Exception as error:  # whatever it was, the sender keeps the connection
-            self.loop.failed("passing", error)
+            self.loop.report_failure("passing", error)
         for sock in socks:
             sock.close()
         return b"%d refused" % number
--- a/onyxhollow/wire/messages.py
+++ b/onyxhollow/wire/messages.py
@@ -18,19 +18,19 @@
 
 
 @dataclass(slots=True)
-class Opening:
+class OpenRequest:
     """An OPEN line, taken apart as far as this proxy uses it."""
 
     line: bytes  # with its line end
-    name: str
+    session_id: str
     listener: str
     tenant: str
     group: str | None
-    left: float  # seconds that the client waits
+    time_left: float  # seconds that the client waits
     load: float | None
-    at: str | None  # the server on which it was open before the run
+    open_at: str | None  # the server on which it was open before the run
 
-    def forwarded(self, wait: float) -> bytes:
+    def forwarded_line(self, wait: float) -> bytes:
         """The line for the server: unchanged but for d, the wait that is left there."""
         head, _, tail = self.line[:-2].rpartition(b" ")
         told = b"d=%d" % max(1, round(wait * 1000))
@@ -38,7 +38,7 @@
         return head + b" " + b",".join(rows) + b"\r\n"
 
 
-def read_opening(line: bytes) -> Opening:
+def parse_open_request(line: bytes) -> OpenRequest:
     """All of the line is checked before any of it is used: a server would answer what it can't read with an
     error, and be held to have failed."""
     if (parts := OPENING.fullmatch(line)) is None:
@@ -52,15 +52,15 @@
         values[label] = value
     if not values.get("c") or ("d" not in values and "at" not in values):
         raise MalformedError("list: c or d is missing")
-    return Opening(
+    return OpenRequest(
         line=line,
-        name=name,
+        session_id=name,
         listener=values["c"],
         tenant=values.get("t", ""),
         group=values.get("g"),
-        left=figure(values["d"], "d", 1.0, LONGEST_WAIT) / 1000 if "d" in values else math.inf,
+        time_left=figure(values["d"], "d", 1.0, LONGEST_WAIT) / 1000 if "d" in values else math.inf,
         load=figure(values["h"], "h", 0.0, LARGEST_LOAD) / 1e6 if "h" in values else None,
-        at=values.get("at"),
+        open_at=values.get("at"),
     )
 
 
@@ -72,7 +72,7 @@
     return value
 
 
-def told_figure(text: str) -> float | None:
+def parse_measurement(text: str) -> float | None:
     """A figure from a server; None if it is none."""
     try:
         value = float(text)
@@ -91,12 +91,12 @@
     return bytes(line).rstrip(b"\r\n").partition(b" ")[2].decode("ascii", "replace")
 
 
-def read_report(text: str, field: str) -> float | None:
+def parse_load_report(text: str, field: str) -> float | None:
     """The named figure of a load report such as inflight=7,util=0.61; None if it is not there."""
     if not field:
         return None
     for row in text.split(","):
         name, _, value = row.partition("=")
         if name == field:
-            return told_figure(value)
+            return parse_measurement(value)
     return None
--- a/onyxhollow/wire/remote_clock.py
+++ b/onyxhollow/wire/remote_clock.py
@@ -26,28 +26,28 @@
     """
 
     def __init__(self) -> None:
-        self.ahead = -math.inf  # what their clock is ahead of the monotonic one, at least
+        self.offset = -math.inf  # what their clock is ahead of the monotonic one, at least
         self.known_until = (
             -math.inf
         )  # the list is known up to here: what is new in it started later, or just before
         self.starts: dict[str, tuple[float, float]] = {}  # by server: as told, and on the monotonic clock
 
-    def hear(self, wall: float, now: float) -> None:
+    def observe(self, wall: float, now: float) -> None:
         """A time that has passed on their clock."""
-        self.ahead = max(self.ahead, wall - now)
+        self.offset = max(self.offset, wall - now)
 
-    def start(self, server: str, wall: float, now: float) -> float:
+    def start_time(self, server: str, wall: float, now: float) -> float:
         """When a server started that tells this time of its start."""
         known = self.starts.pop(server, None)
         if known is None or known[0] != wall:
-            started = min(now, wall - self.ahead)
+            started = min(now, wall - self.offset)
             known = wall, max(started, self.known_until - LISTED_WITHIN)
         self.starts[server] = known
         if len(self.starts) > MOST:
             del self.starts[next(iter(self.starts))]
         return known[1]
 
-    def take_over(self, starts: Mapping[str, Any]) -> None:
+    def restore(self, starts: Mapping[str, Any]) -> None:
         """What another process of this machine has read; ValueError or TypeError if it is none of that."""
         taken = {str(server): (float(wall), float(started)) for server, (wall, started) in starts.items()}
         self.starts |= dict(list(taken.items())[:MOST])
--- a/onyxhollow/wire/sessions.py
+++ b/onyxhollow/wire/session_registry.py
@@ -15,13 +15,20 @@
 from onyxhollow.interface import AttemptOutcome, Listener, Tenant
 from onyxhollow.loop import Loop, Task
 from onyxhollow.service_state import ServicePhase, ServiceState
-from onyxhollow.wire.buffers import SIZE, BufferPool, LongLineError
-from onyxhollow.wire.carried import Carried, encode_listener, read_carried
+from onyxhollow.wire.attempts import AttemptResult, AttemptRunner
+from onyxhollow.wire.buffers import SIZE, BufferPool, LineTooLongError
 from onyxhollow.wire.channel import Channel
-from onyxhollow.wire.messages import MalformedError, Opening, read_opening, rest, told_figure, word
-from onyxhollow.wire.passing import Passing
-from onyxhollow.wire.servers import Dialled, Servers
-from onyxhollow.wire.tables import Addresses, SessionTable
+from onyxhollow.wire.connection_handoff import ConnectionHandoff, encode_listener, read_carried
+from onyxhollow.wire.handoff_channel import HandoffSender
+from onyxhollow.wire.messages import (
+    MalformedError,
+    OpenRequest,
+    parse_measurement,
+    parse_open_request,
+    rest,
+    word,
+)
+from onyxhollow.wire.tables import EndpointAddresses, SessionTable
 
 Steps = Generator[float, None, None]
 
@@ -32,7 +39,9 @@
 LAST_WORD = 0.1  # seconds for which one that is only waited out is left alone where there is no room
 ERROR_READ = 3.0  # seconds for an ERR to go out to a client that reads slowly
 MOST_OUT = 1024  # lines that a server has not brought back past which its client is not read on
-HURRY = 0.03  # seconds of the client's wait, a tenth at most, kept for the answer's own way and a busy core
+ANSWER_MARGIN = (
+    0.03  # seconds of the client's wait, a tenth at most, kept for the answer's own way and a busy core
+)
 ADOPTED = 39.0  # seconds for a connection that was open before the run to be up again
 ADOPT_AGAIN = 0.25  # seconds between tries for such a one
 SILENT = 3.0  # seconds without an echo after which a server counts as gone
@@ -48,14 +57,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class SentAt:
     """When a line went out, and for how long the process had stood still by then."""
 
     at: float
     stalled: float
 
 
-class Sessions:
+class SessionRegistry:
     """Makes sessions of accepted connections; holds what they share."""
 
     def __init__(
@@ -63,7 +72,7 @@
         loop: Loop,
         pool: BufferPool,
         counters: Counters,
-        addresses: Addresses,
+        addresses: EndpointAddresses,
         decisions: DecisionAdapter,
         listeners: dict[str, Listener],
         customers: dict[str, Tenant],
@@ -74,16 +83,20 @@
     ) -> None:
         self.loop, self.pool, self.counters, self.service = loop, pool, counters, service
         self.decisions, self.listeners, self.tenants, self.log = decisions, listeners, customers, log
-        self.servers = Servers(loop, pool, counters, addresses, load_field, connect_time, self.malformed)
-        self.dropped: dict[str, tuple[Listener, float]] = {}  # by the last reloads; until when they are taken
-        self.taken = 0  # sessions taken and not ended
+        self.attempts = AttemptRunner(
+            loop, pool, counters, addresses, load_field, connect_time, self.report_malformed
+        )
+        self.dropped_listeners: dict[
+            str, tuple[Listener, float]
+        ] = {}  # by the last reloads; until when they are taken
+        self.active_count = 0  # sessions taken and not ended
         counters.open_listeners(listeners)
-        self.descriptors = 1000  # connections past which room is made
+        self.connection_limit = 1000  # connections past which room is made
         self.table = SessionTable[ClientSession]()
-        self.late_told: dict[str, float] = {}  # when late echoes were last told of, by server
-        self.adopts_until = loop.now + ADOPTED
+        self.late_echo_reported_at: dict[str, float] = {}  # when late echoes were last told of, by server
+        self.adoption_deadline = loop.now + ADOPTED
 
-    def settle(
+    def apply_settings(
         self,
         listeners: dict[str, Listener],
         customers: dict[str, Tenant],
@@ -93,72 +106,79 @@
         """For sessions that come from now on; those taken before keep their listener's terms. Clients learn
         of a dropped listener later than this proxy: what is on its way then is served by the old terms."""
         now, old = self.loop.now, self.listeners
-        self.dropped = {name: kept for name, kept in self.dropped.items() if now < kept[1]}
-        self.dropped |= {name: (row, now + DROPPED) for name, row in old.items() if name not in listeners}
+        self.dropped_listeners = {
+            name: kept for name, kept in self.dropped_listeners.items() if now < kept[1]
+        }
+        self.dropped_listeners |= {
+            name: (row, now + DROPPED) for name, row in old.items() if name not in listeners
+        }
         self.listeners, self.tenants = listeners, customers
         self.counters.open_listeners(listeners)
-        self.servers.settle(load_field, connect_time)
+        self.attempts.apply_settings(load_field, connect_time)
 
-    def listener(self, name: str) -> Listener | None:
-        kept, until = self.dropped.get(name, (None, 0.0))
+    def find_listener(self, name: str) -> Listener | None:
+        kept, until = self.dropped_listeners.get(name, (None, 0.0))
         return self.listeners.get(name) or (kept if self.loop.now < until else None)
 
-    def adopts(self, server: str) -> bool:
+    def may_adopt(self, server: str) -> bool:
         """Whether a connection that was open at this server before the run may still come."""
-        return self.loop.now < self.adopts_until and self.servers.addresses.find(server) is not None
+        return self.loop.now < self.adoption_deadline and self.attempts.addresses.find(server) is not None
 
     def accept(self, sock: Any) -> None:
         self.make_room()
         ClientSession(self, sock)
 
-    def receive(self, record: dict[str, Any], client: Any, server: Any) -> bool:
+    def accept_handoff(self, record: dict[str, Any], client: Any, server: Any) -> bool:
         """A connection that the process before this one held open; an error leaves it there."""
         carried = read_carried(record)
-        if not self.table.take(carried.opening.name):
+        if not self.table.claim_id(carried.request.session_id):
             return False
         for sock in (client, server):
             sock.setblocking(False)
         ClientSession(self, client, carried, server)
         return True
 
-    def echo_took(self, handle: SessionHandle, server: str, sent: Moment, now: float) -> None:
+    def report_echo(self, handle: SessionHandle, server: str, sent: SentAt, now: float) -> None:
         """Tells the module of a late echo, once a second for each server. Told of all, at each connection, a
         short pause would look like dozens of faults, and echoes of 0.2 ms would drown the set-up times that
         hand-offs are paced by. Time for which this process itself stood still is not the server's."""
         stalled = self.loop.stalled - sent.stalled
         delay = now - sent.at - stalled
-        if delay >= max(LONG, stalled) and now - self.late_told.get(server, -math.inf) >= LATE_AGAIN:
-            self.late_told[server] = now
+        if (
+            delay >= max(LONG, stalled)
+            and now - self.late_echo_reported_at.get(server, -math.inf) >= LATE_AGAIN
+        ):
+            self.late_echo_reported_at[server] = now
             handle.report_delay(delay)
 
     def make_room(self) -> bool:
         """Connections that ask for nothing must not take the place of those that do."""
         now = self.loop.now
-        for leaving in list(self.pool.leaving.values()) if self.crowded else ():
-            if not self.crowded or now - leaving.since < LAST_WORD:
+        for leaving in list(self.pool.closing.values()) if self.is_crowded else ():
+            if not self.is_crowded or now - leaving.since < LAST_WORD:
                 break
-            if not leaving.unsent():  # else its final answer would go with it
+            if not leaving.has_unsent():  # else its final answer would go with it
                 leaving.close()
                 self.counters.add("leaving connections closed for room")
-        while self.crowded and (longest := self.table.longest_idle()) is not None:
-            if now - longest.came < YOUNG:
+        while self.is_crowded and (longest := self.table.longest_idle()) is not None:
+            if now - longest.accepted_at < YOUNG:
                 break  # its line may be on the way
-            self.table.asked(longest)
+            self.table.mark_active(longest)
             longest.client.read()
             longest.wake()
             if not len(longest.client.inbox):  # else its line has come just now: it is served
                 longest.client.write(BUSY)  # for one that crosses this
                 longest.client.close()
                 self.counters.add("idle connections closed for room")
-        return not self.crowded
+        return not self.is_crowded
 
-    def malformed(self, why: str, line: bytes = b"") -> None:
+    def report_malformed(self, why: str, line: bytes = b"") -> None:
         self.counters.add("malformed lines")
         self.log("malformed", why=why, line=repr(line[:120])[2:-1])
 
     @property
-    def crowded(self) -> bool:
-        return self.pool.open >= self.descriptors
+    def is_crowded(self) -> bool:
+        return self.pool.open_connections >= self.connection_limit
 
 
 def turn_away(sock: socket.socket) -> None:
@@ -176,63 +196,63 @@
     """One client's connection. carried: it was open in the process before this one, to that server."""
 
     def __init__(
-        self, shared: Sessions, sock: Any, carried: Carried | None = None, server: Any = None
+        self, shared: SessionRegistry, sock: Any, carried: ConnectionHandoff | None = None, server: Any = None
     ) -> None:
         self.shared, self.loop, self.counters = shared, shared.loop, shared.counters
         self.client = Channel(self.loop, sock, shared.pool, self.wake)
         self.server: Channel | None = None
         self.handle: SessionHandle | None = None
-        self.opening: Opening | None = None
-        self.stopping = self.open = False  # open: UP has been passed on
-        self.told = False  # what became of it has been counted
-        self.dials, self.name, self.end = 0, "", ""
-        self.out = deque[Moment]()  # when lines went to the server that it has not brought back
-        self.heard = self.slowest = 0.0
-        self.echoes, self.last = 0, b""
-        self.came = self.loop.now
-        self.passing: Passing | None = None  # the connection is to be passed on there
-        self.passed: bool | None = None  # what the successor has said of it
+        self.request: OpenRequest | None = None
+        self.stopping = self.is_open = False  # open: UP has been passed on
+        self.outcome_counted = False  # what became of it has been counted
+        self.attempt_count, self.endpoint, self.end_reason = 0, "", ""
+        self.in_flight = deque[SentAt]()  # when lines went to the server that it has not brought back
+        self.last_echo_at = self.slowest_echo = 0.0
+        self.echo_count, self.final_word = 0, b""
+        self.accepted_at = self.loop.now
+        self.handoff_sender: HandoffSender | None = None  # the connection is to be passed on there
+        self.handoff_taken: bool | None = None  # what the successor has said of it
         if carried is not None:
             try:
                 self.server = Channel(self.loop, server, shared.pool, self.wake)
             except OSError:  # the process before this one keeps the connection
                 self.client.close()
                 raise
-            self.open = self.told = True
+            self.is_open = self.outcome_counted = True
         shared.table.add(self)
         self.task: Task = self.loop.spawn(self.run(carried))
         if carried is not None and self.server is not None:
             for place, channel in enumerate((self.client, self.server)):
-                channel.inbox.put(carried.read[place])  # before anything newer is read
+                channel.inbox.append(carried.unread[place])  # before anything newer is read
                 channel.write(carried.unsent[place])
 
     def wake(self) -> None:
         self.task.wake()
 
     def gone(self) -> bool:
-        return self.absent() or self.stopping and not self.open and self.handle is not None
+        return self.absent() or self.stopping and not self.is_open and self.handle is not None
 
     def absent(self) -> bool:
         """Before UP: whether its client has left; or sent more while it was to wait, and is cut off."""
-        if not self.end and len(self.client.inbox):
-            self.dismiss("bytes before UP", self.client.inbox.rest())
-        return bool(self.end) or self.client.ended
+        if not self.end_reason and len(self.client.inbox):
+            self.dismiss("bytes before UP", self.client.inbox.take_rest())
+        return bool(self.end_reason) or self.client.ended
 
     def dismiss(self, why: str, line: bytes) -> None:
         """What can't be read or used is told so at once, whatever else waits on that connection."""
-        self.shared.malformed(why, line)
-        self.end = "malformed"
+        self.shared.report_malformed(why, line)
+        self.end_reason = "malformed"
         self.count(TORN_DOWN)
         self.client.write(b"ERR\r\n")
         self.client.finish(ERROR_READ)
 
     def count(self, end: str) -> None:
         """The one place where what a client was told is counted: once for each session taken."""
-        if self.opening is not None and not self.told:
-            self.told = True
-            self.counters.ended(end, self.opening.listener)
+        if self.request is not None and not self.outcome_counted:
+            self.outcome_counted = True
+            self.counters.ended(end, self.request.listener)
 
-    def run(self, carried: Carried | None) -> Steps:
+    def run(self, carried: ConnectionHandoff | None) -> Steps:
         raw = b""
         try:
             line = None
@@ -242,13 +262,13 @@
                 line = yield from self.first_line()
             if line is not None:
                 raw = bytes(line)
-                yield from self.serve(read_opening(raw))
-        except (MalformedError, LongLineError) as error:
-            self.dismiss(str(error) or "line over 4 KiB", raw or self.client.inbox.rest())
+                yield from self.serve(parse_open_request(raw))
+        except (MalformedError, LineTooLongError) as error:
+            self.dismiss(str(error) or "line over 4 KiB", raw or self.client.inbox.take_rest())
         except Exception as error:
             # The module or this code failed: the session is still owed an answer, and the proxy goes on.
-            self.loop.failed("session", error)
-            if not self.open and not self.client.closed and not self.end:
+            self.loop.report_failure("session", error)
+            if not self.is_open and not self.client.closed and not self.end_reason:
                 self.answer(False)
         finally:
             if self.handle is not None:
@@ -257,16 +277,16 @@
             for channel in (self.client, self.server):
                 if channel is not None and channel.wake == self.wake:
                     channel.close()
-            if self.opening is not None:
-                self.shared.taken -= 1
+            if self.request is not None:
+                self.shared.active_count -= 1
                 self.shared.log(
                     "session",
-                    id=self.opening.name,
-                    server=self.name,
-                    dials=self.dials,
-                    end=self.end,
-                    echoes=self.echoes,
-                    slowest=round(self.slowest, 4),
+                    id=self.request.session_id,
+                    server=self.endpoint,
+                    dials=self.attempt_count,
+                    end=self.end_reason,
+                    echoes=self.echo_count,
+                    slowest=round(self.slowest_echo, 4),
                 )
 
     def first_line(self) -> Generator[float, None, memoryview | None]:
@@ -276,7 +296,7 @@
             line = client.line()
             if line is not None:
                 if word(line) != b"PING":
-                    table.asked(self)
+                    table.mark_active(self)
                     return line
                 self.counters.add("pings")
                 if self.loop.now >= since + 1.0:
@@ -287,21 +307,21 @@
                 until = self.loop.now + FRONT_LINE
                 if self.shared.service.is_any(ServicePhase.HANDING_OVER) and not len(client.inbox):
                     # Its next call goes to the successor. Ended after an answer, none is on its way here.
-                    table.asked(self)
+                    table.mark_active(self)
                     client.finish()
                     return None
             elif client.ended or self.loop.now >= until or self.stopping:
                 if not extended and not client.ended and self.came_meanwhile():
                     extended, until = True, self.loop.now + STARTED_LINE
                     continue
-                table.asked(self)
+                table.mark_active(self)
                 if len(client.inbox):
                     raise MalformedError("half a line")
                 self.end_unasked()
                 return None
             else:
-                table.waits(self)
-                client.settle(False)
+                table.mark_idle(self)
+                client.set_paused(False)
                 if len(client.inbox):
                     until = min(until, self.loop.now + FIRST_LINE)
                 yield until
@@ -321,34 +341,34 @@
 
     # before UP
 
-    def serve(self, opening: Opening) -> Steps:
+    def serve(self, opening: OpenRequest) -> Steps:
         shared = self.shared
-        listener = shared.listener(opening.listener)
+        listener = shared.find_listener(opening.listener)
         if listener is None:
             raise MalformedError(f"no such listener {opening.listener[:40]!r}")
-        if opening.at is not None and not shared.adopts(opening.at):
-            raise MalformedError(f"at: not due at {opening.at[:40]!r}")
+        if opening.open_at is not None and not shared.may_adopt(opening.open_at):
+            raise MalformedError(f"at: not due at {opening.open_at[:40]!r}")
         if not self.client.ended:
             self.client.read()  # what was sent behind the line may be there already
         if len(self.client.inbox):
             raise MalformedError("bytes before UP")
-        if not shared.table.take(opening.name):
+        if not shared.table.claim_id(opening.session_id):
             raise MalformedError("the id of another session")
-        self.opening = opening
-        shared.taken += 1
+        self.request = opening
+        shared.active_count += 1
         tenant = shared.tenants.get(opening.tenant)
         self.counters.add("sessions taken")
-        if opening.at is not None:
+        if opening.open_at is not None:
             yield from self.adopt(opening, listener, tenant)
             return
-        shared.adopts_until = -math.inf  # the run has begun: all from before it are up
+        shared.adoption_deadline = -math.inf  # the run has begun: all from before it are up
         if not shared.make_room():
             # A dial without a descriptor would fail here and be held against the server.
             self.counters.add("sessions refused for want of descriptors")
             self.answer(True)
             return
         took_at = self.loop.now
-        left = opening.left - min(HURRY, opening.left / 10)
+        left = opening.time_left - min(ANSWER_MARGIN, opening.time_left / 10)
         if shared.service.is_any(ServicePhase.OUT_OF_SERVICE):
             left = -math.inf  # the module refuses it
         handle = self.handle = shared.decisions.take(
@@ -366,13 +386,13 @@
             if self.absent():
                 self.conclude(handle, handle.give_up(AttemptOutcome.NOT_SENT).refused)
                 return
-            self.name = choice.server
-            self.dials += 1
+            self.endpoint = choice.server
+            self.attempt_count += 1
             self.counters.add("dials")
             started = self.loop.now
             dialled = yield from self.dial(choice.server, choice.time)
-            took, end = self.loop.now - started, dialled.end
-            if self.open:
+            took, end = self.loop.now - started, dialled.outcome
+            if self.is_open:
                 self.counters.add("sessions accepted")
                 handle.report_accepted(took)
                 yield from self.relay(handle)
@@ -380,7 +400,7 @@
             self.counters.add(f"dials {end.value}")
             self.shared.log(
                 "dial",
-                id=opening.name,
+                id=opening.session_id,
                 server=choice.server,
                 end=end.value,
                 took=round(took, 4),
@@ -408,16 +428,16 @@
         """The client has gone before it was answered. One that has only ended its sending still reads: it
         gets its final answer all the same, which is lost on the way to one that is not there."""
         handle.report_gone()
-        if not self.end:
+        if not self.end_reason:
             self.counters.add("clients gone before an answer")
-            self.end = "client gone"
+            self.end_reason = "client gone"
             self.write_answer(refused)
 
     def answer(self, refused: bool, retry_after: float = 0.0) -> None:
-        self.counters.must(not self.open and not self.end, "one answer to a session")
+        self.counters.must(not self.is_open and not self.end_reason, "one answer to a session")
         self.counters.add("sessions refused" if refused else "sessions torn down")
         self.count(REFUSED if refused else TORN_DOWN)
-        self.end = "refused" if refused else "torn down"
+        self.end_reason = "refused" if refused else "torn down"
         self.write_answer(refused, retry_after)
 
     def write_answer(self, refused: bool, retry_after: float = 0.0) -> None:
@@ -430,22 +450,22 @@
             self.client.write(BUSY)
         self.client.finish()
 
-    def dial(self, name: str, wait: float) -> Generator[float, None, Dialled]:
-        dialled = yield from self.shared.servers.dial(name, wait, self)
+    def dial(self, name: str, wait: float) -> Generator[float, None, AttemptResult]:
+        dialled = yield from self.shared.attempts.run(name, wait, self)
         if dialled.channel is not None and self.absent():
             dialled.channel.close()
-            return Dialled(AttemptOutcome.CANCELLED)
+            return AttemptResult(AttemptOutcome.CANCELLED)
         if dialled.channel is not None:
-            self.server, self.open = dialled.channel, True
+            self.server, self.is_open = dialled.channel, True
             self.count(ACCEPTED)
-            self.client.write(dialled.receipt)
+            self.client.write(dialled.up_line)
         return dialled
 
     def opening_line(self, wait: float) -> bytes:
         """The client's own line; one from before the run goes on to the letter."""
-        opening = self.opening
+        opening = self.request
         assert opening is not None
-        return opening.line if opening.at is not None else opening.forwarded(wait)
+        return opening.line if opening.open_at is not None else opening.forwarded_line(wait)
 
     def may_send(self) -> bool:
         """Looks at the client's connection itself: its end may not have been served in this turn yet."""
@@ -455,7 +475,7 @@
             return False
         return self.handle is None or self.handle.may_send()
 
-    def given_up(self) -> AttemptOutcome | None:
+    def abort_outcome(self) -> AttemptOutcome | None:
         """Whether the dial that is out is to end now, and as what."""
         handle = self.handle
         if handle is not None and self.absent() and not handle.answered:
@@ -464,16 +484,16 @@
             return AttemptOutcome.CANCELLED
         return AttemptOutcome.CANCELLED if self.stopping else None
 
-    def adopt(self, opening: Opening, listener: Listener, tenant: Tenant | None) -> Steps:
+    def adopt(self, opening: OpenRequest, listener: Listener, tenant: Tenant | None) -> Steps:
         """A connection that was open before the run: to that server and no other, until it is up."""
-        name, until = opening.at or "", self.loop.now + ADOPTED
-        self.name = name
+        name, until = opening.open_at or "", self.loop.now + ADOPTED
+        self.endpoint = name
         while True:
             yield from self.dial(name, until - self.loop.now)
-            if self.open:
+            if self.is_open:
                 break
-            if self.absent() or self.stopping or self.loop.now >= min(until, self.shared.adopts_until):
-                if not self.end:
+            if self.absent() or self.stopping or self.loop.now >= min(until, self.shared.adoption_deadline):
+                if not self.end_reason:
                     self.answer(False)
                 return
             yield from self.loop.sleep(ADOPT_AGAIN)
@@ -485,21 +505,23 @@
 
     # from UP on
 
-    def relay(self, handle: SessionHandle, carried: Carried | None = None) -> Steps:
+    def relay(self, handle: SessionHandle, carried: ConnectionHandoff | None = None) -> Steps:
         """Passes lines both ways until one side ends, or the client is to be moved or passed on."""
-        client, server, started = self.client, self.server, carried.started if carried else self.loop.now
+        client, server, started = self.client, self.server, carried.started_at if carried else self.loop.now
         assert server is not None
-        self.heard = carried.heard if carried else started
+        self.last_echo_at = carried.last_echo_at if carried else started
         while True:
             if not self.pass_to_client(handle, server):
                 self.move(handle, "of a malformed server", AttemptOutcome.ERROR, started)
             elif not self.pass_to_server(server):
                 self.move(handle, "malformed", AttemptOutcome.CANCELLED, started)
             elif server.ended:
-                self.finish_with(handle, AFTER_ANSWER.get(self.last, AttemptOutcome.RESET), started)
-            elif client.ended and not server.full:
+                self.finish_with(handle, AFTER_ANSWER.get(self.final_word, AttemptOutcome.RESET), started)
+            elif client.ended and not server.is_full:
                 self.client_left(handle, started)
-            elif self.passing is not None and (yield from self.pass_on(handle, self.passing, started)):
+            elif self.handoff_sender is not None and (
+                yield from self.pass_on(handle, self.handoff_sender, started)
+            ):
                 pass
             elif handle.move or self.stopping:
                 self.move(
@@ -509,20 +531,20 @@
                 # A machine that vanished says nothing, and keep-alive does not notice.
                 self.move(handle, "silent server", AttemptOutcome.RESET, started)
             else:
-                client.settle(server.full or len(self.out) >= MOST_OUT)
-                server.settle(client.full)
+                client.set_paused(server.is_full or len(self.in_flight) >= MOST_OUT)
+                server.set_paused(client.is_full)
                 yield look_at
                 continue
             return
 
     # to another process of this proxy
 
-    def resume(self, carried: Carried) -> Steps:
+    def resume(self, carried: ConnectionHandoff) -> Steps:
         """Goes on with a connection where the process before this one has left it."""
-        opening = self.opening = carried.opening
-        self.shared.taken += 1
-        self.name, self.last = carried.server, carried.last
-        self.out.extend(Moment(at, self.loop.stalled) for at in carried.out)
+        opening = self.request = carried.request
+        self.shared.active_count += 1
+        self.endpoint, self.final_word = carried.endpoint, carried.final_word
+        self.in_flight.extend(SentAt(at, self.loop.stalled) for at in carried.in_flight)
         self.counters.add("connections taken over")
         handle = self.handle = self.shared.decisions.adopt(
             self.wake,
@@ -530,50 +552,50 @@
             self.shared.tenants.get(opening.tenant),
             opening.group,
             carried.load,
-            carried.server,
+            carried.endpoint,
             placed=True,
         )
         yield from self.relay(handle, carried)
 
     def pass_on(
-        self, handle: SessionHandle, passing: Passing, started: float
+        self, handle: SessionHandle, passing: HandoffSender, started: float
     ) -> Generator[float, None, bool]:
         """Whether the successor has it now. While it may have, nothing is read here; the copies of this
         process are only closed: shut down, the connections would end for the successor too."""
-        client, server, sess, opening = self.client, self.server, handle.sess, self.opening
+        client, server, sess, opening = self.client, self.server, handle.sess, self.request
         assert server is not None and opening is not None
         if self.stopping or client.broken or server.broken or sess is None:
-            self.passing, self.passed = None, False
+            self.handoff_sender, self.handoff_taken = None, False
             return False
         for channel in (client, server):
             self.loop.watch(channel.fd, 0, None)
         record = {
             "line": opening.line.decode("latin-1"),
             "listener": encode_listener(sess.listener),
-            "server": self.name,
+            "server": self.endpoint,
             "started": started,
-            "heard": self.heard,
-            "out": [sent.at for sent in self.out],
+            "heard": self.last_echo_at,
+            "out": [sent.at for sent in self.in_flight],
             "load": sess.load,
-            "last": self.last.decode("latin-1"),
-            "read": [channel.inbox.unused().decode("latin-1") for channel in (client, server)],
-            "unsent": [channel.out.decode("latin-1") for channel in (client, server)],
+            "last": self.final_word.decode("latin-1"),
+            "read": [channel.inbox.unread().decode("latin-1") for channel in (client, server)],
+            "unsent": [channel.outgoing.decode("latin-1") for channel in (client, server)],
         }
 
         def told(taken: bool) -> None:
-            self.passed = taken
+            self.handoff_taken = taken
             self.wake()
 
         if passing.send(record, [client.fd, server.fd], told):
-            while self.passed is None:
+            while self.handoff_taken is None:
                 yield math.inf
-        if not self.passed:
-            self.passing, self.passed = None, False
+        if not self.handoff_taken:
+            self.handoff_sender, self.handoff_taken = None, False
             for channel in (client, server):
-                channel.listen()
+                channel.update_interest()
             return False
         self.counters.add("connections passed on")
-        self.end = "passed on"
+        self.end_reason = "passed on"
         client.close()
         server.close()
         handle.report_gone()
@@ -587,64 +609,71 @@
                 if (first := word(line)) == b"LOAD":
                     self.read_load(handle, line)
                 elif first in AFTER_ANSWER:
-                    self.last = first
-                elif self.out:
-                    sent, self.heard = self.out.popleft(), self.loop.now
-                    self.echoes, self.slowest = self.echoes + 1, max(self.slowest, self.heard - sent.at)
-                    self.shared.echo_took(handle, self.name, sent, self.heard)
+                    self.final_word = first
+                elif self.in_flight:
+                    sent, self.last_echo_at = self.in_flight.popleft(), self.loop.now
+                    self.echo_count, self.slowest_echo = (
+                        self.echo_count + 1,
+                        max(self.slowest_echo, self.last_echo_at - sent.at),
+                    )
+                    self.shared.report_echo(handle, self.endpoint, sent, self.last_echo_at)
                 self.counters.add("lines to clients")
                 self.client.write(line)
-        except LongLineError:
-            self.shared.malformed("line over 4 KiB from a server")
+        except LineTooLongError:
+            self.shared.report_malformed("line over 4 KiB from a server")
             return False
-        if server.ended and (half := server.inbox.rest()):
-            self.shared.malformed(f"half a line of {len(half)} bytes from a server")
+        if server.ended and (half := server.inbox.take_rest()):
+            self.shared.report_malformed(f"half a line of {len(half)} bytes from a server")
             self.client.write(half)
         return True
 
     def pass_to_server(self, server: Channel) -> bool:
         """False if the client has sent what is no line."""
         try:
-            while not server.full and len(self.out) < MOST_OUT and (line := self.client.line()) is not None:
+            while (
+                not server.is_full
+                and len(self.in_flight) < MOST_OUT
+                and (line := self.client.line()) is not None
+            ):
                 self.counters.add("lines to servers")
-                self.out.append(Moment(self.loop.now, self.loop.stalled))
+                self.in_flight.append(SentAt(self.loop.now, self.loop.stalled))
                 server.write(line)
-        except LongLineError:
-            self.shared.malformed("line over 4 KiB")
+        except LineTooLongError:
+            self.shared.report_malformed("line over 4 KiB")
             return False
         return True
 
     def look_at_echoes(self, handle: SessionHandle) -> float:
         """When to look again; now, if the server has been silent for too long."""
-        if not self.out:
+        if not self.in_flight:
             return math.inf
-        now, oldest = self.loop.now, self.out[0]
+        now, oldest = self.loop.now, self.in_flight[0]
         # A core so busy that every timer is late must not put the end off for ever.
         stalled = min(MOST_STALLED, self.loop.stalled - oldest.stalled)
-        silent_at = max(oldest.at, self.heard) + SILENT + stalled
+        silent_at = max(oldest.at, self.last_echo_at) + SILENT + stalled
         if now >= silent_at:
             return now
         if now < oldest.at + MISSING:
             return oldest.at + MISSING
-        self.shared.echo_took(handle, self.name, oldest, now)
+        self.shared.report_echo(handle, self.endpoint, oldest, now)
         return min(silent_at, now + LATE_AGAIN)
 
     def read_load(self, handle: SessionHandle, line: memoryview) -> None:
-        load = told_figure(rest(line))
+        load = parse_measurement(rest(line))
         if load is None:
-            self.shared.malformed("LOAD without a figure", bytes(line))
+            self.shared.report_malformed("LOAD without a figure", bytes(line))
         else:
             handle.report_load(load / 1e6)  # told in microseconds of work a second
 
     def move(self, handle: SessionHandle, why: str, end: AttemptOutcome, started: float) -> None:
         """MOVE goes between two lines: only whole lines are ever put into the client's buffer."""
-        self.counters.must(self.open and not self.end, "only an open connection is moved")
+        self.counters.must(self.is_open and not self.end_reason, "only an open connection is moved")
         self.counters.add(f"clients {why}")
         self.client.write(b"MOVE\r\n")
         self.client.finish()
         if self.server:
             self.server.finish()
-        self.end = why
+        self.end_reason = why
         if end is AttemptOutcome.CANCELLED:
             handle.report_gone()  # ended by this proxy, not by its server: it says nothing of that
         handle.report(end, self.loop.now - started, True)
@@ -652,9 +681,9 @@
     def finish_with(self, handle: SessionHandle, end: AttemptOutcome, started: float) -> None:
         """The server has ended it: the client's side ends the same way, after the last bytes."""
         self.counters.add(f"connections {end.value}")
-        self.end = end.value
+        self.end_reason = end.value
         server = self.server
-        if server is not None and server.broken and end is AttemptOutcome.RESET and not self.client.out:
+        if server is not None and server.broken and end is AttemptOutcome.RESET and not self.client.outgoing:
             self.client.reset()
         else:
             self.client.finish()
@@ -664,9 +693,9 @@
 
     def client_left(self, handle: SessionHandle, started: float) -> None:
         self.counters.add("connections ended by the client")
-        self.end = "client left"
-        if half := self.client.inbox.rest():
-            self.shared.malformed(f"half a line of {len(half)} bytes")
+        self.end_reason = "client left"
+        if half := self.client.inbox.take_rest():
+            self.shared.report_malformed(f"half a line of {len(half)} bytes")
         if self.server is not None:
             self.server.write(half)
             if self.client.broken:
--- a/onyxhollow/wire/tables.py
+++ b/onyxhollow/wire/tables.py
@@ -9,13 +9,13 @@
 Item = TypeVar("Item")
 
 
-class Addresses:
+class EndpointAddresses:
     """Where each server is dialled from here. An address differs from proxy to proxy and may change."""
 
     def __init__(self) -> None:
         self.known: dict[str, Address] = {}
 
-    def learn(self, name: str, address: Address) -> None:
+    def store(self, name: str, address: Address) -> None:
         self.known[name] = address
 
     def find(self, name: str) -> Address | None:
@@ -29,29 +29,29 @@
     def __init__(self) -> None:
         self.live: dict[Item, None] = {}
         self.idle: dict[Item, None] = {}
-        self.names: dict[str, None] = {}
+        self.seen_ids: dict[str, None] = {}
 
     def add(self, item: Item) -> None:
         self.live[item] = None
 
-    def waits(self, item: Item) -> None:
+    def mark_idle(self, item: Item) -> None:
         self.idle.setdefault(item)
 
-    def asked(self, item: Item) -> None:
+    def mark_active(self, item: Item) -> None:
         self.idle.pop(item, None)
 
-    def take(self, name: str) -> bool:
+    def claim_id(self, name: str) -> bool:
         """False if a session of this name is open or was of late."""
-        if name in self.names:
+        if name in self.seen_ids:
             return False
-        self.names[name] = None
-        if len(self.names) > NAMES:
-            del self.names[next(iter(self.names))]
+        self.seen_ids[name] = None
+        if len(self.seen_ids) > NAMES:
+            del self.seen_ids[next(iter(self.seen_ids))]
         return True
 
     def remove(self, item: Item) -> None:
         del self.live[item]
-        self.asked(item)
+        self.mark_active(item)
 
     def longest_idle(self) -> Item | None:
         return next(iter(self.idle), None)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
 from onyxhollow.lifecycle.config import Config
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.policy import Balancer
-from onyxhollow.wire.discovery import read_list
+from onyxhollow.wire.endpoint_list_watch import decode_endpoint_list
 from onyxhollow.wire.remote_clock import RemoteClock
 
 CALLS = Listener("calls", handshake_objective=0.3, attempt_timeout=2.0, message_objective=0.1)
@@ -145,12 +145,12 @@
             ("127.0.0.1", self.list.port),
             management,
             seed=5,
-            sockets=sockets,
-            memory=64 << 20,
-            known=read_list(told, RemoteClock(), 0.0),
+            max_sockets=sockets,
+            memory_bytes=64 << 20,
+            known=decode_endpoint_list(told, RemoteClock(), 0.0),
             settings=settings,
-            connect_time=0.25,
-            probe_time=0.3,
+            connect_timeout=0.25,
+            health_check_timeout=0.3,
         )
         reader, writer = os.pipe()
         os.set_blocking(writer, False)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from onyxhollow.wire.discovery import read_list
+from onyxhollow.wire.endpoint_list_watch import decode_endpoint_list
 from onyxhollow.wire.remote_clock import RemoteClock
 
 HOUR = 3600.0
@@ -26,7 +26,7 @@
 
 
 def starts(clock, now, *rows):
-    return [entry.started_at for entry in read_list(whole(1, *rows), clock, now).entries]
+    return [entry.started_at for entry in decode_endpoint_list(whole(1, *rows), clock, now).endpoints]
 
 
 def test_in_the_first_lists_a_server_is_so_much_older_than_the_latest_start():
@@ -98,8 +98,8 @@
 def test_a_successor_takes_over_the_ages_that_the_one_before_it_has_read():
     old, new = RemoteClock(), RemoteClock()
     starts(old, 100.0, row("a", 5000.0))
-    new.take_over(json.loads(json.dumps(old.starts)))
+    new.restore(json.loads(json.dumps(old.starts)))
     assert starts(new, 160.0, row("a", 5000.0), row("b", 5060.0)) == [100.0, 160.0]
     for broken in ({"a": 4}, {"a": ["x", 1.0]}, {"a": [1.0]}):
         with pytest.raises((TypeError, ValueError)):
-            new.take_over(broken)
+            new.restore(broken)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,8 @@
 
 from onyxhollow.interface import DeduplicationScope, Idempotency
 from onyxhollow.lifecycle.proxy import OWN, Proxy
-from onyxhollow.wire import discovery, sessions
+from onyxhollow.wire import endpoint_list_watch as discovery
+from onyxhollow.wire import session_registry as sessions
 from onyxhollow.wire.channel import Channel
 
 PATIENT = replace(CALLS, handshake_objective=4.0, attempt_timeout=4.0)
@@ -49,7 +50,7 @@
     def make(servers="ab", listeners=None, **changes):
         proxy = loopback(servers, known=False, listeners=listeners or {"calls": PATIENT}, **changes)
         proxy.toys[servers[0]] = LateToy()
-        proxy.proxy.sessions.servers.connect_time = 3.0
+        proxy.proxy.sessions.attempts.connect_timeout = 3.0
         body = json.dumps({"seq": 8, "whole": True, "hosts": [proxy.row(servers[0])]}).encode()
         proxy.answer_list(body)
         proxy.until(lambda: proxy.proxy.discovery.version == 8)
@@ -119,14 +120,14 @@
     # Its end stood unread in the system's buffer, and the line went out after it.
     proxy = loopback()
     client = proxy.open()
-    begun = Channel.dial.__func__
+    begun = Channel.connect.__func__
 
     def leave_then_dial(cls, *values):
         if values[1][1] == proxy.toys["a"].port:
             client.sock.close()
         return begun(cls, *values)
 
-    monkeypatch.setattr(Channel, "dial", classmethod(leave_then_dial))
+    monkeypatch.setattr(Channel, "connect", classmethod(leave_then_dial))
     proxy.until(lambda: proxy.counts["clients gone before an answer"] == 1)
     assert proxy.counts["dials"] == 1 and not proxy.counts["dials written whole"]
     proxy.until(lambda: proxy.toys["a"].accept())
@@ -190,7 +191,7 @@
     left = time.monotonic()
     if how == "half-close":  # it was closed with no answer: read, it was owed one
         proxy.until(lambda: client.read() == REFUSED and client.end)
-    proxy.until(lambda: not proxy.proxy.sessions.taken)
+    proxy.until(lambda: not proxy.proxy.sessions.active_count)
     assert time.monotonic() - left < 0.1
     proxy.answer_list(json.dumps({"seq": 8, "whole": True, "hosts": [proxy.row("a")]}).encode())
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
@@ -277,13 +278,13 @@
     live.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     line = b"m" + b"x" * 4000 + b"\r\n"
     server.sock.settimeout(0.01)
-    while not live.client.out:
+    while not live.client.outgoing:
         try:
             server.sock.sendall(line)
         except TimeoutError:
             proxy.idle(0.01)
-    live.handle.decisions.move(live.handle)
-    proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.leaving)
+    live.handle.decisions.migrate(live.handle)
+    proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.closing)
     monkeypatch.setattr(sessions, "YOUNG", 0.0)
     others = [proxy.client(b"PING\r\n") for _ in range(40)]
     proxy.until(lambda: sum(bool(peer.read() and peer.end) for peer in others) > 20)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -21,8 +21,8 @@
 from onyxhollow.interface import Idempotency
 from onyxhollow.lifecycle.config import ConfigError
 from onyxhollow.lifecycle.proxy import OWN
-from onyxhollow.wire import sessions
-from onyxhollow.wire.buffers import BufferPool, LineBuffer, LongLineError
+from onyxhollow.wire import session_registry as sessions
+from onyxhollow.wire.buffers import BufferPool, LineBuffer, LineTooLongError
 from onyxhollow.wire.channel import Channel
 
 BOTH = {"calls": CALLS, "once": replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)}
@@ -129,9 +129,9 @@
             server.sock.sendall(line)
         except TimeoutError:
             proxy.idle(0.01)
-            if live.client.full:
+            if live.client.is_full:
                 break
-    assert live.client.out and len(live.client.out) < 100_000  # bounded: the server is not read on
+    assert live.client.outgoing and len(live.client.outgoing) < 100_000  # bounded: the server is not read on
     live.handle.sess.balancer.host.migrate(live.handle)
     proxy.until(lambda: not proxy.proxy.sessions.table.live)
     proxy.until(lambda: client.read().endswith(b"MOVE\r\n") and client.end == "closed")
@@ -291,7 +291,7 @@
     came = time.monotonic()
     proxy.until(lambda: all(peer.read() is not None and peer.end for peer in silent + bad), within=2.9)
     assert time.monotonic() - came > 1.0 and [peer.got for peer in bad] == [b"ERR\r\n"] * 2
-    proxy.until(lambda: proxy.proxy.pool.open <= 1)  # none of them keeps a descriptor
+    proxy.until(lambda: proxy.proxy.pool.open_connections <= 1)  # none of them keeps a descriptor
 
 
 def test_more_bytes_while_a_dial_is_out_end_it_and_say_nothing_of_its_server(loopback):
@@ -330,7 +330,7 @@
     server.say(b"UP r1\r\n")
     proxy.until(lambda: client.read() == b"UP r1\r\n" and bad.read() == b"ERR\r\n" and bad.end)
     assert left <= 0 and proxy.counts["malformed lines"] == 1
-    proxy.until(lambda: not proxy.proxy.pool.leaving)
+    proxy.until(lambda: not proxy.proxy.pool.closing)
 
 
 def test_a_flood_to_a_server_that_brings_nothing_back_is_not_read_on(loopback):
@@ -342,13 +342,13 @@
             client.say(b"\r\n" * 4000)
         proxy.idle(0.005)
         server.read()
-    assert len(live.out) <= sessions.MOST_OUT and len(server.got) < 10_000
+    assert len(live.in_flight) <= sessions.MOST_OUT and len(server.got) < 10_000
 
 
 def test_lines_of_the_log_that_bad_clients_cause_are_limited_and_all_are_counted(loopback):
     proxy = loopback()
     for _ in range(500):
-        proxy.proxy.sessions.malformed("rubbish")
+        proxy.proxy.sessions.report_malformed("rubbish")
     proxy.proxy.print_counters()
     rows = [json.loads(row) for row in os.read(proxy.log_reader, 1 << 20).splitlines()]
     assert 100 <= sum(row["event"] == "malformed" for row in rows) <= 110
@@ -433,7 +433,7 @@
 
     proxy = loopback(health_checks=True, health_check_price=0.01, load_field="x0")
     client = proxy.open()
-    monkeypatch.setattr(Channel, "dial", none_left)
+    monkeypatch.setattr(Channel, "connect", none_left)
     proxy.until(lambda: client.read() == b"BUSY\r\n")
     proxy.until(lambda: proxy.counts["probes without a descriptor"])
     assert proxy.counts["dials not sent"] == 2 and proxy.proxy.decisions.balancer.servers["a"].distrust == 0.0
@@ -442,11 +442,19 @@
 def test_shares_of_few_descriptors_and_little_memory_are_taken_anew_by_a_reload(loopback):
     proxy = loopback(sockets=1036)
     inner = proxy.proxy
-    assert (inner.sessions.descriptors, inner.accepts_to, inner.probes.most) == (896, 960, 64)
-    proxy.config = replace(proxy.config, sockets=268, memory=32 << 20)
+    assert (inner.sessions.connection_limit, inner.accepts_to, inner.health_checker.max_connections) == (
+        896,
+        960,
+        64,
+    )
+    proxy.config = replace(proxy.config, max_sockets=268, memory_bytes=32 << 20)
     inner.reload()
-    assert (inner.sessions.descriptors, inner.accepts_to, inner.probes.most) == (224, 240, 32)
-    assert inner.pool.full == 16384
+    assert (inner.sessions.connection_limit, inner.accepts_to, inner.health_checker.max_connections) == (
+        224,
+        240,
+        32,
+    )
+    assert inner.pool.high_water_mark == 16384
 
 
 def test_no_descriptor_at_all_does_not_spin_and_accepting_goes_on_later(loopback, monkeypatch):
@@ -496,10 +504,10 @@
     loopback, monkeypatch
 ):
     monkeypatch.setattr("onyxhollow.policy.Random.uniform", lambda self, low, high: high)
-    monkeypatch.setattr("onyxhollow.wire.discovery.Random.random", lambda self: 0.5)
+    monkeypatch.setattr("onyxhollow.wire.endpoint_list_watch.Random.random", lambda self: 0.5)
     proxy, new = loopback(), Toy()
     proxy.until(lambda: proxy.list.asked())
-    proxy.proxy.discovery.ask()  # while the call is out: not followed at once when it fails
+    proxy.proxy.discovery.poll()  # while the call is out: not followed at once when it fails
     proxy.answer_list(b"", b"503 No")
     proxy.until(lambda: proxy.counts["list failures"] == 1)
     proxy.idle(0.2)
@@ -543,7 +551,7 @@
 @pytest.mark.parametrize("load", [b"nan", b"-3", b"inf", b"1e999", b"x"])
 def test_a_load_that_is_none_is_not_taken_for_one(loopback, load):
     proxy = loopback(health_checks=True, load_field="x0")
-    proxy.proxy.probes.probe("a")
+    proxy.proxy.health_checker.start_check("a")
     proxy.until(lambda: proxy.toys["a"].asked()).say(b"PONG x0=" + load + b"\r\n")
     proxy.until(lambda: proxy.counts["probes ok"] == 1)
     assert proxy.proxy.decisions.balancer.servers["a"].load_at == -math.inf
@@ -581,7 +589,7 @@
 
 
 def test_a_list_that_says_nothing_is_given_up_in_time(loopback, monkeypatch):
-    monkeypatch.setattr("onyxhollow.wire.discovery.ANSWER", 0.2)
+    monkeypatch.setattr("onyxhollow.wire.endpoint_list_watch.ANSWER", 0.2)
     proxy = loopback(max_poll_interval=0.6)
     proxy.until(lambda: proxy.list.asked())
     proxy.until(lambda: proxy.counts["list failures"] == 1)
@@ -660,7 +668,7 @@
     def bad():
         raise ConfigError("config.json: not JSON")
 
-    proxy.proxy.read_again = bad
+    proxy.proxy.reread_config = bad
     proxy.proxy.reload()
     proxy.answer_list(LIST, toy=toys[2])
     proxy.until(lambda: b"index=8" in toys[2].peers[0].read())
@@ -716,7 +724,7 @@
     def bad():
         raise ConfigError("config.json: setting weightKind: expected text, got 4")
 
-    proxy.proxy.read_again, before = bad, proxy.proxy.config
+    proxy.proxy.reread_config, before = bad, proxy.proxy.config
     proxy.proxy.reload()
     assert proxy.proxy.config is before and proxy.counts["reloads refused"] == 1
     assert proxy.counts["settings taken over"] == 2
@@ -741,9 +749,9 @@
     server.say(b"PONG qps=3,x0=0.5\r\n")
     balancer = proxy.proxy.decisions.balancer
     proxy.until(lambda: balancer.servers["a"].load == 0.5)
-    assert list(proxy.proxy.probes.standing) == ["a"]
+    assert list(proxy.proxy.health_checker.connections) == ["a"]
     server.sock.close()
-    proxy.until(lambda: not proxy.proxy.probes.standing)
+    proxy.until(lambda: not proxy.proxy.health_checker.connections)
 
 
 def test_a_late_answer_to_a_probe_is_not_taken_for_the_next_ones(loopback):
@@ -872,8 +880,8 @@
     box = LineBuffer(pool)
 
     def read(data):
-        box.space()[: len(data)] = data
-        box.filled(len(data))
+        box.free_space()[: len(data)] = data
+        box.commit(len(data))
 
     read(b"one\r\ntwo\r")
     line = box.line()
@@ -889,7 +897,7 @@
     read(b"x" * 4095)
     assert box.line() is None
     read(b"xx")
-    with pytest.raises(LongLineError):
+    with pytest.raises(LineTooLongError):
         box.line()
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -22,9 +22,9 @@
 from onyxhollow.lifecycle.handover import Handover, StateError, decode_state, encode_state, given_socket
 from onyxhollow.management import metrics
 from onyxhollow.state_snapshot import avoided, describe, take_back
-from onyxhollow.wire import sessions
+from onyxhollow.wire import session_registry as sessions
 from onyxhollow.wire.channel import ListenError
-from onyxhollow.wire.passing import Receiver
+from onyxhollow.wire.handoff_channel import HandoffReceiver
 
 OPERATORS = ("127.0.0.1", 0)
 BOTH = {"calls": CALLS, "once": replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)}
@@ -84,8 +84,11 @@
     crowd = [proxy.operator(READY) for _ in range(200)]
     caller = proxy.operator(READY + END)
     proxy.until(lambda: caller.read(), within=1.0)
-    assert b" 200 " in caller.got and proxy.proxy.management.pool.open <= proxy.proxy.management.most
-    assert not proxy.proxy.pool.open  # none of it is counted among the sessions' connections
+    assert (
+        b" 200 " in caller.got
+        and proxy.proxy.management.pool.open_connections <= proxy.proxy.management.max_connections
+    )
+    assert not proxy.proxy.pool.open_connections  # none of it is counted among the sessions' connections
     proxy.until(lambda: sum(bool(peer.read() == b"" and peer.end) for peer in crowd) >= 150)
 
 
@@ -96,7 +99,7 @@
     left.sock.shutdown(socket.SHUT_WR)
     proxy.until(lambda: whole.read() and whole.end and not left.read() and left.end)
     assert b" 200 " in whole.got and not half.end
-    (caller,) = proxy.proxy.management.callers
+    (caller,) = proxy.proxy.management.pending
     caller.came -= 5.0
     proxy.proxy.management.sweeper.wake()
     proxy.until(lambda: not half.read() and half.end)
@@ -310,14 +313,16 @@
     proxy.until(lambda: other.asked()).say(b"UP r\r\n")  # its second dial, which new ones no longer have
     proxy.until(lambda: dialling.read() == b"UP r\r\n")
     on_its_way = proxy.open("calls")
-    proxy.until(lambda: proxy.proxy.sessions.taken == 2)
+    proxy.until(lambda: proxy.proxy.sessions.active_count == 2)
     for live in proxy.proxy.sessions.table.live:
         assert live.handle.sess.listener is CALLS
-    monkeypatch.setattr(sessions.Sessions, "listener", lambda self, name: self.listeners.get(name))
+    monkeypatch.setattr(
+        sessions.SessionRegistry, "find_listener", lambda self, name: self.listeners.get(name)
+    )
     too_late = proxy.open("calls")
     proxy.until(lambda: too_late.read() == b"ERR\r\n")
     assert not on_its_way.read() and read_figures(proxy.ask("counters")[1])["lb_success_total", "calls"] == 1
-    proxy.proxy.read_again = lambda: read_config("/nowhere")
+    proxy.proxy.reread_config = lambda: read_config("/nowhere")
     proxy.proxy.reload()
     told = read_figures(proxy.ask("counters")[1])
     assert (told["lb_reconfig_ok_total", None], told["lb_reconfig_failed_total", None]) == (1, 1)
@@ -440,11 +445,16 @@
     old, new = overlap.start(), overlap.start()
     third = Handover(str(tmp_path))
     assert not old.proxy.handover.follows and new.proxy.handover.follows
-    assert third.alone and not third.follows and not third.heard() and not third.move_up()
+    assert (
+        third.has_no_role
+        and not third.follows
+        and not third.successor_announcement()
+        and not third.take_over()
+    )
     with pytest.raises(OSError):
         Handover(str(tmp_path / "nowhere"))
     (tmp_path / "onyxhollow-successor").write_bytes(b'{"version": 1, "state"')
-    assert old.proxy.handover.heard() == {}
+    assert old.proxy.handover.successor_announcement() == {}
 
 
 def test_a_descriptor_that_is_no_listening_socket_is_refused(tmp_path):
@@ -507,7 +517,9 @@
         overlap.running.remove(new)  # never turned again: it has the messages, and answers none
         monkeypatch.setattr(proxies, "STOP_MARGIN", 2.6)
     else:
-        monkeypatch.setattr(proxies.Handover, "heard", lambda _: {"state": "taking", "path": "/nowhere"})
+        monkeypatch.setattr(
+            proxies.Handover, "successor_announcement", lambda _: {"state": "taking", "path": "/nowhere"}
+        )
     old.proxy.loop.spawn(old.proxy.stop())
     overlap.until(lambda: all(c.read() == b"MOVE\r\n" and c.end == "closed" for c in clients), within=3.5)
     assert not old.counts["connections passed on"]
@@ -533,15 +545,15 @@
     list(live.pass_on(live.handle, SimpleNamespace(send=lambda record, *_: sent.append(record)), 0.0))
     record = orjson.loads(orjson.dumps({"version": 1, "number": 7, **sent[0]}))
     record["line"] = record["line"].replace("OPEN 9b1f1", "OPEN 9b1f2")
-    receiver = Receiver.__new__(Receiver)
-    receiver.loop, receiver.take = proxy.proxy.loop, proxy.proxy.sessions.receive
+    receiver = HandoffReceiver.__new__(HandoffReceiver)
+    receiver.loop, receiver.take = proxy.proxy.loop, proxy.proxy.sessions.accept_handoff
     text = json.dumps({**record, **change}).encode()
     for message in (text, json.dumps(record).encode()[:-9], b""):
         ends = socket.socketpair()
-        assert receiver.taken(message, [end.detach() for end in ends]).endswith(b" refused")
+        assert receiver.answer_for(message, [end.detach() for end in ends]).endswith(b" refused")
     assert len(proxy.proxy.sessions.table) == 1 and not client.end
     ends = socket.socketpair(), socket.socketpair()
-    assert receiver.taken(json.dumps(record).encode(), [pair[0].detach() for pair in ends]) == b"7 taken"
+    assert receiver.answer_for(json.dumps(record).encode(), [pair[0].detach() for pair in ends]) == b"7 taken"
 
 
 def test_a_hand_over_file_is_used_whole_or_not_at_all():
@@ -632,7 +644,7 @@
     client, server = proxy.standing()
     (live,) = proxy.proxy.sessions.table.live
     live.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    while not live.client.out:
+    while not live.client.outgoing:
         server.say(b"x" * 1000 + b"\r\n")
         proxy.proxy.loop.turn(0.001)
     proxy.ask("out-of-service", "POST")
@@ -672,4 +684,4 @@
     assert proxy.ask("in-service", "POST")[0] == proxy.ask("ready")[0] == 503
     assert read_figures(proxy.ask("counters")[1])["lb_inflight", None] == 5
     proxy.until(lambda: not proxy.proxy.loop.running, within=2.5)
-    assert all(client.read() == b"MOVE\r\n" for client in clients) and not proxy.proxy.sessions.taken
+    assert all(client.read() == b"MOVE\r\n" for client in clients) and not proxy.proxy.sessions.active_count
