--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -100,7 +100,7 @@
     proxy.until(lambda: whole.read() and whole.end and not left.read() and left.end)
     assert b" 200 " in whole.got and not half.end
     (caller,) = proxy.proxy.management.pending
-    caller.came -= 5.0
+    caller.accepted_at -= 5.0
     proxy.proxy.management.sweeper.wake()
     proxy.until(lambda: not half.read() and half.end)
 
