--- a/onyxhollow/fleet/advertise.py
+++ b/onyxhollow/fleet/advertise.py
@@ -57,7 +57,8 @@
 from onyxhollow.policy import Pace
 from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import Channel
-from onyxhollow.wire.endpoint_list_watch import DiscoveryConnection, DiscoveryStatusError, EndpointListError
+from onyxhollow.wire.discovery_connection import DiscoveryConnection, DiscoveryStatusError
+from onyxhollow.wire.endpoint_list import EndpointListError
 
 if TYPE_CHECKING:
     from onyxhollow.fleet.node import Node
--- a/onyxhollow/fleet/gate.py
+++ b/onyxhollow/fleet/gate.py
@@ -55,8 +55,9 @@
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.loop import Loop
 from onyxhollow.management.api import PLAIN, Answer, Management
-from onyxhollow.wire.buffers import LONGEST_LINE, BufferPool
-from onyxhollow.wire.channel import Channel, ListenError
+from onyxhollow.wire.buffers import MAX_LINE_SIZE, BufferPool
+from onyxhollow.wire.channel import Channel
+from onyxhollow.wire.listening import ListenError
 
 TAKES = 3.0  # seconds for the daemon to answer a command
 AGAIN = 0.3  # seconds until its socket is tried again
@@ -298,7 +299,7 @@
             command = self.table.command(name)
             channel.write(command.encode() + b"\n")
             got, until = b"", self.loop.now + TAKES
-            while b"\n" not in got and len(got) < LONGEST_LINE:  # ends with a bare LF, as its API does
+            while b"\n" not in got and len(got) < MAX_LINE_SIZE:  # ends with a bare LF, as its API does
                 got += channel.inbox.take_rest()
                 channel.set_paused(False)
                 if b"\n" not in got:
--- a/onyxhollow/fleet/lists.py
+++ b/onyxhollow/fleet/lists.py
@@ -13,7 +13,7 @@
 from onyxhollow.fleet import clock, telling
 from onyxhollow.interface import EndpointListKind
 from onyxhollow.membership.swim import Member
-from onyxhollow.wire.endpoint_list_watch import EndpointListError, decode_endpoint_list
+from onyxhollow.wire.endpoint_list import EndpointListError, decode_endpoint_list
 
 if TYPE_CHECKING:
     from onyxhollow.fleet.node import Node
@@ -165,7 +165,7 @@
         if isinstance(told, telling.Doubt):
             if told.version > self.discovery.version and told.version > self.teller.doubted:
                 self.teller.doubted = told.version
-                self.discovery.switch_to(self.discovery.address, anew=True)
+                self.discovery.switch_to(self.discovery.address, resync=True)
             return
         if now - self.answered.get(member.name, -math.inf) >= WANTS_EVERY:
             self.answered[member.name] = now
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -41,7 +41,7 @@
 from onyxhollow.membership.messages import LARGEST, MemberState, Update
 from onyxhollow.membership.seal import DatagramAuthenticator
 from onyxhollow.membership.swim import Member, SwimMembership
-from onyxhollow.wire.channel import ListenError
+from onyxhollow.wire.listening import ListenError
 
 HOLDS, VOTES = 1, 2  # flags of a member: may hold duties; has a voter's memory
 DUTIES = 1  # kind of what is carried, beside LIST
--- a/onyxhollow/fleet/works.py
+++ b/onyxhollow/fleet/works.py
@@ -14,7 +14,8 @@
 from onyxhollow.loop import Loop, Task
 from onyxhollow.membership.messages import Address
 from onyxhollow.wire.buffers import BufferPool
-from onyxhollow.wire.endpoint_list_watch import DiscoveryConnection, DiscoveryStatusError, EndpointListError
+from onyxhollow.wire.discovery_connection import DiscoveryConnection, DiscoveryStatusError
+from onyxhollow.wire.endpoint_list import EndpointListError
 
 ANSWER = 1.0  # seconds for a called address to answer
 
--- a/onyxhollow/lifecycle/config.py
+++ b/onyxhollow/lifecycle/config.py
@@ -12,14 +12,14 @@
 
 from onyxhollow.interface import Settings
 from onyxhollow.settings import WireError, read_settings, rows, seconds, section, text, whole
-from onyxhollow.wire.endpoint_list_watch import (
+from onyxhollow.wire.endpoint_addresses import Address
+from onyxhollow.wire.endpoint_list import (
     EndpointList,
     EndpointListError,
     decode_address,
     decode_endpoint_list,
 )
 from onyxhollow.wire.remote_clock import RemoteClock
-from onyxhollow.wire.tables import Address
 
 
 class ConfigError(ValueError):
--- a/onyxhollow/lifecycle/handover.py
+++ b/onyxhollow/lifecycle/handover.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from onyxhollow.wire.channel import ListenError
+from onyxhollow.wire.listening import ListenError
 
 VERSION = 2  # of what stands in the files; another's is not read
 STARTING, TAKING, STOPPING = "starting", "taking", "stopping"  # what a successor says
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -12,6 +12,8 @@
 import sys
 import traceback
 from collections.abc import Callable, Generator
+from functools import partial
+from random import Random
 from typing import Protocol
 
 from onyxhollow.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
@@ -25,19 +27,17 @@
 from onyxhollow.management import metrics
 from onyxhollow.management.api import PLAIN, Answer, Management
 from onyxhollow.service_state import ServicePhase, ServiceState
-from onyxhollow.wire.buffers import BufferPool
-from onyxhollow.wire.channel import ListenError, listen_socket
-from onyxhollow.wire.endpoint_list_watch import (
-    EndpointList,
-    EndpointListWatch,
-    decode_endpoint_list,
-    watch_wait,
-)
+from onyxhollow.wire.buffers import BUFFER_SIZE, BufferPool
+from onyxhollow.wire.client_session import accept_connection, accept_handoff
+from onyxhollow.wire.endpoint_addresses import EndpointAddresses
+from onyxhollow.wire.endpoint_list import EndpointList, decode_endpoint_list
+from onyxhollow.wire.endpoint_list_watch import EndpointListWatch, WatchTerms
 from onyxhollow.wire.handoff_channel import HandoffReceiver, HandoffSender
 from onyxhollow.wire.health_checks import HealthChecker
-from onyxhollow.wire.session_registry import SessionRegistry, turn_away
+from onyxhollow.wire.listening import ListenError, listen_socket
+from onyxhollow.wire.network_context import NetworkContext
+from onyxhollow.wire.session_registry import BUSY, SessionRegistry, SessionSettings
 from onyxhollow.wire.system_errors import LOST_IN_ACCEPT, Fault, fault_of
-from onyxhollow.wire.tables import EndpointAddresses
 
 ACCEPTS = 64  # connections taken in one turn of the loop, so that those open are not kept waiting
 OWN = 12  # descriptors that are no connections: the loop's, the listener, standard ones, signals, the file
@@ -60,6 +60,17 @@
 AWAY_HELD = 0.2  # seconds past it for which one that reads nothing is held
 
 
+def turn_away(sock: socket.socket) -> None:
+    """Refuses a connection that nothing can be kept for: at once, with its line read, as closed over unread
+    bytes it would be reset and the answer lost."""
+    with contextlib.suppress(OSError):
+        sock.setblocking(False)
+        sock.send(BUSY)
+        sock.shutdown(socket.SHUT_WR)
+        sock.recv(BUFFER_SIZE)
+    sock.close()
+
+
 class Part(Protocol):
     """Something beside the sessions that this process carries: told what it may need to know."""
 
@@ -94,29 +105,19 @@
         settings = config.settings
         for name, address in config.known.addresses.items():
             self.addresses.store(name, address)
+        context = NetworkContext(self.loop, self.pool, self.counters, self.addresses, self.log.event)
         self.discovery = EndpointListWatch(
-            self.loop,
-            self.pool,
-            self.counters,
+            context,
             config.discovery,
-            wait=watch_wait(settings.max_poll_interval, settings.instance_count),
+            WatchTerms.of(settings),
             clock=config.clock,
             version=config.known.version,
-            pushed=not settings.list_is_polled,
-            addresses=self.addresses,
-            told=self.on_endpoint_list,
-            log=self.log.event,
-            seed=config.seed,
-            soon=follows,
+            on_update=self.on_endpoint_list,
+            rng=Random(config.seed),
+            answer_at_once=follows,
         )
         self.health_checker = HealthChecker(
-            self.loop,
-            self.pool,
-            self.counters,
-            self.addresses,
-            settings.load_field,
-            config.health_check_timeout,
-            told=self.on_health_check,
+            context, settings.load_field, config.health_check_timeout, on_result=self.on_health_check
         )
         self.decisions = DecisionAdapter(
             lambda: self.loop.now,
@@ -129,17 +130,7 @@
         )
         self.decisions.report_list(EndpointListKind.CACHED, config.known.endpoints)
         self.sessions = SessionRegistry(
-            self.loop,
-            self.pool,
-            self.counters,
-            self.addresses,
-            self.decisions,
-            settings.listeners,
-            settings.tenants,
-            settings.load_field,
-            config.connect_timeout,
-            self.service,
-            self.log.event,
+            context, self.decisions, self.service, SessionSettings.of(settings, config.connect_timeout)
         )
         self.parts: list[Part] = []
         self.routes: dict[str, dict[str, Callable[[str], Answer]]] = {
@@ -323,7 +314,7 @@
             sock.setblocking(False)
             with contextlib.suppress(OSError):  # reset already: reading it will tell
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.sessions.accept(sock)
+            accept_connection(self.sessions, sock)
         except OSError:
             self.counters.add("connections refused for want of room")
             turn_away(sock)
@@ -411,7 +402,10 @@
     def receive(self, handover: Handover) -> HandoffReceiver | None:
         try:
             return HandoffReceiver(
-                self.loop, handover.handoff_path, self.sessions.accept_handoff, self.decisions.all_adopted
+                self.loop,
+                handover.handoff_path,
+                partial(accept_handoff, self.sessions),
+                self.decisions.all_adopted,
             )
         except OSError as error:  # a path too long, perhaps: its clients are moved then
             self.log.event("nothing passed on", why=str(error))
@@ -506,19 +500,16 @@
         if changed:
             self.counters.add("settings taken over")
             self.apply_settings(fresh)
-        self.discovery.switch_to(fresh.discovery, anew=changed)
+        self.discovery.switch_to(fresh.discovery, resync=changed)
 
     def apply_settings(self, config: Config) -> None:
         """Other settings, between two turns of the loop: no session sees half of them. Those taken before
         keep their listener's terms and their dials; the list is asked for whole: its weights may mean another
         thing now."""
         settings = config.settings
-        self.sessions.apply_settings(
-            settings.listeners, settings.tenants, settings.load_field, config.connect_timeout
-        )
+        self.sessions.apply_settings(SessionSettings.of(settings, config.connect_timeout))
         self.health_checker.apply_settings(settings.load_field, config.health_check_timeout)
-        wait = watch_wait(settings.max_poll_interval, settings.instance_count)
-        self.discovery.apply_settings(wait, pushed=not settings.list_is_polled)
+        self.discovery.apply_settings(WatchTerms.of(settings))
         self.decisions.resettle(settings)
 
     def print_counters(self) -> None:
--- a/onyxhollow/management/api.py
+++ b/onyxhollow/management/api.py
@@ -11,9 +11,10 @@
 from onyxhollow.counters import Counters
 from onyxhollow.loop import READ, Loop, UrgentDescriptors
 from onyxhollow.wire.buffers import BufferPool
-from onyxhollow.wire.channel import Channel, listen_socket
+from onyxhollow.wire.channel import Channel
+from onyxhollow.wire.endpoint_addresses import Address
+from onyxhollow.wire.listening import listen_socket
 from onyxhollow.wire.system_errors import Fault, fault_of
-from onyxhollow.wire.tables import Address
 
 PATIENCE = 5.0  # seconds for a whole call, and for its answer to be read
 LONGEST_HEAD, LONGEST_BODY = 16 * 1024, 64 * 1024  # bytes of a call
--- a/onyxhollow/wire/channel.py
+++ b/onyxhollow/wire/channel.py
@@ -10,18 +10,23 @@
 
 from onyxhollow.loop import READ, WRITE, Loop, UrgentDescriptors
 from onyxhollow.wire.buffers import BufferPool, ClosingConnection, LineBuffer
+from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.system_errors import SHORTAGE_PAUSE, Fault, fault_of
-from onyxhollow.wire.tables import Address
 
-LINGER = 0.5  # seconds of silence for which a closed one is drained: a reset would lose its last bytes
-DRAINED = 2.0  # seconds for which it is drained at the most, however much still comes
-SLOW_READER = 10.0  # seconds for the last bytes to go out to one that reads slowly
-THROWN = bytearray(64 * 1024)  # where bytes that nobody wants are read to
-THROWS = 8  # such reads in one turn of the loop: 60 MB must go by without keeping others waiting
-ABORT = struct.pack("ii", 1, 0)
+LINGER = 0.5  # seconds of silence for which a finished one is read: a reset would lose its last bytes
+MAX_LINGER = 2.0  # seconds for which it is read at the most, however much still comes
+FLUSH_TIMEOUT = 10.0  # seconds for the last bytes to go out to one that reads slowly
+DISCARD_BUFFER = bytearray(64 * 1024)  # where bytes that nobody wants are read to
+DISCARD_READS = 8  # such reads in one turn of the loop: 60 MB must go by without making others wait
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 
 
 class Channel:
+    """One connection, watched by the loop; OSError from the constructor if it can't be.
+
+    Its owner's `wake` is called after each change. The owner ends it by one of `close`, `reset` and `finish`.
+    """
+
     def __init__(
         self,
         loop: Loop | UrgentDescriptors,
@@ -30,15 +35,23 @@
         wake: Callable[[], None],
         connecting: bool = False,
     ) -> None:
-        self.loop, self.sock, self.fd, self.wake = loop, sock, sock.fileno(), wake
-        self.pool, self.inbox, self.outgoing = pool, LineBuffer(pool), bytearray()
-        self.connecting, self.paused = connecting, False
-        self.ended = self.broken = self.closed = self.flushed = (
-            False  # ended: told its end; broken: by a reset
-        )
-        self.draining, self.last_read_at = False, 0.0  # its bytes are thrown away; when the last of them came
-        self.backing_off = False  # this machine is short of something: it is not listened to for a moment
-        self.loop.watch(self.fd, self.events(), self.ready)  # OSError: no connection is made of it
+        self.loop = loop
+        self.sock = sock
+        self.fd = sock.fileno()
+        self.pool = pool
+        self.wake = wake
+        self.inbox = LineBuffer(pool)
+        self.outgoing = bytearray()  # what the system has not taken yet
+        self.connecting = connecting
+        self.paused = False  # not read on until its lines were used, or the other side takes more
+        self.ended = False  # the other side has ended its sending, or the connection broke
+        self.broken = False  # by a reset, or an error of a call on it
+        self.closed = False
+        self.flushed = False  # the system has once taken all that was written
+        self.discarding = False  # what is received is thrown away
+        self.last_read_at = 0.0  # while discarding: when the last of it came
+        self.backing_off = False  # this machine is short of something: it is not watched for a moment
+        self.loop.watch(self.fd, self.events(), self.ready)
         pool.open_connections += 1
 
     @classmethod
@@ -47,21 +60,24 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            begun = sock.connect_ex(address)
-            if begun not in (0, errno.EINPROGRESS, errno.EINTR):  # interrupted, it goes on by itself
-                raise OSError(begun, "connect")
+            result = sock.connect_ex(address)
+            if result not in (0, errno.EINPROGRESS, errno.EINTR):  # interrupted, it goes on by itself
+                raise OSError(result, "connect")  # noqa: TRY301 -- closed below, as for other errors
             return cls(loop, sock, pool, wake, connecting=True)
         except OSError:
             sock.close()
             raise
 
+    # watched by the loop
+
     def events(self) -> int:
-        """What is to be listened for."""
+        """What the loop is to watch for."""
         if self.connecting:
             return WRITE
         return (0 if self.ended or self.paused else READ) | (WRITE if self.outgoing else 0)
 
     def update_interest(self) -> None:
+        """Tells the loop what to watch for now."""
         if self.closed or self.backing_off:
             return
         try:
@@ -70,32 +86,38 @@
             self.back_off()
 
     def back_off(self) -> None:
-        """This machine is short of something: nothing is lost by it, and nothing known of the other side.
+        """Rests for a moment, as this machine is short of something.
 
-        Told again at once that the connection is ready, the loop would spin."""
+        Nothing is lost by it, and nothing known of the other side. If the loop reported the connection ready
+        again at once, it would spin.
+        """
         if not self.backing_off and not self.closed:
             self.backing_off = True
             self.loop.watch(self.fd, 0, None)
             self.loop.spawn(self.resume_at(self.loop.now + SHORTAGE_PAUSE))
 
     def resume_at(self, at: float) -> Generator[float, None, None]:
+        """Goes on after a moment's rest."""
         while self.loop.now < at:
             yield at
         self.backing_off = False
-        if not self.closed and not self.broken:
-            if not self.connecting:
-                self.flush()
-            self.update_interest()
+        if self.closed or self.broken:
+            return
+        if not self.connecting:
+            self.flush()
+        self.update_interest()
 
     def ready(self, events: int) -> None:
+        """The loop's callback: the connection came up, or something can be read or written."""
         if self.connecting:
-            stands = self.connection_result()
-            if stands is None:
+            is_up = self.connection_result()
+            if is_up is None:
                 self.back_off()
                 return
-            self.ended = self.broken = not stands
             self.connecting = False
-            if self.broken:
+            if not is_up:
+                self.ended = True
+                self.broken = True
                 self.loop.watch(self.fd, 0, None)
                 self.wake()
                 return
@@ -107,16 +129,20 @@
         self.update_interest()
 
     def connection_result(self) -> bool | None:
-        """Whether the connection stands, once the system has told that it does or has failed.
+        """Whether the connection is up, once the system has reported that it is or has failed.
 
-        None: the system can't say now."""
+        None if the system can't say now.
+        """
         try:
             return not self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as error:
             return None if fault_of(error) is Fault.SHORTAGE else False
 
+    # reading
+
     def read(self) -> None:
-        if self.draining:
+        """Reads once into the buffer; pauses if that is full of lines that were not used."""
+        if self.discarding:
             self.discard_input()
             return
         space = self.inbox.free_space()
@@ -137,30 +163,36 @@
         return count
 
     def on_read_error(self, fault: Fault) -> None:
+        """A read failed."""
         if fault is Fault.SHORTAGE:
             self.back_off()
         elif fault is not Fault.NOT_READY:
-            self.ended = self.broken = True
+            self.ended = True
+            self.broken = True
             self.outgoing.clear()
 
     def discard_input(self) -> None:
-        for _ in range(THROWS):
-            if not self.receive(THROWN, socket.MSG_TRUNC):  # TCP: not even copied
+        """Reads what has come and throws it away, up to half a megabyte."""
+        for _ in range(DISCARD_READS):
+            if not self.receive(DISCARD_BUFFER, socket.MSG_TRUNC):  # TCP: not even copied
                 return
             self.last_read_at = self.loop.now
 
     def line(self) -> memoryview | None:
+        """The next whole line, valid until the next read; LineTooLongError for one over 4 KiB."""
         return self.inbox.line()
 
     def set_paused(self, paused: bool) -> None:
-        """After its lines were used: gives an empty buffer back and reads on unless told to pause."""
+        """After its lines were used: gives an empty buffer back, and reads on unless it is to pause."""
         self.inbox.release()
         if paused != self.paused:
             self.paused = paused
             self.update_interest()
 
+    # writing
+
     def write(self, data: bytes | memoryview) -> None:
-        """Sends at once what goes; only the rest is copied."""
+        """Sends at once what the system takes; only the rest is copied."""
         if self.closed or self.broken:
             return
         if not self.outgoing and not self.connecting:
@@ -175,6 +207,7 @@
         self.update_interest()
 
     def flush(self) -> None:
+        """Sends what waits to be sent, as far as the system takes it."""
         if not self.outgoing:
             return
         sent = self.send(self.outgoing)
@@ -195,53 +228,64 @@
         return 0
 
     def on_write_error(self) -> None:
-        """A write failed. What the other side said before it went, BYE perhaps, is still there to be read."""
+        """A write failed. What the other side sent before it went, BYE perhaps, is still there to be read."""
         if not self.ended and not self.paused:
             self.read()
-        self.ended = self.broken = True
+        self.ended = True
+        self.broken = True
         self.outgoing.clear()
         self.loop.watch(self.fd, 0, None)
         self.wake()
 
     @property
     def is_full(self) -> bool:
+        """Whether so much waits to be sent that the other side is not read on."""
         return len(self.outgoing) > self.pool.high_water_mark
 
+    # ending
+
     def close(self) -> None:
-        if not self.closed:
-            self.loop.watch(self.fd, 0, None)
-            self.closed = self.ended = True
-            self.pool.open_connections -= 1
-            self.pool.closing.pop(self.fd, None)
-            self.inbox.discard()
-            self.sock.close()
+        """Closes it at once. With bytes unread the system resets the connection."""
+        if self.closed:
+            return
+        self.loop.watch(self.fd, 0, None)
+        self.closed = True
+        self.ended = True
+        self.pool.open_connections -= 1
+        self.pool.closing.pop(self.fd, None)
+        self.inbox.discard()
+        self.sock.close()
 
     def reset(self) -> None:
         """Ends it as one that broke."""
-        if not self.closed:
-            with contextlib.suppress(OSError):  # already gone
-                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
-            self.close()
+        if self.closed:
+            return
+        with contextlib.suppress(OSError):  # already gone
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        self.close()
 
-    def finish(self, patience: float = SLOW_READER) -> None:
-        """Ends it in order: what is to be written goes out, what still comes is read and thrown away. Closed
-        with bytes unread the system would reset it, and its last line would be lost on the way."""
-        if not self.closed:
-            self.draining, self.last_read_at = True, self.loop.now
-            self.pool.closing[self.fd] = ClosingConnection(
-                self.loop.now, self.close, lambda: bool(self.outgoing)
-            )
-            task = self.loop.spawn(self.drain(self.loop.now + patience))
-            self.wake = task.wake
+    def finish(self, timeout: float = FLUSH_TIMEOUT) -> None:
+        """Ends it in order: what is to be written goes out, what still comes is read and thrown away.
+
+        Closed with bytes unread the system would reset it, and its last line would be lost on the way.
+        """
+        if self.closed:
+            return
+        self.discarding = True
+        self.last_read_at = self.loop.now
+        self.pool.closing[self.fd] = ClosingConnection(self.loop.now, self.close, lambda: bool(self.outgoing))
+        self.wake = self.loop.spawn(self.drain(self.loop.now + timeout)).wake
 
     def drain(self, until: float) -> Generator[float, None, None]:
+        """Ends the sending once all is sent, then reads on until the other side is silent for a while."""
         shut = False
         try:
             while self.loop.now < until and not self.broken and not self.closed:
                 self.inbox.discard()
                 self.set_paused(False)
                 if not self.outgoing and not shut:
-                    shut, until = True, self.loop.now + DRAINED
+                    shut = True
+                    until = self.loop.now + MAX_LINGER
                     try:
                         self.sock.shutdown(socket.SHUT_WR)
                     except OSError:
@@ -251,20 +295,3 @@
                 yield min(until, self.last_read_at + LINGER) if shut else until
         finally:
             self.close()
-
-
-class ListenError(Exception):
-    """An address that can't be listened on."""
-
-
-def listen_socket(address: Address, what: str, backlog: int = 1024) -> socket.socket:
-    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    try:
-        sock.bind(address)
-        sock.listen(backlog)
-    except OSError as error:
-        sock.close()
-        host, port = address
-        raise ListenError(f"{what}: expected a free address, got {host}:{port}: {error.strerror}") from None
-    return sock
--- a/onyxhollow/wire/connection_handoff.py
+++ b/onyxhollow/wire/connection_handoff.py
@@ -1,29 +1,70 @@
-"""An open connection as it is passed on to another process of the same proxy."""
+"""An open connection as it is handed off to the process that succeeds this one."""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import Any
 
 from onyxhollow.interface import DeduplicationScope, Idempotency, Listener
-from onyxhollow.wire.buffers import SIZE
+from onyxhollow.wire.buffers import BUFFER_SIZE
 from onyxhollow.wire.messages import OpenRequest, parse_open_request
 
+BytePair = tuple[bytes, bytes]  # of the client's connection, and of the endpoint's
+
 
 @dataclass(frozen=True, slots=True)
 class ConnectionHandoff:
-    """All that an open connection takes along to another process. Both read one monotonic clock."""
+    """All that an open connection takes along to another process; both read one monotonic clock."""
 
     request: OpenRequest
-    listener: Listener  # with the terms that it was taken under
+    listener: Listener  # with the terms that the session was taken under
     endpoint: str
-    started_at: float
+    started_at: float  # seconds of the monotonic clock
     last_echo_at: float
-    in_flight: list[float]  # when lines went to the server that it has not brought back
+    in_flight: list[float]  # when lines were sent to the endpoint that it has not sent back
     load: float | None
-    final_word: bytes  # the server's word before its end, if it has said one
-    unread: tuple[bytes, bytes]  # from client and server, and not used yet
-    unsent: tuple[bytes, bytes]  # to client and server
+    final_word: bytes  # the endpoint's word before its end, if it has sent one
+    unread: BytePair  # received from the client and the endpoint, and not used yet
+    unsent: BytePair  # to be written to the client and the endpoint
+
+    def encode(self) -> dict[str, Any]:
+        """The record of the hand-off protocol; its keys are those that every version has used."""
+        return {
+            "line": self.request.line.decode("latin-1"),
+            "listener": encode_listener(self.listener),
+            "server": self.endpoint,
+            "started": self.started_at,
+            "heard": self.last_echo_at,
+            "out": self.in_flight,
+            "load": self.load,
+            "last": self.final_word.decode("latin-1"),
+            "read": [data.decode("latin-1") for data in self.unread],
+            "unsent": [data.decode("latin-1") for data in self.unsent],
+        }
+
+    @classmethod
+    def decode(cls, record: Mapping[str, Any]) -> ConnectionHandoff:
+        """Reads a record.
+
+        Raises:
+            MalformedError: Its OPEN line can't be read.
+            KeyError, TypeError, ValueError, AttributeError: Another field is missing or malformed.
+        """
+        listener = decode_listener(record["listener"])
+        load = record["load"]
+        return cls(
+            request=parse_open_request(record["line"].encode("latin-1")),
+            listener=listener,
+            endpoint=str(record["server"]),
+            started_at=float(record["started"]),
+            last_echo_at=float(record["heard"]),
+            in_flight=[float(at) for at in record["out"]],
+            load=None if load is None else float(load),
+            final_word=record["last"].encode("latin-1"),
+            unread=decode_unread(record["read"]),
+            unsent=decode_pair(record["unsent"]),
+        )
 
 
 def encode_listener(listener: Listener) -> dict[str, Any]:
@@ -40,8 +81,8 @@
     }
 
 
-def decode_listener(record: dict[str, Any]) -> Listener:
-    """The listener of a hand-off record. KeyError, TypeError or ValueError for one that is malformed."""
+def decode_listener(record: Mapping[str, Any]) -> Listener:
+    """The listener of a hand-off record; KeyError, TypeError or ValueError for one that is malformed."""
     return Listener(
         name=record["name"],
         handshake_objective=record["handshake_target"],
@@ -54,24 +95,15 @@
     )
 
 
-def read_carried(record: dict[str, Any]) -> ConnectionHandoff:
-    def pair(name: str) -> tuple[bytes, bytes]:
-        client, server = record[name]
-        if name == "read" and max(len(client), len(server)) > SIZE:
-            raise ValueError(f"read: over {SIZE} bytes")
-        return client.encode("latin-1"), server.encode("latin-1")
-
-    listener = decode_listener(record["listener"])
-    load = record["load"]
-    return ConnectionHandoff(
-        parse_open_request(record["line"].encode("latin-1")),
-        listener,
-        str(record["server"]),
-        float(record["started"]),
-        float(record["heard"]),
-        [float(at) for at in record["out"]],
-        None if load is None else float(load),
-        record["last"].encode("latin-1"),
-        pair("read"),
-        pair("unsent"),
-    )
+def decode_pair(texts: Any) -> BytePair:
+    """The bytes of both connections; TypeError, ValueError or AttributeError if these are not two texts."""
+    client, server = texts
+    return client.encode("latin-1"), server.encode("latin-1")
+
+
+def decode_unread(texts: Any) -> BytePair:
+    """The same for bytes that go into read buffers; ValueError also for more than one buffer holds."""
+    client, server = texts
+    if max(len(client), len(server)) > BUFFER_SIZE:
+        raise ValueError(f"read: expected {BUFFER_SIZE} bytes at most, got {max(len(client), len(server))}")
+    return decode_pair(texts)
--- a/onyxhollow/wire/endpoint_list_watch.py
+++ b/onyxhollow/wire/endpoint_list_watch.py
@@ -1,4 +1,4 @@
-"""Follows the server list over HTTP: a watch as long as it holds, a new one when the module asks."""
+"""Follows the endpoint list over HTTP by long polls, one after another."""
 
 from __future__ import annotations
 
@@ -11,349 +11,270 @@
 import h11
 import orjson
 
-from onyxhollow.counters import Counters
-from onyxhollow.interface import Endpoint, EndpointListKind, EndpointState
-from onyxhollow.loop import Loop
-from onyxhollow.wire.buffers import BufferPool
-from onyxhollow.wire.channel import Channel
-from onyxhollow.wire.remote_clock import RemoteClock
-from onyxhollow.wire.tables import Address, EndpointAddresses
-
-READY = {"active": EndpointState.IN_SERVICE, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
-ANSWER = 3.5  # seconds for an answer that is due at once: a busy service works through calls in turn
-SILENT_AFTER = 1.0  # seconds past its wait after which a watch counts as silent; protocol: 2 s
-CONNECTED_WITHIN = 1.5  # seconds for a connection to the service to come up before another one is tried
-APART = (0.75, 1.25)  # parts of the wait: watches that began together end, and are opened anew, one by one
-ASK_AGAIN = 0.5  # seconds after a call turned away, where the list is pushed and asking is left to the host
-DOWN_AGAIN = (
-    0.1  # the same after one that nobody took: what is told at its return counts at once, less the grace
+from onyxhollow.interface import Endpoint, EndpointListKind, Settings
+from onyxhollow.wire.discovery_connection import (
+    DiscoveryConnection,
+    DiscoveryStatusError,
+    DiscoveryTimeoutError,
 )
-CALLS = 2.0  # calls a second that the watches of a fleet make together while there is no news
-GOES_ON, BUSY_FOR = 0.2, 5  # seconds within which a watch goes on (protocol); answers after a failure, below
-SHORTEST_WAIT, LONGEST_WAIT = 0.001, 60.0  # seconds: the longest is the protocol's
-LARGEST = 4 * 1024 * 1024  # bytes of one list
-
-
-def watch_wait(ask_within: float, balancers: int) -> float:
-    """How long a watch waits for news. The service works through the calls of all in turn: short waits of
-    many keep it busy with calls that have nothing to tell, and what it has to tell comes late."""
-    return min(LONGEST_WAIT, max(ask_within / 2, balancers / CALLS))
-
-
-class EndpointListError(Exception):
-    """An answer that is not a list of servers."""
-
-
-class DiscoveryTimeoutError(EndpointListError):
-    """Nothing came in time."""
-
-
-class DiscoveryStatusError(EndpointListError):
-    """Another status than 200."""
-
-    def __init__(self, status: int) -> None:
-        super().__init__(f"status {status}")
-        self.status = status
-
-
-@dataclass(slots=True)
-class EndpointList:
-    version: int
-    is_snapshot: bool
-    endpoints: list[Endpoint]
-    addresses: dict[str, Address]
-
-
-def decode_address(text: Any) -> Address:
-    host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise EndpointListError(f"address: impossible value {text!r}")
-    return host, int(port)
-
-
-def decode_endpoint_list(told: Any, clock: RemoteClock, now: float) -> EndpointList:
-    """clock: that of the machines which the list names. ListError says what is no good."""
-    if not isinstance(told, dict) or not isinstance(told.get("hosts"), list):
-        raise EndpointListError("not an object with hosts")
-    version = told.get("seq")
-    if isinstance(version, bool) or not isinstance(version, int):
-        raise EndpointListError(f"seq: impossible value {version!r}")
-    entries: list[Endpoint] = []
-    addresses: dict[str, Address] = {}
-    latest = max((start_of(row) for row in told["hosts"]), default=0.0)
-    if latest:
-        clock.observe(latest, now)
-    for row in told["hosts"]:
-        if not isinstance(row, dict) or not isinstance(row.get("host"), str) or not row["host"]:
-            raise EndpointListError(f"host: impossible value {row!r}")
-        name, ready = row["host"], READY.get(row.get("health", ""))
-        if ready is None:
-            raise EndpointListError(f"health: impossible value {row.get('health')!r}")
-        if ready is not EndpointState.REMOVED or row.get("dial"):
-            addresses[name] = decode_address(row.get("dial"))
-        size, cell, born = row.get("share", 1.0), row.get("block") or 0, start_of(row)
-        for value in (size, cell):
-            if not is_figure(value):
-                raise EndpointListError(f"{name}: impossible figure {value!r}")
-        entries.append(
-            Endpoint(
-                name=name,
-                state=ready,
-                weight=float(size),
-                started_at=clock.start_time(name, born, now) if born else None,
-                zone=str(row.get("site") or ""),
-                cell=int(cell),
-                machine_type=str(row.get("class") or ""),
-            )
-        )
-    return EndpointList(version, told.get("whole") is True, entries, addresses)
-
+from onyxhollow.wire.endpoint_addresses import Address
+from onyxhollow.wire.endpoint_list import EndpointList, EndpointListError, decode_endpoint_list
+from onyxhollow.wire.network_context import NetworkContext
+from onyxhollow.wire.remote_clock import RemoteClock
 
-def is_figure(value: Any) -> bool:
-    """Whether a value of the list is a finite number from 0."""
-    return not isinstance(value, bool) and isinstance(value, int | float) and 0 <= value < math.inf
+ANSWER_TIMEOUT = 3.5  # seconds for an answer that is due at once: a busy service works through calls in turn
+SILENCE_TIMEOUT = 1.0  # seconds past its wait after which a poll counts as silent; the protocol allows 2 s
+JITTER = (0.75, 1.25)  # parts of the wait: polls that began together end, and are opened again, one by one
+REJECTED_BACKOFF = 0.5  # seconds after a call that was rejected, where the list is pushed
+# The same after a call that nobody took: what changes before the service returns counts as notified then,
+# less the grace.
+UNREACHABLE_BACKOFF = 0.1
+FLEET_POLL_RATE = 2.0  # polls a second that the watches of a fleet make together while nothing changes
+CONTINUATION_TIME = 0.2  # seconds within which a watch must go on after an answer (protocol)
+STAGGERED_POLLS = 5  # answers after a failure for which the next poll is put off by a random time
+LEAST_WAIT = 0.001  # seconds that a poll asks to wait
+MAX_WAIT = 60.0  # seconds: the protocol's limit
+MAX_LOGGED_ENDPOINTS = 24  # of one update
+UNKNOWN_VERSION = -1  # a snapshot is asked for
 
 
-def start_of(row: Any) -> float:
-    """When a server started, in seconds of wall time; 0 for long ago."""
-    told = row.get("born_ms") or 0 if isinstance(row, dict) else 0
-    if not is_figure(told):
-        raise EndpointListError(f"{row.get('host')}: impossible figure {told!r}")
-    return float(told) / 1000
+def poll_wait(max_poll_interval: float, instance_count: int) -> float:
+    """How long a poll waits for a change, in seconds.
 
+    The service works through the polls of all in turn: short waits of many keep it busy with polls that have
+    nothing to answer, and what it has to say comes late.
+    """
+    return min(MAX_WAIT, max(max_poll_interval / 2, instance_count / FLEET_POLL_RATE))
 
-class DiscoveryConnection:
-    """One HTTP connection to discovery, used for one call after another while it lives."""
 
-    def __init__(self, loop: Loop, address: Address, pool: BufferPool, wake: Callable[[], None]) -> None:
-        self.loop = loop
-        self.channel = Channel.connect(loop, address, pool, wake)
-        self.http = h11.Connection(h11.CLIENT)
-        self.host = f"{address[0]}:{address[1]}"
+@dataclass(frozen=True, slots=True)
+class WatchTerms:
+    """The part of the settings that a watch goes by."""
 
-    @property
-    def reusable(self) -> bool:
-        return not self.channel.ended and self.http.our_state is h11.IDLE
+    poll_wait: float  # seconds that one poll waits for a change
+    pushed: bool  # the decisions expect updates without having asked for them
 
-    def get(
-        self, target: str, until: float, superseded: Callable[[], bool], method: str = "GET"
-    ) -> Generator[float, None, bytes]:
-        headers = [("Host", self.host), ("Accept", "application/json")]
-        request = h11.Request(method=method, target=target, headers=headers)
-        for part in (request, h11.EndOfMessage()):
-            self.channel.write(self.http.send(part) or b"")
-        body = bytearray()
-        connected_by = min(until, self.loop.now + CONNECTED_WITHIN)
-        while True:
-            event = self.http.next_event()
-            if event is h11.NEED_DATA:
-                if len(self.channel.inbox):
-                    self.http.receive_data(self.channel.inbox.take_rest())
-                    self.channel.set_paused(False)
-                elif superseded():
-                    # What was written before counts as told, also where it is more than one read brings.
-                    if not self.channel.ended and not self.channel.connecting:
-                        self.channel.read()
-                        if len(self.channel.inbox):
-                            continue
-                    raise EndpointListError("left for another address")
-                elif self.channel.ended:
-                    if self.channel.broken:
-                        raise EndpointListError("reset")
-                    self.http.receive_data(b"")
-                elif self.loop.now >= (connected_by if self.channel.connecting else until):
-                    raise DiscoveryTimeoutError("silence")
-                else:
-                    yield connected_by if self.channel.connecting else until
-            elif isinstance(event, h11.Response):
-                if event.status_code != 200:
-                    raise DiscoveryStatusError(event.status_code)
-            elif isinstance(event, h11.Data):
-                body += event.data
-                if len(body) > LARGEST:
-                    raise EndpointListError("list too long")
-            elif isinstance(event, h11.EndOfMessage):
-                break
-            else:
-                raise EndpointListError("half an answer")
-        if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
-            self.http.start_next_cycle()
-        return bytes(body)
+    @classmethod
+    def of(cls, settings: Settings) -> WatchTerms:
+        """Picks them out of all settings."""
+        wait = poll_wait(settings.max_poll_interval, settings.instance_count)
+        return cls(wait, not settings.list_is_polled)
 
 
 class EndpointListWatch:
+    """Polls one discovery service, keeps the list's version, and reports each update or failure."""
+
     def __init__(
         self,
-        loop: Loop,
-        pool: BufferPool,
-        counters: Counters,
+        context: NetworkContext,
         address: Address,
-        wait: float,
+        terms: WatchTerms,
         clock: RemoteClock,
         version: int,
-        pushed: bool,
-        addresses: EndpointAddresses,
-        told: Callable[[EndpointListKind, list[Endpoint]], None],
-        log: Callable[..., None],
-        seed: int,
-        soon: bool = False,
+        on_update: Callable[[EndpointListKind, list[Endpoint]], None],
+        rng: Random,
+        answer_at_once: bool = False,
     ) -> None:
-        self.loop, self.pool, self.counters, self.address = loop, pool, counters, address
-        self.poll_wait, self.clock, self.version = wait, clock, version
-        self.addresses, self.on_update, self.log = addresses, told, log
-        self.pushed = self.poll_requested = (
-            pushed  # pushed: the module expects to be told without having asked
-        )
-        self.staggered_polls, self.rng = (
-            0,
-            Random(seed),
-        )  # answers until the service no longer counts as a busy one
-        self.timeouts = 0  # calls in a row that nothing came on
-        self.interrupted = True  # no call has been answered yet, or not since one failed
-        self.backoff = ASK_AGAIN  # before the next call, after a failure
-        self.answer_at_once = soon  # the first answer is waited for, news or none
-        self.records: dict[str, Any] = {}  # the list as it was told, for a successor
+        self.loop = context.loop
+        self.pool = context.pool
+        self.counters = context.counters
+        self.addresses = context.addresses
+        self.log = context.log
+        self.address = address
+        self.terms = terms
+        self.clock = clock
+        self.version = version
+        self.on_update = on_update
+        self.rng = rng
+        self.answer_at_once = answer_at_once  # the first answer is waited for, changed or not
+        self.poll_requested = terms.pushed
+        self.staggered_polls = 0  # answers until the service no longer counts as a busy one
+        self.timeouts = 0  # polls in a row that nothing came on
+        self.interrupted = True  # no poll has been answered yet, or not since one failed
+        self.backoff = REJECTED_BACKOFF  # seconds before the next poll, after a failure
+        self.records: dict[str, Any] = {}  # the list by endpoint, in the service's form, for a successor
         self.connection: DiscoveryConnection | None = None
         self.next_address: Address | None = None  # to be followed from now on
         self.suspended = False  # another member of the fleet follows the list for this proxy
-        self.task = loop.spawn(self.run())
+        self.task = self.loop.spawn(self.run())
 
     def poll(self) -> None:
-        """The module wants to be told from now on."""
+        """Requests an update: the decisions want to know of changes from now on."""
         self.poll_requested = True
         self.task.wake()
 
     def snapshot(self) -> dict[str, Any]:
-        """The list as last told, in discovery's form."""
+        """The list as last reported, in the service's form."""
         return {"seq": self.version, "whole": True, "hosts": list(self.records.values())}
 
-    def set_suspended(self, does: bool) -> None:
-        """The fleet tells the list, or this proxy asks for itself again, at once."""
-        self.suspended, self.poll_requested = does, self.poll_requested or not does
+    def set_suspended(self, suspended: bool) -> None:
+        """Suspends polling while the fleet replicates the list, or polls again, at once."""
+        self.suspended = suspended
+        if not suspended:
+            self.poll_requested = True
         self.task.wake()
 
-    def apply_settings(self, wait: float, pushed: bool) -> None:
-        self.poll_wait, self.pushed = wait, pushed
-
-    def switch_to(self, address: Address, anew: bool = False) -> None:
-        """After a reload the list is another's to tell, which is asked at once; anew: or the same one's, as
-        its weights mean another thing now. What the old one has written by now counts as told and is still
-        used; what it would say later must not come after the new list."""
-        if (
-            self.connection is not None
-            and not self.connection.channel.ended
-            and not self.connection.channel.connecting
-        ):
-            self.connection.channel.read()
-        self.next_address = address if anew or self.next_address or address != self.address else None
-        self.poll_requested = self.poll_requested or self.next_address is not None
+    def apply_settings(self, terms: WatchTerms) -> None:
+        """Sets the terms of polls from the next one on."""
+        self.terms = terms
+
+    def switch_to(self, address: Address, resync: bool = False) -> None:
+        """Follows another service from now on, after a reload; it is polled at once, for a snapshot.
+
+        What the old one has written by now counts as notified and is still used; what it would send later
+        must not come after the new list.
+
+        Args:
+            address: Of the service; the one in use means no change, unless `resync` is set.
+            resync: Ask the same service for a snapshot, as its weights mean another thing now.
+        """
+        channel = self.connection.channel if self.connection is not None else None
+        if channel is not None and not channel.ended and not channel.connecting:
+            channel.read()
+        changes = resync or self.next_address is not None or address != self.address
+        self.next_address = address if changes else None
+        if changes:
+            self.poll_requested = True
         self.task.wake()
 
     def run(self) -> Generator[float, None, None]:
+        """The watch's coroutine."""
         while True:
             while not self.poll_requested or self.suspended:
                 yield math.inf
-            # A call is a watch from the first on: one that only asks for news would take a second turn at the
-            # service, and would be given up in a queue in which a watch waits its time.
+            # Every call is a long poll from the first on: a short one would take a second turn at the
+            # service, and would be given up in a queue in which a long poll waits its time.
             while (yield from self.poll_once()):
-                # The service has turned calls away of late: all that were told the same news just now would
-                # come again within a millisecond, and most would be turned away once more. No later than a
-                # watch goes on: what changes within that time of an answer counts as told, also to one who
-                # comes later, and that one dialled servers that drained in it. Another address: at once.
-                if self.staggered_polls:
-                    self.staggered_polls, until = (
-                        self.staggered_polls - 1,
-                        self.loop.now + self.rng.random() * GOES_ON / 2,
-                    )
-                    while self.loop.now < until and self.next_address is None:
-                        yield until
+                yield from self.stagger()
                 if self.suspended:
                     break
-            if self.pushed and not self.suspended:
+            if self.terms.pushed and not self.suspended:
                 yield from self.loop.sleep(self.backoff)
                 self.poll_requested = True
 
+    def stagger(self) -> Generator[float, None, None]:
+        """Puts the next poll off by a random time for some answers after a failure.
+
+        The service has rejected calls of late: all that got the same change just now would come again within
+        a millisecond, and most would be rejected once more. No later than a watch must go on: what changes
+        within that time of an answer counts as notified, also to one who comes later, and that one would have
+        made attempts at endpoints that drained in it. Another address is polled at once.
+        """
+        if not self.staggered_polls:
+            return
+        self.staggered_polls -= 1
+        until = self.loop.now + self.rng.random() * CONTINUATION_TIME / 2
+        while self.loop.now < until and self.next_address is None:
+            yield until
+
     def poll_once(self) -> Generator[float, None, bool]:
+        """Makes one poll and reports what came of it; whether the next one may follow at once."""
         if self.next_address is not None:
-            # The versions of one service may mean nothing at the other: it is asked for the whole list.
+            # The versions of one service may mean nothing at the other: it is asked for a snapshot.
             self.disconnect()
-            self.address, self.next_address, self.version = self.next_address, None, -1
-        target, patience = self.next_request()
+            self.address = self.next_address
+            self.next_address = None
+            self.version = UNKNOWN_VERSION
+        target, timeout = self.next_request()
         self.counters.add("list calls")
         try:
-            if self.connection is None or not self.connection.reusable:
-                self.disconnect()
-                self.connection = DiscoveryConnection(
-                    self.loop, self.address, self.pool, lambda: self.task.wake()
-                )
-            until = self.loop.now + patience
-            body = yield from self.connection.get(
-                target, until, lambda: self.next_address is not None or self.suspended
-            )
-            told = orjson.loads(body)
-            if not self.interrupted:  # what has changed since the last answer is told at once
+            until = self.loop.now + timeout
+            body = yield from self.connected().get(target, until, self.is_superseded)
+            document = orjson.loads(body)
+            if not self.interrupted:  # what has changed since the last answer is answered at once
                 self.clock.known_until = self.loop.now
-            news = decode_endpoint_list(told, self.clock, self.loop.now)
+            update = decode_endpoint_list(document, self.clock, self.loop.now)
         except (EndpointListError, OSError, ValueError, h11.ProtocolError) as error:
             self.disconnect()
-            if self.next_address is not None:
-                return True  # it failed because it is left, or just before: the new one is asked at once
-            if self.suspended:
-                return False  # left because the fleet tells the list: no failure
-            self.counters.add("list failures")
-            self.interrupted = True
-            if isinstance(error, DiscoveryTimeoutError):
-                # What a silent watch missed counts as told 2 s after its wait: the next one is opened at
-                # once, however often. All watches may fall silent at once and the service be well; from the
-                # second in a row on it is told as a failure all the same.
-                self.timeouts += 1
-                self.log("list silent", version=self.version, in_a_row=self.timeouts)
-                if self.timeouts > 1:
-                    self.on_update(EndpointListKind.FAILED, [])
-                return True
-            self.staggered_polls = BUSY_FOR
-            self.backoff = ASK_AGAIN if isinstance(error, DiscoveryStatusError) else DOWN_AGAIN
-            self.poll_requested = (
-                False  # asked for while the call was out: when to ask again is said anew now
-            )
-            self.log("list failed", why=str(error)[:200], version=self.version)
-            self.version = -1 if isinstance(error, ValueError) else self.version
-            self.on_update(EndpointListKind.FAILED, [])
-            return False
-        self.poll_requested, self.answer_at_once, self.timeouts, self.interrupted = False, False, 0, False
+            return self.on_failure(error)
+        self.poll_requested = False
+        self.answer_at_once = False
+        self.timeouts = 0
+        self.interrupted = False
         self.clock.known_until = self.loop.now
-        self.apply(told["hosts"], news)
+        self.apply(document["hosts"], update)
         return True
 
+    def connected(self) -> DiscoveryConnection:
+        """The connection of the last poll, or a new one; OSError if that can't be begun."""
+        if self.connection is None or not self.connection.reusable:
+            self.disconnect()
+            self.connection = DiscoveryConnection(
+                self.loop, self.address, self.pool, lambda: self.task.wake()
+            )
+        return self.connection
+
+    def is_superseded(self) -> bool:
+        """Whether the answer of the poll in flight is no longer wanted."""
+        return self.next_address is not None or self.suspended
+
+    def on_failure(self, error: Exception) -> bool:
+        """Reports a poll that failed; whether the next one may follow at once."""
+        if self.next_address is not None:
+            return True  # it failed because it was left, or just before: the new service is polled at once
+        if self.suspended:
+            return False  # left because the fleet replicates the list: no failure
+        self.counters.add("list failures")
+        self.interrupted = True
+        if isinstance(error, DiscoveryTimeoutError):
+            # What a silent poll missed counts as notified 2 s after its wait: the next one is opened at once,
+            # however often. All polls may fall silent at once and the service be well; from the second in a
+            # row on it is reported as a failure all the same.
+            self.timeouts += 1
+            self.log("list silent", version=self.version, in_a_row=self.timeouts)
+            if self.timeouts > 1:
+                self.on_update(EndpointListKind.FAILED, [])
+            return True
+        self.staggered_polls = STAGGERED_POLLS
+        self.backoff = REJECTED_BACKOFF if isinstance(error, DiscoveryStatusError) else UNREACHABLE_BACKOFF
+        self.poll_requested = False  # the decisions say now when to poll again
+        self.log("list failed", why=str(error)[:200], version=self.version)
+        if isinstance(error, ValueError):
+            self.version = UNKNOWN_VERSION
+        self.on_update(EndpointListKind.FAILED, [])
+        return False
+
     def next_request(self) -> tuple[str, float]:
-        """What to ask for, and for how long the answer is waited for."""
+        """The target of the next poll, and for how many seconds its answer is waited for."""
         if self.version < 0:
-            return "/v1/endpoints", ANSWER
-        wait, late = SHORTEST_WAIT, ANSWER
+            return "/v1/endpoints", ANSWER_TIMEOUT
+        wait = LEAST_WAIT
+        grace = ANSWER_TIMEOUT
         if not self.answer_at_once:
-            wait = min(LONGEST_WAIT, self.poll_wait * self.rng.uniform(*APART))
-            late = SILENT_AFTER
-        return f"/v1/endpoints?index={self.version}&wait={round(wait * 1000)}", wait + late
-
-    def apply(self, rows: list[Any], news: EndpointList) -> None:
-        """What the list service has said, to this proxy or to another of the fleet; rows in its own form."""
-        for name, address in news.addresses.items():
+            wait = min(MAX_WAIT, self.terms.poll_wait * self.rng.uniform(*JITTER))
+            grace = SILENCE_TIMEOUT
+        return f"/v1/endpoints?index={self.version}&wait={round(wait * 1000)}", wait + grace
+
+    def apply(self, records: list[Any], update: EndpointList) -> None:
+        """Applies an update of the service, received here or by another member of the fleet.
+
+        Args:
+            records: The endpoints in the service's form.
+            update: The same, decoded.
+        """
+        for name, address in update.addresses.items():
             self.addresses.store(name, address)
-        if news.is_snapshot:
+        if update.is_snapshot:
             self.records.clear()
-        self.records.update((row["host"], row) for row in rows)
-        if news.endpoints or news.is_snapshot or news.version != self.version:
-            lines = [f"{e.name} {e.state.value}" + self.age(e) for e in news.endpoints]
-            self.log("list", version=news.version, whole=news.is_snapshot, rows=lines[:24])
-        self.version = news.version
-        self.on_update(
-            EndpointListKind.SNAPSHOT if news.is_snapshot else EndpointListKind.DELTA, news.endpoints
-        )
-
-    def age(self, entry: Endpoint) -> str:
-        return "" if entry.started_at is None else f", started {self.loop.now - entry.started_at:.1f} s ago"
+        self.records.update((record["host"], record) for record in records)
+        if update.endpoints or update.is_snapshot or update.version != self.version:
+            lines = [self.log_line(endpoint) for endpoint in update.endpoints]
+            self.log(
+                "list", version=update.version, whole=update.is_snapshot, rows=lines[:MAX_LOGGED_ENDPOINTS]
+            )
+        self.version = update.version
+        kind = EndpointListKind.SNAPSHOT if update.is_snapshot else EndpointListKind.DELTA
+        self.on_update(kind, update.endpoints)
+
+    def log_line(self, endpoint: Endpoint) -> str:
+        """An endpoint in the log: its name, state and age."""
+        line = f"{endpoint.name} {endpoint.state.value}"
+        if endpoint.started_at is None:
+            return line
+        return line + f", started {self.loop.now - endpoint.started_at:.1f} s ago"
 
     def disconnect(self) -> None:
+        """Closes the connection, and gives up the poll on it."""
         if self.connection is not None:
-            self.connection.channel.close()
+            self.connection.close()
             self.connection = None
--- /dev/null
+++ b/onyxhollow/wire/established_connection.py
@@ -0,0 +1,167 @@
+"""The third phase of a client's connection: from UP to its end, migration or hand-off to a successor."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Generator
+
+from onyxhollow.decision_adapter import SessionHandle
+from onyxhollow.interface import AttemptOutcome
+from onyxhollow.wire.channel import Channel
+from onyxhollow.wire.connection_handoff import ConnectionHandoff
+from onyxhollow.wire.connection_states import ConnectionEvent
+from onyxhollow.wire.handoff_channel import HandoffSender
+from onyxhollow.wire.line_forwarding import FINAL_WORDS, LineForwarder
+from onyxhollow.wire.session_core import SessionCore
+
+
+class EstablishedConnection:
+    """Forwards lines both ways until one side ends, or the client is migrated or handed off."""
+
+    __slots__ = ("client", "forwarder", "handle", "loop", "server", "session", "started_at")
+
+    def __init__(self, session: SessionCore, forwarder: LineForwarder, started_at: float) -> None:
+        self.session = session
+        self.loop = session.loop
+        self.forwarder = forwarder
+        self.client: Channel = forwarder.client
+        self.server: Channel = forwarder.server
+        self.handle: SessionHandle = forwarder.handle
+        self.started_at = started_at  # seconds of the loop's clock; UP was forwarded then
+
+    def run(self) -> Generator[float, None, None]:
+        """Serves the connection to its end."""
+        session, forwarder = self.session, self.forwarder
+        client, server, handle = self.client, self.server, self.handle
+        while True:
+            if not forwarder.forward_to_client():
+                self.migrate("of a malformed server", AttemptOutcome.ERROR)
+            elif not forwarder.forward_to_server():
+                self.migrate("malformed", AttemptOutcome.CANCELLED)
+            elif server.ended:
+                self.end_with_endpoint(FINAL_WORDS.get(forwarder.final_word, AttemptOutcome.RESET))
+            elif client.ended and not server.is_full:
+                self.end_with_client()
+            elif session.handoff_sender is not None and (yield from self.hand_off(session.handoff_sender)):
+                pass  # the successor serves it from here on
+            elif handle.move or session.stopping:
+                self.migrate("moved" if handle.move else "moved at stop", AttemptOutcome.CANCELLED)
+            elif (check_at := forwarder.check_echoes()) <= self.loop.now:
+                self.migrate("silent server", AttemptOutcome.RESET)
+            else:
+                client.set_paused(forwarder.client_must_wait)
+                server.set_paused(client.is_full)
+                yield check_at
+                continue
+            return
+
+    def duration(self) -> float:
+        """Seconds since the connection was established."""
+        return self.loop.now - self.started_at
+
+    def migrate(self, why: str, outcome: AttemptOutcome) -> None:
+        """Writes MOVE between two lines, and ends both sides in order."""
+        session = self.session
+        session.counters.add(f"clients {why}")
+        self.client.write(b"MOVE\r\n")
+        self.client.finish()
+        self.server.finish()
+        session.end(ConnectionEvent.MIGRATED, why)
+        if outcome is AttemptOutcome.CANCELLED:
+            self.handle.report_gone()  # ended by this proxy, not by its endpoint: it says nothing of that
+        self.handle.report(outcome, self.duration(), True)
+
+    def end_with_endpoint(self, outcome: AttemptOutcome) -> None:
+        """The endpoint has ended it: the client's side ends the same way, after the last bytes."""
+        session = self.session
+        session.counters.add(f"connections {outcome.value}")
+        session.end(ConnectionEvent.ENDPOINT_ENDED, outcome.value)
+        if self.server.broken and outcome is AttemptOutcome.RESET and not self.client.outgoing:
+            self.client.reset()
+        else:
+            self.client.finish()
+        self.server.close()
+        self.handle.report(outcome, self.duration(), True)
+
+    def end_with_client(self) -> None:
+        """The client has ended it: the endpoint's side ends the same way, after the last bytes."""
+        session = self.session
+        session.counters.add("connections ended by the client")
+        session.end(ConnectionEvent.CLIENT_ENDED, "client left")
+        half = self.client.inbox.take_rest()
+        if half:
+            session.registry.report_malformed(f"half a line of {len(half)} bytes")
+        self.server.write(half)
+        if self.client.broken:
+            self.server.reset()
+        else:
+            self.server.finish()
+        self.client.close()
+        self.handle.report_gone()
+        self.handle.report(AttemptOutcome.CANCELLED, self.duration(), True)
+
+    # to the successor of this process
+
+    def hand_off(self, sender: HandoffSender) -> Generator[float, None, bool]:
+        """Offers the connection to the successor; whether it serves the connection now.
+
+        While the successor may have it, nothing is read here. The copies of this process are only closed:
+        shut down, the connections would end for the successor too.
+        """
+        session = self.session
+        unusable = session.stopping or self.client.broken or self.server.broken
+        handoff = None if unusable else self.describe()
+        if handoff is None:
+            session.handoff_sender = None
+            session.handoff_taken = False
+            return False
+        for channel in (self.client, self.server):
+            self.loop.watch(channel.fd, 0, None)
+        if sender.send(handoff.encode(), [self.client.fd, self.server.fd], self.on_answer):
+            session.advance(ConnectionEvent.HANDOFF_SENT)
+            while session.handoff_taken is None:
+                yield math.inf
+            if session.handoff_taken:
+                self.end_handed_off()
+                return True
+            session.advance(ConnectionEvent.HANDOFF_REFUSED)
+        session.handoff_sender = None
+        session.handoff_taken = False
+        for channel in (self.client, self.server):
+            channel.update_interest()
+        return False
+
+    def on_answer(self, taken: bool) -> None:
+        """The successor has answered, or is gone."""
+        self.session.handoff_taken = taken
+        self.session.wake()
+
+    def describe(self) -> ConnectionHandoff | None:
+        """All that the successor needs; None once the decisions have forgotten the session."""
+        decided = self.handle.sess
+        request = self.session.request
+        if decided is None or request is None:
+            return None
+        forwarder = self.forwarder
+        return ConnectionHandoff(
+            request=request,
+            listener=decided.listener,
+            endpoint=forwarder.endpoint,
+            started_at=self.started_at,
+            last_echo_at=forwarder.last_echo_at,
+            in_flight=[sent.at for sent in forwarder.in_flight],
+            load=decided.load,
+            final_word=forwarder.final_word,
+            unread=(self.client.inbox.unread(), self.server.inbox.unread()),
+            unsent=(bytes(self.client.outgoing), bytes(self.server.outgoing)),
+        )
+
+    def end_handed_off(self) -> None:
+        """Closes this process' copies; the decisions here count the connection no more."""
+        session = self.session
+        session.counters.add("connections passed on")
+        session.end(ConnectionEvent.HANDOFF_TAKEN, "passed on")
+        self.client.close()
+        self.server.close()
+        self.handle.report_gone()
+        self.handle.report(AttemptOutcome.CANCELLED, self.duration(), True)
--- a/onyxhollow/wire/handoff_channel.py
+++ b/onyxhollow/wire/handoff_channel.py
@@ -1,6 +1,7 @@
-"""Open connections go from a process to its successor: descriptors and what belongs to them, by Unix socket.
+"""Open connections go from a process to its successor over a Unix socket, with what belongs to them.
 
-One message a connection, answered with its number once the successor has it; until then nobody reads from it.
+One message for each connection, answered with its number once the successor has it; until then nobody reads
+from the connection.
 """
 
 from __future__ import annotations
@@ -15,69 +16,86 @@
 
 from onyxhollow.loop import READ, Loop
 
-VERSION = 1  # of the messages; another's are refused
-LARGEST = 128 * 1024  # bytes of a message; a connection with more still to be written is moved instead
-WINDOW = 32  # messages on their way
-READS = 16  # messages read in one turn of the loop
+VERSION = 1  # of the messages; those of another version are refused
+MAX_MESSAGE_SIZE = 128 * 1024  # bytes; a connection with more still to be written is migrated instead
+MAX_UNACKNOWLEDGED = 32  # messages on their way
+READS_PER_TURN = 16  # messages read in one turn of the loop
+DESCRIPTORS_PER_MESSAGE = 2  # the client's connection and the endpoint's
+
+
+def open_unix_socket() -> socket.socket:
+    """A Unix socket that keeps the borders of messages."""
+    return socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
 
 
 class HandoffSender:
-    """The old process's end."""
+    """The end of the process that is replaced; OSError from the constructor if the successor is not there."""
 
     def __init__(self, loop: Loop, path: str) -> None:
-        self.loop, self.sent = loop, 0
+        self.loop = loop
+        self.last_number = 0
         self.broken = False
-        self.unacknowledged: dict[int, Callable[[bool], None]] = {}  # told whether it has been taken
-        self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
+        self.unacknowledged: dict[int, Callable[[bool], None]] = {}  # called with whether it was taken
+        self.sock = open_unix_socket()
         try:
             self.sock.setblocking(False)
             self.sock.connect(path)
         except OSError:
             self.sock.close()
             raise
-        loop.watch(self.sock.fileno(), READ, self.ready)
+        loop.watch(self.sock.fileno(), READ, self.on_ready)
 
     @property
     def free_slots(self) -> int:
-        return 0 if self.broken else WINDOW - len(self.unacknowledged)
-
-    def send(self, record: dict[str, Any], fds: list[int], told: Callable[[bool], None]) -> bool:
-        """False if it can't be sent; told is called later otherwise, once."""
-        self.sent += 1
-        message = orjson.dumps({"version": VERSION, "number": self.sent, **record})
-        if len(message) > LARGEST or self.broken:
+        """How many more messages may be sent before one is answered."""
+        return 0 if self.broken else MAX_UNACKNOWLEDGED - len(self.unacknowledged)
+
+    def send(self, record: dict[str, Any], fds: list[int], on_answer: Callable[[bool], None]) -> bool:
+        """Sends one connection; False if it can't be sent, else `on_answer` is called later, once."""
+        self.last_number += 1
+        message = orjson.dumps({"version": VERSION, "number": self.last_number, **record})
+        if len(message) > MAX_MESSAGE_SIZE or self.broken:
             return False
         try:
             socket.send_fds(self.sock, [message], fds)
-        except OSError:  # also when there is no room: it is moved then
+        except OSError:  # also when there is no room: it is migrated then
             return False
-        self.unacknowledged[self.sent] = told
+        self.unacknowledged[self.last_number] = on_answer
         return True
 
-    def ready(self, _: int) -> None:
+    def on_ready(self, _: int) -> None:
+        """Answers have come, or the end of the successor."""
         try:
             while answer := self.sock.recv(64):
-                which, word = answer.split(b" ")
-                if told := self.unacknowledged.pop(int(which), None):
-                    told(word == b"taken")
+                number, word = answer.split(b" ")
+                on_answer = self.unacknowledged.pop(int(number), None)
+                if on_answer is not None:
+                    on_answer(word == b"taken")
         except BlockingIOError:
             return
         except (OSError, ValueError):
-            pass
+            pass  # reset, or not an answer of this protocol: as if the successor were gone
         self.close()
 
     def close(self) -> None:
-        if not self.broken:
-            self.broken = True
-            self.loop.watch(self.sock.fileno(), 0, None)
-            self.sock.close()
-            waiting, self.unacknowledged = self.unacknowledged, {}
-            for told in waiting.values():
-                told(False)
+        """Ends the hand-off; connections not answered for stay with this process."""
+        if self.broken:
+            return
+        self.broken = True
+        self.loop.watch(self.sock.fileno(), 0, None)
+        self.sock.close()
+        unacknowledged = list(self.unacknowledged.values())
+        self.unacknowledged = {}
+        for on_answer in unacknowledged:
+            on_answer(False)
 
 
 class HandoffReceiver:
-    """The successor's end. take gets a record and the sockets, and says whether it has them now."""
+    """The successor's end; OSError from the constructor if nothing can be listened for at the path.
+
+    `take` gets a record and the two sockets, and returns whether it has them now; `done` is called once the
+    sender has ended.
+    """
 
     def __init__(
         self,
@@ -86,9 +104,12 @@
         take: Callable[[dict[str, Any], socket.socket, socket.socket], bool],
         done: Callable[[], None],
     ) -> None:
-        self.loop, self.path, self.take, self.done = loop, path, take, done
+        self.loop = loop
+        self.path = path
+        self.take = take
+        self.done = done
         self.sender: socket.socket | None = None
-        self.listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
+        self.listener = open_unix_socket()
         try:
             self.listener.setblocking(False)
             self.listener.bind(path)
@@ -100,17 +121,23 @@
         loop.watch(self.listener.fileno(), READ, self.accept)
 
     def accept(self, _: int) -> None:
+        """Takes the one sender, and listens for no other."""
         with contextlib.suppress(OSError):
-            self.sender, _peer = self.listener.accept()
-            self.sender.setblocking(False)
-            self.loop.watch(self.sender.fileno(), READ, self.ready)
+            sender, _peer = self.listener.accept()
+            self.sender = sender
+            sender.setblocking(False)
+            self.loop.watch(sender.fileno(), READ, self.on_ready)
             self.stop_listening()
 
-    def ready(self, _: int) -> None:
-        assert self.sender is not None
-        for _ in range(READS):
+    def on_ready(self, _: int) -> None:
+        """Messages have come, or the end of the sender."""
+        sender = self.sender
+        assert sender is not None
+        for _ in range(READS_PER_TURN):
             try:
-                message, fds, _flags, _peer = socket.recv_fds(self.sender, LARGEST + 1024, 2)
+                message, fds, _flags, _peer = socket.recv_fds(
+                    sender, MAX_MESSAGE_SIZE + 1024, DESCRIPTORS_PER_MESSAGE
+                )
             except BlockingIOError:
                 return
             except OSError:
@@ -119,32 +146,37 @@
                 self.close()
                 return
             answer = self.answer_for(message, fds)
-            with contextlib.suppress(OSError):  # it has died: what it passed on is served all the same
-                self.sender.send(answer)
+            with contextlib.suppress(OSError):  # it has died: what it handed off is served all the same
+                sender.send(answer)
 
     def answer_for(self, message: bytes, fds: list[int]) -> bytes:
+        """Takes the connection of a message, or closes its descriptors; returns the answer for the sender."""
         socks: list[socket.socket] = []
         number = 0
         try:
             socks = [socket.socket(fileno=fd) for fd in fds]
             record = orjson.loads(message)
             number = int(record["number"])
-            if record["version"] == VERSION and len(socks) == 2 and self.take(record, *socks):
+            usable = record["version"] == VERSION and len(socks) == DESCRIPTORS_PER_MESSAGE
+            if usable and self.take(record, *socks):
                 return b"%d taken" % number
-        except Exception as error:  # whatever it was, the sender keeps the connection
+        except Exception as error:  # noqa: BLE001 -- whatever it was, the sender keeps the connection
             self.loop.report_failure("passing", error)
         for sock in socks:
             sock.close()
         return b"%d refused" % number
 
     def stop_listening(self) -> None:
-        if self.listener.fileno() >= 0:
-            self.loop.watch(self.listener.fileno(), 0, None)
-            self.listener.close()
-            with contextlib.suppress(OSError):
-                os.unlink(self.path)
+        """Closes the listening socket and removes its path."""
+        if self.listener.fileno() < 0:
+            return
+        self.loop.watch(self.listener.fileno(), 0, None)
+        self.listener.close()
+        with contextlib.suppress(OSError):
+            os.unlink(self.path)
 
     def close(self) -> None:
+        """Ends the hand-off; what was taken stays."""
         self.stop_listening()
         if self.sender is not None:
             self.loop.watch(self.sender.fileno(), 0, None)
--- a/onyxhollow/wire/health_checks.py
+++ b/onyxhollow/wire/health_checks.py
@@ -1,112 +1,124 @@
-"""Asks servers for their load, on one standing connection to each."""
+"""Health checks: asks endpoints for their load, on one cached connection to each."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Generator
 from dataclasses import dataclass
 
-from onyxhollow.counters import Counters
 from onyxhollow.interface import AttemptOutcome
-from onyxhollow.loop import Loop, Task
-from onyxhollow.wire.buffers import BufferPool, LineTooLongError
+from onyxhollow.loop import Task
+from onyxhollow.wire.buffers import LineTooLongError
 from onyxhollow.wire.channel import Channel
-from onyxhollow.wire.messages import parse_load_report, rest, word
+from onyxhollow.wire.endpoint_addresses import Address
+from onyxhollow.wire.messages import after_first_word, first_word, parse_load_report
+from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.system_errors import Fault, fault_of_connect
-from onyxhollow.wire.tables import Address, EndpointAddresses
 
-ENDS = {b"PONG": AttemptOutcome.OK, b"ERR": AttemptOutcome.ERROR, b"BUSY": AttemptOutcome.OVERLOADED}
-MOST_OWED = 3  # answers a connection may owe; a server that owes more may never have got the questions
+OUTCOMES = {b"PONG": AttemptOutcome.OK, b"ERR": AttemptOutcome.ERROR, b"BUSY": AttemptOutcome.OVERLOADED}
+CONNECTED = frozenset(
+    {AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.OVERLOADED, AttemptOutcome.TIMEOUT}
+)  # outcomes after which the connection may be used again
+MAX_ANSWERS_DUE = 3  # of one connection; an endpoint that owes more may never have got the questions
+DEFAULT_MAX_CONNECTIONS = 64  # until the configuration's limits are applied
 
 
 @dataclass(slots=True, eq=False)
 class HealthCheckConnection:
-    """One connection for probes. It outlives a question that is not answered in time: a new one would cost a
-    server that is short of time a set-up more."""
+    """One connection for health checks.
+
+    It outlives a question that is not answered in time: a new one would cost an endpoint that is short of
+    time a connection set-up more.
+    """
 
     address: Address
     channel: Channel
-    answers_due: int = 0  # answers to earlier questions that may still come
+    answers_due: int = 0  # to earlier questions, which may still come
 
 
 class HealthChecker:
+    """Makes health checks and caches their connections; the one unused for longest makes room."""
+
     def __init__(
         self,
-        loop: Loop,
-        pool: BufferPool,
-        counters: Counters,
-        addresses: EndpointAddresses,
-        field: str,
-        patience: float,
-        told: Callable[[str, AttemptOutcome, float, float | None], None],
+        context: NetworkContext,
+        load_field: str,
+        timeout: float,
+        on_result: Callable[[str, AttemptOutcome, float, float | None], None],
     ) -> None:
-        self.loop, self.pool, self.counters, self.addresses = loop, pool, counters, addresses
-        self.field, self.timeout, self.on_result = field, patience, told
-        self.connections: dict[str, HealthCheckConnection] = {}
-        self.max_connections = 64  # standing connections; the one unused for longest makes room
-
-    def apply_settings(self, field: str, patience: float) -> None:
-        self.field, self.timeout = field, patience
-
-    def start_check(self, server: str) -> None:
+        self.loop = context.loop
+        self.pool = context.pool
+        self.counters = context.counters
+        self.addresses = context.addresses
+        self.load_field = load_field
+        self.timeout = timeout  # seconds
+        self.on_result = on_result  # endpoint, outcome, seconds it took, load
+        self.connections: dict[str, HealthCheckConnection] = {}  # idle ones, by endpoint
+        self.max_connections = DEFAULT_MAX_CONNECTIONS
+
+    def apply_settings(self, load_field: str, timeout: float) -> None:
+        """Sets the terms of health checks that begin from now on."""
+        self.load_field = load_field
+        self.timeout = timeout
+
+    def start_check(self, endpoint: str) -> None:
+        """Begins a health check; its result comes by `on_result`, unless no descriptor was left for it."""
         holder: list[Task] = []
-        holder.append(self.loop.spawn(self.check(server, lambda: holder[0].wake())))
+        holder.append(self.loop.spawn(self.check(endpoint, lambda: holder[0].wake())))
 
-    def acquire(self, server: str, wake: Callable[[], None]) -> HealthCheckConnection:
-        address = self.addresses.find(server)
+    def acquire(self, endpoint: str, wake: Callable[[], None]) -> HealthCheckConnection:
+        """The cached connection to an endpoint, or a new one; OSError if that can't even be begun."""
+        address = self.addresses.find(endpoint)
         if address is None:
             raise OSError("no address")
-        known = self.connections.pop(server, None)
-        if known:
-            if known.address == address and not known.channel.ended and known.answers_due < MOST_OWED:
-                known.channel.wake = wake
-                return known
-            known.channel.close()
+        cached = self.connections.pop(endpoint, None)
+        if cached is not None:
+            usable = not cached.channel.ended and cached.answers_due < MAX_ANSWERS_DUE
+            if usable and cached.address == address:
+                cached.channel.wake = wake
+                return cached
+            cached.channel.close()
         return HealthCheckConnection(address, Channel.connect(self.loop, address, self.pool, wake))
 
-    def check(self, server: str, wake: Callable[[], None]) -> Generator[float, None, None]:
-        started = self.loop.now
-        end, load, standing = AttemptOutcome.CONNECT_FAILED, None, None
+    def check(self, endpoint: str, wake: Callable[[], None]) -> Generator[float, None, None]:
+        """Makes one health check and reports its result."""
+        started_at = self.loop.now
+        load = None
+        connection = None
         self.counters.add("probes sent")
         try:
-            standing = self.acquire(server, wake)
-            standing.channel.write(b"STATS\r\n" if self.field else b"PING\r\n")
-            end, load = yield from self.answer(standing, started + self.timeout)
+            connection = self.acquire(endpoint, wake)
+            connection.channel.write(b"STATS\r\n" if self.load_field else b"PING\r\n")
+            outcome, load = yield from self.await_answer(connection, started_at + self.timeout)
         except OSError as error:
             if fault_of_connect(error) is Fault.SHORTAGE:
                 self.counters.add("probes without a descriptor")
-                return  # nothing was asked: it says nothing of the server
-            end = AttemptOutcome.CONNECT_FAILED
+                return  # nothing was asked: it says nothing of the endpoint
+            outcome = AttemptOutcome.CONNECT_FAILED
         except LineTooLongError:
-            end = AttemptOutcome.UNKNOWN
-        if standing is not None:
-            connected = end in (
-                AttemptOutcome.OK,
-                AttemptOutcome.ERROR,
-                AttemptOutcome.OVERLOADED,
-                AttemptOutcome.TIMEOUT,
-            )
-            if connected and not standing.channel.ended and server not in self.connections:
-                self.store(server, standing)
+            outcome = AttemptOutcome.UNKNOWN
+        if connection is not None:
+            usable = outcome in CONNECTED and not connection.channel.ended
+            if usable and endpoint not in self.connections:
+                self.store(endpoint, connection)
             else:
-                standing.channel.close()
-        self.counters.add(f"probes {end.value}")
-        self.on_result(server, end, self.loop.now - started, load)
+                connection.channel.close()
+        self.counters.add(f"probes {outcome.value}")
+        self.on_result(endpoint, outcome, self.loop.now - started_at, load)
 
-    def answer(
-        self, standing: HealthCheckConnection, until: float
+    def await_answer(
+        self, connection: HealthCheckConnection, until: float
     ) -> Generator[float, None, tuple[AttemptOutcome, float | None]]:
-        channel = standing.channel
-        standing.answers_due += 1
+        """Waits for the answer to the newest question; returns the outcome and the load reported with it."""
+        channel = connection.channel
+        connection.answers_due += 1
         while True:
             while (line := channel.line()) is not None:
-                standing.answers_due -= 1
-                if not standing.answers_due:
-                    told = (
-                        ENDS.get(word(line), AttemptOutcome.UNKNOWN),
-                        parse_load_report(rest(line), self.field),
-                    )
+                connection.answers_due -= 1
+                if not connection.answers_due:
+                    outcome = OUTCOMES.get(first_word(line), AttemptOutcome.UNKNOWN)
+                    load = parse_load_report(after_first_word(line), self.load_field)
                     channel.set_paused(False)
-                    return told
+                    return outcome, load
             channel.set_paused(False)
             if channel.ended:
                 return (AttemptOutcome.RESET if channel.flushed else AttemptOutcome.CONNECT_FAILED), None
@@ -114,16 +126,19 @@
                 return (AttemptOutcome.CONNECT_FAILED if channel.connecting else AttemptOutcome.TIMEOUT), None
             yield until
 
-    def store(self, server: str, standing: HealthCheckConnection) -> None:
-        standing.channel.wake = lambda: self.close_if_ended(server, standing)
-        self.connections[server] = standing
+    def store(self, endpoint: str, connection: HealthCheckConnection) -> None:
+        """Caches a connection for the next health check, and closes the oldest ones past the limit."""
+        connection.channel.wake = lambda: self.close_if_ended(endpoint, connection)
+        self.connections[endpoint] = connection
         while len(self.connections) > self.max_connections:
             oldest = next(iter(self.connections))
             self.connections.pop(oldest).channel.close()
 
-    def close_if_ended(self, server: str, standing: HealthCheckConnection) -> None:
-        """A standing connection that its server ends is closed then, not at the next probe: a server that is
-        gone for good gets none, and its descriptor would be held for ever."""
-        if standing.channel.ended and self.connections.get(server) is standing:
-            del self.connections[server]
-            standing.channel.close()
+    def close_if_ended(self, endpoint: str, connection: HealthCheckConnection) -> None:
+        """Closes a cached connection that its endpoint has ended, at once and not at the next health check.
+
+        An endpoint that is gone for good gets no further check, and its descriptor would stay open for ever.
+        """
+        if connection.channel.ended and self.connections.get(endpoint) is connection:
+            del self.connections[endpoint]
+            connection.channel.close()
--- a/onyxhollow/wire/system_errors.py
+++ b/onyxhollow/wire/system_errors.py
@@ -21,8 +21,10 @@
     PEER = "peer"  # the connection, or the one at its other end
 
 
-NOT_READY = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.EINPROGRESS, errno.EALREADY})
-SHORTAGES = frozenset(
+NOT_READY_ERRORS = frozenset(
+    {errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.EINPROGRESS, errno.EALREADY}
+)
+SHORTAGE_ERRORS = frozenset(
     {
         errno.EMFILE,
         errno.ENFILE,
@@ -32,7 +34,7 @@
         errno.EADDRNOTAVAIL,  # connect: no port is left
     }
 )
-NETWORK = frozenset(
+NETWORK_ERRORS = frozenset(
     {
         errno.ENETDOWN,
         errno.ENETUNREACH,
@@ -43,8 +45,8 @@
         errno.EPERM,
     }
 )
-# What accept tells of the one connection that it would have given, which has gone.
-LOST_IN_ACCEPT = NETWORK | {
+# What accept reports of the one connection that it would have given, which has gone.
+LOST_IN_ACCEPT = NETWORK_ERRORS | {
     errno.ECONNABORTED,
     errno.ECONNRESET,
     errno.EPROTO,
@@ -56,11 +58,11 @@
 
 def fault_of(error: OSError) -> Fault:
     """Whose fault an error of a call on a connected or connecting socket is."""
-    if error.errno in NOT_READY:
+    if error.errno in NOT_READY_ERRORS:
         return Fault.NOT_READY
-    if error.errno in SHORTAGES:
+    if error.errno in SHORTAGE_ERRORS:
         return Fault.SHORTAGE
-    return Fault.NETWORK if error.errno in NETWORK else Fault.PEER
+    return Fault.NETWORK if error.errno in NETWORK_ERRORS else Fault.PEER
 
 
 def fault_of_connect(error: OSError) -> Fault:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
 from onyxhollow.lifecycle.config import Config
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.policy import Balancer
-from onyxhollow.wire.endpoint_list_watch import decode_endpoint_list
+from onyxhollow.wire.endpoint_list import decode_endpoint_list
 from onyxhollow.wire.remote_clock import RemoteClock
 
 CALLS = Listener("calls", handshake_objective=0.3, attempt_timeout=2.0, message_objective=0.1)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from onyxhollow.wire.endpoint_list_watch import decode_endpoint_list
+from onyxhollow.wire.endpoint_list import decode_endpoint_list
 from onyxhollow.wire.remote_clock import RemoteClock
 
 HOUR = 3600.0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,8 +17,7 @@
 
 from onyxhollow.interface import DeduplicationScope, Idempotency
 from onyxhollow.lifecycle.proxy import OWN, Proxy
-from onyxhollow.wire import endpoint_list_watch as discovery
-from onyxhollow.wire import session_registry as sessions
+from onyxhollow.wire import discovery_connection, first_line, session_registry
 from onyxhollow.wire.channel import Channel
 
 PATIENT = replace(CALLS, handshake_objective=4.0, attempt_timeout=4.0)
@@ -205,8 +204,8 @@
 @pytest.mark.parametrize("said", [b"", b"PING\r\n"])
 def test_a_request_that_crosses_the_end_of_a_resting_connection_finds_its_answer(loopback, monkeypatch, said):
     # Read after the end of sending it could not be answered any more, and the connection was closed.
-    monkeypatch.setattr(sessions, "FIRST_LINE", 0.2)
-    monkeypatch.setattr(sessions, "FRONT_LINE", 0.2)
+    monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT", 0.2)
+    monkeypatch.setattr(first_line, "FRONT_LINE_TIMEOUT", 0.2)
     proxy = loopback()
     client = proxy.client(said)
     ends = Channel.finish
@@ -222,7 +221,7 @@
 
 
 def test_a_request_that_comes_as_its_resting_connection_is_to_be_ended_is_served(loopback, monkeypatch):
-    monkeypatch.setattr(sessions, "FIRST_LINE", 0.2)
+    monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT", 0.2)
     proxy = loopback()
     client = proxy.client()
     proxy.until(lambda: proxy.proxy.sessions.table.live)
@@ -251,7 +250,7 @@
 
 
 def test_a_request_that_crosses_an_eviction_for_room_finds_its_answer(loopback, monkeypatch):
-    monkeypatch.setattr(sessions, "YOUNG", 0.0)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
     proxy = loopback(sockets=OWN + 10)
     first = proxy.client(b"PING\r\n")
     proxy.until(lambda: first.read() == b"PONG\r\n")
@@ -271,7 +270,7 @@
 
 
 def test_a_last_answer_that_its_client_reads_slowly_is_not_given_up_for_room(loopback, monkeypatch):
-    monkeypatch.setattr(sessions, "LAST_WORD", 0.0)
+    monkeypatch.setattr(session_registry, "CLOSING_GRACE", 0.0)
     proxy = loopback(sockets=OWN + 16)
     client, server = proxy.standing()
     (live,) = proxy.proxy.sessions.table.live
@@ -285,7 +284,7 @@
             proxy.idle(0.01)
     live.handle.decisions.migrate(live.handle)
     proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.closing)
-    monkeypatch.setattr(sessions, "YOUNG", 0.0)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
     others = [proxy.client(b"PING\r\n") for _ in range(40)]
     proxy.until(lambda: sum(bool(peer.read() and peer.end) for peer in others) > 20)
     proxy.until(lambda: client.read().endswith(b"MOVE\r\n") and client.end == "closed")
@@ -311,7 +310,7 @@
 
 
 def test_a_queue_that_no_descriptor_is_left_for_is_answered_by_the_end_of_the_stop(loopback, monkeypatch):
-    monkeypatch.setattr(sessions, "YOUNG", 0.0)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
     proxy = loopback(sockets=OWN + 100, known=False)
     clients, ends = [], Proxy.stop_listening
 
@@ -375,7 +374,7 @@
 
 def test_a_connection_to_the_list_that_never_comes_up_is_followed_by_another(loopback, monkeypatch):
     # It was waited for as long as the watch that it was made for.
-    monkeypatch.setattr(discovery, "CONNECTED_WITHIN", 0.3, raising=False)
+    monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT", 0.3)
     proxy = loopback(max_poll_interval=20.0)
     proxy.list = LateToy()
     proxy.reload_to(proxy.list)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -21,7 +21,7 @@
 from onyxhollow.interface import Idempotency
 from onyxhollow.lifecycle.config import ConfigError
 from onyxhollow.lifecycle.proxy import OWN
-from onyxhollow.wire import session_registry as sessions
+from onyxhollow.wire import line_forwarding, session_registry
 from onyxhollow.wire.buffers import BufferPool, LineBuffer, LineTooLongError
 from onyxhollow.wire.channel import Channel
 
@@ -186,7 +186,7 @@
 
 
 def test_a_server_gone_silent_is_found_by_its_missing_echoes(loopback, monkeypatch):
-    monkeypatch.setattr(sessions, "SILENT", 0.8)
+    monkeypatch.setattr(line_forwarding, "SILENCE_TIMEOUT", 0.8)
     proxy = loopback()
     client, server = proxy.standing()
     proxy.idle(1.0)
@@ -342,7 +342,7 @@
             client.say(b"\r\n" * 4000)
         proxy.idle(0.005)
         server.read()
-    assert len(live.in_flight) <= sessions.MOST_OUT and len(server.got) < 10_000
+    assert len(live.forwarder.in_flight) <= line_forwarding.MAX_IN_FLIGHT and len(server.got) < 10_000
 
 
 def test_lines_of_the_log_that_bad_clients_cause_are_limited_and_all_are_counted(loopback):
@@ -385,7 +385,7 @@
     young = [proxy.client() for _ in range(6)]
     proxy.idle(0.05)
     assert not any(peer.read() or peer.end for peer in young)
-    monkeypatch.setattr(sessions, "YOUNG", 0.0)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
     others = [proxy.client() for _ in range(6)]
     proxy.idle(0.05)
     half.say(b"d=2000\r\n")
@@ -406,7 +406,7 @@
 
 
 def test_the_front_is_answered_and_idle_connections_make_room_for_sessions(loopback, monkeypatch):
-    monkeypatch.setattr(sessions, "YOUNG", 0.0)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
     proxy = loopback(sockets=OWN + 10)
     idle = []
     for _ in range(12):
@@ -589,7 +589,7 @@
 
 
 def test_a_list_that_says_nothing_is_given_up_in_time(loopback, monkeypatch):
-    monkeypatch.setattr("onyxhollow.wire.endpoint_list_watch.ANSWER", 0.2)
+    monkeypatch.setattr("onyxhollow.wire.endpoint_list_watch.ANSWER_TIMEOUT", 0.2)
     proxy = loopback(max_poll_interval=0.6)
     proxy.until(lambda: proxy.list.asked())
     proxy.until(lambda: proxy.counts["list failures"] == 1)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -5,6 +5,7 @@
 import socket
 import time
 from dataclasses import replace
+from functools import partial
 from types import SimpleNamespace
 
 import orjson
@@ -22,9 +23,12 @@
 from onyxhollow.lifecycle.handover import Handover, StateError, decode_state, encode_state, given_socket
 from onyxhollow.management import metrics
 from onyxhollow.state_snapshot import avoided, describe, take_back
-from onyxhollow.wire import session_registry as sessions
-from onyxhollow.wire.channel import ListenError
+from onyxhollow.wire.client_session import accept_handoff
+from onyxhollow.wire.connection_handoff import ConnectionHandoff
+from onyxhollow.wire.established_connection import EstablishedConnection
 from onyxhollow.wire.handoff_channel import HandoffReceiver
+from onyxhollow.wire.listening import ListenError
+from onyxhollow.wire.session_registry import SessionRegistry
 
 OPERATORS = ("127.0.0.1", 0)
 BOTH = {"calls": CALLS, "once": replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)}
@@ -317,7 +321,7 @@
     for live in proxy.proxy.sessions.table.live:
         assert live.handle.sess.listener is CALLS
     monkeypatch.setattr(
-        sessions.SessionRegistry, "find_listener", lambda self, name: self.listeners.get(name)
+        SessionRegistry, "find_listener", lambda self, name: self.settings.listeners.get(name)
     )
     too_late = proxy.open("calls")
     proxy.until(lambda: too_late.read() == b"ERR\r\n")
@@ -511,7 +515,7 @@
     clients = [old.standing()[0] for _ in range(3)]
     new = replaced(overlap)
     if fails == "refuses":
-        monkeypatch.setattr(sessions, "read_carried", lambda _: 1 / 0)
+        monkeypatch.setattr(ConnectionHandoff, "decode", lambda _: 1 / 0)
     elif fails == "dies":
         new.proxy.loop.running = False
         overlap.running.remove(new)  # never turned again: it has the messages, and answers none
@@ -542,11 +546,12 @@
     client, _ = proxy.standing()
     (live,) = proxy.proxy.sessions.table.live
     sent = []
-    list(live.pass_on(live.handle, SimpleNamespace(send=lambda record, *_: sent.append(record)), 0.0))
+    sender = SimpleNamespace(send=lambda record, *_: sent.append(record))
+    list(EstablishedConnection(live, live.forwarder, 0.0).hand_off(sender))
     record = orjson.loads(orjson.dumps({"version": 1, "number": 7, **sent[0]}))
     record["line"] = record["line"].replace("OPEN 9b1f1", "OPEN 9b1f2")
     receiver = HandoffReceiver.__new__(HandoffReceiver)
-    receiver.loop, receiver.take = proxy.proxy.loop, proxy.proxy.sessions.accept_handoff
+    receiver.loop, receiver.take = proxy.proxy.loop, partial(accept_handoff, proxy.proxy.sessions)
     text = json.dumps({**record, **change}).encode()
     for message in (text, json.dumps(record).encode()[:-9], b""):
         ends = socket.socketpair()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -16,7 +16,7 @@
 from conftest import Peer
 
 from onyxhollow.interface import Idempotency
-from onyxhollow.wire import channel
+from onyxhollow.wire import channel, listening
 from onyxhollow.wire.system_errors import Fault, fault_of, fault_of_connect
 
 CALLS = {
@@ -156,6 +156,7 @@
             return getattr(socket, name)
 
     monkeypatch.setattr(channel, "socket", Module())
+    monkeypatch.setattr(listening, "socket", Module())
     proxy = loopback("ab", listeners={"calls": CALLS_ONCE})
     proxy.proxy.loop.epoll = ShimEpoll(proxy.proxy.loop.epoll, plan)
     proxy.plan = plan
