--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -101,7 +101,7 @@
 
 def serve(told: argparse.Namespace, signals: SignalQueue) -> int:
     """Runs one proxy until a signal ends it."""
-    from onyxhollow.lifecycle import proxy
+    from onyxhollow.lifecycle import serve as serving
 
     try:
         config, fleet = read_files(told)
@@ -110,10 +110,10 @@
     except ValueError as error:  # ConfigError, FleetError
         return no_good(error)
     if fleet is None:
-        return proxy.serve(config, told.config, signals)
+        return serving.serve(config, told.config, signals)
     from onyxhollow.fleet.node import attach
 
-    return proxy.serve(config, told.config, signals, attach(fleet))
+    return serving.serve(config, told.config, signals, attach(fleet))
 
 
 def check(told: argparse.Namespace) -> int:
--- a/onyxhollow/lifecycle/config.py
+++ b/onyxhollow/lifecycle/config.py
@@ -1,4 +1,4 @@
-"""What a proxy is told: the JSON of $LB_CONFIG, checked whole, at its start and at each reload."""
+"""The configuration of a proxy: the JSON of $LB_CONFIG, checked whole at its start and at each reload."""
 
 from __future__ import annotations
 
@@ -28,54 +28,74 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """All that one configuration file, and the environment beside it, say."""
+
     name: str
-    listen: Address
+    listen: Address  # where clients connect
     discovery: Address
     management: Address | None  # where operators call
     seed: int
-    max_sockets: int
-    memory_bytes: int  # bytes
-    known: EndpointList
+    max_sockets: int  # descriptors of this process
+    memory_bytes: int
+    known: EndpointList  # the endpoints known before discovery was polled
     settings: Settings
-    connect_timeout: float  # seconds for a connection to come up
-    health_check_timeout: float  # seconds for a probe to be answered
+    connect_timeout: float  # seconds for a connection to an endpoint to come up
+    health_check_timeout: float  # seconds for a health check to be answered
     clock: RemoteClock = field(default_factory=RemoteClock, compare=False)  # that the known list was read by
-    keys: frozenset[str] = frozenset()  # all that the file names, but the servers known
+    keys: frozenset[str] = frozenset()  # all that the file names, but the endpoints known
 
 
 def read_config(path: str, again: bool = False) -> Config:
-    """again: for a reload; the file says then which list to follow, $LB_DISCOVERY only at the start."""
+    """Reads the file and checks it whole.
+
+    Args:
+        path: Of the JSON file.
+        again: Whether this is a reload: the file says then which list to follow; $LB_DISCOVERY holds only at
+            the start.
+
+    Raises:
+        ConfigError: It is missing, not JSON, or something in it can't be used.
+    """
     environment = {name: value for name, value in os.environ.items() if not again or name != "LB_DISCOVERY"}
     try:
         with open(path, "rb") as file:
-            told = orjson.loads(file.read())
+            document = orjson.loads(file.read())
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except ValueError as error:
         raise ConfigError(f"{path}: not JSON: {error}") from None
-    if not isinstance(told, Mapping):
+    if not isinstance(document, Mapping):
         raise ConfigError(f"{path}: not an object")
     try:
-        return decode(told, environment)
+        return decode(document, environment)
     except (WireError, EndpointListError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
 def needs_restart(old: Config, new: Config) -> str:
-    """What no running proxy can change and was changed. Seed and known list belong to a start alone."""
+    """What was changed and no running proxy can change; empty if there is nothing of that.
+
+    Seed and known list belong to a start alone.
+    """
     for name in ("name", "listen", "management"):
-        if (was := getattr(old, name)) != (told := getattr(new, name)):
-            return f"{name}: expected {was!r} until a restart, got {told!r}"
-    if lacking := sorted(old.keys - new.keys):
-        return f"{lacking[0]}: expected, as in the file in force, got nothing"
+        before = getattr(old, name)
+        after = getattr(new, name)
+        if before != after:
+            return f"{name}: expected {before!r} until a restart, got {after!r}"
+    missing = sorted(old.keys - new.keys)
+    if missing:
+        return f"{missing[0]}: expected, as in the file in force, got nothing"
     return ""
 
 
-def key_paths(told: Mapping[str, Any], within: str = "") -> frozenset[str]:
-    """The names of all that is told. Of a list of objects those that each of them has: listeners come and go,
-    and one that lacks what all others have is half-written."""
+def key_paths(document: Mapping[str, Any], within: str = "") -> frozenset[str]:
+    """The paths of all keys of a document.
+
+    Of a list of objects those that each of them has: listeners come and go, and one that lacks what all
+    others have is half-written.
+    """
     found: set[str] = set()
-    for name, value in told.items():
+    for name, value in document.items():
         path = f"{within}{name}"
         found.add(path)
         if isinstance(value, Mapping):
@@ -85,28 +105,35 @@
     return frozenset(found)
 
 
-def decode(told: Mapping[str, Any], environment: Mapping[str, str]) -> Config:
-    options = section(told, "settings", needed=True)
+def decode(document: Mapping[str, Any], environment: Mapping[str, str]) -> Config:
+    """Reads a parsed file; WireError or EndpointListError for what can't be used."""
+    options = section(document, "settings", needed=True)
     settings, _ = read_settings(options)
-    seed = text(told, "seed", "0")
-    try:
-        start = int(seed, 16)
-    except ValueError:
-        raise WireError(f"seed: impossible value {seed[:40]!r}") from None
-    limits, clock = section(told, "limits"), RemoteClock()
-    management = environment.get("LB_MANAGEMENT") or told.get("management")
+    seed = decode_seed(text(document, "seed", "0"))
+    limits = section(document, "limits")
+    clock = RemoteClock()
+    management = environment.get("LB_MANAGEMENT") or document.get("management")
+    known = document.get("known") or {"seq": -1, "hosts": []}
     return Config(
-        name=environment.get("LB_NAME") or text(told, "name", "proxy"),
-        listen=decode_address(environment.get("LB_LISTEN") or told.get("listen")),
-        discovery=decode_address(environment.get("LB_DISCOVERY") or told.get("discovery")),
+        name=environment.get("LB_NAME") or text(document, "name", "proxy"),
+        listen=decode_address(environment.get("LB_LISTEN") or document.get("listen")),
+        discovery=decode_address(environment.get("LB_DISCOVERY") or document.get("discovery")),
         management=decode_address(management) if management else None,
-        seed=start,
+        seed=seed,
         max_sockets=whole(limits.get("sockets", 1024), "limits: sockets", 64),
         memory_bytes=whole(limits.get("memory_mb", 64), "limits: memory_mb", 16) << 20,
-        known=decode_endpoint_list(told.get("known") or {"seq": -1, "hosts": []}, clock, time.monotonic()),
+        known=decode_endpoint_list(known, clock, time.monotonic()),
         clock=clock,
         settings=settings,
         connect_timeout=seconds(section(options, "ceilings"), "connectTimeoutNs", 1.0) or 1.0,
         health_check_timeout=min(seconds(row, "handshakeTargetNs") for row in rows(options, "listeners")),
-        keys=key_paths({name: None if name == "known" else value for name, value in told.items()}),
+        keys=key_paths({name: None if name == "known" else value for name, value in document.items()}),
     )
+
+
+def decode_seed(text: str) -> int:
+    """Reads a hexadecimal seed; WireError for anything else."""
+    try:
+        return int(text, 16)
+    except ValueError:
+        raise WireError(f"seed: impossible value {text[:40]!r}") from None
--- /dev/null
+++ b/onyxhollow/lifecycle/operator_pages.py
@@ -0,0 +1,53 @@
+"""What operators fetch from this process: whether it takes clients, and its metrics."""
+
+from __future__ import annotations
+
+from onyxhollow.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
+from onyxhollow.decision_adapter import DecisionAdapter
+from onyxhollow.management import metrics
+from onyxhollow.management.api import PLAIN, Answer
+from onyxhollow.service_state import ServiceState
+from onyxhollow.wire.session_registry import SessionRegistry
+
+
+class OperatorPages:
+    """Answers of the management address that change nothing."""
+
+    def __init__(
+        self,
+        counters: Counters,
+        service: ServiceState,
+        sessions: SessionRegistry,
+        decisions: DecisionAdapter,
+    ) -> None:
+        self.counters = counters
+        self.service = service
+        self.sessions = sessions
+        self.decisions = decisions
+
+    def ready(self, _: str) -> Answer:
+        """200 while this process takes clients, else 503 with its phase."""
+        if not self.service.ready:
+            return 503, f"{self.service.phase.value}\n".encode(), PLAIN
+        return 200, b"ready\n", PLAIN
+
+    def metrics(self, _: str) -> Answer:
+        """All metrics in the Prometheus text format."""
+        counts = self.counters.counts
+        listed, down = self.decisions.avoided()
+        refused = counts["reloads refused"]
+        values = (
+            ("backend_calls_total", counts["dials written whole"]),
+            ("inflight", self.sessions.active_count),
+            ("hosts_listed", listed),
+            ("hosts_down", down),
+            ("reconfig_ok_total", counts["reloads"] - refused),
+            ("reconfig_failed_total", refused),
+        )
+        ends = self.counters.ends
+        by_tier = (
+            ("success_total", ends[ACCEPTED]),
+            ("busy_total", ends[REFUSED]),
+            ("failure_total", ends[TORN_DOWN]),
+        )
+        return 200, metrics.render(by_tier, values), metrics.TEXT
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -218,7 +218,7 @@
     def reload_to(self, toy):
         """The file names another server list, and SIGHUP comes."""
         self.config = replace(self.config, discovery=("127.0.0.1", toy.port))
-        self.proxy.reload()
+        self.proxy.reloader.reload()
 
     def answer_list(self, body, status=b"200 OK", count=1, toy=None):
         peer = self.until(lambda: (toy or self.list).asked(count))
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -22,11 +22,13 @@
 from conftest import CALLS, Peer
 
 from onyxhollow.interface import Idempotency
-from onyxhollow.lifecycle import proxy as lifecycle
+from onyxhollow.lifecycle import replacement
 from onyxhollow.lifecycle.config import read_config
 from onyxhollow.lifecycle.handover import Handover, decode_state, encode_state, given_socket
+from onyxhollow.lifecycle.limits import STOP_MARGIN
+from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.topology import keep, logs
-from onyxhollow.wire.carried import read_carried
+from onyxhollow.wire.connection_handoff import ConnectionHandoff
 
 DATA = Path(__file__).parent / "data" / "compatibility" / "proxy"
 MEANING = json.loads((DATA / "meaning.json").read_bytes())  # under names of this test
@@ -41,7 +43,7 @@
 
 def make_proxy(config, given, handover):
     """As `serve` does."""
-    return lifecycle.Proxy(
+    return Proxy(
         replace(config, management=None),
         os.open(os.devnull, os.O_WRONLY),
         lambda: config,
@@ -59,14 +61,14 @@
         "discovery": config.discovery,
         "management": config.management,
         "seed": config.seed,
-        "sockets": config.sockets,
-        "memory": config.memory,
-        "connect": config.connect_time,
-        "probe": config.probe_time,
+        "sockets": config.max_sockets,
+        "memory": config.memory_bytes,
+        "connect": config.connect_timeout,
+        "probe": config.health_check_timeout,
         "seq": config.known.version,
-        "whole": config.known.whole,
+        "whole": config.known.is_snapshot,
         "dials": config.known.addresses,
-        "hosts": [entry_told(entry, config.clock) for entry in config.known.entries],
+        "hosts": [entry_told(entry, config.clock) for entry in config.known.endpoints],
         "me": s.instance_index,
         "peersTotal": s.instance_count,
         "zone": s.zone,
@@ -103,17 +105,17 @@
 
 def connection_told(record):
     """Everything that the record of a connection told."""
-    c = read_carried(record)
+    c = ConnectionHandoff.decode(record)
     return {
-        "line": c.opening.line,
-        "opening": (c.opening.name, c.opening.listener, c.opening.tenant, c.opening.group),
-        "figures": (c.opening.left, c.opening.load),
+        "line": c.request.line,
+        "opening": (c.request.session_id, c.request.listener, c.request.tenant, c.request.group),
+        "figures": (c.request.time_left, c.request.load),
         "listener": listener_told(c.listener),
-        "server": c.server,
-        "times": (c.started, c.heard, c.out),
+        "server": c.endpoint,
+        "times": (c.started_at, c.last_echo_at, c.in_flight),
         "load": c.load,
-        "last": c.last,
-        "read": c.read,
+        "last": c.final_word,
+        "read": c.unread,
         "unsent": c.unsent,
     }
 
@@ -205,12 +207,13 @@
 
     def hand_over(self, rows):
         """What it writes down for a successor of its own. rows: what the service has told it of the list."""
-        self.proxy.discovery.rows = rows
-        self.proxy.hand_over(self.old, TOKEN)
+        self.proxy.discovery.records = rows
+        self.proxy.replacement.write_state(TOKEN)
         return (self.folder / "onyxhollow-state").read_bytes()
 
     def pass_on(self, path):
-        self.proxy.loop.spawn(self.proxy.pass_on(path, self.proxy.loop.now + 5.0))
+        until = self.proxy.loop.now + 5.0 - STOP_MARGIN
+        self.proxy.loop.spawn(self.proxy.replacement.hand_off_connections(path, until))
 
     def close(self):
         for fd in list(self.proxy.loop.watched):
@@ -242,8 +245,8 @@
     monkeypatch.setattr(time, "monotonic", clock)
     monkeypatch.setattr(time, "monotonic_ns", lambda: int(TOKEN.partition("-")[2]))
     monkeypatch.setattr(os, "getpid", lambda: int(TOKEN.partition("-")[0]))
-    monkeypatch.setattr(lifecycle, "LIST_HEARD", 0.2)  # nobody tells the list here
-    monkeypatch.setattr(lifecycle, "STATE_WAIT", 2.0)
+    monkeypatch.setattr(replacement, "LIST_TIMEOUT", 0.2)  # nobody tells the list here
+    monkeypatch.setattr(replacement, "STATE_TIMEOUT", 2.0)
     for name in [name for name in os.environ if name.startswith("LB_")]:
         monkeypatch.delenv(name)
     made = Successor(tmp_path, clock)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,8 @@
 from conftest import CALLS, Toy
 
 from onyxhollow.interface import DeduplicationScope, Idempotency
-from onyxhollow.lifecycle.proxy import OWN, Proxy
+from onyxhollow.lifecycle.accepting import ClientAcceptor
+from onyxhollow.lifecycle.limits import OWN_DESCRIPTORS
 from onyxhollow.wire import discovery_connection, first_line, session_registry
 from onyxhollow.wire.channel import Channel
 
@@ -251,7 +252,7 @@
 
 def test_a_request_that_crosses_an_eviction_for_room_finds_its_answer(loopback, monkeypatch):
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
-    proxy = loopback(sockets=OWN + 10)
+    proxy = loopback(sockets=OWN_DESCRIPTORS + 10)
     first = proxy.client(b"PING\r\n")
     proxy.until(lambda: first.read() == b"PONG\r\n")
     shut = Channel.close
@@ -271,7 +272,7 @@
 
 def test_a_last_answer_that_its_client_reads_slowly_is_not_given_up_for_room(loopback, monkeypatch):
     monkeypatch.setattr(session_registry, "CLOSING_GRACE", 0.0)
-    proxy = loopback(sockets=OWN + 16)
+    proxy = loopback(sockets=OWN_DESCRIPTORS + 16)
     client, server = proxy.standing()
     (live,) = proxy.proxy.sessions.table.live
     live.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -296,31 +297,31 @@
 def test_all_that_stands_in_the_listeners_queue_at_the_stop_is_answered(loopback, monkeypatch):
     # One bounded accept was made before it was closed; the system reset the rest.
     proxy = loopback(sockets=1000, known=False)
-    clients, ends = [], Proxy.stop_listening
+    clients, ends = [], ClientAcceptor.stop_listening
 
     def rush(inner, *values):
         clients.extend(proxy.open() for _ in range(200))
         return ends(inner, *values)
 
-    monkeypatch.setattr(Proxy, "stop_listening", rush)
-    proxy.proxy.stop_span = 0.9
-    proxy.proxy.loop.spawn(proxy.proxy.stop())
+    monkeypatch.setattr(ClientAcceptor, "stop_listening", rush)
+    proxy.proxy.shutdown.stop_time = 0.9
+    proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: not proxy.proxy.loop.running, within=4)
     assert [client.read() for client in clients] == [REFUSED] * 200
 
 
 def test_a_queue_that_no_descriptor_is_left_for_is_answered_by_the_end_of_the_stop(loopback, monkeypatch):
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
-    proxy = loopback(sockets=OWN + 100, known=False)
-    clients, ends = [], Proxy.stop_listening
+    proxy = loopback(sockets=OWN_DESCRIPTORS + 100, known=False)
+    clients, ends = [], ClientAcceptor.stop_listening
 
     def rush(inner, *values):
         clients.extend(proxy.open(wait=300) for _ in range(150))
         return ends(inner, *values)
 
-    monkeypatch.setattr(Proxy, "stop_listening", rush)
-    proxy.proxy.stop_span = 2.5
-    proxy.proxy.loop.spawn(proxy.proxy.stop())
+    monkeypatch.setattr(ClientAcceptor, "stop_listening", rush)
+    proxy.proxy.shutdown.stop_time = 2.5
+    proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: not proxy.proxy.loop.running, within=5)
     assert proxy.counts["accepts put off for want of room"]
     assert [client.read() for client in clients] == [REFUSED] * 150
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -390,7 +390,7 @@
 
 def test_serve_loads_nothing_of_the_lab_or_the_fleet_and_no_library_of_theirs():
     code = (
-        "import sys, onyxhollow.__main__, onyxhollow.lifecycle.proxy\n"
+        "import sys, onyxhollow.__main__, onyxhollow.lifecycle.serve\n"
         "print(*sorted({name.partition('.')[0] for name in sys.modules if not name.startswith('_')}"
         " - set(sys.stdlib_module_names)), sum(name.startswith(('onyxhollow.lab', 'onyxhollow.fleet',"
         " 'onyxhollow.leases', 'onyxhollow.membership', 'onyxhollow.append_log')) for name in sys.modules),"
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -20,7 +20,7 @@
 from onyxhollow.counters import Counters
 from onyxhollow.interface import Idempotency
 from onyxhollow.lifecycle.config import ConfigError
-from onyxhollow.lifecycle.proxy import OWN
+from onyxhollow.lifecycle.limits import OWN_DESCRIPTORS
 from onyxhollow.wire import line_forwarding, session_registry
 from onyxhollow.wire.buffers import BufferPool, LineBuffer, LineTooLongError
 from onyxhollow.wire.channel import Channel
@@ -349,7 +349,7 @@
     proxy = loopback()
     for _ in range(500):
         proxy.proxy.sessions.report_malformed("rubbish")
-    proxy.proxy.print_counters()
+    proxy.proxy.log_counters()
     rows = [json.loads(row) for row in os.read(proxy.log_reader, 1 << 20).splitlines()]
     assert 100 <= sum(row["event"] == "malformed" for row in rows) <= 110
     assert rows[-1]["malformed lines"] == 500 and rows[-1]["log lines dropped"] >= 390
@@ -379,7 +379,7 @@
 
 
 def test_half_a_line_or_a_line_that_may_be_on_its_way_is_not_cut_off_to_make_room(loopback, monkeypatch):
-    proxy = loopback(sockets=OWN + 8)  # room for seven, the list's connection among them
+    proxy = loopback(sockets=OWN_DESCRIPTORS + 8)  # room for seven, the list's connection among them
     half = proxy.client(b"OPEN 1 2 c=calls,")
     proxy.idle(0.02)
     young = [proxy.client() for _ in range(6)]
@@ -407,7 +407,7 @@
 
 def test_the_front_is_answered_and_idle_connections_make_room_for_sessions(loopback, monkeypatch):
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
-    proxy = loopback(sockets=OWN + 10)
+    proxy = loopback(sockets=OWN_DESCRIPTORS + 10)
     idle = []
     for _ in range(12):
         idle.append(proxy.client(b"PING\r\n"))
@@ -418,7 +418,7 @@
 
 
 def test_without_descriptors_to_spare_a_session_is_refused_and_no_server_blamed(loopback):
-    proxy = loopback(sockets=OWN + 16)
+    proxy = loopback(sockets=OWN_DESCRIPTORS + 16)
     proxy.answer_list(LIST)
     standing = [proxy.standing() for _ in range(6)]
     client = proxy.open()
@@ -442,14 +442,22 @@
 def test_shares_of_few_descriptors_and_little_memory_are_taken_anew_by_a_reload(loopback):
     proxy = loopback(sockets=1036)
     inner = proxy.proxy
-    assert (inner.sessions.connection_limit, inner.accepts_to, inner.health_checker.max_connections) == (
+    assert (
+        inner.sessions.connection_limit,
+        inner.acceptor.max_connections,
+        inner.health_checker.max_connections,
+    ) == (
         896,
         960,
         64,
     )
     proxy.config = replace(proxy.config, max_sockets=268, memory_bytes=32 << 20)
-    inner.reload()
-    assert (inner.sessions.connection_limit, inner.accepts_to, inner.health_checker.max_connections) == (
+    inner.reloader.reload()
+    assert (
+        inner.sessions.connection_limit,
+        inner.acceptor.max_connections,
+        inner.health_checker.max_connections,
+    ) == (
         224,
         240,
         32,
@@ -668,8 +676,8 @@
     def bad():
         raise ConfigError("config.json: not JSON")
 
-    proxy.proxy.reread_config = bad
-    proxy.proxy.reload()
+    proxy.proxy.reloader.reread_config = bad
+    proxy.proxy.reloader.reload()
     proxy.answer_list(LIST, toy=toys[2])
     proxy.until(lambda: b"index=8" in toys[2].peers[0].read())
     assert proxy.counts["reloads refused"] == 1 and proxy.standing()
@@ -712,7 +720,7 @@
     body = json.dumps({"seq": 9, "whole": True, "hosts": rows}).encode()
     for count, settings, size, held in ((2, live, 4.0, 7.0), (3, old, 0.5, 0.0)):
         proxy.config = replace(proxy.config, settings=settings)
-        proxy.proxy.reload()
+        proxy.proxy.reloader.reload()
         assert balancer.live_sizes is settings.live_weights and source.leaving in (pace, None)
         peer = proxy.until(lambda n=count: proxy.list.asked(n))
         assert peer.got.startswith(b"GET /v1/endpoints HTTP")  # whole: weights mean another thing now
@@ -724,8 +732,8 @@
     def bad():
         raise ConfigError("config.json: setting weightKind: expected text, got 4")
 
-    proxy.proxy.reread_config, before = bad, proxy.proxy.config
-    proxy.proxy.reload()
+    proxy.proxy.reloader.reread_config, before = bad, proxy.proxy.config
+    proxy.proxy.reloader.reload()
     assert proxy.proxy.config is before and proxy.counts["reloads refused"] == 1
     assert proxy.counts["settings taken over"] == 2
     proxy.idle(0.4)  # past the terms of the settings between
@@ -768,8 +776,8 @@
 def test_a_stop_moves_the_open_ones_answers_the_waiting_and_serves_late_comers(loopback):
     proxy = loopback()
     (first, _), (second, _) = proxy.standing(), proxy.standing()
-    proxy.proxy.stop_span = 0.9
-    proxy.proxy.loop.spawn(proxy.proxy.stop())
+    proxy.proxy.shutdown.stop_time = 0.9
+    proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     late = proxy.open()
     server = proxy.until(lambda: proxy.toys["a"].asked(3))
     server.say(b"UP r3\r\n")
@@ -783,8 +791,8 @@
     proxy = loopback(listeners=BOTH)
     client = proxy.open("once", wait=5000)
     server = proxy.until(lambda: proxy.toys["a"].asked())
-    proxy.proxy.stop_span = 0.6
-    proxy.proxy.loop.spawn(proxy.proxy.stop())
+    proxy.proxy.shutdown.stop_time = 0.6
+    proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: not proxy.proxy.loop.running, within=3)
     assert client.read() == b"ERR\r\n" and server.read() and server.end == "closed"
     assert not proxy.proxy.decisions.balancer.servers["a"].connections and not proxy.counts["failures"]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -17,8 +17,8 @@
 from onyxhollow.__main__ import main
 from onyxhollow.counters import Counters
 from onyxhollow.interface import EndpointListKind, Idempotency
+from onyxhollow.lifecycle import draining, replacement, shutdown
 from onyxhollow.lifecycle import handover as handovers
-from onyxhollow.lifecycle import proxy as proxies
 from onyxhollow.lifecycle.config import ConfigError, decode, needs_restart, read_config
 from onyxhollow.lifecycle.handover import Handover, StateError, decode_state, encode_state, given_socket
 from onyxhollow.management import metrics
@@ -186,8 +186,8 @@
 
 
 def test_clients_are_sent_away_between_lines_and_what_still_comes_is_served(served, monkeypatch):
-    monkeypatch.setattr(proxies, "AWAY_FROM", 0.1)
-    monkeypatch.setattr(proxies, "AWAY_SPAN", 0.8)
+    monkeypatch.setattr(draining, "DRAIN_DELAY", 0.1)
+    monkeypatch.setattr(draining, "DRAIN_TIME", 0.8)
     proxy = served()
     front = proxy.client(b"PING\r\n")
     proxy.until(lambda: front.read() == b"PONG\r\n")
@@ -198,7 +198,7 @@
     assert proxy.ask("ready")[0] == 503
     late, _ = proxy.standing()
     dialling = proxy.open()
-    proxy.proxy.reload()  # does not bring it back
+    proxy.proxy.reloader.reload()  # does not bring it back
     assert proxy.ask("ready")[0] == 503
     for client, _ in [*standing, (late, None)]:
         proxy.until(lambda client=client: client.read() == b"MOVE\r\n" and client.end == "closed", within=1.2)
@@ -214,7 +214,7 @@
 
 
 def test_taken_back_half_way_those_not_moved_yet_stay(served, monkeypatch):
-    monkeypatch.setattr(proxies, "AWAY_FROM", 0.05)
+    monkeypatch.setattr(draining, "DRAIN_DELAY", 0.05)
     proxy = served()
     clients = [proxy.standing()[0] for _ in range(12)]
     proxy.ask("out-of-service", "POST")
@@ -312,7 +312,7 @@
     first, other = proxy.first_dial()
     settings = replace(proxy.config.settings, listeners={"once": BOTH["once"]}, max_attempts=1)
     proxy.config = replace(proxy.config, settings=settings)
-    proxy.proxy.reload()
+    proxy.proxy.reloader.reload()
     first.say(b"ERR\r\n")
     proxy.until(lambda: other.asked()).say(b"UP r\r\n")  # its second dial, which new ones no longer have
     proxy.until(lambda: dialling.read() == b"UP r\r\n")
@@ -326,8 +326,8 @@
     too_late = proxy.open("calls")
     proxy.until(lambda: too_late.read() == b"ERR\r\n")
     assert not on_its_way.read() and read_figures(proxy.ask("counters")[1])["lb_success_total", "calls"] == 1
-    proxy.proxy.reread_config = lambda: read_config("/nowhere")
-    proxy.proxy.reload()
+    proxy.proxy.reloader.reread_config = lambda: read_config("/nowhere")
+    proxy.proxy.reloader.reload()
     told = read_figures(proxy.ask("counters")[1])
     assert (told["lb_reconfig_ok_total", None], told["lb_reconfig_failed_total", None]) == (1, 1)
 
@@ -418,7 +418,7 @@
     accepted = overlap.taken_by(new)
     front.say(b"PING\r\n")
     overlap.until(lambda: front.read() == b"PONG\r\nPONG\r\n")  # never a no meanwhile
-    old.proxy.loop.spawn(old.proxy.stop())
+    old.proxy.loop.spawn(old.proxy.shutdown.run())
     front.say(b"PING\r\n")
     overlap.until(lambda: front.read() == b"PONG\r\n" * 3 and front.end == "closed")  # after the answer
     overlap.until(lambda: not old.proxy.loop.running)
@@ -445,7 +445,7 @@
 
 
 def test_a_third_process_or_a_folder_that_cant_be_used_hands_nothing_over(overlap, tmp_path, monkeypatch):
-    monkeypatch.setattr(handovers, "BEGIN_WITHIN", 0.05)
+    monkeypatch.setattr(handovers, "LOCK_TIMEOUT", 0.05)
     old, new = overlap.start(), overlap.start()
     third = Handover(str(tmp_path))
     assert not old.proxy.handover.follows and new.proxy.handover.follows
@@ -481,7 +481,7 @@
     unread = Peer(socket.create_connection(overlap.socket.getsockname()))
     overlap.until(lambda: old.counts["connections accepted"] == 42)
     new = replaced(overlap)
-    old.proxy.loop.spawn(old.proxy.stop())
+    old.proxy.loop.spawn(old.proxy.shutdown.run())
     overlap.until(lambda: new.counts["connections taken over"] == 40)
     later.say(b"UP r2\r\n")
     overlap.until(lambda: waiting.read() == b"UP r2\r\n" and new.counts["connections taken over"] == 41)
@@ -505,7 +505,7 @@
     assert new.counts["dials"] == 0  # nothing was dialled anew
     told = read_figures(new.ask("counters")[1])
     assert (told["lb_inflight", None], told["lb_success_total", "calls"]) == (42, 0)
-    new.proxy.loop.spawn(new.proxy.stop())  # and from it, moved, as there is no successor
+    new.proxy.loop.spawn(new.proxy.shutdown.run())  # and from it, moved, as there is no successor
     overlap.until(lambda: all(c.read().endswith(b"MOVE\r\n") and c.end for c, _ in pairs), within=3.5)
 
 
@@ -519,12 +519,12 @@
     elif fails == "dies":
         new.proxy.loop.running = False
         overlap.running.remove(new)  # never turned again: it has the messages, and answers none
-        monkeypatch.setattr(proxies, "STOP_MARGIN", 2.6)
+        monkeypatch.setattr(shutdown, "STOP_MARGIN", 2.6)
     else:
         monkeypatch.setattr(
-            proxies.Handover, "successor_announcement", lambda _: {"state": "taking", "path": "/nowhere"}
+            Handover, "successor_announcement", lambda _: {"state": "taking", "path": "/nowhere"}
         )
-    old.proxy.loop.spawn(old.proxy.stop())
+    old.proxy.loop.spawn(old.proxy.shutdown.run())
     overlap.until(lambda: all(c.read() == b"MOVE\r\n" and c.end == "closed" for c in clients), within=3.5)
     assert not old.counts["connections passed on"]
 
@@ -609,7 +609,7 @@
 
 
 def test_a_successor_that_hears_no_list_goes_on_from_the_old_ones_and_takes_clients(overlap, monkeypatch):
-    monkeypatch.setattr(proxies, "LIST_HEARD", 0.4)
+    monkeypatch.setattr(replacement, "LIST_TIMEOUT", 0.4)
     old = overlap.start()
     rows = [old.row("a"), old.row("a", "leaving") | {"host": "b"}]
     whole = {"seq": 41, "whole": True, "hosts": rows}
@@ -642,9 +642,9 @@
 
 
 def test_a_client_that_reads_nothing_is_not_held_past_the_time_for_sending_away(served, monkeypatch):
-    monkeypatch.setattr(proxies, "AWAY_FROM", 0.05)
-    monkeypatch.setattr(proxies, "AWAY_SPAN", 0.5)
-    monkeypatch.setattr(proxies, "AWAY_HELD", 0.1)
+    monkeypatch.setattr(draining, "DRAIN_DELAY", 0.05)
+    monkeypatch.setattr(draining, "DRAIN_TIME", 0.5)
+    monkeypatch.setattr(draining, "CLOSING_TIME", 0.1)
     proxy = served()
     client, server = proxy.standing()
     (live,) = proxy.proxy.sessions.table.live
@@ -663,7 +663,7 @@
     new = replaced(overlap)
     for _ in range(4):
         overlap.taken_by(new)
-    old.proxy.loop.spawn(old.proxy.stop())
+    old.proxy.loop.spawn(old.proxy.shutdown.run())
     overlap.until(lambda: new.counts["connections taken over"] == 1 or client.read() == b"MOVE\r\n")
     overlap.until(lambda: not old.proxy.loop.running)
 
@@ -672,7 +672,7 @@
     old = overlap.start()
     new = replaced(overlap)
     overlap.taken_by(new)
-    new.proxy.loop.spawn(new.proxy.stop())
+    new.proxy.loop.spawn(new.proxy.shutdown.run())
     overlap.until(lambda: not old.proxy.service.replaced, within=0.4)
     assert new.proxy.loop.running
     overlap.until(lambda: not new.proxy.loop.running)
@@ -682,9 +682,9 @@
 def test_a_stop_while_clients_are_sent_away_ends_as_usual_and_figures_go_on(served):
     proxy = served()
     clients = [proxy.standing()[0] for _ in range(5)]
-    proxy.proxy.stop_span = 0.9
+    proxy.proxy.shutdown.stop_time = 0.9
     proxy.ask("out-of-service", "POST")
-    proxy.proxy.loop.spawn(proxy.proxy.stop())
+    proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: proxy.proxy.service.stopping)
     assert proxy.ask("in-service", "POST")[0] == proxy.ask("ready")[0] == 503
     assert read_figures(proxy.ask("counters")[1])["lb_inflight", None] == 5
