--- a/onyxhollow/lifecycle/shutdown.py
+++ b/onyxhollow/lifecycle/shutdown.py
@@ -42,7 +42,7 @@
         self.begun = False
 
     def begin(self) -> None:
-        """Begins the stop at the first of several signals: a second one beside it would end listening twice."""
+        """Begins the stop at the first of several signals: a second stop would end listening twice."""
         if not self.begun:
             self.begun = True
             self.loop.spawn(self.run())
--- a/onyxhollow/management/metrics.py
+++ b/onyxhollow/management/metrics.py
@@ -1,20 +1,26 @@
-"""The figures that operators fetch, in the text format of Prometheus."""
+"""Metrics for operators, in the text format of Prometheus."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
 PREFIX = "lb_"
-TEXT = "text/plain; version=0.0.4; charset=utf-8"
-GAUGES = ("inflight", "hosts_listed", "hosts_down")
+TEXT = "text/plain; version=0.0.4; charset=utf-8"  # the content type
+GAUGES = ("inflight", "hosts_listed", "hosts_down")  # all else counts up
 
 
 def escaped(value: str) -> str:
+    """The value of a label, as the format wants it."""
     return value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
 def render(by_tier: Iterable[tuple[str, Mapping[str, int]]], values: Iterable[tuple[str, int]]) -> bytes:
-    """by_tier: counts by their name and tier; values: all else, by its name."""
+    """The page of all metrics.
+
+    Args:
+        by_tier: Counts by their name, and then by tier, which is a label.
+        values: All else, by its name.
+    """
     lines: list[str] = []
     for name, counts in by_tier:
         lines.append(f"# TYPE {PREFIX}{name} counter")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -118,7 +118,7 @@
 
 
 def test_operators_are_served_in_the_middle_of_a_long_turn(served, monkeypatch):
-    monkeypatch.setattr(loops, "SOON", 0.0)
+    monkeypatch.setattr(loops, "URGENT_INTERVAL", 0.0)
     proxy, order = served(), []
     loop = proxy.proxy.loop
     caller = proxy.operator(READY + END)
