--- a/onyxhollow/fleet/datagram_transport.py
+++ b/onyxhollow/fleet/datagram_transport.py
@@ -10,7 +10,7 @@
 from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator
 from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES, Address, Packet
 from onyxhollow.membership.outbox import OutgoingDatagram
-from onyxhollow.wire.channel import ListenError
+from onyxhollow.wire.listening import ListenError
 
 RECEIVE_BUFFER = 1 << 20  # bytes
 MAX_RECEIVES = 64  # datagrams in one turn of the loop
--- a/onyxhollow/fleet/gossip_service.py
+++ b/onyxhollow/fleet/gossip_service.py
@@ -40,8 +40,8 @@
         self.poll_endpoint: Callable[[str], None] = self.decisions.check_health
         self.decisions.check_health = self.check_health
         self.decisions.on_attempt_failed = self.on_attempt_failed
-        member.proxy.probes.told = self.on_health_check_result
-        member.proxy.probes.most = MAX_HEALTH_CHECK_CONNECTIONS
+        member.proxy.health_checker.on_result = self.on_health_check_result
+        member.proxy.health_checker.max_connections = MAX_HEALTH_CHECK_CONNECTIONS
 
     @property
     def next_due(self) -> float:
@@ -67,7 +67,7 @@
         self, endpoint: str, outcome: AttemptOutcome, seconds: float, load: float | None
     ) -> None:
         """Take the answer of an endpoint; an answer without a load report is no evidence."""
-        self.member.proxy.probe_told(endpoint, outcome, seconds, load)
+        self.member.proxy.on_health_check(endpoint, outcome, seconds, load)
         now = clock.now()
         if outcome is AttemptOutcome.OK and load is None:
             return
--- a/onyxhollow/fleet/shared_addresses/announcer_task.py
+++ b/onyxhollow/fleet/shared_addresses/announcer_task.py
@@ -18,7 +18,8 @@
 from onyxhollow.fleet.context import MemberContext
 from onyxhollow.fleet.leader_tasks import STALE_TERM_STATUS, CallingTask
 from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
-from onyxhollow.wire.discovery import Call, ListError, StatusError
+from onyxhollow.wire.discovery_connection import DiscoveryConnection, DiscoveryStatusError
+from onyxhollow.wire.endpoint_list import EndpointListError
 
 GUARD_TIMEOUT = 1.0  # seconds for the route guard to answer a call
 
@@ -85,10 +86,10 @@
             due = loop.now + self.config.interval
             try:
                 yield from self.call_round(this_run, core, lease_held)
-            except StatusError as error:
+            except DiscoveryStatusError as error:
                 self.close_connection()
                 self.superseded = self.superseded or error.status == STALE_TERM_STATUS
-            except (ListError, OSError, h11.ProtocolError, ValueError, KeyError):
+            except (EndpointListError, OSError, h11.ProtocolError, ValueError, KeyError):
                 if self.run_number == this_run:
                     self.close_connection()
             if self.run_number == this_run:
@@ -119,21 +120,21 @@
         """One call; its answer goes to the core.
 
         Raises:
-            ListError: no answer, or the lease has ended.
-            StatusError: another status than 200.
+            EndpointListError: no answer, or the lease has ended.
+            DiscoveryStatusError: another status than 200.
         """
         loop = self.member.loop
         until = loop.now + GUARD_TIMEOUT
         if self.connection is None or not self.connection.reusable:
             self.close_connection()
-            self.connection = Call(loop, self.address, self.buffers, self.wake)
+            self.connection = DiscoveryConnection(loop, self.address, self.buffers, self.wake)
         connection = self.connection
         while connection.channel.connecting:
             if loop.now >= until or self.run_number != this_run:
-                raise ListError("not up")
+                raise EndpointListError("not up")
             yield until
         if not lease_held():  # the last thing before the act
-            raise ListError("the lease has ended")
+            raise EndpointListError("the lease has ended")
         body = yield from connection.get(target, until, lambda: self.run_number != this_run, "POST")
         core.on_guard_state(read_guard_state(body), clock.now())
         self.last_progress_at = loop.now
--- a/onyxhollow/fleet/shared_addresses/local_health.py
+++ b/onyxhollow/fleet/shared_addresses/local_health.py
@@ -53,8 +53,8 @@
         """Open sessions by listener."""
         counts: Counter[str] = Counter()
         for session in self.member.proxy.sessions.table.live:
-            if session.open and session.opening is not None:
-                counts[session.opening.listener] += 1
+            if session.is_open and session.request is not None:
+                counts[session.request.listener] += 1
         return counts
 
     def count_outcomes(self, listeners: list[str]) -> tuple[int, int]:
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -84,7 +84,7 @@
             "stalls": membership.counters["stalls"],
             "stalled_ago": self._since_last_stall(now),
             "version": __version__,
-            "service": context.proxy.service.state.value,
+            "service": context.proxy.service.phase.value,
             "links": self._links(now),
             "servers": self._endpoints(),
             "members": [
