--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -34,7 +34,7 @@
 from onyxhollow.fleet.paced_sender import PacedSender
 from onyxhollow.interface import EndpointListKind
 from onyxhollow.membership.member_table import Member
-from onyxhollow.wire.discovery import ListError, read_list
+from onyxhollow.wire.endpoint_list import EndpointListError, decode_endpoint_list
 
 LIST_PAYLOAD = 2  # kind of a membership payload, and of a broadcast
 MIN_SNAPSHOT_INTERVAL = 0.2  # seconds between two snapshots for one member
@@ -86,7 +86,7 @@
     @property
     def source(self) -> str:
         """The list service that is followed: versions of two mean nothing to each other."""
-        address = self.watch.next or self.watch.address  # next: named by a reload, not polled yet
+        address = self.watch.next_address or self.watch.address  # the next one is named by a reload
         if self.service and address == self.service_address:
             return self.service
         return ":".join(map(str, address))
@@ -99,9 +99,9 @@
         publisher = Publisher(self.role, term, self.source)
         self.publication = Publication(publisher, lease_held)
         self.subscriber.polling_suspended = False
-        self.watch.rest(False)
-        if self.watch.version >= 0 and self.watch.rows:
-            publisher.update(self.watch.rows, self.watch.version)
+        self.watch.set_suspended(False)
+        if self.watch.version >= 0 and self.watch.records:
+            publisher.update(self.watch.records, self.watch.version)
         publisher.next_heartbeat_at = clock.now()
         self.member.task.wake()
 
@@ -136,12 +136,12 @@
             term = publication.publisher.term
             publication = Publication(Publisher(self.role, term, self.source), publication.lease_held)
             self.publication = publication
-        for update in publication.publisher.update(self.watch.rows, self.watch.version):
+        for update in publication.publisher.update(self.watch.records, self.watch.version):
             for receiver in self._zone_members():
                 self._enqueue(receiver, update)
 
     def _broadcast_drains(self) -> None:
-        for update in self.drains.updates(self.watch.rows.values(), self.source, self.watch.version):
+        for update in self.drains.updates(self.watch.records.values(), self.source, self.watch.version):
             self.member.membership.broadcast(LIST_PAYLOAD, encode(update))
 
     # Messages of other members.
@@ -190,7 +190,7 @@
         if isinstance(request, Suspicion):
             if request.version > self.watch.version and request.version > publisher.suspected_version:
                 publisher.suspected_version = request.version
-                self.watch.move_to(self.watch.address, anew=True)
+                self.watch.switch_to(self.watch.address, resync=True)
             return
         if now - self.snapshot_sent_at.get(sender.name, -math.inf) >= MIN_SNAPSHOT_INTERVAL:
             self.snapshot_sent_at[sender.name] = now
@@ -217,13 +217,13 @@
             else:
                 subscriber.reject_publisher(now, "rows")
         if subscriber.polling_suspended and not was_suspended:
-            self.watch.rest(True)
+            self.watch.set_suspended(True)
             self.member.log_event(
                 "list polling suspended", duty=self.role, term=subscriber.term, version=self.watch.version
             )
 
     def _is_new_drain(self, record: Record) -> bool:
-        known = self.watch.rows.get(record["host"])
+        known = self.watch.records.get(record["host"])
         return known is not None and known.get("health") not in (record["health"], "left")
 
     def _apply(self, change: ListChange) -> bool:
@@ -235,8 +235,10 @@
         }
         self.is_applying = True
         try:
-            self.watch.take(change.records, read_list(answer, self.watch.clock, self.member.loop.now))
-        except ListError:
+            self.watch.apply(
+                change.records, decode_endpoint_list(answer, self.watch.clock, self.member.loop.now)
+            )
+        except EndpointListError:
             return False
         finally:
             self.is_applying = False
@@ -270,7 +272,7 @@
             if not publication.lease_held():
                 break
             self._send(receiver, publisher.heartbeat())
-        if self.watch.call is not None and not publisher.disconnected:
+        if self.watch.connection is not None and not publisher.disconnected:
             self.last_progress_at = self.member.loop.now  # its watch is open
 
     # Time.
@@ -282,10 +284,12 @@
         self.sender.tick(now)
         if self.subscriber.source != self.source:  # a reload names another list service
             self.subscriber.follow_source(self.source)
-            self.watch.rest(False)
+            self.watch.set_suspended(False)
         if self.subscriber.tick(now):
-            self.watch.soon = self.subscriber.audit_running  # answered at once: no watch is left open
-            self.watch.rest(False)
+            self.watch.answer_at_once = (
+                self.subscriber.audit_running
+            )  # answered at once: no watch is left open
+            self.watch.set_suspended(False)
             self.member.log_event(
                 "list polling resumed",
                 duty=self.role,
@@ -303,6 +307,6 @@
         return {
             "duty": self.role,
             "version": self.watch.version,
-            "rests": self.watch.resting,
+            "rests": self.watch.suspended,
             "tells": self.publication is not None and self.publication.lease_held(),
         }
