--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -101,7 +101,7 @@
 
 def serve(told: argparse.Namespace, signals: SignalQueue) -> int:
     """Runs one proxy until a signal ends it."""
-    from onyxhollow.lifecycle import proxy
+    from onyxhollow.lifecycle import serve as serving
 
     try:
         config, fleet = read_files(told)
@@ -110,10 +110,10 @@
     except ValueError as error:  # ConfigError, FleetFileError
         return no_good(error)
     if fleet is None:
-        return proxy.serve(config, told.config, signals)
+        return serving.serve(config, told.config, signals)
     from onyxhollow.fleet.node import attach
 
-    return proxy.serve(config, told.config, signals, attach(fleet))
+    return serving.serve(config, told.config, signals, attach(fleet))
 
 
 def check(told: argparse.Namespace) -> int:
@@ -134,7 +134,7 @@
         f"weights {weights}, list {how}, groups {'on' if settings.group_affinity else 'off'}, "
         f"a probe costs {settings.health_check_price:g}, a crossing {settings.cross_zone_price:g}"
     )
-    print(f"servers known {len(config.known.entries)}, listeners {len(settings.listeners)}")
+    print(f"servers known {len(config.known.endpoints)}, listeners {len(settings.listeners)}")
     if fleet:
         roles = ", ".join(
             f"{role.name} ({role.task.value}, one a {role.scope.value})" for role in fleet.file.roles
--- a/onyxhollow/fleet/gossip_service.py
+++ b/onyxhollow/fleet/gossip_service.py
@@ -40,8 +40,8 @@
         self.poll_endpoint: Callable[[str], None] = self.decisions.check_health
         self.decisions.check_health = self.check_health
         self.decisions.on_attempt_failed = self.on_attempt_failed
-        member.proxy.probes.told = self.on_health_check_result
-        member.proxy.probes.most = MAX_HEALTH_CHECK_CONNECTIONS
+        member.proxy.health_checker.on_result = self.on_health_check_result
+        member.proxy.health_checker.max_connections = MAX_HEALTH_CHECK_CONNECTIONS
 
     @property
     def next_due(self) -> float:
@@ -66,8 +66,8 @@
     def on_health_check_result(
         self, endpoint: str, outcome: AttemptOutcome, seconds: float, load: float | None
     ) -> None:
-        """Take the answer of an endpoint; one that answers without a load report tells gossip nothing."""
-        self.member.proxy.probe_told(endpoint, outcome, seconds, load)
+        """Take the answer of an endpoint; an answer without a load report is no evidence."""
+        self.member.proxy.on_health_check(endpoint, outcome, seconds, load)
         now = clock.now()
         if outcome is AttemptOutcome.OK and load is None:
             return
@@ -77,7 +77,7 @@
     # Calls of the fleet member.
 
     def on_members_changed(self) -> None:
-        """Take the live members anew with the next tick."""
+        """Replace the live members at the next tick."""
         self.members_changed = True
 
     def on_message(self, sender: Member, body: bytes, now: float) -> None:
--- a/onyxhollow/fleet/leader_tasks.py
+++ b/onyxhollow/fleet/leader_tasks.py
@@ -15,7 +15,8 @@
 from onyxhollow.loop import Loop, Task
 from onyxhollow.membership.messages import Address
 from onyxhollow.wire.buffers import BufferPool
-from onyxhollow.wire.discovery import Call, ListError, StatusError
+from onyxhollow.wire.discovery_connection import DiscoveryConnection, DiscoveryStatusError
+from onyxhollow.wire.endpoint_list import EndpointListError
 
 CALL_TIMEOUT = 1.0  # seconds for a called address to answer
 STALE_TERM_STATUS = 409  # answer of a called address that has seen a newer term
@@ -52,7 +53,7 @@
     def __init__(self) -> None:
         self.buffers = BufferPool()
         self.run_number = 0
-        self.connection: Call | None = None
+        self.connection: DiscoveryConnection | None = None
         self.task: Task | None = None
 
     def stop(self) -> None:
@@ -123,10 +124,10 @@
             number += 1
             try:
                 yield from self._act(this_run, f"{self.target}&term={term}&number={number}", lease_held)
-            except StatusError as error:
+            except DiscoveryStatusError as error:
                 self.close_connection()
                 self.superseded = error.status == STALE_TERM_STATUS
-            except (ListError, OSError, h11.ProtocolError):
+            except (EndpointListError, OSError, h11.ProtocolError):
                 if self.run_number == this_run:
                     self.close_connection()
             while self.run_number == this_run and self.loop.now < due:
@@ -138,12 +139,12 @@
         until = self.loop.now + CALL_TIMEOUT
         if self.connection is None or not self.connection.reusable:
             self.close_connection()
-            self.connection = Call(self.loop, self.address, self.buffers, self.wake)
+            self.connection = DiscoveryConnection(self.loop, self.address, self.buffers, self.wake)
         connection = self.connection
         # A request written before the connection is up would go out later, without a check of the lease.
         while connection.channel.connecting:
             if self.loop.now >= until or self.run_number != this_run:
-                raise ListError("not up")
+                raise EndpointListError("not up")
             yield until
         if not lease_held():  # the last thing before the act
             self.count("acts not done: the lease had ended")
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -43,7 +43,7 @@
 from onyxhollow.membership.member_table import Member
 from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES, MemberState, MemberUpdate
 from onyxhollow.membership.swim import SwimMembership
-from onyxhollow.wire.channel import ListenError
+from onyxhollow.wire.listening import ListenError
 
 HOLDS, VOTES = 1, 2  # flags of a member: may hold duties; has a voter's memory
 DUTIES = 1  # kind of what is carried, beside LIST_PAYLOAD
@@ -196,7 +196,7 @@
             try:
                 self.step()
             except Exception as error:  # leases run out by themselves; members and duties must go on
-                self.proxy.failed("fleet", error)
+                self.proxy.report_failure("fleet", error)
                 yield self.loop.now + LOOK
             yield self.loop.now + max(0.001, self.next_due() - clock.now())
 
@@ -729,7 +729,7 @@
             if self.membership.last_stall_at is not None
             else None,
             "version": __version__,
-            "service": self.proxy.service.state.value,
+            "service": self.proxy.service.phase.value,
             "links": self.links(now),
             "servers": self.servers(),
             "members": members,
@@ -820,7 +820,7 @@
 
     # told by the proxy
 
-    def list_told(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
+    def on_endpoint_list(self, kind: EndpointListKind, entries: list[Endpoint]) -> None:
         if self.list_replication:
             self.list_replication.on_own_list(kind)
 
