--- a/onyxhollow/fleet/gossip_service.py
+++ b/onyxhollow/fleet/gossip_service.py
@@ -29,19 +29,19 @@
 class GossipService:
     """Load gossip of one member: stands between the decisions and their health checks."""
 
-    def __init__(self, member: MemberContext, config: GossipConfig) -> None:
-        self.member = member
-        self.decisions = member.proxy.decisions
-        local = GossipMember(member.epoch, member.name, member.zone)
-        self.core = LoadGossip(local, config, member.rng, clock.now())
+    def __init__(self, context: MemberContext, config: GossipConfig) -> None:
+        self.context = context
+        self.decisions = context.proxy.decisions
+        local = GossipMember(context.epoch, context.name, context.zone)
+        self.core = LoadGossip(local, config, context.rng, clock.now())
         self.members: dict[int, Member] = {}  # live, by epoch
         self.members_changed = True
         self.reports_are_fresh = False  # as last logged
         self.poll_endpoint: Callable[[str], None] = self.decisions.check_health
         self.decisions.check_health = self.check_health
         self.decisions.dial_failed = self.on_attempt_failed
-        member.proxy.health_checker.on_result = self.on_health_check_result
-        member.proxy.health_checker.max_connections = MAX_HEALTH_CHECK_CONNECTIONS
+        context.proxy.health_checker.on_result = self.on_health_check_result
+        context.proxy.health_checker.max_connections = MAX_HEALTH_CHECK_CONNECTIONS
 
     @property
     def next_due(self) -> float:
@@ -56,8 +56,8 @@
         if known is None:
             self.poll_endpoint(endpoint)
             return
-        self.member.counts[HEALTH_CHECKS_SAVED] += 1
-        self.member.loop.spawn(self._answer(endpoint, known))
+        self.context.counts[HEALTH_CHECKS_SAVED] += 1
+        self.context.loop.spawn(self._answer(endpoint, known))
 
     def on_attempt_failed(self, endpoint: str) -> None:
         """Take a failure that this member has seen itself."""
@@ -67,7 +67,7 @@
         self, endpoint: str, outcome: AttemptOutcome, seconds: float, load: float | None
     ) -> None:
         """Take the answer of an endpoint; an answer without a load report is no evidence."""
-        self.member.proxy.on_health_check(endpoint, outcome, seconds, load)
+        self.context.proxy.on_health_check(endpoint, outcome, seconds, load)
         now = clock.now()
         if outcome is AttemptOutcome.OK and load is None:
             return
@@ -85,7 +85,7 @@
         try:
             message = MESSAGE_DECODER.decode(body)
         except (msgspec.DecodeError, RecursionError):
-            self.member.counts[MALFORMED] += 1
+            self.context.counts[MALFORMED] += 1
             return
         self.core.on_message(sender.epoch, message, now)
         self._deliver()
@@ -107,7 +107,7 @@
     def status(self, now: float) -> dict[str, Any]:
         """Return the table for `/control/fleet`."""
         names = {epoch: member.name for epoch, member in self.members.items()}
-        names[self.core.local.epoch] = self.member.name
+        names[self.core.local.epoch] = self.context.name
         owned = self.core.ownership.owned
         return {
             "rows": [
@@ -121,28 +121,28 @@
 
     def _answer(self, endpoint: str, known: LoadEstimate) -> Generator[float, None, None]:
         """Answer in a turn of the loop of its own: the decisions are in the middle of a call."""
-        yield self.member.loop.now
+        yield self.context.loop.now
         self.decisions.balancer.probed(endpoint, AttemptOutcome.OK, 0.0, known.load, known.age)
 
     def _update_members(self) -> None:
         self.members_changed = False
-        self.members = {member.epoch: member for member in self.member.membership.live_members()}
+        self.members = {member.epoch: member for member in self.context.membership.live_members()}
         self.core.set_members(
             GossipMember(member.epoch, member.name, member.zone) for member in self.members.values()
         )
 
     def _poll(self) -> None:
         polls = self.core.take_polls()
-        if not self.member.proxy.config.settings.health_checks:
+        if not self.context.proxy.config.settings.health_checks:
             return
         for endpoint in polls:
-            self.member.counts[ENDPOINTS_POLLED] += 1
+            self.context.counts[ENDPOINTS_POLLED] += 1
             self.poll_endpoint(endpoint)
 
     def _send(self) -> None:
         for outgoing in self.core.take_outbox():
             if receiver := self.members.get(outgoing.receiver):
-                self.member.membership.send_payload(receiver, GOSSIP_PAYLOAD, encode(outgoing.message))
+                self.context.membership.send_payload(receiver, GOSSIP_PAYLOAD, encode(outgoing.message))
 
     def _deliver(self) -> None:
         for estimate in self.core.take_estimates():
@@ -154,7 +154,7 @@
         if fresh != self.reports_are_fresh:
             self.reports_are_fresh = fresh
             members = len(self.core.ownership.members) + 1
-            self.member.log_event("gossip", on=fresh, servers=len(self.core.evidence), members=members)
+            self.context.log_event("gossip", on=fresh, servers=len(self.core.evidence), members=members)
 
 
 def _status_row(endpoint: str, known: EndpointEvidence, names: dict[int, str], now: float) -> dict[str, Any]:
--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -64,20 +64,20 @@
     """
 
     def __init__(
-        self, member: MemberContext, role: str, zone: str | None, heartbeat_interval: float, service: str
+        self, context: MemberContext, role: str, zone: str | None, heartbeat_interval: float, service: str
     ) -> None:
-        self.member = member
+        self.context = context
         self.role = role
         self.zone = zone
         self.heartbeat_interval = heartbeat_interval
         self.service = service
-        self.watch = member.proxy.discovery
+        self.watch = context.proxy.discovery
         self.service_address = self.watch.address  # `service` names this address, and none of a later reload
-        max_resume_delay = member.proxy.config.settings.max_poll_interval * RESUME_DELAY_SHARE
-        self.subscriber = Subscriber(role, self.source, heartbeat_interval, max_resume_delay, member.rng)
+        max_resume_delay = context.proxy.config.settings.max_poll_interval * RESUME_DELAY_SHARE
+        self.subscriber = Subscriber(role, self.source, heartbeat_interval, max_resume_delay, context.rng)
         self.publication: Publication | None = None
         self.sender = PacedSender(self._send_if_current)
-        self.last_progress_at = member.loop.now
+        self.last_progress_at = context.loop.now
         self.superseded = False
         self.snapshot_sent_at: dict[str, float] = {}  # by member name, seconds
         self.drains = DrainBroadcast(role)
@@ -95,7 +95,7 @@
 
     def start(self, term: int, lease_held: Callable[[], bool], /) -> None:
         """Publish from now on; `lease_held` is called before each message."""
-        self.last_progress_at = self.member.loop.now
+        self.last_progress_at = self.context.loop.now
         publisher = Publisher(self.role, term, self.source)
         self.publication = Publication(publisher, lease_held)
         self.subscriber.polling_suspended = False
@@ -103,7 +103,7 @@
         if self.watch.version >= 0 and self.watch.records:
             publisher.update(self.watch.records, self.watch.version)
         publisher.next_heartbeat_at = clock.now()
-        self.member.task.wake()
+        self.context.task.wake()
 
     def stop(self) -> None:
         """Publish no more."""
@@ -117,7 +117,7 @@
             return
         failed = kind is EndpointListKind.FAILED
         if not failed:
-            self.last_progress_at = self.member.loop.now
+            self.last_progress_at = self.context.loop.now
             self.subscriber.on_own_answer()
             self._broadcast_drains()
         if self.publication is None:
@@ -127,7 +127,7 @@
             self.publication.publisher.next_heartbeat_at = clock.now()
         else:
             self._publish()
-        self.member.task.wake()
+        self.context.task.wake()
 
     def _publish(self) -> None:
         publication = self.publication
@@ -142,7 +142,7 @@
 
     def _broadcast_drains(self) -> None:
         for update in self.drains.updates(self.watch.records.values(), self.source, self.watch.version):
-            self.member.membership.broadcast(LIST_PAYLOAD, encode(update))
+            self.context.membership.broadcast(LIST_PAYLOAD, encode(update))
 
     # Messages of other members.
 
@@ -151,7 +151,7 @@
         try:
             message = MESSAGE_DECODER.decode(body)
         except msgspec.DecodeError:
-            self.member.counts[MALFORMED] += 1
+            self.context.counts[MALFORMED] += 1
             return
         if message.role != self.role:
             return
@@ -173,14 +173,14 @@
                 return
             drains = draining_records(decode_records([update.body]))
         except (msgspec.DecodeError, ListRecordsError):
-            self.member.counts[MALFORMED] += 1
+            self.context.counts[MALFORMED] += 1
             return
         if not update.version > self.watch.version >= 0:
             return
         fresh = [record for record in drains if self._is_new_drain(record)]
         if fresh and self._apply(ListChange(fresh, None, is_snapshot=False)):
             hosts = [record["host"] for record in fresh][:MAX_LOGGED_HOSTS]
-            self.member.log_event("drains received", hosts=hosts, version=update.version)
+            self.context.log_event("drains received", hosts=hosts, version=update.version)
 
     def _on_request(self, sender: Member, request: ResyncRequest | Suspicion, now: float) -> None:
         """Answer as the publisher, if this member is it."""
@@ -213,12 +213,12 @@
             self._send(sender, answer)
         elif isinstance(answer, ListChange):
             if self._apply(answer):
-                self.member.counts[VERSIONS_RECEIVED] += 1
+                self.context.counts[VERSIONS_RECEIVED] += 1
             else:
                 subscriber.reject_publisher(now, "rows")
         if subscriber.polling_suspended and not was_suspended:
             self.watch.set_suspended(True)
-            self.member.log_event(
+            self.context.log_event(
                 "list polling suspended", duty=self.role, term=subscriber.term, version=self.watch.version
             )
 
@@ -236,7 +236,7 @@
         self.is_applying = True
         try:
             self.watch.apply(
-                change.records, decode_endpoint_list(answer, self.watch.clock, self.member.loop.now)
+                change.records, decode_endpoint_list(answer, self.watch.clock, self.context.loop.now)
             )
         except EndpointListError:
             return False
@@ -247,15 +247,15 @@
     # Sending.
 
     def _zone_members(self) -> list[Member]:
-        live = self.member.membership.live_members()
+        live = self.context.membership.live_members()
         return [member for member in live if self.zone in (None, member.zone)]
 
     def _send(self, receiver: Member, message: ListMessage) -> None:
-        self.member.membership.send_payload(receiver, LIST_PAYLOAD, encode(message))
+        self.context.membership.send_payload(receiver, LIST_PAYLOAD, encode(message))
 
     def _enqueue(self, receiver: Member, update: ListUpdate) -> None:
         if not self.sender.enqueue(receiver, update, clock.now()):
-            self.member.counts[DROPPED_QUEUE_FULL] += 1
+            self.context.counts[DROPPED_QUEUE_FULL] += 1
 
     def _send_if_current(self, receiver: Member, update: ListUpdate) -> None:
         """Send a queued update unless its term has ended."""
@@ -273,7 +273,7 @@
                 break
             self._send(receiver, publisher.heartbeat())
         if self.watch.connection is not None and not publisher.disconnected:
-            self.last_progress_at = self.member.loop.now  # its watch is open
+            self.last_progress_at = self.context.loop.now  # its watch is open
 
     # Time.
 
@@ -290,7 +290,7 @@
                 self.subscriber.audit_running
             )  # answered at once: no watch is left open
             self.watch.set_suspended(False)
-            self.member.log_event(
+            self.context.log_event(
                 "list polling resumed",
                 duty=self.role,
                 why=self.subscriber.resume_cause,
