--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -74,7 +74,7 @@
         self._build_leases(now)
         gossip_config = fleet.file.gossip_config()
         self.list_replication: ListReplication | None = None
-        self.gossip = GossipService(self, gossip_config) if gossip_config else None
+        self.load_gossip = GossipService(self, gossip_config) if gossip_config else None
         self.addresses: SharedAddresses | None = None
         self._add_roles()
         self._join_proxy(authenticator)
@@ -102,8 +102,8 @@
 
     def _make_membership(self, now: float) -> SwimMembership:
         fleet = self.fleet
-        me = MemberUpdate(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
-        return SwimMembership(me, fleet.file.protocol_config(), self.rng, fleet.seeds, now)
+        local = MemberUpdate(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
+        return SwimMembership(local, fleet.file.protocol_config(), self.rng, fleet.seeds, now)
 
     def _build_leases(self, now: float) -> None:
         self.ranking = RoleRanking(self.membership, self.name, self.process_id, self.may_hold_roles)
@@ -165,7 +165,7 @@
             self.voter_service,
             authenticator.dropped,
             self.list_replication,
-            self.gossip,
+            self.load_gossip,
         )
         proxy.routes |= status.routes()
         proxy.routes |= self.addresses.routes() if self.addresses else {}
@@ -206,8 +206,8 @@
             times.append(voter_due)
         if self.list_replication:
             times.append(self.list_replication.next_due())
-        if self.gossip:
-            times.append(self.gossip.next_due)
+        if self.load_gossip:
+            times.append(self.load_gossip.next_due)
         if self.addresses:
             times.append(self.addresses.next_due())
         return min(times)
@@ -237,8 +237,8 @@
         self.leases.tick(now)
         if self.list_replication:
             self.list_replication.tick(now)
-        if self.gossip:
-            self.gossip.tick(now)
+        if self.load_gossip:
+            self.load_gossip.tick(now)
         if self.addresses:
             self.addresses.tick(now)
 
@@ -268,8 +268,8 @@
         for change in self.membership.take_changes():
             member = change.member
             self.ranking.clear()
-            if self.gossip:
-                self.gossip.on_members_changed()
+            if self.load_gossip:
+                self.load_gossip.on_members_changed()
             if member.state in (MemberState.SUSPECT, MemberState.DEAD):
                 self.leases.last_fault_at = now
             self.log_event(
@@ -290,8 +290,8 @@
             if self.list_replication:
                 self.list_replication.on_message(member, body, now)
         elif kind == GOSSIP_PAYLOAD:
-            if self.gossip:
-                self.gossip.on_message(member, body, now)
+            if self.load_gossip:
+                self.load_gossip.on_message(member, body, now)
         elif kind == ADDRESSES:
             if self.addresses:
                 self.addresses.on_message(member, body, now)
@@ -299,8 +299,8 @@
             self.router.on_payload(member, body, now)
 
     def _take_broadcasts(self, now: float) -> None:
-        for event in self.membership.take_broadcasts():
-            self._on_broadcast(event.kind, event.body, now)
+        for broadcast in self.membership.take_broadcasts():
+            self._on_broadcast(broadcast.kind, broadcast.body, now)
 
     def _on_broadcast(self, kind: int, body: bytes, now: float) -> None:
         if kind == LIST_PAYLOAD:
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -75,6 +75,7 @@
         now = clock.now()
         context = self.context
         membership = context.membership
+        last_stall_at = membership.last_stall_at
         answer = {
             "me": context.process_id,
             "zone": context.zone,
@@ -82,7 +83,7 @@
             "health": membership.local_health.score,
             "stalled": round(membership.stalled_seconds, 3),
             "stalls": membership.counters["stalls"],
-            "stalled_ago": self._since_last_stall(now),
+            "stalled_ago": None if last_stall_at is None else round(now - last_stall_at, 2),
             "version": __version__,
             "service": context.proxy.service.phase.value,
             "links": self._links(now),
@@ -161,11 +162,6 @@
             "damped": self.context.membership.flap_damping.is_damped(member.name, now),
         }
 
-    def _since_last_stall(self, now: float) -> float | None:
-        """Seconds since this process last stood still; None if it never has."""
-        last_stall_at = self.context.membership.last_stall_at
-        return None if last_stall_at is None else round(now - last_stall_at, 2)
-
     def _roles(self, now: float) -> list[dict[str, Any]]:
         rows = [self._role(role, runner, now) for role, runner in sorted(self.leases.runners.items())]
         for role, known in sorted(self.leases.known_holders.items()):
