--- a/onyxhollow/fleet/identity.py
+++ b/onyxhollow/fleet/identity.py
@@ -1,8 +1,9 @@
-"""How a fleet names its processes, and the flags that a member announces of itself."""
+"""How a fleet names its processes, and the flags that a member announces of itself.
 
-from __future__ import annotations
+Imports nothing, so that the commands start without the fleet's libraries.
+"""
 
-from onyxhollow.membership.swim import Member
+from __future__ import annotations
 
 SEPARATOR = "~"  # between the name and the epoch of a process id
 
@@ -11,9 +12,9 @@
 VOTES = 2  # it has a voter's records open
 
 
-def process_id_of(member: Member) -> str:
-    """The id of a member's process: its name and epoch."""
-    return f"{member.name}{SEPARATOR}{member.epoch}"
+def make_process_id(name: str, epoch: int) -> str:
+    """The id of a member's process."""
+    return f"{name}{SEPARATOR}{epoch}"
 
 
 def member_name(process_id: str) -> str:
--- a/onyxhollow/fleet/lease_router.py
+++ b/onyxhollow/fleet/lease_router.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from onyxhollow.fleet.context import MemberContext
-from onyxhollow.fleet.identity import process_id_of
+from onyxhollow.fleet.identity import make_process_id
 from onyxhollow.fleet.lease_messenger import LeaseMessenger
 from onyxhollow.fleet.lease_service import LeaseService
 from onyxhollow.fleet.voter_service import VoterService
@@ -50,7 +50,7 @@
         except (msgspec.DecodeError, RecursionError):
             self.context.counts["duties: rubbish"] += 1
             return
-        self._route(process_id_of(member), member.name, message, now)
+        self._route(make_process_id(member.name, member.epoch), member.name, message, now)
 
     def on_broadcast(self, body: bytes, now: float) -> None:
         """A broadcast of any member; one that can't be decoded is ignored."""
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -18,7 +18,7 @@
 from onyxhollow.fleet.advertise import ADDRESSES, Addresses
 from onyxhollow.fleet.datagram_transport import DatagramTransport
 from onyxhollow.fleet.file import FleetConfig, RoleScope, RoleTable, TaskKind
-from onyxhollow.fleet.identity import MAY_HOLD_ROLES, VOTES, split_process_id
+from onyxhollow.fleet.identity import MAY_HOLD_ROLES, VOTES, make_process_id, split_process_id
 from onyxhollow.fleet.leader_tasks import LeaderTask, WebhookTask
 from onyxhollow.fleet.lease_messenger import LeaseMessenger
 from onyxhollow.fleet.lease_router import LeaseRouter
@@ -58,7 +58,7 @@
         self.name = proxy.config.name
         self.zone = proxy.config.settings.zone
         self.epoch = clock.new_epoch()
-        self.process_id = f"{self.name}~{self.epoch}"
+        self.process_id = make_process_id(self.name, self.epoch)
         self.rng = Random(proxy.config.seed ^ self.epoch)
         self.counts: Counter[str] = Counter()
         self.closed = False
--- a/onyxhollow/fleet/role_ranking.py
+++ b/onyxhollow/fleet/role_ranking.py
@@ -9,7 +9,7 @@
 import xxhash
 
 from onyxhollow.fleet import clock
-from onyxhollow.fleet.identity import MAY_HOLD_ROLES, member_name, process_id_of
+from onyxhollow.fleet.identity import MAY_HOLD_ROLES, make_process_id, member_name
 from onyxhollow.membership.messages import MemberState
 from onyxhollow.membership.swim import SwimMembership
 
@@ -91,7 +91,7 @@
                 member.state is MemberState.SUSPECT,
                 damped(member.name, now),
                 member.name,
-                process_id_of(member),
+                make_process_id(member.name, member.epoch),
             )
             for member in self.membership.live_members()
             if member.flags & MAY_HOLD_ROLES and zone in (None, member.zone)
--- a/onyxhollow/fleet/voter_service.py
+++ b/onyxhollow/fleet/voter_service.py
@@ -81,7 +81,7 @@
         except AppendLogError as error:
             if str(error) != self._open_error:
                 self._open_error = str(error)
-                self.context.log_event("voter waits", why=self._open_error[:LOGGED_REASON])
+                self.context.log_event("voter log unavailable", why=self._open_error[:LOGGED_REASON])
             return
         duration = self.context.fleet.file.leases.duration
         voter = Voter(self.context.name, self.context.voters, duration, now)
@@ -89,7 +89,7 @@
             voter.restore([RECORD_DECODER.decode(body) for body in log.bodies], now)
         except msgspec.DecodeError as error:
             reason = f"{log.path}: not a voter's records: {error}"
-            self.context.log_event("voter waits", why=reason[:LOGGED_REASON])
+            self.context.log_event("voter log unavailable", why=reason[:LOGGED_REASON])
             log.close()
             return
         self.log = log
@@ -111,7 +111,7 @@
         queries, records = self.voter.tick(now)
         if records:
             if self._store(records):
-                self.context.log_event("voter remembers", duties=len(self.voter.slots))
+                self.context.log_event("voter recovered", duties=len(self.voter.slots))
             else:
                 self.voter.recovering = True
         for name, query in queries:
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -241,7 +241,7 @@
     at = f"127.2.0.1:{rig.now_by['n0'].management[1]}"
     rig.wait_heard("n0", "voters", rig.wait_holder("voters"))
     assert commands.main("voters", ["--at", at, "replace", "n2", "n3"]) == 0
-    rig.wait(lambda: rig.said("n3.1", "voter remembers"), 10, "the new voter remembers")
+    rig.wait(lambda: rig.said("n3.1", "voter recovered"), 10, "the new voter has recovered")
     rig.wait(
         lambda: all(rig.said(f"{name}.1", "voters", version=1) for name in rig.names), 10, "all know of it"
     )
