--- a/onyxhollow/fleet/shared_addresses/query_api.py
+++ b/onyxhollow/fleet/shared_addresses/query_api.py
@@ -23,7 +23,7 @@
 )
 from onyxhollow.addresses.messages import Override, QueryRequest, QueryResponsePart
 from onyxhollow.fleet.context import MemberContext
-from onyxhollow.fleet.identity import process_id_of
+from onyxhollow.fleet.identity import make_process_id
 from onyxhollow.fleet.shared_addresses.controller_task import ControllerTask
 from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
 from onyxhollow.fleet.shared_addresses.override_api import InvalidOverrideError, OverrideReader, RequestIds
@@ -112,7 +112,7 @@
             return self.member.process_id
         for member in self.member.membership.live_members():
             if member.name in self.member.voters.names:
-                return process_id_of(member)
+                return make_process_id(member.name, member.epoch)
         return ""
 
     def on_response_part(self, message: QueryResponsePart) -> None:
--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -36,6 +36,8 @@
     "list rests": "list polling suspended",
     "list asks": "list polling resumed",
     "drains told": "drains received",
+    "voter remembers": "voter recovered",
+    "voter waits": "voter log unavailable",
 }
 SERVICE = {"out of service": "leaving", "in service": "in service", "stop": "stopping"}
 
