--- a/onyxhollow/addresses/controller.py
+++ b/onyxhollow/addresses/controller.py
@@ -192,7 +192,7 @@
         route.installed = row.installed and row.preference == route.preference
 
     def on_committed(self, pending: PendingRecord, now: float) -> None:
-        """A majority has stored a decision: it is applied, and its site is told."""
+        """A majority has stored a decision: it is applied and sent to its site."""
         self.committed.append(pending.record)
         route = self.routes[pending.change.address, pending.change.site]
         apply_change(self.policy, route, pending.change, now)
@@ -269,7 +269,7 @@
     def assign(self, site: str, now: float) -> None:
         """Queues a site's assignment.
 
-        A site that has not answered lately is only told that the controller is there: its state comes first.
+        A site that has not answered lately gets no rows: its state has to be reported first.
         """
         rows = []
         if self.has_answered_lately(site, now):
--- a/onyxhollow/addresses/health.py
+++ b/onyxhollow/addresses/health.py
@@ -124,7 +124,7 @@
     def __init__(self, max_age: float) -> None:
         self.max_age = max_age  # seconds
         self.reports: dict[str, dict[str, MemberReport]] = {}
-        self.last_report_at: dict[str, dict[str, float]] = {}  # by site and member, kept for LOOKBACK
+        self.last_report_at: dict[str, dict[str, float]] = {}  # by site and member, for LOOKBACK seconds
 
     def record(self, member: str, report: HealthReport, now: float) -> None:
         """Takes in a report; rows with impossible numbers are left out."""
--- a/onyxhollow/addresses/routes.py
+++ b/onyxhollow/addresses/routes.py
@@ -1,7 +1,6 @@
 """What is known of one address at one site, and the changes decided for it. Pure.
 
-A route is one shared address announced from one site. Its preference is what the site's routing daemon is
-told.
+A route is one shared address announced from one site. Its preference is how the site announces it.
 """
 
 from __future__ import annotations
@@ -140,7 +139,7 @@
 
 
 def apply_change(policy: Policy, route: RouteState, change: RouteChange, now: float) -> None:
-    """Brings a change into the route's state, when its site is told of it."""
+    """Brings a change into the route's state, when it is sent to its site."""
     if change.cause == Cause.HEALTH and route.cause != Cause.HEALTH:
         route.flaps = route.flap_penalty(policy, now) + 1.0
         route.flaps_at = now
--- a/onyxhollow/addresses/rules.py
+++ b/onyxhollow/addresses/rules.py
@@ -136,7 +136,7 @@
         )
         for route in worst_first:
             if not route.reachable or self.preferences[route.key] is not route.preference:
-                continue  # it cannot be told, and follows its file (rule 4); or it is decided above
+                continue  # no change would reach it, and it follows its file (rule 4); or it is decided above
             self.decide_route(route)
 
     def decide_route(self, route: RouteState) -> None:
--- a/onyxhollow/fleet/address_commands.py
+++ b/onyxhollow/fleet/address_commands.py
@@ -1,25 +1,23 @@
-"""The command `addresses`: what is advertised where and why, and overrides; asked of a running process.
+"""The command `addresses`: what is advertised where and why, and overrides, from a running process.
 
-Exit codes: 0 done; 2 the process could not be asked, or the arguments are wrong; 3 an override that is not
+Exit codes: 0 done; 2 the process could not be reached, or the arguments are wrong; 3 an override that is not
 yet stored by a majority; 4 a plan that something forbids.
 """
 
 from __future__ import annotations
 
 import argparse
-import datetime
 import getpass
 import json
 import os
 import sys
 import time
-from typing import Any
+from enum import IntEnum
 
 from rich.console import Console
 from rich.live import Live
-from rich.table import Table
 
-from onyxhollow.addresses.routes import Preference
+from onyxhollow.fleet.address_tables import JsonObject, describe_route, history_table, view_table
 from onyxhollow.fleet.commands import CallError, call
 
 ANSWER_TIMEOUT = 4.0  # seconds for the controller's answer, or for an override to be stored
@@ -28,10 +26,16 @@
 PIPED_WIDTH = 160  # columns where the output is no terminal
 ROOT = "/control/addresses"
 OVERRIDE_VERBS = ("drain", "undrain", "pin", "unpin", "exclude", "include")
-VIEW_COLUMNS = ("address", "site", "standing", "for", "health", "sessions", "of", "flaps", "notes")
-HISTORY_COLUMNS = ("when", "what", "address", "site", "why", "evidence")
-DONE, FAILED, NOT_STORED, HINDERED, INTERRUPTED = 0, 2, 3, 4, 130  # exit codes
-JsonObject = dict[str, Any]  # an answer of /control/addresses, whose keys docs/addresses.md gives
+
+
+class ExitCode(IntEnum):
+    """What the command ends with."""
+
+    DONE = 0
+    FAILED = 2
+    NOT_STORED = 3
+    HINDERED = 4
+    INTERRUPTED = 130
 
 
 # calls
@@ -62,100 +66,6 @@
     return query | ({"until": str(args.until)} if args.until else {})
 
 
-# texts
-
-
-def describe_time(unix: float) -> str:
-    """Local time; empty for 0."""
-    return datetime.datetime.fromtimestamp(unix).strftime("%Y-%m-%d %H:%M:%S") if unix else ""
-
-
-def describe_health(row: JsonObject, unknown: str) -> str:
-    """Health with two digits."""
-    return unknown if row["health"] is None else f"{row['health']:.2f}"
-
-
-def describe_notes(row: JsonObject) -> str:
-    """Overrides, what is not done yet, and why a change is not made."""
-    notes = [f"{kind}: {row[kind]}" for kind in ("pin", "exclude", "drain") if row[kind]]
-    if not row["reached"]:
-        notes.append("not reached")
-    elif not row["carried"]:
-        notes.append("not carried out yet")
-    if row["stays"]:
-        notes.append(f"stays, {row['stays']}")
-    return "; ".join(notes)
-
-
-def describe_route(answer: JsonObject, name: str, site: str) -> str:
-    """Why an address is announced as it is at a site; CallError if there is no such route."""
-    for row in answer["rows"]:
-        if (row["address"], row["site"]) == (name, site):
-            cause = f", cause {row['cause']}" if row["cause"] else ""
-            lines = [
-                f"{name} at {site}: {row['standing']} for {row['for']:.0f} s{cause}",
-                f"health {describe_health(row, 'unknown')}: {row['evidence']}",
-            ]
-            notes = describe_notes(row)
-            return "\n".join([*lines, notes] if notes else lines)
-    raise CallError(f"why: expected an address and a site of the file, got {name} {site}")
-
-
-def view_table(answer: JsonObject, name: str = "") -> Table:
-    """All routes, or those of one address."""
-    pending = "" if answer["ready"] else ", still listening"
-    caption = f"keeper {answer['keeper']}, term {answer['term']}{pending}"
-    table = Table(box=None, caption=caption, caption_justify="left")
-    for head in VIEW_COLUMNS:
-        table.add_column(head, overflow="fold")
-    for row in answer["rows"]:
-        if name in ("", row["address"]):
-            table.add_row(*view_row(row))
-    return table
-
-
-def view_row(row: JsonObject) -> tuple[str, ...]:
-    """One route of the view."""
-    cause = f" ({row['cause']})" if row["cause"] else ""
-    return (
-        row["address"],
-        row["site"],
-        row["standing"] + cause,
-        f"{row['for']:.0f} s",
-        describe_health(row, "?"),
-        f"{row['load']:.0f}",
-        f"{row['capacity']:.0f}",
-        f"{row['flaps']:.1f}",
-        describe_notes(row),
-    )
-
-
-def history_table(answer: JsonObject) -> Table:
-    """Decisions and overrides, in the order of time."""
-    table = Table(box=None)
-    for head in HISTORY_COLUMNS:
-        table.add_column(head, overflow="fold")
-    rows = [decision_row(row) for row in answer["decided"]]
-    rows += [override_row(row) for row in answer["orders"]]
-    for at, *rest in sorted(rows):
-        table.add_row(describe_time(at), *rest)
-    return table
-
-
-def decision_row(row: JsonObject) -> tuple[float, str, str, str, str, str]:
-    """A decision: Unix time, and the columns after it."""
-    what = Preference(row["standing"]).label
-    evidence = f"term {row['term']}; {row['evidence']}"
-    return row["at"], what, row["address"], row["site"], row["why"], evidence
-
-
-def override_row(row: JsonObject) -> tuple[float, str, str, str, str, str]:
-    """An override: Unix time, and the columns after it."""
-    until = f" until {describe_time(row['until'])}" if row["until"] else ""
-    reason = f"{row['who']}: {row['why']}{until}"
-    return row["given"], f"order: {row['verb']}", row["address"] or "all", row["site"], reason, row["id"]
-
-
 # commands
 
 
@@ -170,14 +80,15 @@
         if state["done"]:
             text = f"{override_id}: kept by {state['kept']} voters, in force"
             print(json.dumps(state) if args.json else text)
-            return DONE
+            return ExitCode.DONE
         time.sleep(POLL_INTERVAL)
-    stored, needed = state.get("kept", 0), state.get("needed", "?")
+    stored = state.get("kept", 0)
+    needed = state.get("needed", "?")
     sys.stderr.write(
         f"onyxhollow: order {override_id}: kept by {stored} voters, expected {needed}; "
         f"{args.at} goes on trying\n"
     )
-    return NOT_STORED
+    return ExitCode.NOT_STORED
 
 
 def show_plan(args: argparse.Namespace, console: Console) -> int:
@@ -187,7 +98,7 @@
         print(json.dumps(answer))
     else:
         print_plan(answer, console)
-    return HINDERED if answer["hindered"] else DONE
+    return ExitCode.HINDERED if answer["hindered"] else ExitCode.DONE
 
 
 def print_plan(answer: JsonObject, console: Console) -> None:
@@ -209,14 +120,14 @@
         console.print_json(data=answer)
     else:
         console.print(history_table(answer))
-    return DONE
+    return ExitCode.DONE
 
 
 def show_reasons(args: argparse.Namespace, _: Console) -> int:
     """Why an address is announced as it is at a site."""
     answer = fetch(args.at, "")
     print(json.dumps(answer) if args.json else describe_route(answer, args.name, args.site))
-    return DONE
+    return ExitCode.DONE
 
 
 def show_routes(args: argparse.Namespace, console: Console) -> int:
@@ -234,7 +145,7 @@
         console.print_json(data=answer)
     else:
         console.print(view_table(answer, name))
-    return DONE
+    return ExitCode.DONE
 
 
 COMMANDS = {
@@ -304,6 +215,6 @@
         return COMMANDS[args.part](args, console)
     except CallError as error:
         sys.stderr.write(f"onyxhollow: {error}\n")
-        return FAILED
+        return ExitCode.FAILED
     except KeyboardInterrupt:
-        return INTERRUPTED
+        return ExitCode.INTERRUPTED
--- a/onyxhollow/fleet/route_guard.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -104,8 +104,8 @@
             self.loop, read_address(config.speaker, "speaker"), self.table, self.log_event, self.counters
         )
         self.loop.spawn(self.watch_for_orphans())
-        stands = {name: int(preference) for name, preference in self.table.preferences.items()}
-        self.log_event("route guard", term=self.table.term, cut=self.records.torn_tail, stands=stands)
+        preferences = {name: int(preference) for name, preference in self.table.preferences.items()}
+        self.log_event("route guard", term=self.table.term, cut=self.records.torn_tail, stands=preferences)
 
     def log_event(self, event: str, **values: Any) -> None:
         """Writes one line to the log, with the monotonic time in `at`."""
@@ -169,9 +169,9 @@
 
     def claim(self, query: str) -> Answer:
         """POST /claim."""
-        asked = parse_qs(query)
-        term = read_number(asked, "term")
-        member = read_text(asked, "member")
+        parameters = parse_qs(query)
+        term = read_number(parameters, "term")
+        member = read_text(parameters, "member")
         if term < 1 or not member:
             return 400, b"claim: expected term and member\n", PLAIN
         before = self.table.copy()
@@ -185,12 +185,12 @@
 
     def set_preference(self, query: str) -> Answer:
         """POST /set."""
-        asked = parse_qs(query)
-        term = read_number(asked, "term")
-        number = read_number(asked, "number")
-        controller_term = read_number(asked, "keeper")
-        preference = read_number(asked, "as")
-        name = read_text(asked, "name")
+        parameters = parse_qs(query)
+        term = read_number(parameters, "term")
+        number = read_number(parameters, "number")
+        controller_term = read_number(parameters, "keeper")
+        preference = read_number(parameters, "as")
+        name = read_text(parameters, "name")
         known = preference in (0, 1, 2) and name in self.table.preferences
         if min(term, number) < 1 or controller_term < 0 or not known:
             return 400, b"set: expected term, number, keeper, a known name, as from 0 to 2\n", PLAIN
@@ -207,10 +207,10 @@
 
     def heartbeat(self, query: str) -> Answer:
         """POST /alive."""
-        asked = parse_qs(query)
-        last_addresses = set(read_text(asked, "last").split(","))
+        parameters = parse_qs(query)
+        last_addresses = set(read_text(parameters, "last").split(","))
         try:
-            self.table.heartbeat(read_number(asked, "term"), last_addresses, clock.now())
+            self.table.heartbeat(read_number(parameters, "term"), last_addresses, clock.now())
         except StaleTermError as error:
             return self.answer_stale_term(error)
         return self.answer_state()
@@ -219,10 +219,10 @@
 
     def report_health(self, query: str) -> Answer:
         """POST /seen: a member's health report."""
-        asked = dict(parse_qsl(query))
-        member = asked.pop("member", "")
+        parameters = dict(parse_qsl(query))
+        member = parameters.pop("member", "")
         rows = []
-        for name, text in asked.items():
+        for name, text in parameters.items():
             with contextlib.suppress(ValueError):
                 if name in self.table.preferences:
                     rows.append(AddressHealth(name, float(text), "", 0.0, 0.0))
--- a/onyxhollow/fleet/shared_addresses/override_api.py
+++ b/onyxhollow/fleet/shared_addresses/override_api.py
@@ -60,15 +60,15 @@
         Raises:
             InvalidOverrideError: the first parameter that is wrong.
         """
-        asked = dict(parse_qsl(query))
-        verb = expect_one_of("verb", asked.get("verb", ""), VERBS, "", 40)
-        site = expect_one_of("site", asked.get("site", ""), self.sites, "", 80)
-        address = asked.get("address", "")
+        parameters = dict(parse_qsl(query))
+        verb = expect_one_of("verb", parameters.get("verb", ""), VERBS, "", 40)
+        site = expect_one_of("site", parameters.get("site", ""), self.sites, "", 80)
+        address = parameters.get("address", "")
         if address:
             expect_one_of("address", address, self.addresses, ", or none for all", 80)
-        operator = read_text("who", asked)
-        reason = read_text("why", asked)
-        duration = read_duration(asked.get("until", "0"))
+        operator = read_text("who", parameters)
+        reason = read_text("why", parameters)
+        duration = read_duration(parameters.get("until", "0"))
         wall = time.time()
         return Override(
             id=self.ids.next(),
@@ -91,9 +91,9 @@
     return value
 
 
-def read_text(key: str, asked: dict[str, str]) -> str:
+def read_text(key: str, parameters: dict[str, str]) -> str:
     """A short printable text; InvalidOverrideError if it is missing or something else."""
-    value = asked.get(key, "").strip()
+    value = parameters.get(key, "").strip()
     size = len(value.encode(errors="replace"))
     if not 0 < size <= MAX_REASON_BYTES or not value.isprintable():
         expected = f"expected 1 to {MAX_REASON_BYTES} bytes of printable characters"
@@ -115,7 +115,7 @@
 class PendingOverride:
     """An override on its way.
 
-    The voters are first asked for what they know, so that its number is above all of theirs.
+    The voters are queried first for their overrides, so that its number is above all of theirs.
     """
 
     def __init__(self, override: Override) -> None:
--- a/onyxhollow/fleet/shared_addresses/override_store.py
+++ b/onyxhollow/fleet/shared_addresses/override_store.py
@@ -65,8 +65,11 @@
 
     def compact(self) -> None:
         """Forgets the oldest records past the limits."""
-        kept: list[StoredRecord] = [*self.overrides()[-MAX_OVERRIDES:], *self.decisions()[-MAX_DECISIONS:]]
-        self.records = {record_id(record): record for record in kept}
+        retained: list[StoredRecord] = [
+            *self.overrides()[-MAX_OVERRIDES:],
+            *self.decisions()[-MAX_DECISIONS:],
+        ]
+        self.records = {record_id(record): record for record in retained}
 
     def overrides(self) -> list[Override]:
         """All overrides, oldest first."""
--- a/onyxhollow/fleet/shared_addresses/query_api.py
+++ b/onyxhollow/fleet/shared_addresses/query_api.py
@@ -41,7 +41,7 @@
 
 
 class QueryKind(StrEnum):
-    """What is asked; the values are on the wire."""
+    """What a query is for; the values are on the wire."""
 
     VIEW = "view"
     PLAN = "plan"
--- a/tests/test_addresses_file.py
+++ b/tests/test_addresses_file.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from onyxhollow.__main__ import main
 from onyxhollow.addresses import file
 from onyxhollow.fleet.route_guard_config import read_guard_config
 
@@ -39,5 +40,15 @@
 
 
 def test_the_sample_files_are_valid():
-    told, addresses, site = read_guard_config("deploy/gate.toml")
-    assert site.name == "north" and addresses.policy.min_sites == 1 and told.own_as == 64512
+    config, addresses, site = read_guard_config("deploy/gate.toml")
+    assert site.name == "north" and addresses.policy.min_sites == 1 and config.own_as == 64512
+
+
+def test_the_old_name_of_the_route_guard_command_works_with_a_warning_line(tmp_path, capsys):
+    missing = str(tmp_path / "gate.toml")
+    problem = f"onyxhollow: {missing}: No such file or directory"
+    assert main(["route-guard", "--config", missing]) == 2
+    assert capsys.readouterr().err.splitlines() == [problem]
+    assert main(["gate", "--config", missing]) == 2
+    warning, error = capsys.readouterr().err.splitlines()
+    assert "now called route-guard" in warning and error == problem
--- a/tests/test_fleet_addresses.py
+++ b/tests/test_fleet_addresses.py
@@ -1,4 +1,4 @@
-"""Shared addresses on real processes: members of three sites, a gate and a speaker each, with faults."""
+"""Shared addresses on real processes: three sites, a route guard and a routing daemon each, with faults."""
 
 import signal
 import subprocess
@@ -29,8 +29,8 @@
         sites.close()
 
 
-def sound(sites):
-    """What holds whatever has happened: no crash, one owner of each speaker, evidence for each change."""
+def assert_invariants(sites):
+    """No crash, one connection to each routing daemon, evidence for each change; whatever has happened."""
     rig = sites.rig
     rig.read_logs()
     assert not rig.crashes and not rig.failures
@@ -39,12 +39,12 @@
         assert speaker.most_owners <= 1 and not speaker.bad
         assert not sites.gates[zone].events("failure")
     assert all(row["evidence"] and row["why"] for row in sites.decided())
-    for zone in sites.zones:  # nothing is set at a gate that is not in the history
-        kept = {(row["address"], row["standing"]) for row in sites.decided() if row["site"] == zone}
+    for zone in sites.zones:  # nothing is set at a guard that is not in the history
+        stored = {(row["address"], row["standing"]) for row in sites.decided() if row["site"] == zone}
         alone = [line for line in rig.lines if line.event == "address cut off" and line.told["site"] == zone]
         for row in sites.gates[zone].events("set"):
             word = ("withdrawn", "lesser", "advertised")[row["standing"]]
-            assert (row["name"], word) in kept or alone
+            assert (row["name"], word) in stored or alone
 
 
 def fill(sites, zone, load=1.2):
@@ -60,11 +60,11 @@
     return [len(speaker.changes) for name, speaker in sites.speakers.items() if name == zone][0]
 
 
-def test_a_site_whose_servers_are_full_goes_and_comes_back_through_stops_kills_and_restarts(sites_of):
+def test_a_full_site_is_withdrawn_and_restored_through_stops_kills_and_restarts(sites_of):
     sites = sites_of(partners=6)
     rig = sites.rig
     all_served(sites)
-    # All processes are well; its servers have no room.
+    # All processes are healthy; its servers have no capacity.
     fill(sites, "a")
     sites.wait_standing(a=0, b=2, c=2)
     all_served(sites)
@@ -73,7 +73,7 @@
     fill(sites, "a", 0.1)
     sites.wait_standing(a=2, b=2, c=2)
 
-    # Its announcer is stopped past its lease; another tells the gate; woken, the first changes nothing.
+    # Its announcer is stopped past its lease; another calls the guard; resumed, the first changes nothing.
     first = rig.wait_holder("announcer/a")
     rig.stop(first)
     second = rig.wait_holder("announcer/a", other_than=first)
@@ -87,18 +87,18 @@
     rig.play(1.0)
     assert sites.standing("a") == [0, 0] and changes(sites, "a") == before
 
-    # The keeper is killed as soon as it has decided; the next one finds what stands and goes on.
-    keeper = rig.wait_holder("addresses")
+    # The controller is killed as soon as it has decided; the next one finds the routes and goes on.
+    controller = rig.wait_holder("addresses")
     fill(sites, "a", 0.1)
     told = len(sites.decided())
     rig.wait(lambda: len(sites.decided()) > told, 20, "a decision")
-    rig.kill(keeper)
-    rig.wait_holder("addresses", other_than=keeper)
+    rig.kill(controller)
+    rig.wait_holder("addresses", other_than=controller)
     sites.wait_standing(40.0, a=2, b=2, c=2)
-    rig.start(keeper)
+    rig.start(controller)
     rig.wait_members(within=40)
 
-    # Speaker and gate are restarted while all is well: what stands is told again, by nobody's decision.
+    # Daemon and guard are restarted while all is well: the routes are sent again, by nobody's decision.
     told = len(sites.decided())
     sites.speakers["b"].down()
     assert sites.standing("b") == [0, 0]
@@ -110,29 +110,30 @@
     sites.gates["c"].start()
     sites.wait_standing(a=2, b=2, c=2)
     assert len(sites.decided()) == told
-    sound(sites)
+    assert_invariants(sites)
 
 
-def test_all_ill_at_once_a_wave_and_a_cut_leave_the_last_ones_and_what_stands(sites_of):
+def test_all_sites_unhealthy_a_wave_and_a_partition_leave_the_last_routes(sites_of):
     sites = sites_of(partners=6, capacity=30.0)
     rig = sites.rig
     all_served(sites)
-    # All look ill at once: all stay, and it says so.
+    # All look unhealthy at once: all stay, and it says so.
     for zone in sites.zones:
         fill(sites, zone)
     rules = ("all ill", "last", "no room", "too many")
     staying = lambda: [sites.row("addr0", zone)["stays"].startswith(rules) for zone in sites.zones]  # noqa: E731
-    rig.wait(lambda: sum(staying()) >= 2, 20, "why they stay is told")
+    rig.wait(lambda: sum(staying()) >= 2, 20, "why they stay is shown")
     rig.play(2.0)
-    # The keeper hears of them one after another: the first may go and the next step aside, which is still
-    # advertised, before all are known to be ill. Never more than the one, and the last stays as it was.
+    # The controller hears of them one after another: the first may be withdrawn and the next step aside,
+    # which is still advertised, before all are known to be unhealthy. Never more than the one, and the last
+    # stays as it was.
     stands = sorted(sites.standing(zone)[0] for zone in sites.zones)
     assert stands[1] >= 1 and stands[2] == 2
     for zone in sites.zones:
         fill(sites, zone, 0.1)
     sites.wait_standing(40.0, a=2, b=2, c=2)
 
-    # Two fail together: one goes, the other steps aside to a lesser preference until the window is over.
+    # Two fail together: one is withdrawn, the other is lowered until the window is over.
     fill(sites, "a")
     fill(sites, "b")
     rig.wait(lambda: 0 in (sites.standing("a")[0], sites.standing("b")[0]), 20, "one goes")
@@ -144,7 +145,7 @@
         fill(sites, zone, 0.1)
     sites.wait_standing(40.0, a=2, b=2, c=2)
 
-    # The fleet is cut in two: each side sees the other ill, and nothing changes on either.
+    # The fleet is partitioned: each side sees the other unhealthy, and nothing changes on either.
     rig.play(0.3)
     told = len(sites.decided())
     rules = rig.cut(sites.members("a"), sites.members("b") + sites.members("c"))
@@ -152,20 +153,20 @@
     rig.play(sites.told["policy"]["cut_off_after"] + 1.0)
     assert [sites.standing(zone) for zone in sites.zones] == [[2, 2]] * 3 and len(sites.decided()) == told
     assert not sites.row("addr0", "a", rig.wait_holder("addresses"))["reached"]
-    # Its service dies while it is cut off: it may withdraw by itself.
+    # Its service dies while it is cut off: it may withdraw its routes by itself.
     fill(sites, "a")
     sites.wait_standing(a=0, b=2, c=2)
-    assert sites.gates["a"].events("orphaned")  # without a majority its announcer holds no lease
+    assert sites.gates["a"].events("orphaned")  # without a majority no announcer has a lease
     rig.mend(rules)
     rig.wait_members(within=60)
     assert sites.standing("a") == [0, 0]
     fill(sites, "a", 0.1)
     sites.wait_standing(40.0, a=2, b=2, c=2)
     all_served(sites)
-    sound(sites)
+    assert_invariants(sites)
 
 
-def test_orders_are_kept_by_a_majority_carried_out_once_and_end_by_themselves(sites_of, capfd):
+def test_overrides_are_stored_by_a_majority_applied_once_and_expire(sites_of, capfd):
     sites = sites_of(partners=4)
     rig = sites.rig
     all_served(sites)
@@ -197,11 +198,11 @@
     assert not any(client.wrong for client in stays)
     prefix = sites.prefixes["addr0"]
     steps = [change.state for change in sites.speakers["a"].changes if change.prefix == prefix]
-    assert steps[-2:] == [1, 0]  # a lesser preference first
+    assert steps[-2:] == [1, 0]  # lowered first
     all_served(sites)
     code, out = run("show", "addr0", name="n4")
     assert code == 0 and "op: work on the power" in out and "withdrawn" in out
-    # The last ones: two of three go, the third stays though it is asked to.
+    # The last site: two of three are withdrawn, the third stays in spite of its drain.
     assert run("exclude", "b", "--why", "too", "--who", "op")[0] == 0
     sites.wait_standing(a=0, b=0, c=2)
     code, out = run("plan", "drain", "c")
@@ -210,26 +211,26 @@
     rig.wait(lambda: sites.row("addr0", "c")["stays"].startswith("last"), 15, "it says why it stays")
     assert sites.standing("c") == [2, 2]
 
-    # All processes are killed and started while addresses are withdrawn: the same stands, gates do not move.
+    # All processes are killed and started while routes are withdrawn: the guards change nothing.
     before = {zone: changes(sites, zone) for zone in sites.zones}
     rig.kill(*rig.names)
     rig.start(*rig.names)
     rig.wait_members(within=60)
     rig.wait_holder("addresses", within=40)
     at |= {name: text(process.management) for name, process in rig.now_by.items()}
-    rig.wait(lambda: sites.row("addr0", "c")["stays"].startswith("last"), 25, "orders are remembered")
+    rig.wait(lambda: sites.row("addr0", "c")["stays"].startswith("last"), 25, "overrides are remembered")
     assert {zone: changes(sites, zone) for zone in sites.zones} == before
     for verb, zone in (("undrain", "a"), ("include", "b"), ("undrain", "c")):
         assert run(verb, zone, "--why", "done", "--who", "op")[0] == 0
     sites.wait_standing(40.0, a=2, b=2, c=2)
 
-    # Given at a member that reaches no majority: said so, and in force once it does. It ends by itself.
+    # Given at a member that reaches no majority: it says so, and is in force once it does. It expires.
     other = next(name for name in sites.members("c") if name not in rig.voters)
     rules = rig.cut([other], [name for name in rig.names if name != other])
     code, out = run("drain", "b", "addr1", "--why", "short", "--who", "op", "--until", "12", name=other)
     assert code == 3 and "kept by 0 voters" in out
     rig.mend(rules)
-    rig.wait(lambda: sites.standing("b") == [2, 0], 30, "it is carried out")
+    rig.wait(lambda: sites.standing("b") == [2, 0], 30, "it is applied")
     rig.wait(lambda: sites.standing("b") == [2, 2], 40, "it is over")
     code, out = run("history")
     assert code == 0 and out.count("short") >= 1 and "work on the power" in out
@@ -238,25 +239,25 @@
     assert run("drain", "nowhere", "--why", "x", "--who", "op")[0] == 2
     assert address_commands.main(["list", "--at", "127.0.0.1:1"]) == 2
     capfd.readouterr()
-    sound(sites)
+    assert_invariants(sites)
 
 
-def test_a_dead_site_is_withdrawn_by_its_gate_a_flapping_one_held_out_a_clock_step_moves_nothing(sites_of):
+def test_a_guard_withdraws_a_dead_site_a_flapping_one_waits_longer_and_a_clock_step_changes_nothing(sites_of):
     sites = sites_of(cut_off="withdraw", partners=6, orphaned_after=2.5)
     rig = sites.rig
     all_served(sites)
-    # An hour's step of the wall clock at the keeper in the middle of a dwell.
-    keeper = rig.wait_holder("addresses")
+    # An hour's step of the wall clock at the controller in the middle of a dwell.
+    controller = rig.wait_holder("addresses")
     began = time.monotonic()
     fill(sites, "b", 1.2)
-    rig.trial(keeper, wall=3600.0)
+    rig.trial(controller, wall=3600.0)
     sites.wait_standing(a=2, b=0, c=2)
     assert time.monotonic() - began >= sites.told["policy"]["dead_for"]
-    rig.trial(keeper, wall=-3600.0)
+    rig.trial(controller, wall=-3600.0)
     fill(sites, "b", 0.1)
     sites.wait_standing(a=2, b=2, c=2)
-    rig.trial(keeper, wall=0.0)
-    # All members of a site are killed; its speaker would advertise for ever: the gate does as the file says.
+    rig.trial(controller, wall=0.0)
+    # All members of a site are killed; its daemon would advertise for ever: the guard does as the file says.
     rig.kill(*sites.members("a"))
     sites.wait_standing(a=0, b=2, c=2)
     assert sites.gates["a"].events("orphaned")
@@ -264,7 +265,7 @@
     rig.start(*sites.members("a"))
     rig.wait_members(within=60)
     sites.wait_standing(40.0, a=2, b=2, c=2)
-    # A site that flaps every 3 s: held out longer each time, and nobody else goes.
+    # A site that flaps every 3 s: withdrawn longer each time, and nobody else is.
     before = changes(sites, "c")
     until = time.monotonic() + 18.0
     while time.monotonic() < until:
@@ -274,7 +275,7 @@
         rig.play(1.5)
     assert changes(sites, "c") - before <= 2 * 8  # of two addresses; undamped it would be 36
     assert sites.standing("a") == sites.standing("b") == [2, 2]
-    # A stop in order: duties are handed on, the gate is told nothing.
+    # An orderly stop: leases are handed over, no route changes.
     told = {zone: changes(sites, zone) for zone in "ab"}
     for name in sites.members("a"):
         rig.now_by[name].expected_end = True
@@ -283,4 +284,4 @@
         rig.start(name)
         rig.wait_members(within=40)
     assert {zone: changes(sites, zone) for zone in "ab"} == told
-    sound(sites)
+    assert_invariants(sites)
