--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -194,7 +194,7 @@
                 self._step()
             # Leases run out by themselves; membership and the other roles must go on.
             except Exception as error:  # noqa: BLE001
-                self.proxy.failed("fleet", error)
+                self.proxy.report_failure("fleet", error)
                 yield self.loop.now + CHECK_INTERVAL
             yield self.loop.now + max(SHORTEST_WAIT, self._next_due() - clock.now())
 
@@ -330,7 +330,7 @@
 
     # A part of the proxy.
 
-    def list_told(self, kind: EndpointListKind, _: list[Endpoint]) -> None:
+    def on_endpoint_list(self, kind: EndpointListKind, _: list[Endpoint]) -> None:
         """The proxy's own endpoint list has changed."""
         if self.lists:
             self.lists.own_list(kind)
--- a/onyxhollow/fleet/route_guard.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -49,7 +49,7 @@
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.loop import Loop
 from onyxhollow.management.api import PLAIN, Answer, Management
-from onyxhollow.wire.channel import ListenError
+from onyxhollow.wire.listening import ListenError
 
 CHECK_INTERVAL = 0.2  # seconds between checks whether an announcer still calls
 MIN_EVIDENCE_AGE = 3.0  # seconds for which a member's report counts, at the least
--- a/onyxhollow/fleet/routing_daemon.py
+++ b/onyxhollow/fleet/routing_daemon.py
@@ -15,9 +15,9 @@
 from onyxhollow.addresses.routes import Preference
 from onyxhollow.counters import Counters
 from onyxhollow.loop import Loop
-from onyxhollow.wire.buffers import LONGEST_LINE, BufferPool
+from onyxhollow.wire.buffers import MAX_LINE_SIZE, BufferPool
 from onyxhollow.wire.channel import Channel
-from onyxhollow.wire.tables import Address
+from onyxhollow.wire.endpoint_addresses import Address
 
 ANSWER_TIMEOUT = 3.0  # seconds for a connection to come up, and for a command's answer
 RETRY_AFTER = 0.3  # seconds until a connection or a refused command is tried again
@@ -76,7 +76,7 @@
 
     def connect_and_install(self) -> Generator[float, None, None]:
         """One connection; OSError if it cannot be made."""
-        self.channel = Channel.dial(self.loop, self.address, self.pool, self.wake)
+        self.channel = Channel.connect(self.loop, self.address, self.pool, self.wake)
         until = self.loop.now + ANSWER_TIMEOUT
         while self.channel.connecting and self.loop.now < until and not self.channel.ended:
             yield until
@@ -90,8 +90,8 @@
         while not channel.ended:
             name = self.next_address()
             if name is None:
-                channel.inbox.rest()  # nothing is outstanding: what comes says only that the daemon lives
-                channel.settle(False)
+                channel.inbox.take_rest()  # nothing is outstanding: what comes only shows that it lives
+                channel.set_paused(False)
                 yield self.loop.now + IDLE_CHECK
                 continue
             preference = self.table.preferences[name]
@@ -119,9 +119,9 @@
         """One line, without its end; empty if none comes in time. The API ends lines with a bare LF."""
         received = b""
         until = self.loop.now + ANSWER_TIMEOUT
-        while b"\n" not in received and len(received) < LONGEST_LINE:
-            received += channel.inbox.rest()
-            channel.settle(False)
+        while b"\n" not in received and len(received) < MAX_LINE_SIZE:
+            received += channel.inbox.take_rest()
+            channel.set_paused(False)
             if b"\n" not in received:
                 if self.loop.now >= until or channel.ended:
                     break
--- a/onyxhollow/fleet/shared_addresses/connection_drain.py
+++ b/onyxhollow/fleet/shared_addresses/connection_drain.py
@@ -46,10 +46,10 @@
         sessions = [
             session
             for session in self.member.proxy.sessions.table.live
-            if session.open
+            if session.is_open
             and not session.stopping
-            and session.opening is not None
-            and session.opening.listener in listeners
+            and session.request is not None
+            and session.request.listener in listeners
         ]
         if self.pace is None:
             self.pace = Pace(len(sessions))
--- a/onyxhollow/fleet/shared_addresses/health_probes.py
+++ b/onyxhollow/fleet/shared_addresses/health_probes.py
@@ -12,8 +12,9 @@
 from onyxhollow.fleet.shared_addresses.local_health import LocalHealth
 from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.channel import Channel
-from onyxhollow.wire.discovery import Call, ListError
-from onyxhollow.wire.tables import Address
+from onyxhollow.wire.discovery_connection import DiscoveryConnection
+from onyxhollow.wire.endpoint_addresses import Address
+from onyxhollow.wire.endpoint_list import EndpointListError
 
 REPORT_INTERVAL = 1.0  # seconds between reports to the route guard
 GUARD_TIMEOUT = 1.0  # seconds for the route guard to answer
@@ -57,7 +58,7 @@
         timeout = listeners[name].attempt_timeout
         loop = self.member.loop
         try:
-            channel = Channel.dial(loop, self.own_address(), self.pool, self.member.task.wake)
+            channel = Channel.connect(loop, self.own_address(), self.pool, self.member.task.wake)
         except OSError:
             return False
         until = loop.now + timeout
@@ -71,7 +72,7 @@
             if line is not None:
                 accepted = bytes(line[:2]) == b"UP"
                 break
-            channel.settle(False)
+            channel.set_paused(False)
             yield min(until, loop.now + POLL)
         channel.close()
         return accepted
@@ -105,17 +106,17 @@
         """One call; a guard that does not answer is called again next time."""
         loop = self.member.loop
         rows = "&".join(f"{quote(row.address)}={row.health:.3f}" for row in self.health.latest)
-        call: Call | None = None
+        call: DiscoveryConnection | None = None
         try:
             until = loop.now + GUARD_TIMEOUT
-            call = Call(loop, self.address, self.pool, self.member.task.wake)
+            call = DiscoveryConnection(loop, self.address, self.pool, self.member.task.wake)
             while call.channel.connecting and loop.now < until:
                 yield min(until, loop.now + POLL)
             if not call.channel.connecting:
                 target = f"/seen?member={quote(self.member.name)}&{rows}"
                 waits = call.get(target, until, never, "POST")
                 yield from (min(when, loop.now + POLL) for when in waits)
-        except (ListError, OSError, h11.ProtocolError):
+        except (EndpointListError, OSError, h11.ProtocolError):
             pass  # the next report is due soon
         finally:
             if call:
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -84,7 +84,7 @@
             "stalls": membership.counts["stalls"],
             "stalled_ago": round(now - membership.stalled_at, 2) if membership.stalls_seen else None,
             "version": __version__,
-            "service": context.proxy.service.state.value,
+            "service": context.proxy.service.phase.value,
             "links": self._links(now),
             "servers": self._endpoints(),
             "members": [
--- /dev/null
+++ b/onyxhollow/wire/handoff_channel.py
@@ -0,0 +1,185 @@
+"""Open connections go from a process to its successor over a Unix socket, with what belongs to them.
+
+One message for each connection, answered with its number once the successor has it; until then nobody reads
+from the connection.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import socket
+from collections.abc import Callable
+from typing import Any
+
+import orjson
+
+from onyxhollow.loop import READ, Loop
+
+VERSION = 1  # of the messages; those of another version are refused
+MAX_MESSAGE_SIZE = 128 * 1024  # bytes; a connection with more still to be written is migrated instead
+MAX_UNACKNOWLEDGED = 32  # messages on their way
+READS_PER_TURN = 16  # messages read in one turn of the loop
+DESCRIPTORS_PER_MESSAGE = 2  # the client's connection and the endpoint's
+
+
+def open_unix_socket() -> socket.socket:
+    """A Unix socket that keeps the borders of messages."""
+    return socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
+
+
+class HandoffSender:
+    """The end of the process that is replaced; OSError from the constructor if the successor is not there."""
+
+    def __init__(self, loop: Loop, path: str) -> None:
+        self.loop = loop
+        self.last_number = 0
+        self.broken = False
+        self.unacknowledged: dict[int, Callable[[bool], None]] = {}  # called with whether it was taken
+        self.sock = open_unix_socket()
+        try:
+            self.sock.setblocking(False)
+            self.sock.connect(path)
+        except OSError:
+            self.sock.close()
+            raise
+        loop.watch(self.sock.fileno(), READ, self.on_ready)
+
+    @property
+    def free_slots(self) -> int:
+        """How many more messages may be sent before one is answered."""
+        return 0 if self.broken else MAX_UNACKNOWLEDGED - len(self.unacknowledged)
+
+    def send(self, record: dict[str, Any], fds: list[int], on_answer: Callable[[bool], None]) -> bool:
+        """Sends one connection; False if it can't be sent, else `on_answer` is called later, once."""
+        self.last_number += 1
+        message = orjson.dumps({"version": VERSION, "number": self.last_number, **record})
+        if len(message) > MAX_MESSAGE_SIZE or self.broken:
+            return False
+        try:
+            socket.send_fds(self.sock, [message], fds)
+        except OSError:  # also when there is no room: it is migrated then
+            return False
+        self.unacknowledged[self.last_number] = on_answer
+        return True
+
+    def on_ready(self, _: int) -> None:
+        """Answers have come, or the end of the successor."""
+        try:
+            while answer := self.sock.recv(64):
+                number, word = answer.split(b" ")
+                on_answer = self.unacknowledged.pop(int(number), None)
+                if on_answer is not None:
+                    on_answer(word == b"taken")
+        except BlockingIOError:
+            return
+        except (OSError, ValueError):
+            pass  # reset, or not an answer of this protocol: as if the successor were gone
+        self.close()
+
+    def close(self) -> None:
+        """Ends the hand-off; connections not answered for stay with this process."""
+        if self.broken:
+            return
+        self.broken = True
+        self.loop.watch(self.sock.fileno(), 0, None)
+        self.sock.close()
+        unacknowledged = list(self.unacknowledged.values())
+        self.unacknowledged = {}
+        for on_answer in unacknowledged:
+            on_answer(False)
+
+
+class HandoffReceiver:
+    """The successor's end; OSError from the constructor if nothing can be listened for at the path.
+
+    `take` gets a record and the two sockets, and returns whether it has them now; `done` is called once the
+    sender has ended.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        path: str,
+        take: Callable[[dict[str, Any], socket.socket, socket.socket], bool],
+        done: Callable[[], None],
+    ) -> None:
+        self.loop = loop
+        self.path = path
+        self.take = take
+        self.done = done
+        self.sender: socket.socket | None = None
+        self.listener = open_unix_socket()
+        try:
+            self.listener.setblocking(False)
+            self.listener.bind(path)
+            os.chmod(path, 0o600)
+            self.listener.listen(1)
+        except OSError:
+            self.listener.close()
+            raise
+        loop.watch(self.listener.fileno(), READ, self.accept)
+
+    def accept(self, _: int) -> None:
+        """Takes the one sender, and listens for no other."""
+        with contextlib.suppress(OSError):
+            sender, _peer = self.listener.accept()
+            self.sender = sender
+            sender.setblocking(False)
+            self.loop.watch(sender.fileno(), READ, self.on_ready)
+            self.stop_listening()
+
+    def on_ready(self, _: int) -> None:
+        """Messages have come, or the end of the sender."""
+        sender = self.sender
+        assert sender is not None
+        for _ in range(READS_PER_TURN):
+            try:
+                message, fds, _flags, _peer = socket.recv_fds(
+                    sender, MAX_MESSAGE_SIZE + 1024, DESCRIPTORS_PER_MESSAGE
+                )
+            except BlockingIOError:
+                return
+            except OSError:
+                message, fds = b"", []
+            if not message:
+                self.close()
+                return
+            answer = self.answer_for(message, fds)
+            with contextlib.suppress(OSError):  # it has died: what it handed off is served all the same
+                sender.send(answer)
+
+    def answer_for(self, message: bytes, fds: list[int]) -> bytes:
+        """Takes the connection of a message, or closes its descriptors; returns the answer for the sender."""
+        socks: list[socket.socket] = []
+        number = 0
+        try:
+            socks = [socket.socket(fileno=fd) for fd in fds]
+            record = orjson.loads(message)
+            number = int(record["number"])
+            usable = record["version"] == VERSION and len(socks) == DESCRIPTORS_PER_MESSAGE
+            if usable and self.take(record, *socks):
+                return b"%d taken" % number
+        except Exception as error:  # noqa: BLE001 -- whatever it was, the sender keeps the connection
+            self.loop.report_failure("passing", error)
+        for sock in socks:
+            sock.close()
+        return b"%d refused" % number
+
+    def stop_listening(self) -> None:
+        """Closes the listening socket and removes its path."""
+        if self.listener.fileno() < 0:
+            return
+        self.loop.watch(self.listener.fileno(), 0, None)
+        self.listener.close()
+        with contextlib.suppress(OSError):
+            os.unlink(self.path)
+
+    def close(self) -> None:
+        """Ends the hand-off; what was taken stays."""
+        self.stop_listening()
+        if self.sender is not None:
+            self.loop.watch(self.sender.fileno(), 0, None)
+            self.sender.close()
+            self.sender = None
+            self.done()
--- a/tests/test_connection_drain.py
+++ b/tests/test_connection_drain.py
@@ -26,7 +26,9 @@
 
     def open_sessions(self, count, listener):
         for _ in range(count):
-            session = SimpleNamespace(open=True, stopping=False, opening=SimpleNamespace(listener=listener))
+            session = SimpleNamespace(
+                is_open=True, stopping=False, request=SimpleNamespace(listener=listener)
+            )
             session.stop = lambda session=session: (self.live.remove(session), self.moved.append(session))
             self.live.append(session)
 
