--- a/onyxhollow/lab/fleet/wander.py
+++ b/onyxhollow/lab/fleet/wander.py
@@ -15,7 +15,6 @@
 from typing import Any
 from unittest import mock
 
-from onyxhollow.addresses import controller as keeping
 from onyxhollow.addresses import rules
 from onyxhollow.addresses.announcer import Announcer, GuardedRoute, GuardState
 from onyxhollow.addresses.controller import Controller, ToVoter
@@ -465,14 +464,14 @@
 
 def told_at_once() -> Any:
     """A decision is told before it is on a majority's disks."""
-    true = keeping.Controller.decide
+    true = Controller.decide
 
     def decide(self: Controller, now: float, wall: float) -> None:
         true(self, now, wall)
         for row in list(self.pending.values()):
             self.on_committed(self.pending[record_id(row.record)], now)
 
-    return mock.patch.object(keeping.Controller, "decide", decide)
+    return mock.patch.object(Controller, "decide", decide)
 
 
 def one_decides() -> Any:
@@ -487,7 +486,7 @@
         for row in message.rows:
             self.routes[row.address, message.site].installed = True
 
-    return mock.patch.multiple(keeping.Controller, ready=ready, on_site_report=reported)
+    return mock.patch.multiple(Controller, ready=ready, on_site_report=reported)
 
 
 def overtaken() -> Any:
--- /dev/null
+++ b/tests/test_override_api.py
@@ -0,0 +1,116 @@
+"""Operators' calls about shared addresses: overrides on their way to the voters, and queries."""
+
+import json
+from types import SimpleNamespace
+from urllib.parse import urlencode
+
+import pytest
+from address_support import two_addresses
+
+from onyxhollow.addresses.messages import (
+    Override,
+    OverrideQuery,
+    OverrideResponse,
+    QueryRequest,
+    StoreAcknowledgement,
+    StoreRequest,
+)
+from onyxhollow.addresses.overrides import OverrideLog
+from onyxhollow.fleet.shared_addresses.override_api import (
+    InvalidOverrideError,
+    OverrideApi,
+    OverrideReader,
+    RequestIds,
+)
+from onyxhollow.fleet.shared_addresses.query_api import PART_BYTES, QueryApi, QueryKind
+
+GIVEN = {"verb": "drain", "site": "a", "who": "op", "why": "power"}
+VOTERS = SimpleNamespace(names=("v0", "v1", "v2"), majority=2)
+
+
+class SentMessages:
+    """Stands for the messenger: notes what is sent."""
+
+    def __init__(self):
+        self.sent = []
+        self.controller = SimpleNamespace(process_id="c~1")
+
+    def to_name(self, name, message):
+        self.sent.append((name, message))
+
+    def to_process(self, process_id, message):
+        self.sent.append((process_id, message))
+
+
+def member():
+    return SimpleNamespace(
+        name="n0",
+        process_id="n0~7",
+        voters=VOTERS,
+        task=SimpleNamespace(wake=lambda: None),
+        log_event=lambda event, **values: None,
+    )
+
+
+def reader():
+    return OverrideReader(two_addresses("chat"), RequestIds(7))
+
+
+@pytest.mark.parametrize(
+    ("change", "says"),
+    [
+        ({"verb": "stop"}, "verb: expected one of drain, undrain"),
+        ({"site": "z"}, "site: expected one of a, b, got 'z'"),
+        ({"address": "z"}, "address: expected one of x0, or none for all, got 'z'"),
+        ({"who": ""}, "who: expected 1 to 200 bytes"),
+        ({"why": "w" * 201}, "why: expected 1 to 200 bytes"),
+        ({"why": "a\nb"}, "why: expected 1 to 200 bytes of printable characters"),
+        ({"until": "soon"}, "until: expected 0 to 2592000 seconds, got 'soon'"),
+        ({"until": "-1"}, "until: expected 0 to 2592000 seconds, got '-1'"),
+    ],
+)
+def test_an_invalid_override_names_the_parameter(change, says):
+    with pytest.raises(InvalidOverrideError) as caught:
+        reader().read(urlencode(GIVEN | change))
+    assert says in str(caught.value)
+
+
+def test_an_override_is_numbered_above_all_that_a_majority_knows_and_done_once_it_has_stored_it():
+    sent, log = SentMessages(), OverrideLog()
+    api = OverrideApi(member(), sent, log, reader())
+    status, body, _ = api.submit(urlencode(GIVEN))
+    override_id = json.loads(body)["id"]
+    assert status == 202 and sent.sent == [(name, OverrideQuery(0)) for name in VOTERS.names]
+    earlier = Override("1-1", 41, "pin", "", "b", "op", "why", 1.0, 0.0)
+    api.on_override_response(OverrideResponse("v0", 0, 1, [earlier]), 1.0)
+    assert len(sent.sent) == 3  # one voter is no majority
+    api.on_override_response(OverrideResponse("v2", 0, 0, []), 1.0)
+    assert [name for name, _ in sent.sent[3:]] == list(VOTERS.names)
+    assert all(isinstance(message, StoreRequest) for _, message in sent.sent[3:])
+    assert {message.rows[0].number for _, message in sent.sent[3:]} == {42}
+    api.on_store_acknowledgement(StoreAcknowledgement("v1", [override_id]))
+    state = json.loads(api.show_state(urlencode({"id": override_id}))[1])
+    assert state == {"id": override_id, "kept": 1, "needed": 2, "done": False}
+    api.on_store_acknowledgement(StoreAcknowledgement("v2", [override_id]))
+    assert json.loads(api.show_state(urlencode({"id": override_id}))[1])["done"]
+    assert api.show_state("id=none")[0] == 404
+
+
+def test_a_query_is_answered_in_parts_by_another_member():
+    history = [Override(f"1-{n}", n, "pin", "", "b", "op", f"{n * 7919:x}" * 20, n, 0.0) for n in range(100)]
+    store = SimpleNamespace(decisions=lambda: [], overrides=lambda: history)
+    asking, answering = SentMessages(), SentMessages()
+    idle = SimpleNamespace(core=None)
+    voter = QueryApi(member(), answering, idle, SimpleNamespace(store=store), reader(), RequestIds(8))
+    here = QueryApi(member(), asking, idle, SimpleNamespace(store=None), reader(), RequestIds(7))
+    here.member.membership = SimpleNamespace(live_members=lambda: [SimpleNamespace(name="v1", epoch=3)])
+    status, body, _ = here.handle(QueryKind.HISTORY, "")
+    query_id = json.loads(body)["id"]
+    assert status == 202 and asking.sent == [("v1~3", QueryRequest(query_id, "history"))]
+    voter.on_request(asking.sent[0][1], "n0~7", 1.0)
+    assert len(answering.sent) > 1 and all(len(part.body) <= PART_BYTES for _, part in answering.sent)
+    for process_id, part in reversed(answering.sent):  # in any order
+        assert process_id == "n0~7" and here.handle(QueryKind.HISTORY, f"id={query_id}")[0] == 202
+        here.on_response_part(part)
+    status, body, _ = here.handle(QueryKind.HISTORY, f"id={query_id}")
+    assert status == 200 and [row["id"] for row in json.loads(body)["orders"]] == [row.id for row in history]
