--- a/onyxhollow/lifecycle/limits.py
+++ b/onyxhollow/lifecycle/limits.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import resource
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from onyxhollow.lifecycle.config import Config
 
@@ -20,8 +20,7 @@
 HIGH_WATER_MARK = (4096, 32768)  # bytes, at least and at most
 
 
-@dataclass(frozen=True, slots=True)
-class Limits:
+class Limits(NamedTuple):
     """What the parts of the process may use."""
 
     stop_time: float  # seconds that a stop takes at most
--- a/onyxhollow/wire/attempts.py
+++ b/onyxhollow/wire/attempts.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Generator
-from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from onyxhollow.interface import AttemptOutcome
 from onyxhollow.wire.buffers import LineTooLongError
@@ -22,8 +21,7 @@
 }
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptResult:
+class AttemptResult(NamedTuple):
     """How an attempt ended; where it was accepted, the connection and the endpoint's UP line."""
 
     outcome: AttemptOutcome = AttemptOutcome.CONNECT_FAILED
--- a/onyxhollow/wire/buffers.py
+++ b/onyxhollow/wire/buffers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 MAX_LINE_SIZE = 4096  # bytes, with the line end: the wire's limit
 BUFFER_SIZE = 2 * MAX_LINE_SIZE
@@ -15,8 +15,7 @@
     """A line over the 4 KiB that the wire allows."""
 
 
-@dataclass(frozen=True, slots=True)
-class ClosingConnection:
+class ClosingConnection(NamedTuple):
     """A connection that only ends in order: nothing more is taken from it."""
 
     since: float  # seconds of the loop's clock
--- a/onyxhollow/wire/connection_handoff.py
+++ b/onyxhollow/wire/connection_handoff.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from onyxhollow.interface import DeduplicationScope, Idempotency, Listener
 from onyxhollow.wire.buffers import BUFFER_SIZE
@@ -13,8 +12,7 @@
 BytePair = tuple[bytes, bytes]  # of the client's connection, and of the endpoint's
 
 
-@dataclass(frozen=True, slots=True)
-class ConnectionHandoff:
+class ConnectionHandoff(NamedTuple):
     """All that an open connection takes along to another process; both read one monotonic clock."""
 
     request: OpenRequest
--- a/onyxhollow/wire/echo_timing.py
+++ b/onyxhollow/wire/echo_timing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from onyxhollow.decision_adapter import SessionHandle
 from onyxhollow.loop import Loop
@@ -12,8 +12,7 @@
 REPORT_INTERVAL = 1.0  # seconds between two reports of late echoes from one endpoint
 
 
-@dataclass(frozen=True, slots=True)
-class SentAt:
+class SentAt(NamedTuple):
     """When a line was sent, in seconds of the loop's clock, and how long the process had stalled by then."""
 
     at: float
--- a/onyxhollow/wire/endpoint_list.py
+++ b/onyxhollow/wire/endpoint_list.py
@@ -4,8 +4,7 @@
 
 import math
 from collections.abc import Mapping
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from onyxhollow.interface import Endpoint, EndpointState
 from onyxhollow.wire.endpoint_addresses import Address
@@ -22,8 +21,7 @@
     """An answer that is not an endpoint list, or none at all."""
 
 
-@dataclass(slots=True)
-class EndpointList:
+class EndpointList(NamedTuple):
     """A snapshot of the endpoint list, or what has changed in it."""
 
     version: int
--- a/onyxhollow/wire/endpoint_list_watch.py
+++ b/onyxhollow/wire/endpoint_list_watch.py
@@ -4,9 +4,8 @@
 
 import math
 from collections.abc import Callable, Generator
-from dataclasses import dataclass
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 import h11
 import orjson
@@ -47,8 +46,7 @@
     return min(MAX_WAIT, max(max_poll_interval / 2, instance_count / FLEET_POLL_RATE))
 
 
-@dataclass(frozen=True, slots=True)
-class WatchTerms:
+class WatchTerms(NamedTuple):
     """The part of the settings that a watch goes by."""
 
     poll_wait: float  # seconds that one poll waits for a change
--- a/onyxhollow/wire/messages.py
+++ b/onyxhollow/wire/messages.py
@@ -4,7 +4,7 @@
 
 import math
 import re
-from dataclasses import dataclass
+from typing import NamedTuple
 
 Line = bytes | memoryview
 OPEN_LINE = re.compile(rb"OPEN ([0-9A-Za-z._:-]{1,64}) ([!-~]{1,256}) ([!-~]+)\r\n")
@@ -21,8 +21,7 @@
     """A line that does not follow the protocol."""
 
 
-@dataclass(slots=True)
-class OpenRequest:
+class OpenRequest(NamedTuple):
     """An OPEN line, taken apart as far as this proxy uses it."""
 
     line: bytes  # with its line end
--- a/onyxhollow/wire/network_context.py
+++ b/onyxhollow/wire/network_context.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from onyxhollow.counters import Counters
 from onyxhollow.loop import Loop
@@ -11,8 +11,7 @@
 from onyxhollow.wire.endpoint_addresses import EndpointAddresses
 
 
-@dataclass(frozen=True, slots=True)
-class NetworkContext:
+class NetworkContext(NamedTuple):
     """Shared by all connections of one proxy; made once at its start."""
 
     loop: Loop
--- a/onyxhollow/wire/session_registry.py
+++ b/onyxhollow/wire/session_registry.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from onyxhollow.decision_adapter import DecisionAdapter
 from onyxhollow.interface import Listener, Settings, Tenant
@@ -50,8 +49,7 @@
         """Ends it: an open connection is migrated; one that waits is answered now."""
 
 
-@dataclass(frozen=True, slots=True)
-class SessionSettings:
+class SessionSettings(NamedTuple):
     """The part of the configuration that sessions go by; a reload replaces it as a whole."""
 
     listeners: Mapping[str, Listener]
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -753,7 +753,7 @@
 def test_a_probe_brings_the_load_and_its_connection_goes_with_its_server(loopback):
     proxy = loopback(health_checks=True, health_check_price=0.01, load_field="x0")
     # A machine that stands still for the usual 0.3 s fails no check here.
-    proxy.proxy.probes.settle("x0", 3.0)
+    proxy.proxy.health_checker.apply_settings("x0", 3.0)
     server = proxy.until(lambda: proxy.toys["a"].asked())
     assert server.got == b"STATS\r\n"
     server.say(b"PONG qps=3,x0=0.5\r\n")
