--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check, version, lab, gate; the others ask a running process."""
+"""The command line: serve and check here; the other commands are loaded where they are called."""
 
 from __future__ import annotations
 
@@ -14,117 +14,165 @@
     from onyxhollow.lifecycle.config import Config
     from onyxhollow.lifecycle.signals import SignalQueue
 
-
-def lacks(extra: str, error: ImportError) -> int:
-    """Its libraries are an extra: serve by itself needs none of them."""
+EXIT_UNUSABLE = 2  # an extra is missing, or a file can't be used
+PROXY_COMMANDS = (
+    ("serve", "run one proxy"),
+    ("check", "check a configuration and say what it holds"),
+)
+# Commands with a parser of their own, which gets all that follows.
+OTHER_COMMANDS = (
+    ("members", "who is there, as a running process sees it"),
+    ("duties", "who holds what; hand over, release"),
+    ("voters", "who votes on duties; replace one"),
+    ("topology", "the picture of a fleet: draw, show, diff, save, record, replay"),
+    ("addresses", "shared service addresses: which site advertises what, and why; orders"),
+)
+
+
+def missing_extra(extra: str, error: ImportError) -> int:
+    """Says that an extra's libraries are missing: serve by itself needs none of them."""
     sys.stderr.write(f"onyxhollow: the {extra} needs {error.name}: pip install 'onyxhollow[{extra}]'\n")
-    return 2
+    return EXIT_UNUSABLE
 
 
-def main(words: list[str] | None = None) -> int:
+def unusable(error: ValueError) -> int:
+    """Writes one line for a file that can't be used."""
+    sys.stderr.write(f"onyxhollow: {error}\n")
+    return EXIT_UNUSABLE
+
+
+def make_parser() -> argparse.ArgumentParser:
+    """The parser of all commands."""
     parser = argparse.ArgumentParser(prog="onyxhollow", description="A balancer for long-lived connections.")
     commands = parser.add_subparsers(dest="command", required=True)
-    for name, does in (("serve", "run one proxy"), ("check", "check a configuration and say what it holds")):
-        command = commands.add_parser(name, help=does)
+    for name, purpose in PROXY_COMMANDS:
+        command = commands.add_parser(name, help=purpose)
         command.add_argument("--config", default=os.environ.get("LB_CONFIG"), help="JSON; else $LB_CONFIG")
         command.add_argument("--fleet", default=os.environ.get("LB_FLEET"), help="TOML; else $LB_FLEET")
     commands.add_parser("version", help="print the version")
     lab = commands.add_parser("lab", help="play days on a model of fleet and clients", add_help=False)
     lab.add_argument("words", nargs=argparse.REMAINDER)
-    for name, does in (
-        ("members", "who is there, as a running process sees it"),
-        ("duties", "who holds what; hand over, release"),
-        ("voters", "who votes on duties; replace one"),
-        ("topology", "the picture of a fleet: draw, show, diff, save, record, replay"),
-        ("addresses", "shared service addresses: which site advertises what, and why; orders"),
-    ):
-        command = commands.add_parser(name, help=does, add_help=False)
+    for name, purpose in OTHER_COMMANDS:
+        command = commands.add_parser(name, help=purpose, add_help=False)
         command.add_argument("words", nargs=argparse.REMAINDER)
     gate = commands.add_parser("gate", help="stand between a site's announcers and its routing daemon")
     gate.add_argument("--config", required=True, help="TOML")
-    told = parser.parse_args(words)
-    if told.command == "version":
+    return parser
+
+
+def main(words: list[str] | None = None) -> int:
+    """Runs one command; returns the exit status."""
+    arguments = make_parser().parse_args(words)
+    command = arguments.command
+    if command == "version":
         print(__version__)
         return 0
-    if told.command == "lab":
-        try:
-            from onyxhollow.lab.cli import main as play
-        except ImportError as error:
-            return lacks("lab", error)
-        return play(told.words)
-
-    if told.command == "topology":
-        try:
-            from onyxhollow.topology.commands import main as picture
-        except ImportError as error:
-            return lacks("topology", error)
-        return picture(told.words)
-
-    if told.command in ("members", "duties", "voters", "addresses", "gate"):
-        try:
-            if told.command == "gate":
-                from onyxhollow.fleet.gate import main as stand
-
-                return stand(told.config)
-            if told.command == "addresses":
-                from onyxhollow.fleet.addressing import main as ask
-
-                return ask(told.words)
-            from onyxhollow.fleet.commands import main as call
-        except ImportError as error:
-            return lacks("fleet", error)
-        return call(told.command, told.words)
-
-    if told.command == "check":
-        return check(told)
+    if command == "check":
+        return check(arguments)
+    if command == "lab":
+        return run_lab(arguments.words)
+    if command == "topology":
+        return run_topology(arguments.words)
+    if command != "serve":
+        return run_fleet_command(arguments)
     from onyxhollow.lifecycle.signals import SignalQueue
 
     signals = SignalQueue()  # before anything is loaded that takes its time
-    if status := serve(told, signals):
+    status = serve(arguments, signals)
+    if status:
         signals.close()
     return status
 
 
-def read_files(told: argparse.Namespace) -> tuple[Config, Fleet | None]:
-    """The configuration, and the fleet file where one is named; ValueError if one of them is no good."""
+def run_lab(words: list[str]) -> int:
+    """The emulator's commands."""
+    try:
+        from onyxhollow.lab.cli import main as run
+    except ImportError as error:
+        return missing_extra("lab", error)
+    return run(words)
+
+
+def run_topology(words: list[str]) -> int:
+    """The commands on the picture of a fleet."""
+    try:
+        from onyxhollow.topology.commands import main as run
+    except ImportError as error:
+        return missing_extra("topology", error)
+    return run(words)
+
+
+def run_fleet_command(arguments: argparse.Namespace) -> int:
+    """The commands on a running fleet, and the route guard."""
+    try:
+        if arguments.command == "gate":
+            from onyxhollow.fleet.gate import main as run_gate
+
+            return run_gate(arguments.config)
+        if arguments.command == "addresses":
+            from onyxhollow.fleet.addressing import main as run_addresses
+
+            return run_addresses(arguments.words)
+        from onyxhollow.fleet.commands import main as run
+    except ImportError as error:
+        return missing_extra("fleet", error)
+    return run(arguments.command, arguments.words)
+
+
+def read_files(arguments: argparse.Namespace) -> tuple[Config, Fleet | None]:
+    """The configuration, and the fleet file where one is named.
+
+    Raises:
+        ValueError: One of them can't be used (ConfigError, FleetError).
+        ImportError: The fleet's libraries are missing.
+    """
     from onyxhollow.lifecycle.config import ConfigError, read_config
 
-    if not told.config:
+    if not arguments.config:
         raise ConfigError("no configuration: neither --config nor $LB_CONFIG")
-    config = read_config(told.config)
-    if not told.fleet:
+    config = read_config(arguments.config)
+    if not arguments.fleet:
         return config, None
     from onyxhollow.fleet.file import read_fleet
 
-    return config, read_fleet(told.fleet)
+    return config, read_fleet(arguments.fleet)
 
 
-def serve(told: argparse.Namespace, signals: SignalQueue) -> int:
+def serve(arguments: argparse.Namespace, signals: SignalQueue) -> int:
     """Runs one proxy until a signal ends it."""
     from onyxhollow.lifecycle import serve as serving
 
     try:
-        config, fleet = read_files(told)
+        config, fleet = read_files(arguments)
     except ImportError as error:
-        return lacks("fleet", error)
-    except ValueError as error:  # ConfigError, FleetError
-        return no_good(error)
+        return missing_extra("fleet", error)
+    except ValueError as error:
+        return unusable(error)
     if fleet is None:
-        return serving.serve(config, told.config, signals)
+        return serving.serve(config, arguments.config, signals)
     from onyxhollow.fleet.node import attach
 
-    return serving.serve(config, told.config, signals, attach(fleet))
+    return serving.serve(config, arguments.config, signals, attach(fleet))
 
 
-def check(told: argparse.Namespace) -> int:
-    """Says what a configuration holds."""
+def check(arguments: argparse.Namespace) -> int:
+    """Says what a configuration holds, and the fleet file beside it."""
     try:
-        config, fleet = read_files(told)
+        config, fleet = read_files(arguments)
     except ImportError as error:
-        return lacks("fleet", error)
+        return missing_extra("fleet", error)
     except ValueError as error:
-        return no_good(error)
-    settings, (host, port) = config.settings, config.listen
+        return unusable(error)
+    print_config(config)
+    if fleet is not None:
+        print_fleet(fleet)
+    return 0
+
+
+def print_config(config: Config) -> None:
+    """What a configuration holds."""
+    settings = config.settings
+    host, port = config.listen
     print(f"{config.name}: listens on {host}:{port}, one of {settings.instance_count} balancers")
     calls = ":".join(map(str, config.management)) if config.management else "nowhere: no management"
     print(f"operators call {calls}")
@@ -135,23 +183,20 @@
         f"a probe costs {settings.health_check_price:g}, a crossing {settings.cross_zone_price:g}"
     )
     print(f"servers known {len(config.known.endpoints)}, listeners {len(settings.listeners)}")
-    if fleet:
-        duties = ", ".join(f"{duty.name} ({duty.work}, one a {duty.per})" for duty in fleet.told.duty)
-        print(
-            f"fleet {fleet.told.fleet}: member at {fleet.advertise[0]}:{fleet.advertise[1]}, "
-            f"voters {', '.join(fleet.told.voters)}, lease {fleet.told.leases.lease:g} s"
-        )
-        print(f"duties: {duties or 'none'}")
-        if shared := fleet.addresses:
-            names, sites = (", ".join(row.name for row in some) for some in (shared.service, shared.site))
-            print(f"addresses: {names} at {sites}, at least {shared.policy.least}")
-    return 0
 
 
-def no_good(error: ValueError) -> int:
-    """One line for a file that can't be used."""
-    sys.stderr.write(f"onyxhollow: {error}\n")
-    return 2
+def print_fleet(fleet: Fleet) -> None:
+    """What a fleet file holds."""
+    duties = ", ".join(f"{duty.name} ({duty.work}, one a {duty.per})" for duty in fleet.told.duty)
+    print(
+        f"fleet {fleet.told.fleet}: member at {fleet.advertise[0]}:{fleet.advertise[1]}, "
+        f"voters {', '.join(fleet.told.voters)}, lease {fleet.told.leases.lease:g} s"
+    )
+    print(f"duties: {duties or 'none'}")
+    shared = fleet.addresses
+    if shared is not None:
+        names, sites = (", ".join(row.name for row in some) for some in (shared.service, shared.site))
+        print(f"addresses: {names} at {sites}, at least {shared.policy.least}")
 
 
 if __name__ == "__main__":
