--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -61,9 +61,9 @@
     proxy = loopback("abc", known=False)
     old, new = true() - 500.0, true()
     rows = [
-        {**proxy.row("a"), "born_ms": round(old * 1000)},
-        {**proxy.row("b"), "born_ms": round(new * 1000)},
-        proxy.row("c"),
+        {**proxy.list_record("a"), "born_ms": round(old * 1000)},
+        {**proxy.list_record("b"), "born_ms": round(new * 1000)},
+        proxy.list_record("c"),
     ]
     proxy.answer_list(json.dumps(whole(8, *rows)).encode())
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
@@ -72,7 +72,7 @@
     assert cold == ["b"] and balancer.servers["b"].started == pytest.approx(now, abs=0.5)
     # Started anew, it is cold again; the same start told once more changes nothing.
     monkeypatch.setattr(time, "time", lambda: true() - step)
-    proxy.idle(0.05)
+    proxy.run_for(0.05)
     rows[0]["born_ms"] = round((new + 0.05) * 1000)
     arrival = balancer.servers["b"].arrival
     proxy.answer_list(json.dumps({"seq": 9, "whole": False, "hosts": rows[:2]}).encode())
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -19,7 +19,7 @@
 import msgspec
 import pytest
 import zstandard
-from conftest import CALLS, Peer
+from peers import CALLS, Peer
 
 from onyxhollow.interface import Idempotency
 from onyxhollow.lifecycle import replacement
@@ -274,12 +274,12 @@
     """All that operators may ask, one after another: the whole answers, figures without their values."""
     calls = replace(CALLS, name="calls"), replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)
     proxy = loopback(management=("127.0.0.1", 0), listeners={row.name: row for row in calls})
-    proxy.standing()
+    proxy.established()
     found = {}
     for place, call in enumerate(CONTROL):
         peer = proxy.operator(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         proxy.until(lambda peer=peer: peer.read() and peer.end)
-        head, _, body = peer.got.decode().partition("\r\n\r\n")
+        head, _, body = peer.received.decode().partition("\r\n\r\n")
         if "counters" in call:
             head, body = re.sub(r"Content-Length: \d+", "Content-Length: N", head), page_shape(body)
         found[f"{place} {call}"] = [head.splitlines(), body]
@@ -328,8 +328,8 @@
     (client, near), (server, far) = socket.socketpair(), socket.socketpair()
     successor.take_connection(near, far)
     client, server = Peer(client), Peer(server)
-    client.say(b"\r\n")
-    server.say(b" 1\r\n")
+    client.send(b"\r\n")
+    server.send(b" 1\r\n")
     to_client, to_server = (line.encode("latin-1") for line in MEANING["connection"]["unsent"])
     successor.until(lambda: server.read() == to_server + b"m 2\r\n")
     successor.until(lambda: client.read() == to_client + b"m 1\r\n")
--- a/tests/test_connection_states.py
+++ b/tests/test_connection_states.py
@@ -33,7 +33,7 @@
 
 def test_an_event_without_a_row_is_counted_and_changes_nothing(loopback):
     proxy = loopback()
-    client, _server = proxy.standing()
+    client, _server = proxy.established()
     (live,) = proxy.proxy.sessions.table.live
     assert live.state is ConnectionState.ESTABLISHED and live.is_open
     with pytest.raises(AssertionError, match="'attempt started' in state 'established'"):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,7 +13,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import CALLS, Toy
+from peers import CALLS, ScriptedServer
 
 from onyxhollow.interface import DeduplicationScope, Idempotency
 from onyxhollow.lifecycle.accepting import ClientAcceptor
@@ -26,7 +26,7 @@
 EMPTY_LIST = json.dumps({"seq": 8, "whole": False, "hosts": []}).encode()
 
 
-class LateToy(Toy):
+class LateToy(ScriptedServer):
     """A server whose connections come up late: its queue is full until it lets them in. The system tries
     again a second after the first time."""
 
@@ -49,9 +49,9 @@
 
     def make(servers="ab", listeners=None, **changes):
         proxy = loopback(servers, known=False, listeners=listeners or {"calls": PATIENT}, **changes)
-        proxy.toys[servers[0]] = LateToy()
+        proxy.endpoints[servers[0]] = LateToy()
         proxy.proxy.sessions.attempts.connect_timeout = 3.0
-        body = json.dumps({"seq": 8, "whole": True, "hosts": [proxy.row(servers[0])]}).encode()
+        body = json.dumps({"seq": 8, "whole": True, "hosts": [proxy.list_record(servers[0])]}).encode()
         proxy.answer_list(body)
         proxy.until(lambda: proxy.proxy.discovery.version == 8)
         return proxy
@@ -62,19 +62,21 @@
 def connecting(proxy):
     """The proxy, once its one dial is out and its connection is not up."""
     proxy.until(lambda: proxy.counts["dials"] == 1)
-    proxy.idle(0.02)
+    proxy.run_for(0.02)
     return proxy
 
 
-def nothing_sent(proxy, toy):
+def nothing_sent(proxy, server):
     """Whether the late server has got a connection and not one byte on it."""
-    peer = proxy.until(lambda: toy.peers[0] if toy.peers else toy.accept())
+    peer = proxy.until(lambda: server.peers[0] if server.peers else server.accept())
     proxy.until(lambda: peer.read() is not None and peer.end)
-    return peer.got == b""
+    return peer.received == b""
 
 
 def tell(proxy, seq, *rows):
-    body = json.dumps({"seq": seq, "whole": False, "hosts": [proxy.row(*row) for row in rows]}).encode()
+    body = json.dumps(
+        {"seq": seq, "whole": False, "hosts": [proxy.list_record(*row) for row in rows]}
+    ).encode()
     proxy.answer_list(body)
     proxy.until(lambda: proxy.proxy.discovery.version == seq)
 
@@ -85,21 +87,21 @@
 def test_a_server_told_to_drain_while_its_connection_comes_up_gets_nothing_and_another_one_does(late):
     # Told 0.25 s before the line was written, it counted as a send to a draining server.
     proxy = late()
-    client = proxy.open(wait=4000)
+    client = proxy.open_session(wait=4000)
     connecting(proxy)
     tell(proxy, 9, ("a", "leaving"), ("b",))
-    proxy.toys["a"].let_in()
-    server = proxy.until(lambda: proxy.toys["b"].asked())
-    server.say(b"UP r1\r\n")
+    proxy.endpoints["a"].let_in()
+    server = proxy.until(lambda: proxy.endpoints["b"].connection())
+    server.send(b"UP r1\r\n")
     proxy.until(lambda: client.read() == b"UP r1\r\n")
-    assert nothing_sent(proxy, proxy.toys["a"])
+    assert nothing_sent(proxy, proxy.endpoints["a"])
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half-close"])
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_a_client_that_leaves_while_the_connection_comes_up_has_nothing_sent_for_it(late, how, cancelling):
     proxy = late("a", cancellation=cancelling)
-    client = proxy.open(wait=4000)
+    client = proxy.open_session(wait=4000)
     connecting(proxy)
     if how == "half-close":
         client.sock.shutdown(socket.SHUT_WR)
@@ -107,10 +109,10 @@
         if how == "reset":
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         client.sock.close()
-    proxy.toys["a"].let_in()
+    proxy.endpoints["a"].let_in()
     proxy.until(lambda: not proxy.proxy.sessions.table.live)
     if not cancelling:  # else its connection may have been withdrawn before it was up
-        assert nothing_sent(proxy, proxy.toys["a"])
+        assert nothing_sent(proxy, proxy.endpoints["a"])
     assert not proxy.counts["dials written whole"]
     if how == "half-close":  # it still reads: it is owed its answer
         proxy.until(lambda: client.read() in (REFUSED, FAILED) and client.end)
@@ -119,36 +121,36 @@
 def test_a_client_that_leaves_between_the_pick_and_the_write_has_nothing_sent_for_it(loopback, monkeypatch):
     # Its end stood unread in the system's buffer, and the line went out after it.
     proxy = loopback()
-    client = proxy.open()
+    client = proxy.open_session()
     begun = Channel.connect.__func__
 
     def leave_then_dial(cls, *values):
-        if values[1][1] == proxy.toys["a"].port:
+        if values[1][1] == proxy.endpoints["a"].port:
             client.sock.close()
         return begun(cls, *values)
 
     monkeypatch.setattr(Channel, "connect", classmethod(leave_then_dial))
     proxy.until(lambda: proxy.counts["clients gone before an answer"] == 1)
     assert proxy.counts["dials"] == 1 and not proxy.counts["dials written whole"]
-    proxy.until(lambda: proxy.toys["a"].accept())
-    assert nothing_sent(proxy, proxy.toys["a"])
+    proxy.until(lambda: proxy.endpoints["a"].accept())
+    assert nothing_sent(proxy, proxy.endpoints["a"])
 
 
 def test_a_stop_that_ends_between_the_pick_and_the_write_refuses_and_sends_nothing(loopback, monkeypatch):
     # The line went out, and a once-only session that need not have run was torn down.
     proxy = loopback(listeners={"calls": replace(PATIENT, idempotency=Idempotency.NON_IDEMPOTENT)})
-    client = proxy.open(wait=4000)
+    client = proxy.open_session(wait=4000)
     ready = Channel.ready
 
     def stop_as_it_comes_up(channel, events):
-        if channel.connecting and channel.sock.getpeername()[1] == proxy.toys["a"].port:
+        if channel.connecting and channel.sock.getpeername()[1] == proxy.endpoints["a"].port:
             for session in proxy.proxy.sessions.table.live:
                 session.stop()
         ready(channel, events)
 
     monkeypatch.setattr(Channel, "ready", stop_as_it_comes_up)
     proxy.until(lambda: client.read() and client.end)
-    assert client.got == REFUSED and nothing_sent(proxy, proxy.toys["a"])
+    assert client.received == REFUSED and nothing_sent(proxy, proxy.endpoints["a"])
 
 
 def test_a_repeat_whose_window_passes_while_the_connection_comes_up_is_not_sent(late):
@@ -161,31 +163,31 @@
     )
     proxy = late("ab", listeners={"calls": keyed})
     tell(proxy, 9, ("a", "leaving"), ("b",))
-    client = proxy.open(wait=4000)
-    first = proxy.until(lambda: proxy.toys["b"].asked())
+    client = proxy.open_session(wait=4000)
+    first = proxy.until(lambda: proxy.endpoints["b"].connection())
     tell(proxy, 10, ("a",), ("b", "leaving"))
-    first.say(FAILED)
+    first.send(FAILED)
     proxy.until(lambda: proxy.counts["dials"] == 2)
-    proxy.idle(0.02)
-    proxy.toys["a"].let_in()
+    proxy.run_for(0.02)
+    proxy.endpoints["a"].let_in()
     proxy.until(lambda: client.read() and client.end)
-    assert client.got == REFUSED and nothing_sent(proxy, proxy.toys["a"])
+    assert client.received == REFUSED and nothing_sent(proxy, proxy.endpoints["a"])
 
 
 def test_a_request_with_hardly_any_time_left_as_its_connection_comes_up_is_refused_unsent(late, monkeypatch):
     # Held up for a moment the line would go out after the client's end.
     monkeypatch.setattr("onyxhollow.policy.LEAST_LEFT", 1.0, raising=False)  # the connection takes a second
     proxy = late("a")
-    client = proxy.open(wait=1900)
-    connecting(proxy).toys["a"].let_in()
+    client = proxy.open_session(wait=1900)
+    connecting(proxy).endpoints["a"].let_in()
     proxy.until(lambda: client.read() and client.end)
-    assert client.got == REFUSED and nothing_sent(proxy, proxy.toys["a"])
+    assert client.received == REFUSED and nothing_sent(proxy, proxy.endpoints["a"])
 
 
 @pytest.mark.parametrize("how", ["close", "half-close"])
 def test_a_client_that_leaves_the_queue_is_not_served_when_there_is_room_at_last(loopback, how):
     proxy = loopback(known=False)
-    client = proxy.open()
+    client = proxy.open_session()
     proxy.until(lambda: proxy.counts["sessions taken"] == 1)
     client.sock.close() if how == "close" else client.sock.shutdown(socket.SHUT_WR)
     left = time.monotonic()
@@ -193,9 +195,9 @@
         proxy.until(lambda: client.read() == REFUSED and client.end)
     proxy.until(lambda: not proxy.proxy.sessions.active_count)
     assert time.monotonic() - left < 0.1
-    proxy.answer_list(json.dumps({"seq": 8, "whole": True, "hosts": [proxy.row("a")]}).encode())
+    proxy.answer_list(json.dumps({"seq": 8, "whole": True, "hosts": [proxy.list_record("a")]}).encode())
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
-    proxy.idle(0.1)
+    proxy.run_for(0.1)
     assert not proxy.counts["dials"]
 
 
@@ -212,12 +214,12 @@
     ends = Channel.finish
 
     def cross(channel, *values):
-        client.say(b"OPEN 9b1f 7f3a c=calls,d=2000\r\n")
+        client.send(b"OPEN 9b1f 7f3a c=calls,d=2000\r\n")
         ends(channel, *values)
 
     monkeypatch.setattr(Channel, "finish", cross)
     proxy.until(lambda: client.read() and client.end)
-    assert client.got == said.replace(b"I", b"O") + REFUSED and client.end == "closed"
+    assert client.received == said.replace(b"I", b"O") + REFUSED and client.end == "closed"
     assert not proxy.counts["dials"]
 
 
@@ -228,12 +230,12 @@
     proxy.until(lambda: proxy.proxy.sessions.table.live)
     time.sleep(0.25)  # the process stands still: the end is due
     listen = proxy.proxy.loop.epoll.poll
-    client.say(b"OPEN 9b1f 7f3a c=calls,d=2000\r\n")
+    client.send(b"OPEN 9b1f 7f3a c=calls,d=2000\r\n")
     proxy.proxy.loop.epoll = _Blind(proxy.proxy.loop.epoll)  # the turn in which it comes is not told of it
     proxy.proxy.loop.turn(0.0)
     proxy.proxy.loop.turn(0.0)
     proxy.proxy.loop.epoll = listen.__self__
-    proxy.until(lambda: proxy.toys["a"].asked())
+    proxy.until(lambda: proxy.endpoints["a"].connection())
     assert not client.read() and not client.end
 
 
@@ -259,21 +261,21 @@
 
     def cross(channel):
         if channel.sock.fileno() >= 0 and channel.sock.getpeername() == first.sock.getsockname():
-            first.got = b""
+            first.received = b""
             first.read()
-            first.say(b"OPEN 9b1f 7f3a c=calls,d=2000\r\n")
+            first.send(b"OPEN 9b1f 7f3a c=calls,d=2000\r\n")
         shut(channel)
 
     monkeypatch.setattr(Channel, "close", cross)
     others = [proxy.client(b"PING\r\n") for _ in range(12)]
     proxy.until(lambda: proxy.counts["idle connections closed for room"] and first.read() and first.end)
-    assert first.got == REFUSED and len(others) == 12
+    assert first.received == REFUSED and len(others) == 12
 
 
 def test_a_last_answer_that_its_client_reads_slowly_is_not_given_up_for_room(loopback, monkeypatch):
     monkeypatch.setattr(session_registry, "CLOSING_GRACE", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 16)
-    client, server = proxy.standing()
+    client, server = proxy.established()
     (live,) = proxy.proxy.sessions.table.live
     live.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     line = b"m" + b"x" * 4000 + b"\r\n"
@@ -282,7 +284,7 @@
         try:
             server.sock.sendall(line)
         except TimeoutError:
-            proxy.idle(0.01)
+            proxy.run_for(0.01)
     live.handle.decisions.migrate(live.handle)
     proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.closing)
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
@@ -300,7 +302,7 @@
     clients, ends = [], ClientAcceptor.stop_listening
 
     def rush(inner, *values):
-        clients.extend(proxy.open() for _ in range(200))
+        clients.extend(proxy.open_session() for _ in range(200))
         return ends(inner, *values)
 
     monkeypatch.setattr(ClientAcceptor, "stop_listening", rush)
@@ -316,7 +318,7 @@
     clients, ends = [], ClientAcceptor.stop_listening
 
     def rush(inner, *values):
-        clients.extend(proxy.open(wait=300) for _ in range(150))
+        clients.extend(proxy.open_session(wait=300) for _ in range(150))
         return ends(inner, *values)
 
     monkeypatch.setattr(ClientAcceptor, "stop_listening", rush)
@@ -366,7 +368,7 @@
     proxy.until(lambda: proxy.counts["list failures"] == 1)
     came = []
     for count in (2, 3, 4):
-        proxy.until(lambda n=count: proxy.list.asked(n), within=2.4)
+        proxy.until(lambda n=count: proxy.list_service.connection(n), within=2.4)
         came.append(time.monotonic())
     assert all(1.0 < later - sooner < 1.9 for sooner, later in zip(came, came[1:], strict=False))
     proxy.answer_list(EMPTY_LIST, count=4)
@@ -377,43 +379,43 @@
     # It was waited for as long as the watch that it was made for.
     monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT", 0.3)
     proxy = loopback(max_poll_interval=20.0)
-    proxy.list = LateToy()
-    proxy.reload_to(proxy.list)
+    proxy.list_service = LateToy()
+    proxy.follow_list_of(proxy.list_service)
     proxy.until(lambda: proxy.counts["list calls"] >= 3, within=2.0)
-    proxy.list.let_in()
-    proxy.until(lambda: any(peer.read() for peer in proxy.list.peers) or proxy.list.accept())
+    proxy.list_service.let_in()
+    proxy.until(lambda: any(peer.read() for peer in proxy.list_service.peers) or proxy.list_service.accept())
 
 
 def test_an_answer_that_trickles_without_end_is_given_up_as_one_that_never_came(loopback):
     proxy = loopback(max_poll_interval=0.6)
-    first = proxy.until(lambda: proxy.list.asked())
+    first = proxy.until(lambda: proxy.list_service.connection())
     came = time.monotonic()
-    first.say(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
-    while not proxy.list.asked(2):
+    first.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
+    while not proxy.list_service.connection(2):
         assert time.monotonic() - came < 2.4
         if not first.end:
-            first.say(b" ")
-        proxy.idle(0.02)
+            first.send(b" ")
+        proxy.run_for(0.02)
         first.read()
 
 
 def test_where_the_list_is_pushed_no_client_is_taken_by_what_the_file_knew(loopback):
     # What the list's service has counts as told from the first moment of a process.
     proxy = loopback("ab", list_is_polled=False)
-    client = proxy.open()
-    proxy.until(lambda: proxy.list.asked())
-    proxy.idle(0.1)
-    rows = [proxy.row("a", "leaving"), proxy.row("b")]
+    client = proxy.open_session()
+    proxy.until(lambda: proxy.list_service.connection())
+    proxy.run_for(0.1)
+    rows = [proxy.list_record("a", "leaving"), proxy.list_record("b")]
     proxy.answer_list(json.dumps({"seq": 8, "whole": False, "hosts": rows}).encode())
-    proxy.until(lambda: proxy.toys["b"].asked()).say(b"UP r1\r\n")
+    proxy.until(lambda: proxy.endpoints["b"].connection()).send(b"UP r1\r\n")
     proxy.until(lambda: client.read() == b"UP r1\r\n")
-    assert not proxy.toys["a"].accept() and proxy.counts["dials"] == 1
+    assert not proxy.endpoints["a"].accept() and proxy.counts["dials"] == 1
 
 
 def test_where_the_list_is_pushed_and_its_service_is_down_clients_are_taken_all_the_same(loopback):
     proxy = loopback("a", list_is_polled=False)
-    proxy.list.sock.close()
-    proxy.reload_to(proxy.list)
-    client = proxy.open()
-    proxy.until(lambda: proxy.toys["a"].asked()).say(b"UP r1\r\n")
+    proxy.list_service.sock.close()
+    proxy.follow_list_of(proxy.list_service)
+    client = proxy.open_session()
+    proxy.until(lambda: proxy.endpoints["a"].connection()).send(b"UP r1\r\n")
     proxy.until(lambda: client.read() == b"UP r1\r\n")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -10,7 +10,7 @@
 
 import orjson
 import pytest
-from conftest import CALLS, Peer
+from peers import CALLS, Peer
 from prometheus_client.parser import text_string_to_metric_families
 
 from onyxhollow import loop as loops
@@ -76,11 +76,15 @@
     proxy = served()
     caller = proxy.operator()
     for start in range(0, len(said), piece if len(said) < 200 else 10**6):
-        caller.say(said[start : start + piece if len(said) < 200 else None])
+        caller.send(said[start : start + piece if len(said) < 200 else None])
         proxy.proxy.loop.turn(0.0)
     proxy.until(lambda: caller.read() and caller.end)
-    assert caller.end == "closed" and caller.got.startswith(b"HTTP/1.1 %d " % status) and also in caller.got
-    assert caller.got.count(b"HTTP/1.1") == 1 and b"Connection: close" in caller.got
+    assert (
+        caller.end == "closed"
+        and caller.received.startswith(b"HTTP/1.1 %d " % status)
+        and also in caller.received
+    )
+    assert caller.received.count(b"HTTP/1.1") == 1 and b"Connection: close" in caller.received
 
 
 def test_a_crowd_of_silent_callers_delays_nobody_and_is_bounded(served):
@@ -89,7 +93,7 @@
     caller = proxy.operator(READY + END)
     proxy.until(lambda: caller.read(), within=1.0)
     assert (
-        b" 200 " in caller.got
+        b" 200 " in caller.received
         and proxy.proxy.management.pool.open_connections <= proxy.proxy.management.max_connections
     )
     assert not proxy.proxy.pool.open_connections  # none of it is counted among the sessions' connections
@@ -102,7 +106,7 @@
     whole.sock.shutdown(socket.SHUT_WR)
     left.sock.shutdown(socket.SHUT_WR)
     proxy.until(lambda: whole.read() and whole.end and not left.read() and left.end)
-    assert b" 200 " in whole.got and not half.end
+    assert b" 200 " in whole.received and not half.end
     (caller,) = proxy.proxy.management.pending
     caller.accepted_at -= 5.0
     proxy.proxy.management.sweeper.wake()
@@ -114,7 +118,7 @@
     idle = [proxy.client() for _ in range(60)]
     proxy.until(lambda: proxy.counts["accepts put off for want of room"])
 
-    assert len(idle) == 60 and proxy.ask("ready") == (200, "ready\n")
+    assert len(idle) == 60 and proxy.call_operator("ready") == (200, "ready\n")
 
 
 def test_operators_are_served_in_the_middle_of_a_long_turn(served, monkeypatch):
@@ -137,24 +141,24 @@
 
 def test_each_session_counts_once_under_what_its_client_was_told(served):
     proxy = served("a", listeners=BOTH)
-    assert read_figures(proxy.ask("counters")[1])["lb_busy_total", "once"] == 0
-    client, server = proxy.standing()
-    told = read_figures(proxy.ask("counters")[1])
+    assert read_figures(proxy.call_operator("counters")[1])["lb_busy_total", "once"] == 0
+    client, server = proxy.established()
+    told = read_figures(proxy.call_operator("counters")[1])
     assert told["lb_inflight", None] == told["lb_backend_calls_total", None] == 1
     proxy.client(b"OPEN zz 7f3a c=nobody,d=2000\r\n")  # a bad client's is none
-    server.say(b"BYE\r\n")
+    server.send(b"BYE\r\n")
     server.sock.close()
     proxy.until(lambda: client.read().endswith(b"BYE\r\n"))
-    torn = proxy.open("once")
-    proxy.until(lambda: proxy.toys["a"].asked(2)).say(b"ERR\r\n")
+    torn = proxy.open_session("once")
+    proxy.until(lambda: proxy.endpoints["a"].connection(2)).send(b"ERR\r\n")
     proxy.until(lambda: torn.read() == b"ERR\r\n")
-    proxy.toys["a"].sock.close()
-    refused = proxy.open("calls")
+    proxy.endpoints["a"].sock.close()
+    refused = proxy.open_session("calls")
     proxy.until(lambda: refused.read() == b"BUSY\r\n")
-    left = proxy.open("calls")
+    left = proxy.open_session("calls")
     left.sock.close()
     proxy.until(lambda: not proxy.proxy.sessions.table.live)
-    told = read_figures(proxy.ask("counters")[1])
+    told = read_figures(proxy.call_operator("counters")[1])
     ends = {key: value for key, value in told.items() if key[1]}
     assert ends == {
         ("lb_success_total", "calls"): 1,
@@ -191,39 +195,48 @@
     proxy = served()
     front = proxy.client(b"PING\r\n")
     proxy.until(lambda: front.read() == b"PONG\r\n")
-    standing = [proxy.standing() for _ in range(4)]
-    assert proxy.ask("out-of-service", "POST")[0] == proxy.ask("out-of-service", "POST")[0] == 200
-    front.say(b"PING\r\n")
+    standing = [proxy.established() for _ in range(4)]
+    assert (
+        proxy.call_operator("out-of-service", "POST")[0]
+        == proxy.call_operator("out-of-service", "POST")[0]
+        == 200
+    )
+    front.send(b"PING\r\n")
     proxy.until(lambda: front.read() == b"PONG\r\nBUSY\r\n")
-    assert proxy.ask("ready")[0] == 503
-    late, _ = proxy.standing()
-    dialling = proxy.open()
+    assert proxy.call_operator("ready")[0] == 503
+    late, _ = proxy.established()
+    dialling = proxy.open_session()
     proxy.proxy.reloader.reload()  # does not bring it back
-    assert proxy.ask("ready")[0] == 503
+    assert proxy.call_operator("ready")[0] == 503
     for client, _ in [*standing, (late, None)]:
         proxy.until(lambda client=client: client.read() == b"MOVE\r\n" and client.end == "closed", within=1.2)
     proxy.until(lambda: dialling.read() == b"BUSY\r\n", within=1.2)
-    after = proxy.open()
+    after = proxy.open_session()
     proxy.until(lambda: after.read() == b"BUSY\r\n" and after.end)
-    assert not front.end and proxy.ask("in-service", "POST")[0] == proxy.ask("in-service", "POST")[0] == 200
-    front.say(b"PING\r\n")
+    assert (
+        not front.end
+        and proxy.call_operator("in-service", "POST")[0]
+        == proxy.call_operator("in-service", "POST")[0]
+        == 200
+    )
+    front.send(b"PING\r\n")
     proxy.until(lambda: front.read().endswith(b"PONG\r\n"))
-    assert proxy.ask("ready")[0] == 200
-    dials, again = proxy.counts["dials"], proxy.open()
+    assert proxy.call_operator("ready")[0] == 200
+    dials, again = proxy.counts["dials"], proxy.open_session()
     proxy.until(lambda: proxy.counts["dials"] > dials and not again.end)
 
 
 def test_taken_back_half_way_those_not_moved_yet_stay(served, monkeypatch):
     monkeypatch.setattr(draining, "DRAIN_DELAY", 0.05)
     proxy = served()
-    clients = [proxy.standing()[0] for _ in range(12)]
-    proxy.ask("out-of-service", "POST")
+    clients = [proxy.established()[0] for _ in range(12)]
+    proxy.call_operator("out-of-service", "POST")
     proxy.until(lambda: any(client.read() for client in clients))
-    proxy.ask("in-service", "POST")
+    proxy.call_operator("in-service", "POST")
     moved = sum(bool(client.read()) for client in clients)
-    proxy.idle(0.3)
+    proxy.run_for(0.3)
     assert 0 < moved == sum(bool(client.read()) for client in clients) < 12
-    proxy.ask("out-of-service", "POST")  # and again, from anew
+    proxy.call_operator("out-of-service", "POST")  # and again, from anew
     proxy.until(lambda: sum(bool(client.read()) for client in clients) > moved)
 
 
@@ -308,27 +321,32 @@
 
 def test_a_dropped_listeners_sessions_keep_their_terms_and_fewer_dials_are_for_new_ones(served, monkeypatch):
     proxy = served("ab", listeners=BOTH, max_attempts=2)
-    dialling = proxy.open("calls")
-    first, other = proxy.first_dial()
+    dialling = proxy.open_session("calls")
+    first, other = proxy.first_attempt()
     settings = replace(proxy.config.settings, listeners={"once": BOTH["once"]}, max_attempts=1)
     proxy.config = replace(proxy.config, settings=settings)
     proxy.proxy.reloader.reload()
-    first.say(b"ERR\r\n")
-    proxy.until(lambda: other.asked()).say(b"UP r\r\n")  # its second dial, which new ones no longer have
+    first.send(b"ERR\r\n")
+    proxy.until(lambda: other.connection()).send(
+        b"UP r\r\n"
+    )  # its second dial, which new ones no longer have
     proxy.until(lambda: dialling.read() == b"UP r\r\n")
-    on_its_way = proxy.open("calls")
+    on_its_way = proxy.open_session("calls")
     proxy.until(lambda: proxy.proxy.sessions.active_count == 2)
     for live in proxy.proxy.sessions.table.live:
         assert live.handle.sess.listener is CALLS
     monkeypatch.setattr(
         SessionRegistry, "find_listener", lambda self, name: self.settings.listeners.get(name)
     )
-    too_late = proxy.open("calls")
+    too_late = proxy.open_session("calls")
     proxy.until(lambda: too_late.read() == b"ERR\r\n")
-    assert not on_its_way.read() and read_figures(proxy.ask("counters")[1])["lb_success_total", "calls"] == 1
+    assert (
+        not on_its_way.read()
+        and read_figures(proxy.call_operator("counters")[1])["lb_success_total", "calls"] == 1
+    )
     proxy.proxy.reloader.reread_config = lambda: read_config("/nowhere")
     proxy.proxy.reloader.reload()
-    told = read_figures(proxy.ask("counters")[1])
+    told = read_figures(proxy.call_operator("counters")[1])
     assert (told["lb_reconfig_ok_total", None], told["lb_reconfig_failed_total", None]) == (1, 1)
 
 
@@ -382,7 +400,7 @@
         """A new client is served there and nowhere else."""
         before = [other.counts["connections accepted"] for other in self.running]
         front = Peer(socket.create_connection(self.socket.getsockname()))
-        front.say(b"PING\r\n")
+        front.send(b"PING\r\n")
         self.until(lambda: front.read() == b"PONG\r\n")
         after = [other.counts["connections accepted"] for other in self.running]
         assert [b - a for a, b in zip(before, after, strict=True)] == [p is proxy for p in self.running]
@@ -397,7 +415,7 @@
 def replaced(overlap):
     """One more process, once it takes clients in place of the one before."""
     new = overlap.start()
-    overlap.until(lambda: new.list.asked())
+    overlap.until(lambda: new.list_service.connection())
     new.answer_list(LIST)
     overlap.until(lambda: overlap.running[-2].proxy.service.replaced)
     return new
@@ -405,25 +423,25 @@
 
 def test_a_successor_takes_clients_once_it_has_the_list_and_the_old_one_serves_its_own(overlap):
     old = overlap.start()
-    front, (client, _) = overlap.taken_by(old), old.standing()
+    front, (client, _) = overlap.taken_by(old), old.established()
     new = overlap.start()
-    overlap.until(lambda: new.list.asked())
-    assert new.ask("ready")[0] == 503 and old.ask("ready")[0] == 200
+    overlap.until(lambda: new.list_service.connection())
+    assert new.call_operator("ready")[0] == 503 and old.call_operator("ready")[0] == 200
     overlap.taken_by(old)
     new.answer_list(LIST)
     overlap.until(lambda: new.proxy.service.ready)
-    assert new.ask("ready")[0] == 200
+    assert new.call_operator("ready")[0] == 200
     overlap.until(lambda: old.proxy.service.replaced)
     overlap.taken_by(new)
     accepted = overlap.taken_by(new)
-    front.say(b"PING\r\n")
+    front.send(b"PING\r\n")
     overlap.until(lambda: front.read() == b"PONG\r\nPONG\r\n")  # never a no meanwhile
     old.proxy.loop.spawn(old.proxy.shutdown.run())
-    front.say(b"PING\r\n")
+    front.send(b"PING\r\n")
     overlap.until(lambda: front.read() == b"PONG\r\n" * 3 and front.end == "closed")  # after the answer
     overlap.until(lambda: not old.proxy.loop.running)
     assert not client.read() and not client.end
-    accepted.say(b"PING\r\n")
+    accepted.send(b"PING\r\n")
     overlap.until(lambda: accepted.read() == b"PONG\r\n" * 2)
     overlap.die(old)
     overlap.until(lambda: new.proxy.handover.serving is not None)
@@ -433,14 +451,14 @@
 @pytest.mark.parametrize("after_its_yes", [False, True])
 def test_a_successor_that_dies_leaves_all_as_it_was(overlap, after_its_yes):
     old = overlap.start()
-    client, server = old.standing()
+    client, server = old.established()
     new = replaced(overlap) if after_its_yes else overlap.start()
     waiting = Peer(socket.create_connection(overlap.socket.getsockname()))  # read by nobody yet
     overlap.die(new)
-    waiting.say(b"PING\r\n")
+    waiting.send(b"PING\r\n")
     overlap.until(lambda: waiting.read() == b"PONG\r\n" and not old.proxy.service.replaced)
     overlap.taken_by(old)
-    server.say(b"still here\r\n")
+    server.send(b"still here\r\n")
     overlap.until(lambda: client.read() == b"still here\r\n" and not client.end)
 
 
@@ -471,39 +489,42 @@
 
 def test_open_connections_go_on_in_the_successor_with_all_that_was_under_way(overlap):
     old = overlap.start()
-    pairs = [old.standing() for _ in range(40)]
+    pairs = [old.established() for _ in range(40)]
     client, server = pairs[0]
-    client.say(b"m 1\r\nm 2")
+    client.send(b"m 1\r\nm 2")
     old.until(lambda: server.read() == b"m 1\r\n")
-    server.say(b"LOAD 5\r\nm")
+    server.send(b"LOAD 5\r\nm")
     old.until(lambda: client.read() == b"LOAD 5\r\n")
-    waiting, later = old.open(), old.until(lambda: old.toys["a"].asked(41))  # has a dial out at the stop
+    waiting, later = (
+        old.open_session(),
+        old.until(lambda: old.endpoints["a"].connection(41)),
+    )  # has a dial out at the stop
     unread = Peer(socket.create_connection(overlap.socket.getsockname()))
     overlap.until(lambda: old.counts["connections accepted"] == 42)
     new = replaced(overlap)
     old.proxy.loop.spawn(old.proxy.shutdown.run())
     overlap.until(lambda: new.counts["connections taken over"] == 40)
-    later.say(b"UP r2\r\n")
+    later.send(b"UP r2\r\n")
     overlap.until(lambda: waiting.read() == b"UP r2\r\n" and new.counts["connections taken over"] == 41)
-    unread.say(b"OPEN 9b1f77 7f3a c=calls,d=2000\r\n")
-    overlap.until(lambda: old.toys["a"].asked(42)).say(b"UP r3\r\n")
+    unread.send(b"OPEN 9b1f77 7f3a c=calls,d=2000\r\n")
+    overlap.until(lambda: old.endpoints["a"].connection(42)).send(b"UP r3\r\n")
     overlap.until(lambda: unread.read() == b"UP r3\r\n" and new.counts["connections taken over"] == 42)
     overlap.until(lambda: not old.proxy.loop.running)
     overlap.die(old)
-    client.say(b"\r\n")
-    server.say(b" 1\r\n")
+    client.send(b"\r\n")
+    server.send(b" 1\r\n")
     overlap.until(lambda: server.read() == b"m 1\r\nm 2\r\n" and client.read() == b"LOAD 5\r\nm 1\r\n")
     for client, server in pairs:
-        server.got = client.got = b""
-        client.say(b"m 3\r\n")
+        server.received = client.received = b""
+        client.send(b"m 3\r\n")
         overlap.until(lambda s=server: s.read().endswith(b"m 3\r\n"))
-        server.say(b"m 3\r\n")
+        server.send(b"m 3\r\n")
         overlap.until(lambda c=client: c.read() == b"m 3\r\n")
     balancer = new.proxy.decisions.balancer
     (held,) = (len(s.connections) for s in balancer.servers.values())
     assert held == 42 and all(sess.placed for s in balancer.servers.values() for sess in s.connections)
     assert new.counts["dials"] == 0  # nothing was dialled anew
-    told = read_figures(new.ask("counters")[1])
+    told = read_figures(new.call_operator("counters")[1])
     assert (told["lb_inflight", None], told["lb_success_total", "calls"]) == (42, 0)
     new.proxy.loop.spawn(new.proxy.shutdown.run())  # and from it, moved, as there is no successor
     overlap.until(lambda: all(c.read().endswith(b"MOVE\r\n") and c.end for c, _ in pairs), within=3.5)
@@ -512,7 +533,7 @@
 @pytest.mark.parametrize("fails", ["refuses", "dies", "no path"])
 def test_what_a_successor_does_not_take_is_moved(overlap, monkeypatch, fails):
     old = overlap.start()
-    clients = [old.standing()[0] for _ in range(3)]
+    clients = [old.established()[0] for _ in range(3)]
     new = replaced(overlap)
     if fails == "refuses":
         monkeypatch.setattr(ConnectionHandoff, "decode", lambda _: 1 / 0)
@@ -543,7 +564,7 @@
 )
 def test_a_record_that_cant_be_used_leaves_the_connection_where_it_is(loopback, change):
     proxy = loopback()
-    client, _ = proxy.standing()
+    client, _ = proxy.established()
     (live,) = proxy.proxy.sessions.table.live
     sent = []
     sender = SimpleNamespace(send=lambda record, *_: sent.append(record))
@@ -611,7 +632,7 @@
 def test_a_successor_that_hears_no_list_goes_on_from_the_old_ones_and_takes_clients(overlap, monkeypatch):
     monkeypatch.setattr(replacement, "LIST_TIMEOUT", 0.4)
     old = overlap.start()
-    rows = [old.row("a"), old.row("a", "leaving") | {"host": "b"}]
+    rows = [old.list_record("a"), old.list_record("a", "leaving") | {"host": "b"}]
     whole = {"seq": 41, "whole": True, "hosts": rows}
     old.answer_list(json.dumps(whole).encode())
     overlap.until(lambda: len(old.proxy.decisions.balancer.servers) == 2)
@@ -625,18 +646,18 @@
 def test_answers_of_servers_and_list_are_read_whatever_their_pieces(loopback):
     for cut in range(1, 7):
         proxy = loopback()
-        client, server = proxy.open(), proxy.until(lambda p=proxy: p.toys["a"].asked())
-        server.say(b"UP r1\r\n"[:cut])
-        proxy.idle(0.01)
+        client, server = proxy.open_session(), proxy.until(lambda p=proxy: p.endpoints["a"].connection())
+        server.send(b"UP r1\r\n"[:cut])
+        proxy.run_for(0.01)
         assert not client.read()
-        server.say(b"UP r1\r\n"[cut:])
+        server.send(b"UP r1\r\n"[cut:])
         proxy.until(lambda c=client: c.read() == b"UP r1\r\n")
-    peer = proxy.until(lambda: proxy.list.asked())
-    body = json.dumps({"seq": 8, "whole": True, "hosts": [proxy.row("a", health="leaving")]}).encode()
+    peer = proxy.until(lambda: proxy.list_service.connection())
+    body = json.dumps({"seq": 8, "whole": True, "hosts": [proxy.list_record("a", health="leaving")]}).encode()
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
     for place in range(len(answer)):
         assert proxy.proxy.discovery.version == 7
-        peer.say(answer[place : place + 1])
+        peer.send(answer[place : place + 1])
         proxy.proxy.loop.turn(0.0)
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
 
@@ -646,20 +667,20 @@
     monkeypatch.setattr(draining, "DRAIN_TIME", 0.5)
     monkeypatch.setattr(draining, "CLOSING_TIME", 0.1)
     proxy = served()
-    client, server = proxy.standing()
+    client, server = proxy.established()
     (live,) = proxy.proxy.sessions.table.live
     live.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     while not live.client.outgoing:
-        server.say(b"x" * 1000 + b"\r\n")
+        server.send(b"x" * 1000 + b"\r\n")
         proxy.proxy.loop.turn(0.001)
-    proxy.ask("out-of-service", "POST")
+    proxy.call_operator("out-of-service", "POST")
     proxy.until(lambda: live.client.closed, within=1.5)
 
 
 def test_an_old_process_out_of_service_leaves_the_clients_to_its_successor(overlap):
     old = overlap.start()
-    client, _ = old.standing()
-    old.ask("out-of-service", "POST")
+    client, _ = old.established()
+    old.call_operator("out-of-service", "POST")
     new = replaced(overlap)
     for _ in range(4):
         overlap.taken_by(new)
@@ -681,12 +702,12 @@
 
 def test_a_stop_while_clients_are_sent_away_ends_as_usual_and_figures_go_on(served):
     proxy = served()
-    clients = [proxy.standing()[0] for _ in range(5)]
+    clients = [proxy.established()[0] for _ in range(5)]
     proxy.proxy.shutdown.stop_time = 0.9
-    proxy.ask("out-of-service", "POST")
+    proxy.call_operator("out-of-service", "POST")
     proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: proxy.proxy.service.stopping)
-    assert proxy.ask("in-service", "POST")[0] == proxy.ask("ready")[0] == 503
-    assert read_figures(proxy.ask("counters")[1])["lb_inflight", None] == 5
+    assert proxy.call_operator("in-service", "POST")[0] == proxy.call_operator("ready")[0] == 503
+    assert read_figures(proxy.call_operator("counters")[1])["lb_inflight", None] == 5
     proxy.until(lambda: not proxy.proxy.loop.running, within=2.5)
     assert all(client.read() == b"MOVE\r\n" for client in clients) and not proxy.proxy.sessions.active_count
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -5,7 +5,7 @@
 
 import msgspec
 import pytest
-from conftest import PLAIN
+from peers import PLAIN
 
 from onyxhollow.counters import Counters
 from onyxhollow.decision_adapter import DecisionAdapter, report_shared
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import CALLS, PLAIN
+from peers import CALLS, PLAIN
 
 from onyxhollow.interface import (
     AttemptOutcome,
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -12,8 +12,8 @@
 from dataclasses import replace
 
 import pytest
-from conftest import CALLS as LISTENER
-from conftest import Peer
+from peers import CALLS as LISTENER
+from peers import Peer
 
 from onyxhollow.interface import Idempotency
 from onyxhollow.wire import channel, listening
@@ -164,17 +164,17 @@
 
 
 class Servers:
-    """Serves both toy servers: UP to each opening line, every later line back; notes what came."""
+    """Serves both server servers: UP to each opening line, every later line back; notes what came."""
 
     def __init__(self, proxy):
         self.proxy, self.openings = proxy, []
         self.seen = {}
 
     def turn(self):
-        for toy in self.proxy.toys.values():
-            while toy.accept() is not None:
+        for server in self.proxy.endpoints.values():
+            while server.accept() is not None:
                 pass
-            for peer in toy.peers:
+            for peer in server.peers:
                 self.serve(peer)
 
     def serve(self, peer):
@@ -184,13 +184,13 @@
             if line.startswith(b"OPEN "):
                 self.openings.append(line.split()[1])
             with contextlib.suppress(OSError):
-                peer.say(b"UP r1\r\n" if line.startswith(b"OPEN ") else line + b"\r\n")
+                peer.send(b"UP r1\r\n" if line.startswith(b"OPEN ") else line + b"\r\n")
         self.seen[peer] = len(lines)
 
 
 def play(proxy, clients=3, within=2.5):
     """Some clients open, say one line each and leave; what each of them got."""
-    servers, peers = Servers(proxy), [proxy.open(wait=1500) for _ in range(clients)]
+    servers, peers = Servers(proxy), [proxy.open_session(wait=1500) for _ in range(clients)]
     said, end = set(), time.monotonic() + within
     while time.monotonic() < end:
         proxy.proxy.loop.turn(0.002)
@@ -199,8 +199,8 @@
             if peer.read().startswith(b"UP r1\r\n") and peer not in said and not peer.end:
                 said.add(peer)
                 with contextlib.suppress(OSError):
-                    peer.say(b"hello\r\n")
-        if all(peer.end or b"hello\r\n" in peer.got for peer in peers):
+                    peer.send(b"hello\r\n")
+        if all(peer.end or b"hello\r\n" in peer.received for peer in peers):
             break
     return servers, peers
 
@@ -209,9 +209,9 @@
     """One final answer to each client at the most, none left without but by a fault of its own connection;
     nothing runs twice; no failure of the program; no spinning."""
     for peer in peers:
-        first = peer.got.split(b"\r\n")[0]
-        assert first in (b"UP r1", b"BUSY", b"ERR", b"") and (peer.got or peer.end), peer.got
-        assert peer.got.count(b"BUSY") + peer.got.count(b"ERR") + peer.got.count(b"UP") <= 1
+        first = peer.received.split(b"\r\n")[0]
+        assert first in (b"UP r1", b"BUSY", b"ERR", b"") and (peer.received or peer.end), peer.received
+        assert peer.received.count(b"BUSY") + peer.received.count(b"ERR") + peer.received.count(b"UP") <= 1
         if whose is Fault.SHORTAGE or whose is Fault.NOT_READY:
             assert first != b"", "a shortage of this machine frees no request of its answer"
     assert len(set(servers.openings)) == len(servers.openings)
@@ -253,16 +253,16 @@
 def test_reads_and_writes_of_one_byte_change_nothing(shimmed, monkeypatch):
     monkeypatch.setattr(ShimSocket, "short", True)
     servers, peers = play(shimmed, within=8.0)
-    assert [peer.got for peer in peers] == [b"UP r1\r\nhello\r\n"] * 3 and len(servers.openings) == 3
+    assert [peer.received for peer in peers] == [b"UP r1\r\nhello\r\n"] * 3 and len(servers.openings) == 3
 
 
 def test_a_connection_that_cant_be_set_up_is_refused_and_not_dropped(shimmed):
     shimmed.answer_list(b'{"seq": 8, "whole": false, "hosts": []}')
     shimmed.until(lambda: shimmed.proxy.discovery.version == 8)
     shimmed.plan.fail("register", errno.ENOSPC, 0, times=1000)
-    client = shimmed.open()
+    client = shimmed.open_session()
     shimmed.until(lambda: client.read() and client.end)
-    assert (client.got, client.end) == (b"BUSY\r\n", "closed")
+    assert (client.received, client.end) == (b"BUSY\r\n", "closed")
     assert shimmed.counts["connections refused for want of room"] == 1 and isinstance(client, Peer)
     shimmed.plan.fail("", 0, 0)
-    assert play(shimmed)[1][0].got.startswith(b"UP r1")
+    assert play(shimmed)[1][0].received.startswith(b"UP r1")
