--- a/tests/decision_setups.py
+++ b/tests/decision_setups.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from conftest import CALLS
+from peers import CALLS
 
 from onyxhollow.interface import (
     DeduplicationScope,
