--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -2,10 +2,11 @@
 
     python benchmarks/decisions.py [--against CLONE] [--pairs N] [--sessions N]
 
-The decisions are driven over the simulator's link (python -m onyxhollow.benchlink), whose lines stay the same
-whatever the code's names are; its reading and writing of JSON counts in, alike for both. CPU is what the
-system has counted for that process from its first session to its last. A start lasts from the call of
-`python -O -m onyxhollow serve` until /control/ready says yes, and its memory is the most until then.
+The decisions are driven over the simulator's wire (python -m onyxhollow.simulator_adapter, in older clones
+onyxhollow.benchlink), whose lines stay the same whatever the code's names are; its reading and writing of
+JSON counts in, alike for both. CPU is what the system has counted for that process from its first session to
+its last. A start lasts from the call of `python -O -m onyxhollow serve` until /control/ready says yes, and
+its memory is the most until then.
 
 Each run is a process of its own, with one clone's code. Pairs of runs alternate, the other clone first in
 every second, after one run of each that only compiles. Said beside the medians is whether both have decided
@@ -63,7 +64,8 @@
     """One process of the decisions."""
 
     def __init__(self, clone: Path) -> None:
-        words = ("-O", "-m", "onyxhollow.benchlink")
+        renamed = (clone / "onyxhollow" / "simulator_adapter").is_dir()
+        words = ("-O", "-m", "onyxhollow.simulator_adapter" if renamed else "onyxhollow.benchlink")
         self.process = start(clone, *words, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         self.digest = hashlib.sha256()
 
--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -23,7 +23,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from onyxhollow.lab.fleet.rig import Rig, text  # noqa: E402
-from onyxhollow.topology import draw, gather, layout, trouble  # noqa: E402
+from onyxhollow.topology import draw, faults, gather, layout  # noqa: E402
 from onyxhollow.topology.model import Link, Member, Server, Snapshot, View  # noqa: E402
 
 
@@ -72,7 +72,7 @@
     until, best = time.monotonic() + within, (0, 99)
     while time.monotonic() < until:
         names = [name for name, process in rig.now_by.items() if process.alive and not process.stopped]
-        found = {(one.kind, one.who) for one in trouble.find(asked(rig, names)[0]) if one.kind != "silent"}
+        found = {(one.kind, one.who) for one in faults.find(asked(rig, names)[0]) if one.kind != "silent"}
         hit, other = len(found & set(wanted)), len(found - set(wanted))
         if (hit, -other) > (best[0], -best[1]):
             best = hit, other
@@ -84,7 +84,7 @@
 
 def troubles(folder: Path) -> dict[str, Any]:
     """One after another on five processes, each mended before the next."""
-    trouble.STALLED_LATELY = 6.0
+    faults.STALLED_LATELY = 6.0
     total = hits = others = 0
     with Rig(folder, members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
         rig.start()
@@ -136,7 +136,7 @@
         rig.wait_members(within=120)
         rig.play(2.0)
         snapshot, took = asked(rig, rig.names)
-        found = [one for one in trouble.find(snapshot) if one.kind != "silent"]
+        found = [one for one in faults.find(snapshot) if one.kind != "silent"]
         polled, others = rig.names[-1], rig.names[members // 2 : members // 2 + 5]
 
         def cpu(names: list[str]) -> float:
--- a/onyxhollow/lab/runs.py
+++ b/onyxhollow/lab/runs.py
@@ -94,11 +94,11 @@
 
 def take(virtual: Virtual, path: Path) -> None:
     from onyxhollow.lab import pictures
-    from onyxhollow.topology import keep
+    from onyxhollow.topology import snapshot_file
 
     try:
-        keep.save(path, pictures.taken(virtual))
-    except keep.SnapshotError as error:
+        snapshot_file.save(path, pictures.taken(virtual))
+    except snapshot_file.SnapshotError as error:
         raise RunError(f"--picture: {error}") from None
 
 
--- a/onyxhollow/benchlink/__main__.py
+++ b/onyxhollow/simulator_adapter/__main__.py
@@ -1,5 +1,5 @@
 import sys
 
-from onyxhollow.benchlink.link import main
+from onyxhollow.simulator_adapter.adapter import main
 
 sys.exit(main(sys.stdin.buffer, sys.stdout, sys.stderr))
--- a/onyxhollow/topology/commands.py
+++ b/onyxhollow/topology/commands.py
@@ -17,7 +17,7 @@
 from rich.live import Live
 from rich.table import Table
 
-from onyxhollow.topology import compare, draw, keep, logs, trouble
+from onyxhollow.topology import compare, draw, faults, logs, snapshot_file
 from onyxhollow.topology.gather import GatherError, gather
 from onyxhollow.topology.model import Snapshot
 
@@ -40,8 +40,8 @@
         if not paths:
             raise TopologyError(f"{word}: expected a folder with files *.log, got none")
     if paths and all(path.is_file() for path in paths):
-        if len(paths) == 1 and paths[0].suffix == keep.SUFFIX:
-            return keep.read(paths[0])
+        if len(paths) == 1 and paths[0].suffix == snapshot_file.SUFFIX:
+            return snapshot_file.read(paths[0])
         return logs.read(paths, told.until or math.inf)
     if word.startswith("@"):
         try:
@@ -61,7 +61,7 @@
 
 
 def table(snapshot: Snapshot) -> Table:
-    found = trouble.find(snapshot)
+    found = faults.find(snapshot)
     members, servers, views = snapshot.members(), snapshot.servers(), snapshot.by_name()
     caption = "\n".join(draw.clean(one.words, 150) for one in found) or "no trouble"
     shown = Table(box=None, caption=caption, caption_justify="left")
@@ -170,40 +170,40 @@
 def carry_out(told: argparse.Namespace, console: Console) -> int:
     if told.part == "draw":
         snapshot = drawn(told)
-        for one in trouble.find(snapshot):
+        for one in faults.find(snapshot):
             console.print(draw.clean(one.words, 200), markup=False)
-        return int(told.check and bool(trouble.find(snapshot)))
+        return int(told.check and bool(faults.find(snapshot)))
     if told.part == "show":
         snapshot = source(told)
         if not told.watch:
             console.print(table(snapshot))
-            return int(told.check and bool(trouble.find(snapshot)))
+            return int(told.check and bool(faults.find(snapshot)))
         with Live(table(snapshot), console=console, auto_refresh=False) as live:
             while True:
                 time.sleep(EVERY)
                 live.update(table(source(told)), refresh=True)
     if told.part == "save":
-        keep.save(told.out, source(told))
+        snapshot_file.save(told.out, source(told))
     elif told.part == "record":
         if told.every < 0.1 or told.most < 1:
             raise TopologyError("--every: expected 0.1 or more; --most: 1 or more")
         made = 0
         while not told.count or made < told.count:
             began, made = time.monotonic(), made + 1
-            keep.record(told.folder, source(told), told.most)
+            snapshot_file.record(told.folder, source(told), told.most)
             if not told.count or made < told.count:
                 time.sleep(max(0.0, told.every - (time.monotonic() - began)))
     elif told.part == "diff":
-        before, after = keep.read(told.before), keep.read(told.after)
+        before, after = snapshot_file.read(told.before), snapshot_file.read(told.after)
         rows = compare.differences(before, after)
         for row in rows or ["no difference"]:
             console.print(draw.clean(row, 200), markup=False)
         if told.out:
             write(told.out, draw.replay([before, after]))
     elif told.part == "replay":
-        snapshots = keep.ring(told.folder)
+        snapshots = snapshot_file.ring(told.folder)
         if not snapshots:
-            raise TopologyError(f"{told.folder}: expected snapshots ({keep.SUFFIX}), got none")
+            raise TopologyError(f"{told.folder}: expected snapshots ({snapshot_file.SUFFIX}), got none")
         write(told.out, draw.replay(snapshots))
     return 0
 
@@ -213,7 +213,7 @@
     console = Console() if sys.stdout.isatty() else Console(width=160)
     try:
         return carry_out(told, console)
-    except (TopologyError, GatherError, keep.SnapshotError, logs.LogError) as error:
+    except (TopologyError, GatherError, snapshot_file.SnapshotError, logs.LogError) as error:
         sys.stderr.write(f"onyxhollow: {draw.clean(str(error), 300)}\n")
         return 2
     except KeyboardInterrupt:
--- a/onyxhollow/topology/compare.py
+++ b/onyxhollow/topology/compare.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxhollow.topology import trouble
+from onyxhollow.topology import faults
 from onyxhollow.topology.model import Snapshot
 
 
@@ -45,8 +45,8 @@
         if m is None or n is None or m.standing != n.standing:
             then, by_now = (row.standing if row else "not known" for row in (m, n))
             found.append(f"address {key[0]} at {key[1]}: {then}, now {by_now}")
-    words = {one.words for one in trouble.find(before)}
-    later = {one.words for one in trouble.find(after)}
+    words = {one.words for one in faults.find(before)}
+    later = {one.words for one in faults.find(after)}
     found += [f"new trouble: {word}" for word in sorted(later - words)]
     found += [f"over: {word}" for word in sorted(words - later)]
     return found
--- a/onyxhollow/topology/draw.py
+++ b/onyxhollow/topology/draw.py
@@ -14,7 +14,7 @@
 from jinja2 import Environment, PackageLoader
 from markupsafe import Markup
 
-from onyxhollow.topology import trouble
+from onyxhollow.topology import faults
 from onyxhollow.topology.layout import BOX, CELL, GAP, TOP, place
 from onyxhollow.topology.model import Snapshot
 
@@ -36,7 +36,7 @@
     return told if len(told) <= most else told[: most - 1] + "\N{HORIZONTAL ELLIPSIS}"
 
 
-def ill_members(snapshot: Snapshot, found: list[trouble.Trouble]) -> dict[str, str]:
+def ill_members(snapshot: Snapshot, found: list[faults.Trouble]) -> dict[str, str]:
     """Names of members that a trouble names, with its word."""
     told: dict[str, str] = {}
     members = snapshot.members()
@@ -64,7 +64,7 @@
 
 def scene(snapshot: Snapshot) -> dict[str, Any]:
     """Everything with its place."""
-    found = trouble.find(snapshot)
+    found = faults.find(snapshot)
     members, servers = snapshot.members(), snapshot.servers()
     views = snapshot.by_name()
     ill = ill_members(snapshot, found)
@@ -225,7 +225,7 @@
 def graph(snapshot: Snapshot) -> nx.DiGraph:
     """Members and servers as nodes, who sees whom and who holds connections where as edges."""
     made = nx.DiGraph()
-    ill = ill_members(snapshot, trouble.find(snapshot))
+    ill = ill_members(snapshot, faults.find(snapshot))
     for name, member in snapshot.members().items():
         made.add_node(
             f"m:{name}", label=clean(name), kind="member", zone=member.zone, trouble=ill.get(name, "")
@@ -266,7 +266,7 @@
 def as_json(snapshot: Snapshot) -> str:
     found = [
         {"kind": one.kind, "who": one.who, "words": one.words, "said_by": one.said_by}
-        for one in trouble.find(snapshot)
+        for one in faults.find(snapshot)
     ]
     told = {"snapshot": snapshot, "troubles": found, "connections": snapshot.flows()}
     return msgspec.json.encode(told).decode()
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -25,7 +25,7 @@
 from onyxhollow.lifecycle import proxy as lifecycle
 from onyxhollow.lifecycle.config import read_config
 from onyxhollow.lifecycle.handover import Handover, decode_state, encode_state, given_socket
-from onyxhollow.topology import keep, logs
+from onyxhollow.topology import logs, snapshot_file
 from onyxhollow.wire.carried import read_carried
 
 DATA = Path(__file__).parent / "data" / "compatibility" / "proxy"
@@ -376,9 +376,9 @@
 
 def test_a_snapshot_file_is_read_and_written_back():
     body = (DATA / "snapshot.oxt").read_bytes()
-    found = keep.read(DATA / "snapshot.oxt")
-    unpacked = [zstandard.ZstdDecompressor().decompress(row[8:]) for row in (body, keep.pack(found))]
-    assert body[:8] == keep.pack(found)[:8] == b"OXTOPO01" and unpacked[0] == unpacked[1]
+    found = snapshot_file.read(DATA / "snapshot.oxt")
+    unpacked = [zstandard.ZstdDecompressor().decompress(row[8:]) for row in (body, snapshot_file.pack(found))]
+    assert body[:8] == snapshot_file.pack(found)[:8] == b"OXTOPO01" and unpacked[0] == unpacked[1]
     assert msgspec.to_builtins(found) == json.loads((DATA / "snapshot.json").read_bytes())
     assert plain(picture_told(found)) == MEANING["snapshot"]
 
--- a/tests/test_benchlink.py
+++ b/tests/test_simulator_adapter.py
@@ -2,10 +2,12 @@
 
 import io
 import json
+import subprocess
+import sys
 
 import pytest
 
-from onyxhollow.benchlink.link import main
+from onyxhollow.simulator_adapter.adapter import main
 
 OPTIONS = {
     "listeners": [
@@ -106,3 +108,15 @@
     end = ["answer", 3, 9, 0, 125, True, "10.0.0.1:80", 1000, None]
     code, _, errors = talk(*begin(), ["sync", 6000000000], begun, ["go"], ["sync", 7000000000], end, ["go"])
     assert (code, errors, blamed) == (0, "", [])
+
+
+def test_the_earlier_module_name_warns_in_one_line_and_writes_the_same_bytes():
+    lines = b"".join(json.dumps(row).encode() + b"\n" for row in begin())
+    old, new = (
+        subprocess.run(
+            [sys.executable, "-m", module], input=lines, capture_output=True, check=True, timeout=60
+        )
+        for module in ("onyxhollow.benchlink", "onyxhollow.simulator_adapter")
+    )
+    assert old.stdout == new.stdout and new.stdout.count(b"\n") > 3 and new.stderr == b""
+    assert old.stderr.count(b"\n") == 1 and b"onyxhollow.simulator_adapter" in old.stderr
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -10,7 +10,7 @@
 from onyxhollow.lab import runs, scenario
 from onyxhollow.lab.fleet.rig import Rig, text
 from onyxhollow.lab.fleet.sites import Sites
-from onyxhollow.topology import commands, compare, draw, gather, keep, layout, logs, trouble
+from onyxhollow.topology import commands, compare, draw, faults, gather, layout, logs, snapshot_file
 from onyxhollow.topology.model import Address, Duty, Link, Member, Server, Snapshot, View
 
 
@@ -46,7 +46,7 @@
 
 
 def kinds(snapshot):
-    return [(one.kind, one.who) for one in trouble.find(snapshot)]
+    return [(one.kind, one.who) for one in faults.find(snapshot)]
 
 
 def test_a_well_fleet_has_no_trouble_and_each_trouble_is_named_once():
@@ -176,7 +176,7 @@
     plain = runs.text(runs.play(day, 1, "module"))
     path = tmp_path / "run.oxt"
     assert runs.text(runs.play(day, 1, "module", picture=(path, 3.0))) == plain
-    held = keep.read(path)
+    held = snapshot_file.read(path)
     assert held.at == 3.0 and kinds(held) == []
     assert (len(held.views), len(held.servers())) == (day.fleet.proxies, day.fleet.servers)
     assert sum(sum(row.values()) for row in held.flows().values()) > 0
@@ -199,7 +199,7 @@
     assert len(page) < 300_000 + 1500 * count
     assert draw.dot(snapshot).startswith("digraph")
     assert msgspec.json.decode(draw.as_json(snapshot))["troubles"] == []
-    again = keep.unpack(keep.pack(snapshot), "here")
+    again = snapshot_file.unpack(snapshot_file.pack(snapshot), "here")
     assert again == snapshot and draw.svg(again) == made
 
 
@@ -212,17 +212,17 @@
 
 
 def test_snapshots_are_whole_or_refused_and_a_ring_keeps_the_newest(tmp_path):
-    body = keep.pack(fleet(3))
+    body = snapshot_file.pack(fleet(3))
     for broken in (b"", body[:40], b"OXTOPO02" + body[8:], body[:-1], b"\x00" * 100):
-        with pytest.raises(keep.SnapshotError) as caught:
-            keep.unpack(broken, "file")
+        with pytest.raises(snapshot_file.SnapshotError) as caught:
+            snapshot_file.unpack(broken, "file")
         assert "\n" not in str(caught.value)
     newer = msgspec.structs.replace(fleet(1), major=2)
-    with pytest.raises(keep.SnapshotError, match="expected version 1, got 2"):
-        keep.unpack(keep.pack(newer), "file")
+    with pytest.raises(snapshot_file.SnapshotError, match="expected version 1, got 2"):
+        snapshot_file.unpack(snapshot_file.pack(newer), "file")
     for number in range(7):
-        keep.record(tmp_path, msgspec.structs.replace(fleet(2), at=1000.0 + number), 4)
-    assert [one.at for one in keep.ring(tmp_path)] == [1003.0, 1004.0, 1005.0, 1006.0]
+        snapshot_file.record(tmp_path, msgspec.structs.replace(fleet(2), at=1000.0 + number), 4)
+    assert [one.at for one in snapshot_file.ring(tmp_path)] == [1003.0, 1004.0, 1005.0, 1006.0]
     assert commands.main(["replay", str(tmp_path), "-o", str(tmp_path / "course.html")]) == 0
     assert (tmp_path / "course.html").read_text().count("<svg") == 4
 
@@ -294,7 +294,7 @@
     ):
         assert commands.main(words) == 2
         assert capsys.readouterr().err.count("\n") == 1
-    keep.save(tmp_path / "a.oxt", fleet(5))
+    snapshot_file.save(tmp_path / "a.oxt", fleet(5))
     for kind in ("svg", "html", "png", "dot", "json"):
         out = tmp_path / f"fleet.{kind}"
         assert commands.main(["draw", "--from", str(tmp_path / "a.oxt"), "-o", str(out)]) == 0
@@ -320,18 +320,18 @@
         while worker.is_alive():
             rig.turn()
         found[:] = [result[0]]
-        kept = [one for one in trouble.find(result[0]) if one.kind != "silent"]
+        kept = [one for one in faults.find(result[0]) if one.kind != "silent"]
         return sorted((one.kind, one.who) for one in kept) == sorted(wanted)
 
     try:
         rig.wait(named, within, f"named {wanted}")
     except Exception as error:
-        raise AssertionError(f"{error}; {[one.words for one in trouble.find(found[0])]}") from None
+        raise AssertionError(f"{error}; {[one.words for one in faults.find(found[0])]}") from None
     return found[0]
 
 
 def test_each_trouble_of_real_processes_is_named_and_no_other(tmp_path, monkeypatch):
-    monkeypatch.setattr(trouble, "STALLED_LATELY", 6.0)
+    monkeypatch.setattr(faults, "STALLED_LATELY", 6.0)
     with Rig(tmp_path / "rig", members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
         rig.start()
         rig.wait_members()
