--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -23,16 +23,20 @@
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
 from onyxhollow.lab.fleet.rig import Rig, text  # noqa: E402
-from onyxhollow.topology import draw, faults, gather, layout  # noqa: E402
-from onyxhollow.topology.model import Link, Member, Server, Snapshot, View  # noqa: E402
+from onyxhollow.topology import draw, fault_types, gather, layout  # noqa: E402
+from onyxhollow.topology.faults import find_faults  # noqa: E402
+from onyxhollow.topology.model import EndpointStatus, LinkStatus, MemberStatus, MemberView, Snapshot  # noqa: E402
+from onyxhollow.topology.scene import build_scene  # noqa: E402
 
 
 def fleet(members: int, servers: int) -> Snapshot:
-    rows = [Member(f"n{n}", 1, "alive", "abcd"[n % 4]) for n in range(members)]
-    blocks = [Server(f"s{n}", "abcd"[n % 4], own=3, load=0.4, load_age=1.0) for n in range(servers)]
-    links = [Link(row.name, 1, 0.5, 9, 0.0, 1.0) for row in rows]
+    rows = [MemberStatus(f"n{n}", 1, "alive", "abcd"[n % 4]) for n in range(members)]
+    blocks = [
+        EndpointStatus(f"s{n}", "abcd"[n % 4], connections=3, load=0.4, load_age=1.0) for n in range(servers)
+    ]
+    links = [LinkStatus(row.name, 1, 0.5, 9, 0.0, 1.0) for row in rows]
     views = [
-        View(f"{row.name}~1", row.zone, "1", "in service", members=rows, servers=blocks, links=links)
+        MemberView(f"{row.name}~1", row.zone, "1", "in service", members=rows, endpoints=blocks, links=links)
         for row in rows
     ]
     return Snapshot(1000.0, views)
@@ -45,8 +49,8 @@
     took = time.monotonic() - began
     shifts = []
     for count in range(280, 300):
-        before, after = draw.scene(fleet(count, 100)), draw.scene(fleet(count + 1, 100))
-        shifts.append(layout.shift(before["spots"], after["spots"], before["width"]))
+        before, after = build_scene(fleet(count, 100)), build_scene(fleet(count + 1, 100))
+        shifts.append(layout.moved_share(before.positions, after.positions, before.width))
     return {
         "draw_300x100_s": round(took, 3),
         "bytes_300x100": len(page),
@@ -72,7 +76,9 @@
     until, best = time.monotonic() + within, (0, 99)
     while time.monotonic() < until:
         names = [name for name, process in rig.now_by.items() if process.alive and not process.stopped]
-        found = {(one.kind, one.who) for one in faults.find(asked(rig, names)[0]) if one.kind != "silent"}
+        found = {
+            (one.kind, one.subjects) for one in find_faults(asked(rig, names)[0]) if one.kind != "silent"
+        }
         hit, other = len(found & set(wanted)), len(found - set(wanted))
         if (hit, -other) > (best[0], -best[1]):
             best = hit, other
@@ -84,7 +90,7 @@
 
 def troubles(folder: Path) -> dict[str, Any]:
     """One after another on five processes, each mended before the next."""
-    faults.STALLED_LATELY = 6.0
+    fault_types.STALL_MEMORY = 6.0
     total = hits = others = 0
     with Rig(folder, members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
         rig.start()
@@ -130,13 +136,13 @@
 def cost(folder: Path, members: int, seconds: float) -> dict[str, Any]:
     """All are asked at once; one is asked each second while the others are not."""
     with Rig(
-        folder, members=members, zones=("a", "b", "c", "d"), period=1.0 if members > 20 else 0.4, duties=[]
+        folder, members=members, zones=("a", "b", "c", "d"), period=1.0 if members > 20 else 0.4, leases=[]
     ) as rig:
         rig.start()
         rig.wait_members(within=120)
         rig.play(2.0)
         snapshot, took = asked(rig, rig.names)
-        found = [one for one in faults.find(snapshot) if one.kind != "silent"]
+        found = [one for one in find_faults(snapshot) if one.kind != "silent"]
         polled, others = rig.names[-1], rig.names[members // 2 : members // 2 + 5]
 
         def cpu(names: list[str]) -> float:
@@ -150,8 +156,8 @@
             rig.play(max(0.0, due - time.monotonic()))
         mine, theirs = cpu([polled]) - before[0], cpu(others) - before[1]
     print(
-        f"{members} members: {len(snapshot.views)} answered, {len(snapshot.silent)} silent; "
-        f"{[one.words for one in found][:4]}",
+        f"{members} members: {len(snapshot.views)} answered, {len(snapshot.unreachable)} silent; "
+        f"{[one.description for one in found][:4]}",
         flush=True,
     )
     return {
--- a/onyxhollow/lab/pictures.py
+++ b/onyxhollow/lab/pictures.py
@@ -4,7 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from onyxhollow.topology.model import ListState, Member, Server, Silent, Snapshot, View
+from onyxhollow.topology.model import (
+    EndpointListStatus,
+    EndpointStatus,
+    MemberStatus,
+    MemberView,
+    Snapshot,
+    UnreachableMember,
+)
 
 if TYPE_CHECKING:
     from onyxhollow.lab.virtual import Instance, Virtual
@@ -12,10 +19,10 @@
 OLD = 60.0  # seconds past which a load tells nothing
 
 
-def view(instance: Instance, members: list[Member]) -> View:
+def view(instance: Instance, members: list[MemberStatus]) -> MemberView:
     now, balancer, zone = instance.now, instance.balancer, instance.world.zone_name(instance.zone)
     servers = [
-        Server(
+        EndpointStatus(
             s.name,
             s.zone,
             s.readiness.value,
@@ -29,16 +36,16 @@
         for s in sorted(balancer.servers.values(), key=lambda s: s.name)
     ]
     stalled = instance.stalled_until > now
-    return View(
+    return MemberView(
         f"n{instance.number}",
         zone,
         "",
         "in service",
-        stalled=instance.stalled_until - now if stalled else 0.0,
+        stalled_seconds=instance.stalled_until - now if stalled else 0.0,
         stalled_ago=0.0 if stalled else None,
         members=members,
-        servers=servers,
-        list_state=ListState(instance.seen),
+        endpoints=servers,
+        endpoint_list=EndpointListStatus(instance.seen),
     )
 
 
@@ -47,7 +54,7 @@
     number_of = engine.scenario.fleet.proxies
     up = {number for number, instance in engine.instances.items() if instance.alive}
     members = [
-        Member(
+        MemberStatus(
             f"n{number}",
             0,
             "alive" if number in up else "dead",
@@ -56,5 +63,5 @@
         for number in range(number_of)
     ]
     views = [view(engine.instances[number], members) for number in sorted(up)]
-    silent = [Silent(f"n{number}", "down") for number in range(number_of) if number not in up]
+    silent = [UnreachableMember(f"n{number}", "down") for number in range(number_of) if number not in up]
     return Snapshot(engine.world.agenda.now, views, silent)
--- a/onyxhollow/topology/commands.py
+++ b/onyxhollow/topology/commands.py
@@ -1,6 +1,6 @@
 """topology: draw, show, diff, save, record, replay.
 
-Exit codes: 0 done; 1 show and draw found trouble and --check was given; 2 nothing could be gathered, read or
+Exit codes: 0 done; 1 show and draw found a fault and --check was given; 2 nothing could be gathered, read or
 written.
 """
 
@@ -11,210 +11,227 @@
 import os
 import sys
 import time
+from collections.abc import Callable
+from enum import IntEnum
 from pathlib import Path
 
 from rich.console import Console
 from rich.live import Live
-from rich.table import Table
 
-from onyxhollow.topology import compare, draw, faults, logs, snapshot_file
+from onyxhollow.topology import compare, draw, export, logs, snapshot_file
+from onyxhollow.topology.faults import find_faults
 from onyxhollow.topology.gather import GatherError, gather
 from onyxhollow.topology.model import Snapshot
-
-EVERY = 1.0
-RING = 600  # snapshots of `record`
-WRITERS = {".svg": draw.svg, ".html": draw.html, ".dot": draw.dot, ".json": draw.as_json}
+from onyxhollow.topology.scene import sanitize
+from onyxhollow.topology.terminal import zone_table
+
+WATCH_INTERVAL = 1.0  # seconds
+RECORD_INTERVAL = 1.0  # seconds
+MIN_RECORD_INTERVAL = 0.1  # seconds
+RING_CAPACITY = 600  # snapshots of `record`
+PLAIN_WIDTH = 160  # columns where standard output is no terminal
+MAX_LINE = 200  # characters
+MAX_ERROR = 300  # characters
+MAX_FILE_NAME = 60  # characters in an error
+MANAGEMENT_VARIABLE = "LB_MANAGEMENT"
+TEXT_FORMATS: dict[str, Callable[[Snapshot], str]] = {
+    ".svg": draw.svg,
+    ".html": draw.html,
+    ".dot": export.dot,
+    ".json": export.as_json,
+}
+
+
+class ExitCode(IntEnum):
+    """What the shell is told."""
+
+    DONE = 0
+    FAULT_FOUND = 1
+    FAILED = 2
+    INTERRUPTED = 130
 
 
 class TopologyError(Exception):
-    """One line."""
+    """A command can't be carried out; one line."""
+
+
+def load_snapshot(args: argparse.Namespace) -> Snapshot:
+    """The snapshot that --from names.
 
+    It is a snapshot's file, logs (files by comma, or a folder of them), or members: addresses by comma, or
+    @FILE with one a line. Without --from the environment's LB_MANAGEMENT counts.
 
-def source(told: argparse.Namespace) -> Snapshot:
-    """From a snapshot's file, from logs (files by comma, or a folder of them), or from members: addresses by
-    comma, or @FILE with one a line."""
-    word = told.source or os.environ.get("LB_MANAGEMENT", "")
-    paths = [Path(row) for row in word.split(",") if row]
+    Raises:
+        TopologyError, GatherError, snapshot_file.SnapshotError, logs.LogError: there is none.
+    """
+    source = args.source or os.environ.get(MANAGEMENT_VARIABLE, "")
+    paths = [Path(row) for row in source.split(",") if row]
     if len(paths) == 1 and paths[0].is_dir():
         paths = sorted(paths[0].glob("*.log"))
         if not paths:
-            raise TopologyError(f"{word}: expected a folder with files *.log, got none")
+            raise TopologyError(f"{source}: expected a folder with files *.log, got none")
     if paths and all(path.is_file() for path in paths):
         if len(paths) == 1 and paths[0].suffix == snapshot_file.SUFFIX:
             return snapshot_file.read(paths[0])
-        return logs.read(paths, told.until or math.inf)
-    if word.startswith("@"):
-        try:
-            rows = Path(word[1:]).read_text().split()
-        except OSError as error:
-            raise TopologyError(f"{word[1:]}: {error.strerror}") from None
-    else:
-        rows = [row for row in word.split(",") if row]
-    return gather(rows)
+        return logs.read(paths, args.until or math.inf)
+    if source.startswith("@"):
+        return gather(_read_members(Path(source[1:])))
+    return gather(row for row in source.split(",") if row)
 
 
-def write(path: Path, body: str) -> None:
+def _read_members(path: Path) -> list[str]:
     try:
-        path.write_text(body, encoding="utf-8")
+        return path.read_text().split()
     except OSError as error:
         raise TopologyError(f"{path}: {error.strerror}") from None
 
 
-def table(snapshot: Snapshot) -> Table:
-    found = faults.find(snapshot)
-    members, servers, views = snapshot.members(), snapshot.servers(), snapshot.by_name()
-    caption = "\n".join(draw.clean(one.words, 150) for one in found) or "no trouble"
-    shown = Table(box=None, caption=caption, caption_justify="left")
-    for head in ("zone", "members", "asked", "ill", "servers", "busiest", "connections", "goes to"):
-        shown.add_column(head, overflow="fold")
-    ill, flows = draw.ill_members(snapshot, found), snapshot.flows()
-    for zone in sorted({m.zone for m in members.values()} | {s.zone for s in servers.values()}):
-        inside = [name for name, member in members.items() if member.zone == zone]
-        near = [server for server in servers.values() if server.zone == zone]
-        busiest = max((s for s in near if s.load is not None), key=lambda s: s.load or 0.0, default=None)
-        bad = ", ".join(f"{draw.clean(name)} ({ill[name]})" for name in sorted(inside) if name in ill)
-        shown.add_row(
-            draw.clean(zone) or "no zone",
-            str(len(inside)),
-            str(sum(n in views for n in inside)),
-            bad,
-            str(len(near)),
-            f"{draw.clean(busiest.name)} {busiest.load:.2f}" if busiest else "",
-            str(sum(s.own for s in near)),
-            draw.told_flows(flows.get(zone, {})),
-        )
-    return shown
-
-
-def parser() -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(prog="onyxhollow topology")
-    parts = top.add_subparsers(dest="part", required=True)
-
-    def add(name: str, does: str) -> argparse.ArgumentParser:
-        part = parts.add_parser(name, help=does)
-        part.add_argument(
-            "--from",
-            dest="source",
-            default="",
-            metavar="MEMBERS|FILE|FOLDER",
-            help="HOST:PORT,.. or @FILE of them, a snapshot, logs or a folder of them; else $LB_MANAGEMENT",
-        )
-        part.add_argument("--until", type=float, default=0.0, help="of logs: as it was then, Unix seconds")
-        return part
-
-    for name, does in (("draw", "a picture: .svg, .html, .png, .dot, .json"), ("show", "in the terminal")):
-        part = add(name, does)
-        part.add_argument("--check", action="store_true", help="exit 1 if there is trouble")
-        if name == "draw":
-            part.add_argument("-o", "--out", type=Path, required=True)
-        else:
-            part.add_argument("--watch", action="store_true", help="again each second, until ended by hand")
-    add("save", "a snapshot").add_argument("-o", "--out", type=Path, required=True)
-    record = add("record", "a ring of snapshots, until ended by hand")
-    record.add_argument("folder", type=Path)
-    record.add_argument("--every", type=float, default=EVERY, help="seconds")
-    record.add_argument("--most", type=int, default=RING)
-    record.add_argument("--count", type=int, default=0, help="ends after so many; 0: by hand")
-    diff = parts.add_parser("diff", help="what came, went, changed between two snapshots")
-    diff.add_argument("before", type=Path)
-    diff.add_argument("after", type=Path)
-    diff.add_argument("-o", "--out", type=Path, help="both drawn, in one HTML file")
-    replay = parts.add_parser("replay", help="a recorded ring as HTML with a slider")
-    replay.add_argument("folder", type=Path)
-    replay.add_argument("-o", "--out", type=Path, required=True)
-    return top
-
-
-def png(path: Path, snapshot: Snapshot) -> None:
-    """By matplotlib, from the same places."""
+def _write(path: Path, content: str | bytes) -> None:
+    body = content if isinstance(content, bytes) else content.encode("utf-8")
     try:
-        from matplotlib.figure import Figure
-    except ImportError:
-        raise TopologyError(f"{path}: a PNG needs matplotlib: pip install 'onyxhollow[lab]'") from None
-    told = draw.scene(snapshot)
-    figure = Figure(figsize=(told["width"] / 80, max(2.0, told["height"] / 80)))
-    axes = figure.add_axes((0, 0, 1, 1))
-    axes.set_xlim(0, told["width"])
-    axes.set_ylim(told["height"], 0)
-    axes.axis("off")
-    counts = f"{told['members']} members, {told['servers']} servers; {len(told['troubles'])} troubles"
-    axes.text(20, 20, counts)
-    for box in told["boxes"]:
-        words = f"{box['zone']}: {box['summary']}"
-        axes.text(box["x"] + 8, box["y"] + 14, words, fontsize=6, parse_math=False)
-        for row in box["members"]:
-            axes.plot(
-                row["x"], row["y"], "D" if row["word"] else "o", color="#a20" if row["word"] else "#246"
-            )
-            if row["label"]:
-                words = f"{row['name']} {row['word']}"
-                axes.text(row["x"], row["y"] + 12, words, fontsize=4, ha="center", parse_math=False)
-        for row in box["servers"]:
-            axes.plot(
-                row["x"], row["y"], "X" if row["word"] else "s", color="#a20" if row["word"] else "#777"
-            )
-    figure.savefig(path, dpi=80)
-
-
-def drawn(told: argparse.Namespace) -> Snapshot:
-    if told.out.suffix != ".png" and told.out.suffix not in WRITERS:
-        raise TopologyError(f"--out: expected .svg, .html, .png, .dot or .json, got {told.out.name[:60]!r}")
-    snapshot = source(told)
-    if told.out.suffix == ".png":
-        png(told.out, snapshot)
+        path.write_bytes(body)
+    except OSError as error:
+        raise TopologyError(f"{path}: {error.strerror}") from None
+
+
+def run_draw(args: argparse.Namespace, console: Console) -> ExitCode:
+    """Writes the picture to --out, in the format of its suffix, and prints the faults."""
+    suffix = args.out.suffix
+    if suffix != ".png" and suffix not in TEXT_FORMATS:
+        name = args.out.name[:MAX_FILE_NAME]
+        raise TopologyError(f"--out: expected .svg, .html, .png, .dot or .json, got {name!r}")
+    snapshot = load_snapshot(args)
+    if suffix == ".png":
+        try:
+            _write(args.out, draw.png(snapshot))
+        except draw.MissingLibraryError as error:
+            raise TopologyError(f"{args.out}: {error}") from None
     else:
-        write(told.out, WRITERS[told.out.suffix](snapshot))
-    return snapshot
-
-
-def carry_out(told: argparse.Namespace, console: Console) -> int:
-    if told.part == "draw":
-        snapshot = drawn(told)
-        for one in faults.find(snapshot):
-            console.print(draw.clean(one.words, 200), markup=False)
-        return int(told.check and bool(faults.find(snapshot)))
-    if told.part == "show":
-        snapshot = source(told)
-        if not told.watch:
-            console.print(table(snapshot))
-            return int(told.check and bool(faults.find(snapshot)))
-        with Live(table(snapshot), console=console, auto_refresh=False) as live:
-            while True:
-                time.sleep(EVERY)
-                live.update(table(source(told)), refresh=True)
-    if told.part == "save":
-        snapshot_file.save(told.out, source(told))
-    elif told.part == "record":
-        if told.every < 0.1 or told.most < 1:
-            raise TopologyError("--every: expected 0.1 or more; --most: 1 or more")
-        made = 0
-        while not told.count or made < told.count:
-            began, made = time.monotonic(), made + 1
-            snapshot_file.record(told.folder, source(told), told.most)
-            if not told.count or made < told.count:
-                time.sleep(max(0.0, told.every - (time.monotonic() - began)))
-    elif told.part == "diff":
-        before, after = snapshot_file.read(told.before), snapshot_file.read(told.after)
-        rows = compare.differences(before, after)
-        for row in rows or ["no difference"]:
-            console.print(draw.clean(row, 200), markup=False)
-        if told.out:
-            write(told.out, draw.replay([before, after]))
-    elif told.part == "replay":
-        snapshots = snapshot_file.ring(told.folder)
-        if not snapshots:
-            raise TopologyError(f"{told.folder}: expected snapshots ({snapshot_file.SUFFIX}), got none")
-        write(told.out, draw.replay(snapshots))
-    return 0
+        _write(args.out, TEXT_FORMATS[suffix](snapshot))
+    for fault in find_faults(snapshot):
+        console.print(sanitize(fault.description, MAX_LINE), markup=False)
+    return _check(args, snapshot)
+
+
+def run_show(args: argparse.Namespace, console: Console) -> ExitCode:
+    """Prints the table of zones; with --watch again and again, until interrupted."""
+    snapshot = load_snapshot(args)
+    if not args.watch:
+        console.print(zone_table(snapshot))
+        return _check(args, snapshot)
+    with Live(zone_table(snapshot), console=console, auto_refresh=False) as live:
+        while True:
+            time.sleep(WATCH_INTERVAL)
+            live.update(zone_table(load_snapshot(args)), refresh=True)
+
+
+def _check(args: argparse.Namespace, snapshot: Snapshot) -> ExitCode:
+    return ExitCode.FAULT_FOUND if args.check and find_faults(snapshot) else ExitCode.DONE
+
+
+def run_save(args: argparse.Namespace, _console: Console) -> ExitCode:
+    """Writes one snapshot file."""
+    snapshot_file.save(args.out, load_snapshot(args))
+    return ExitCode.DONE
+
+
+def run_record(args: argparse.Namespace, _console: Console) -> ExitCode:
+    """Adds a snapshot to a ring each --every seconds, --count times or until interrupted."""
+    if args.every < MIN_RECORD_INTERVAL or args.most < 1:
+        raise TopologyError(f"--every: expected {MIN_RECORD_INTERVAL} or more; --most: 1 or more")
+    recorded = 0
+    while not args.count or recorded < args.count:
+        started = time.monotonic()
+        snapshot_file.save_to_ring(args.folder, load_snapshot(args), args.most)
+        recorded += 1
+        if not args.count or recorded < args.count:
+            time.sleep(max(0.0, args.every - (time.monotonic() - started)))
+    return ExitCode.DONE
+
+
+def run_diff(args: argparse.Namespace, console: Console) -> ExitCode:
+    """Prints the differences of two snapshot files; with --out draws both into one page."""
+    before = snapshot_file.read(args.before)
+    after = snapshot_file.read(args.after)
+    for row in compare.differences(before, after) or ["no difference"]:
+        console.print(sanitize(row, MAX_LINE), markup=False)
+    if args.out:
+        _write(args.out, draw.replay([before, after]))
+    return ExitCode.DONE
+
+
+def run_replay(args: argparse.Namespace, _console: Console) -> ExitCode:
+    """Draws a ring of snapshots into one page."""
+    snapshots = snapshot_file.read_ring(args.folder)
+    if not snapshots:
+        raise TopologyError(f"{args.folder}: expected snapshots ({snapshot_file.SUFFIX}), got none")
+    _write(args.out, draw.replay(snapshots))
+    return ExitCode.DONE
+
+
+def build_parser() -> argparse.ArgumentParser:
+    """The sub-commands; each sets `run` to its function."""
+    parser = argparse.ArgumentParser(prog="onyxhollow topology")
+    commands = parser.add_subparsers(dest="part", required=True)
+    source = _source_options()
+
+    command = commands.add_parser("draw", parents=[source], help="a picture: .svg, .html, .png, .dot, .json")
+    command.add_argument("--check", action="store_true", help="exit 1 if there is trouble")
+    command.add_argument("-o", "--out", type=Path, required=True)
+    command.set_defaults(run=run_draw)
+
+    command = commands.add_parser("show", parents=[source], help="in the terminal")
+    command.add_argument("--check", action="store_true", help="exit 1 if there is trouble")
+    command.add_argument("--watch", action="store_true", help="again each second, until ended by hand")
+    command.set_defaults(run=run_show)
+
+    command = commands.add_parser("save", parents=[source], help="a snapshot")
+    command.add_argument("-o", "--out", type=Path, required=True)
+    command.set_defaults(run=run_save)
+
+    command = commands.add_parser("record", parents=[source], help="a ring of snapshots, until ended by hand")
+    command.add_argument("folder", type=Path)
+    command.add_argument("--every", type=float, default=RECORD_INTERVAL, help="seconds")
+    command.add_argument("--most", type=int, default=RING_CAPACITY)
+    command.add_argument("--count", type=int, default=0, help="ends after so many; 0: by hand")
+    command.set_defaults(run=run_record)
+
+    command = commands.add_parser("diff", help="what came, went, changed between two snapshots")
+    command.add_argument("before", type=Path)
+    command.add_argument("after", type=Path)
+    command.add_argument("-o", "--out", type=Path, help="both drawn, in one HTML file")
+    command.set_defaults(run=run_diff)
+
+    command = commands.add_parser("replay", help="a recorded ring as HTML with a slider")
+    command.add_argument("folder", type=Path)
+    command.add_argument("-o", "--out", type=Path, required=True)
+    command.set_defaults(run=run_replay)
+    return parser
+
+
+def _source_options() -> argparse.ArgumentParser:
+    """The options by which a command finds its snapshot."""
+    options = argparse.ArgumentParser(add_help=False)
+    options.add_argument(
+        "--from",
+        dest="source",
+        default="",
+        metavar="MEMBERS|FILE|FOLDER",
+        help="HOST:PORT,.. or @FILE of them, a snapshot, logs or a folder of them; else $LB_MANAGEMENT",
+    )
+    options.add_argument("--until", type=float, default=0.0, help="of logs: as it was then, Unix seconds")
+    return options
 
 
 def main(words: list[str]) -> int:
-    told = parser().parse_args(words)
-    console = Console() if sys.stdout.isatty() else Console(width=160)
+    """Carries out a command line (without the program's name); returns its exit code."""
+    args = build_parser().parse_args(words)
+    console = Console() if sys.stdout.isatty() else Console(width=PLAIN_WIDTH)
     try:
-        return carry_out(told, console)
+        code: ExitCode = args.run(args, console)
     except (TopologyError, GatherError, snapshot_file.SnapshotError, logs.LogError) as error:
-        sys.stderr.write(f"onyxhollow: {draw.clean(str(error), 300)}\n")
-        return 2
+        sys.stderr.write(f"onyxhollow: {sanitize(str(error), MAX_ERROR)}\n")
+        return ExitCode.FAILED
     except KeyboardInterrupt:
-        return 130
+        return ExitCode.INTERRUPTED
+    return code
--- a/onyxhollow/topology/compare.py
+++ b/onyxhollow/topology/compare.py
@@ -1,52 +1,82 @@
-"""What came, went and changed between two snapshots, in words. Pure."""
+"""What appeared, disappeared and changed between two snapshots, in words. Pure."""
 
 from __future__ import annotations
 
-from onyxhollow.topology import faults
+from collections.abc import Iterator, Mapping
+from typing import TypeVar
+
+from onyxhollow.topology.faults import find_faults
 from onyxhollow.topology.model import Snapshot
 
+Key = TypeVar("Key", str, tuple[str, str])
+Value = TypeVar("Value")
+
 
 def differences(before: Snapshot, after: Snapshot) -> list[str]:
-    found: list[str] = []
-    old, new = before.members(), after.members()
-    for name in sorted(old.keys() | new.keys()):
-        a, b = old.get(name), new.get(name)
-        if a is None and b is not None:
-            found.append(f"came: member {name} in {b.zone or 'no zone'}")
-        elif b is None:
-            found.append(f"went: member {name}")
-        elif a is not None:
-            if a.life != b.life:
-                found.append(f"member {name}: {a.life}, now {b.life}")
-            if a.epoch != b.epoch:
-                found.append(f"member {name}: another process")
-            if a.zone != b.zone:
-                found.append(f"member {name}: zone {a.zone}, now {b.zone}")
-    was, now = before.servers(), after.servers()
-    for name in sorted(was.keys() | now.keys()):
-        x, y = was.get(name), now.get(name)
-        if x is None:
-            found.append(f"came: server {name}")
-        elif y is None:
-            found.append(f"went: server {name}")
-        elif x.state != y.state:
-            found.append(f"server {name}: {x.state}, now {y.state}")
-    held, holds = before.duties(), after.duties()
-    for duty in sorted(held.keys() | holds.keys()):
-        p, q = held.get(duty), holds.get(duty)
-        if p is None or q is None:
-            found.append(f"{'came' if p is None else 'went'}: duty {duty}")
-        elif (p.holder, p.term) != (q.holder, q.term):
-            who = f"{p.holder.rpartition('~')[0] or 'nobody'}, now {q.holder.rpartition('~')[0] or 'nobody'}"
-            found.append(f"duty {duty}: {who}, term {q.term}")
-    stood, stands = before.addresses(), after.addresses()
-    for key in sorted(stood.keys() | stands.keys()):
-        m, n = stood.get(key), stands.get(key)
-        if m is None or n is None or m.standing != n.standing:
-            then, by_now = (row.standing if row else "not known" for row in (m, n))
-            found.append(f"address {key[0]} at {key[1]}: {then}, now {by_now}")
-    words = {one.words for one in faults.find(before)}
-    later = {one.words for one in faults.find(after)}
-    found += [f"new trouble: {word}" for word in sorted(later - words)]
-    found += [f"over: {word}" for word in sorted(words - later)]
-    return found
+    """One line for each difference: members, endpoints, leases, addresses, faults; sorted by name in each."""
+    return [
+        *_member_differences(before, after),
+        *_endpoint_differences(before, after),
+        *_lease_differences(before, after),
+        *_address_differences(before, after),
+        *_fault_differences(before, after),
+    ]
+
+
+def _pairs(
+    before: Mapping[Key, Value], after: Mapping[Key, Value]
+) -> Iterator[tuple[Key, Value | None, Value | None]]:
+    """Key, value before and value after, in the order of keys; None where there is none."""
+    for key in sorted(before.keys() | after.keys()):
+        yield key, before.get(key), after.get(key)
+
+
+def _member_differences(before: Snapshot, after: Snapshot) -> Iterator[str]:
+    for name, old, new in _pairs(before.members(), after.members()):
+        if new is None:
+            yield f"went: member {name}"
+        elif old is None:
+            yield f"came: member {name} in {new.zone or 'no zone'}"
+        else:
+            if old.state != new.state:
+                yield f"member {name}: {old.state}, now {new.state}"
+            if old.incarnation != new.incarnation:
+                yield f"member {name}: another process"
+            if old.zone != new.zone:
+                yield f"member {name}: zone {old.zone}, now {new.zone}"
+
+
+def _endpoint_differences(before: Snapshot, after: Snapshot) -> Iterator[str]:
+    for name, old, new in _pairs(before.endpoints(), after.endpoints()):
+        if new is None:
+            yield f"went: server {name}"
+        elif old is None:
+            yield f"came: server {name}"
+        elif old.state != new.state:
+            yield f"server {name}: {old.state}, now {new.state}"
+
+
+def _lease_differences(before: Snapshot, after: Snapshot) -> Iterator[str]:
+    for role, old, new in _pairs(before.leases(), after.leases()):
+        if new is None:
+            yield f"went: duty {role}"
+        elif old is None:
+            yield f"came: duty {role}"
+        elif (old.holder, old.term) != (new.holder, new.term):
+            holders = f"{old.holder_name or 'nobody'}, now {new.holder_name or 'nobody'}"
+            yield f"duty {role}: {holders}, term {new.term}"
+
+
+def _address_differences(before: Snapshot, after: Snapshot) -> Iterator[str]:
+    for (address, site), old, new in _pairs(before.addresses(), after.addresses()):
+        old_preference = old.preference if old else "not known"
+        new_preference = new.preference if new else "not known"
+        if old is None or new is None or old_preference != new_preference:
+            yield f"address {address} at {site}: {old_preference}, now {new_preference}"
+
+
+def _fault_differences(before: Snapshot, after: Snapshot) -> Iterator[str]:
+    old = {fault.description for fault in find_faults(before)}
+    new = {fault.description for fault in find_faults(after)}
+    yield from (f"new trouble: {description}" for description in sorted(new - old))
+    yield from (f"over: {description}" for description in sorted(old - new))
--- a/onyxhollow/topology/faults.py
+++ b/onyxhollow/topology/faults.py
@@ -1,213 +1,165 @@
-"""What is wrong, named. Pure: from a snapshot, with who says so.
+"""What is wrong in a fleet, by name. Pure: from a snapshot, with the members that report it.
 
-Each kind has a rule of its own, and one cause is named once: whoever is named as gone, stalled or cut off is
-not named again for what follows from it.
+Each kind has a rule of its own, and one cause is named once: a member that is named as gone, stalled or cut
+off is not named again for what follows from it. Direct paths between members are judged in `paths`.
 """
 
 from __future__ import annotations
 
-from collections import Counter
-from dataclasses import dataclass
+from collections.abc import Iterable, Mapping
 
 import networkx as nx
 
-from onyxhollow.topology.model import Snapshot, View
+from onyxhollow.topology.fault_types import Fault, FaultKind, Views, is_stalled
+from onyxhollow.topology.model import MemberState, MemberView, ServicePhase, Snapshot
+from onyxhollow.topology.paths import find_path_faults
 
-OLD_HEARD = 4.0  # seconds without a datagram, past which a direct way counts as silent ...
-ASKED = 3  # ... if so many questions have gone that way
-LOST = 0.85  # share of them unanswered
-FEW = 40  # members past which each is asked too seldom for one link to tell anything: links in sum tell
-ENOUGH = 8  # lost in sum, at the least, if they are to tell anything
-SETTLED, LATELY = 1.5, 45.0  # seconds after a question for which it tells something
-STALLED_LATELY = 20.0  # seconds for which a stall is told
-GONE = ("dead", "left")
+MAX_LISTED = 6  # names in a description
+GONE_STATES = (MemberState.DEAD, MemberState.LEFT)
+DRAINING_PHASES = (ServicePhase.DRAINING, ServicePhase.OUT_OF_SERVICE)
+WITHDRAWN = "withdrawn"  # a route's preference, by the controller of addresses
+HOLDING = "holding"  # state of the candidate that holds a lease
 
 
-@dataclass(frozen=True, slots=True)
-class Trouble:
-    kind: str
-    who: tuple[str, ...]  # members, zones, duties or addresses
-    words: str
-    said_by: tuple[str, ...]
-
-
-def dead_in(view: View) -> set[str]:
-    """Names no process of which this member holds for there."""
-    alive = {row.name for row in view.members if row.life not in GONE} | {view.name}
-    return {row.name for row in view.members if row.life == "dead"} - alive
-
-
-def named(names: set[str] | list[str]) -> str:
+def find_faults(snapshot: Snapshot) -> list[Fault]:
+    """All faults of a snapshot, the partition of the fleet first; none without a view."""
+    views = snapshot.views_by_name()
+    if not views:
+        return []
+    dead = {name: dead_members(view) for name, view in views.items()}
+    partition = _find_partition(dead)
+    cut_off = {name for fault in partition for name in fault.subjects}
+    return [
+        *partition,
+        *_find_gone(dead, cut_off),
+        *find_path_faults(views, cut_off),
+        *_find_stalled(views),
+        *_find_leases_without_holder(snapshot, views),
+        *_find_address_faults(snapshot),
+        *_find_draining(views),
+        *_find_mixed_versions(views),
+        *_find_unreachable(snapshot),
+    ]
+
+
+def dead_members(view: MemberView) -> set[str]:
+    """Names of members of which this view knows dead incarnations only."""
+    present = {row.name for row in view.members if row.state not in GONE_STATES} | {view.name}
+    return {row.name for row in view.members if row.state == MemberState.DEAD} - present
+
+
+def _join(names: Iterable[str]) -> str:
     rows = sorted(names)
-    return ", ".join(rows[:6]) + (f" and {len(rows) - 6} more" if len(rows) > 6 else "")
+    more = f" and {len(rows) - MAX_LISTED} more" if len(rows) > MAX_LISTED else ""
+    return ", ".join(rows[:MAX_LISTED]) + more
 
 
-def find(snapshot: Snapshot) -> list[Trouble]:
-    views = snapshot.by_name()
-    if not views:
+def _find_partition(dead: Mapping[str, set[str]]) -> list[Fault]:
+    """Sides of a fleet whose members answer and yet take each other for dead; the smaller sides are named."""
+    separated = [(a, b) for a in dead for b in dead if a < b and b in dead[a] and a in dead[b]]
+    if not separated:
         return []
-    found: list[Trouble] = []
-    dead = {name: dead_in(view) for name, view in views.items()}
-    # Two that answer and hold each other for dead: there is a cut between them.
+    separated_pairs = set(separated)
     graph = nx.Graph()
-    graph.add_nodes_from(views)
-    apart = [(a, b) for a in views for b in views if a < b and b in dead[a] and a in dead[b]]
-    far = set(apart)
-    graph.add_edges_from((a, b) for a in views for b in views if a < b and (a, b) not in far)
+    graph.add_nodes_from(dead)
+    graph.add_edges_from((a, b) for a in dead for b in dead if a < b and (a, b) not in separated_pairs)
     sides = [set(side) for side in nx.connected_components(graph)]
-    cut_off: set[str] = set()
-    if apart and len(sides) > 1:
-        sides.sort(key=lambda side: (-len(side), sorted(side)))
-        for side in sides[1:]:
-            cut_off |= side
-            words = f"cut: {named(side)} and {named(sides[0])} hold each other for dead"
-            by = tuple(sorted({name for pair in apart for name in pair}))
-            found.append(Trouble("cut", tuple(sorted(side)), words, by))
-    # Held for dead by all who answer on a side, and it does not answer: gone.
-    gone = {name for rows in dead.values() for name in rows if name not in views}
-    for name in sorted(gone):
-        by = tuple(sorted(one for one, rows in dead.items() if name in rows))
-        hidden = [one for one in views if name not in dead[one] and one not in cut_off]
-        if len(by) > len(hidden):
-            found.append(Trouble("gone", (name,), f"gone: {name}, held for dead by {len(by)}", by))
-    found += one_way(views, cut_off)
-    found += stalled(views)
-    found += duties(snapshot)
-    found += addresses(snapshot)
-    found += draining(views)
-    versions = {view.version for view in views.values() if view.version}
-    if len(versions) > 1:
-        by_version = {v: [one for one, view in views.items() if view.version == v] for v in versions}
-        words = "two versions at once: " + "; ".join(f"{v}: {named(by_version[v])}" for v in sorted(versions))
-        found.append(Trouble("versions", tuple(sorted(versions)), words, tuple(sorted(views))))
-    for silent in snapshot.silent:
-        found.append(Trouble("silent", (silent.at,), f"{silent.at} did not answer: {silent.why}", ()))
-    return found
-
-
-def one_way(views: dict[str, View], cut_off: set[str]) -> list[Trouble]:
-    """A hears B and B does not hear A: the way from A to B is down. Where there are too many for each pair to
-    ask often, ways are looked at in sum."""
-    if len(views) > FEW:
-        return ways(views, cut_off)
-    silent: set[tuple[str, str]] = set()  # from, to: nothing comes straight that way
-    for name, view in views.items():
-        for link in view.links:
-            if link.to in views and link.asked >= ASKED and link.heard > OLD_HEARD and link.lost >= LOST:
-                silent.add((link.to, name))
-    found = []
-    for source, target in sorted(silent):
-        if (target, source) in silent and (source in cut_off) != (target in cut_off):
-            continue  # part of a cut that is named
-        if (target, source) in silent:
-            if source < target:
-                words = f"cut: nothing passes straight between {source} and {target}; others carry it"
-                found.append(Trouble("link cut", (source, target), words, (source, target)))
-        else:
-            words = f"one-way: nothing comes straight from {source} to {target}, the other way it does"
-            found.append(Trouble("one-way", (source, target), words, (target,)))
-    return found
-
-
-def ways(views: dict[str, View], cut_off: set[str]) -> list[Trouble]:
-    """In a large fleet, from all questions of late in sum: which direct way is down, between two zones or
-    from and to a member. Who asked and has heard nothing straight from the other since: if the other has
-    heard the question, the way back is down, else the way there."""
-    links = {(name, link.to): link for name, view in views.items() for link in view.links}
-    fine: Counter[tuple[str, str]] = Counter()  # by zones, and by member with "" for all others
-    down: Counter[tuple[str, str]] = Counter()
-    for (a, b), link in links.items():
-        if b not in views or not link.asked or not SETTLED <= link.asked_ago <= LATELY:
-            continue
-        if (a in cut_off) != (b in cut_off):
-            continue
-        if any(lately_stalled(views[one]) for one in (a, b)):
-            continue
-        back = links.get((b, a))
-        there = link.heard <= link.asked_ago or (back is not None and back.heard <= link.asked_ago + SETTLED)
-        for ok, source, target in ((there, a, b), (link.heard <= link.asked_ago, b, a)):
-            if target == a and not there:
-                continue  # nothing was there to be answered
-            count = fine if ok else down
-            here, far = views[source].zone, views[target].zone
-            for way in ((f"m:{source}", ""), ("", f"m:{target}"), *([(here, far)] if here != far else [])):
-                count[way] += 1
-    bad = {way for way, lost in down.items() if lost >= max(ENOUGH, LOST * (lost + fine[way]))}
-    zones = {way for way in bad if "" not in way}
-    found = []
-    for here, far in sorted(zones):
-        told = f"{down[here, far]} of {down[here, far] + fine[here, far]} questions or answers of late"
-        if (far, here) not in zones:
-            words = f"one-way: nothing comes straight from zone {here} to zone {far}, {told} lost"
-            found.append(Trouble("zone one-way", (here, far), words, ()))
-        elif here < far:
-            words = f"cut: nothing passes straight between zones {here} and {far}, {told} lost"
-            found.append(Trouble("zone link cut", (here, far), words, ()))
-    hit = {zone for way in zones for zone in way}
-    for name, view in sorted(views.items()):
-        out, back_in = (f"m:{name}", "") in bad, ("", f"m:{name}") in bad
-        if view.zone in hit or not (out or back_in):
-            continue
-        what = "from or to" if out and back_in else "from" if out else "to"
-        words = f"{'cut' if out and back_in else 'one-way'}: nothing comes straight {what} {name}"
-        found.append(Trouble("link cut" if out and back_in else "one-way", (name,), words, (name,)))
-    return found
-
-
-def lately_stalled(view: View) -> bool:
-    return view.stalled_ago is not None and view.stalled_ago < STALLED_LATELY and view.stalled > 0.5
-
-
-def stalled(views: dict[str, View]) -> list[Trouble]:
-    found = []
-    for name, view in sorted(views.items()):
-        if lately_stalled(view):
-            lately = f"{view.stalled:.1f} s in all, last {view.stalled_ago:.0f} s ago"
-            words = f"stalled: {name} stood still, {lately}"
-            found.append(Trouble("stalled", (name,), words, (name,)))
-    return found
-
-
-def duties(snapshot: Snapshot) -> list[Trouble]:
-    """A duty of which no holder is there."""
-    found = []
-    views = snapshot.by_name()
-    for duty, row in sorted(snapshot.duties().items()):
-        holder = row.holder.rpartition("~")[0]
-        holding = [
-            name
-            for name, view in views.items()
-            for one in view.duties
-            if one.duty == duty and one.here == "holding"
-        ]
-        here = [one.here for view in views.values() for one in view.duties if one.duty == duty and one.here]
-        lost = not holder or holder in views or all(holder in dead_in(view) for view in views.values())
-        if not holding and here and lost:
-            words = f"no holder: {duty}, last {holder or 'nobody'} under term {row.term}"
-            found.append(Trouble("no holder", (duty,), words, tuple(sorted(views))))
-    return found
-
-
-def addresses(snapshot: Snapshot) -> list[Trouble]:
-    found = []
+    sides.sort(key=lambda side: (-len(side), sorted(side)))
+    reported_by = tuple(sorted({name for pair in separated for name in pair}))
+    return [
+        Fault(
+            FaultKind.CUT,
+            tuple(sorted(side)),
+            f"cut: {_join(side)} and {_join(sides[0])} hold each other for dead",
+            reported_by,
+        )
+        for side in sides[1:]
+    ]
+
+
+def _find_gone(dead: Mapping[str, set[str]], cut_off: set[str]) -> list[Fault]:
+    """Members that do not answer and are dead for more members than still count on them."""
+    faults = []
+    for name in sorted({name for rows in dead.values() for name in rows if name not in dead}):
+        reported_by = tuple(sorted(reporter for reporter, rows in dead.items() if name in rows))
+        others = [reporter for reporter in dead if name not in dead[reporter] and reporter not in cut_off]
+        if len(reported_by) > len(others):
+            description = f"gone: {name}, held for dead by {len(reported_by)}"
+            faults.append(Fault(FaultKind.GONE, (name,), description, reported_by))
+    return faults
+
+
+def _find_stalled(views: Views) -> list[Fault]:
+    return [
+        Fault(
+            FaultKind.STALLED,
+            (name,),
+            f"stalled: {name} stood still, {view.stalled_seconds:.1f} s in all,"
+            f" last {view.stalled_ago:.0f} s ago",
+            (name,),
+        )
+        for name, view in sorted(views.items())
+        if is_stalled(view)
+    ]
+
+
+def _find_leases_without_holder(snapshot: Snapshot, views: Views) -> list[Fault]:
+    """Roles with a candidate and without a holder, as far as the polled members can know."""
+    faults = []
+    for role, lease in sorted(snapshot.leases().items()):
+        states = [row.local_state for view in views.values() for row in view.leases if row.role == role]
+        holder = lease.holder_name
+        # A holder that was not polled and is alive for others may hold it still.
+        is_lost = (
+            not holder or holder in views or all(holder in dead_members(view) for view in views.values())
+        )
+        if HOLDING not in states and any(states) and is_lost:
+            description = f"no holder: {role}, last {holder or 'nobody'} under term {lease.term}"
+            faults.append(Fault(FaultKind.NO_HOLDER, (role,), description, tuple(sorted(views))))
+    return faults
+
+
+def _find_address_faults(snapshot: Snapshot) -> list[Fault]:
+    faults = []
     for (address, site), row in sorted(snapshot.addresses().items()):
-        if row.standing == "withdrawn":
-            why = row.drain or row.exclude or row.cause or "not advertised yet"
-            found.append(Trouble("withdrawn", (address, site), f"withdrawn: {address} at {site}, {why}", ()))
-        elif row.stays:
-            found.append(Trouble("stays", (address, site), f"{address} at {site} stays, {row.stays}", ()))
-    return found
-
-
-def draining(views: dict[str, View]) -> list[Trouble]:
-    """Members that send their clients away; a zone, if all of it does."""
-    away = {name for name, view in views.items() if view.service in ("leaving", "out of service")}
-    found = []
+        if row.preference == WITHDRAWN:
+            cause = row.drain or row.exclude or row.cause or "not advertised yet"
+            description = f"withdrawn: {address} at {site}, {cause}"
+            faults.append(Fault(FaultKind.WITHDRAWN, (address, site), description))
+        elif row.suppressed_by:
+            description = f"{address} at {site} stays, {row.suppressed_by}"
+            faults.append(Fault(FaultKind.SUPPRESSED, (address, site), description))
+    return faults
+
+
+def _find_draining(views: Views) -> list[Fault]:
+    """Members that send their clients away; a zone instead, if all of it does and others do not."""
+    draining = {name for name, view in views.items() if view.service_phase in DRAINING_PHASES}
+    faults = []
     for zone in sorted({view.zone for view in views.values()}):
-        rows = {name for name, view in views.items() if view.zone == zone}
-        if rows and rows <= away and len(views) > len(rows):
-            words = f"zone {zone} drains: {named(rows)}"
-            found.append(Trouble("zone draining", (zone,), words, tuple(sorted(rows))))
-            away -= rows
-    found += [Trouble("draining", (name,), f"{name} drains", (name,)) for name in sorted(away)]
-    return found
+        names = {name for name, view in views.items() if view.zone == zone}
+        if names and names <= draining and len(views) > len(names):
+            description = f"zone {zone} drains: {_join(names)}"
+            faults.append(Fault(FaultKind.ZONE_DRAINING, (zone,), description, tuple(sorted(names))))
+            draining -= names
+    faults += [Fault(FaultKind.DRAINING, (name,), f"{name} drains", (name,)) for name in sorted(draining)]
+    return faults
+
+
+def _find_mixed_versions(views: Views) -> list[Fault]:
+    versions = sorted({view.version for view in views.values() if view.version})
+    if len(versions) < 2:
+        return []
+    names = {
+        version: [name for name, view in views.items() if view.version == version] for version in versions
+    }
+    listed = "; ".join(f"{version}: {_join(names[version])}" for version in versions)
+    description = f"two versions at once: {listed}"
+    return [Fault(FaultKind.VERSIONS, tuple(versions), description, tuple(sorted(views)))]
+
+
+def _find_unreachable(snapshot: Snapshot) -> list[Fault]:
+    return [
+        Fault(FaultKind.UNREACHABLE, (row.target,), f"{row.target} did not answer: {row.reason}")
+        for row in snapshot.unreachable
+    ]
--- a/onyxhollow/topology/gather.py
+++ b/onyxhollow/topology/gather.py
@@ -1,4 +1,4 @@
-"""Asks members for their views: bounded in time, number and size. One that is silent is shown as silent."""
+"""Polls members for their views, bounded in time, number and size; one that doesn't answer is reported."""
 
 from __future__ import annotations
 
@@ -10,88 +10,113 @@
 
 import msgspec
 
-from onyxhollow.topology.model import Silent, Snapshot, View, view_of
+from onyxhollow.topology.model import MemberView, Snapshot, UnreachableMember, decode_view
 
-PATIENCE = 2.0  # seconds for one answer as a whole
-LARGEST = 16 << 20  # bytes of one answer
-MOST = 2048  # members asked
-AT_ONCE = 32
+POLL_TIMEOUT = 2.0  # seconds for all answers of one member
+MIN_SOCKET_TIMEOUT = 0.05  # seconds
+JOB_POLL_INTERVAL = 0.05  # seconds between polls of the controller's answer
+JOB_MARGIN = 0.1  # seconds of the timeout that are left for the last answer
+MAX_ANSWER = 16 << 20  # bytes
+READ_SIZE = 65536  # bytes
+MAX_MEMBERS = 2048
+CONCURRENT_POLLS = 32
+MAX_PORT = 65535
+JsonRow = dict[str, object]
 
 
 class GatherError(Exception):
-    """Nobody could be asked; one line."""
+    """There is nobody to poll, or too many; one line."""
 
 
-def fetch(at: str, path: str, until: float) -> tuple[int, bytes]:
-    """Read piece by piece: one that answers a byte now and then holds nobody up."""
-    host, _, port = at.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+def fetch(target: str, path: str, deadline: float) -> tuple[int, bytes]:
+    """Status and body of one GET; `target` is HOST:PORT, `deadline` in seconds of the monotonic clock.
+
+    The body is read in pieces: a peer that sends a byte now and then can't exceed the deadline.
+
+    Raises:
+        ValueError: `target` isn't HOST:PORT, or the body is larger than MAX_ANSWER.
+        OSError, http.client.HTTPException: no complete answer in time.
+    """
+    host, _, port = target.rpartition(":")
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ValueError("expected HOST:PORT")
-    link = http.client.HTTPConnection(host, int(port), timeout=max(0.05, until - time.monotonic()))
+    timeout = max(MIN_SOCKET_TIMEOUT, deadline - time.monotonic())
+    connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
-        link.request("GET", path)
-        answer = link.getresponse()
+        connection.request("GET", path)
+        response = connection.getresponse()
         body = bytearray()
-        while piece := answer.read1(65536):
+        while piece := response.read1(READ_SIZE):
             body += piece
-            if len(body) > LARGEST:
-                raise ValueError(f"more than {LARGEST >> 20} MiB")
-            if time.monotonic() > until:
+            if len(body) > MAX_ANSWER:
+                raise ValueError(f"more than {MAX_ANSWER >> 20} MiB")
+            if time.monotonic() > deadline:
                 raise TimeoutError("too slow")
-        return answer.status, bytes(body)
+        return response.status, bytes(body)
     finally:
-        link.close()
+        connection.close()
 
 
-def addresses_of(at: str, until: float) -> list[dict[str, object]]:
-    """What the keeper knows; [] without one, or without addresses."""
-    status, body = fetch(at, "/control/addresses", until)
-    if status != 202:
+def fetch_addresses(target: str, deadline: float) -> list[JsonRow]:
+    """Rows of the address controller; empty without one, without addresses or without an answer in time.
+
+    The member passes the request on to the controller and answers 202 with an id, by which the rows are
+    fetched once the controller has sent them.
+    """
+    status, body = fetch(target, "/control/addresses", deadline)
+    if status != http.client.ACCEPTED:
         return []
-    id = json.loads(body)["id"]
-    while time.monotonic() < until - 0.1:
-        status, body = fetch(at, f"/control/addresses?id={id}", until)
-        if status != 202:
-            return json.loads(body)["rows"] if status == 200 else []
-        time.sleep(0.05)
+    job = json.loads(body)["id"]
+    while time.monotonic() < deadline - JOB_MARGIN:
+        status, body = fetch(target, f"/control/addresses?id={job}", deadline)
+        if status != http.client.ACCEPTED:
+            rows: list[JsonRow] = json.loads(body)["rows"] if status == http.client.OK else []
+            return rows
+        time.sleep(JOB_POLL_INTERVAL)
     return []
 
 
-def ask(at: str, addresses: bool = True) -> View | Silent:
-    until = time.monotonic() + PATIENCE
+def poll_member(target: str, with_addresses: bool = True) -> MemberView | UnreachableMember:
+    """The view of the member at HOST:PORT, or why there is none; raises nothing."""
+    deadline = time.monotonic() + POLL_TIMEOUT
     try:
-        status, body = fetch(at, "/control/fleet", until)
-        if status != 200:
-            return Silent(at, f"status {status}" + (": no member of a fleet" if status == 404 else ""))
-        told = json.loads(body)
-        if not isinstance(told, dict):
-            return Silent(at, "expected an object")
-        rows: list[dict[str, object]] = []
-        if addresses:
+        status, content = fetch(target, "/control/fleet", deadline)
+        if status != http.client.OK:
+            note = ": no member of a fleet" if status == http.client.NOT_FOUND else ""
+            return UnreachableMember(target, f"status {status}{note}")
+        body = json.loads(content)
+        if not isinstance(body, dict):
+            return UnreachableMember(target, "expected an object")
+        addresses: list[JsonRow] = []
+        if with_addresses:
             try:
-                rows = addresses_of(at, until)
+                addresses = fetch_addresses(target, deadline)
             except (OSError, http.client.HTTPException, ValueError, KeyError, TypeError):
-                rows = []  # the view stands without them
-        return view_of(told, rows)
+                addresses = []  # the view is complete enough without them
+        return decode_view(body, addresses)
     except (OSError, http.client.HTTPException) as error:
-        return Silent(at, (str(error) or type(error).__name__)[:120])
+        return UnreachableMember(target, (str(error) or type(error).__name__)[:120])
     except (ValueError, RecursionError, msgspec.ValidationError) as error:
-        return Silent(at, f"not a member's answer: {str(error)[:100]}")
+        return UnreachableMember(target, f"not a member's answer: {str(error)[:100]}")
 
 
 def gather(members: Iterable[str], addresses: bool = True) -> Snapshot:
-    """Raises GatherError if there is nobody to ask, or too many."""
-    asked = list(dict.fromkeys(members))
-    if not asked:
+    """Polls members (HOST:PORT) at the same time; with `addresses`, each also for the controller's rows.
+
+    Raises:
+        GatherError: there is nobody to poll, or too many.
+    """
+    targets = list(dict.fromkeys(members))
+    if not targets:
         raise GatherError("--from: expected a member's management address, got none")
-    if len(asked) > MOST:
-        raise GatherError(f"--from: expected at most {MOST} members, got {len(asked)}")
-    views: list[View] = []
-    silent: list[Silent] = []
-    with concurrent.futures.ThreadPoolExecutor(min(AT_ONCE, len(asked))) as pool:
-        for found in pool.map(lambda at: ask(at, addresses), asked):
-            if isinstance(found, View):
-                views.append(found)
+    if len(targets) > MAX_MEMBERS:
+        raise GatherError(f"--from: expected at most {MAX_MEMBERS} members, got {len(targets)}")
+    views: list[MemberView] = []
+    unreachable: list[UnreachableMember] = []
+    with concurrent.futures.ThreadPoolExecutor(min(CONCURRENT_POLLS, len(targets))) as pool:
+        for answer in pool.map(lambda target: poll_member(target, addresses), targets):
+            if isinstance(answer, MemberView):
+                views.append(answer)
             else:
-                silent.append(found)
-    return Snapshot(time.time(), views, silent)
+                unreachable.append(answer)
+    return Snapshot(time.time(), views, unreachable)
--- a/onyxhollow/topology/layout.py
+++ b/onyxhollow/topology/layout.py
@@ -1,52 +1,71 @@
-"""Where things stand in the picture: steady, so that a fleet looks the same tomorrow. Pure.
+"""Positions in the picture: stable, so that a fleet looks the same tomorrow. Pure.
 
-Zones are boxes in the order of their names. In a box each name has a cell that a hash gives it, out of at
-least twice as many as there are names, a power of two; the next free one if it is taken, names in order. So
-one more name moves a few at most, and all of a box only when its grid doubles.
+Zones are boxes in the order of their names. In a box a hash of the name gives each member or endpoint a cell,
+out of at least twice as many as there are names, a power of two; if it is occupied, the next free one, names
+in order. So one more name moves a few at most, and all of a box only when its grid doubles.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from hashlib import blake2b
+from typing import NamedTuple
 
-BOX, GAP, TOP = 300.0, 20.0, 40.0  # width of a zone's box, between boxes, above its cells
-CELL = 30.0
-Spots = dict[str, tuple[float, float]]
+BOX_WIDTH = 300.0  # of a zone; all lengths are in pixels of the picture
+BOX_GAP = 20.0  # between boxes
+BOX_HEADER = 40.0  # above the cells of a box
+CELL_HEIGHT = 30.0
+MIN_CELLS = 8
+MIN_COLUMNS = 4
+MAX_COLUMNS = 16
+MOVED_DIVISOR = 20  # a name counts as moved past this part of the picture's width
 
 
-def grid(count: int) -> int:
-    """Cells for so many names."""
-    return max(8, 1 << math.ceil(math.log2(max(1, 2 * count))))
+class Position(NamedTuple):
+    """Centre of a symbol, from the upper left corner."""
 
+    x: float
+    y: float
 
-def cells(names: Iterable[str], cells: int) -> dict[str, int]:
-    taken: dict[int, str] = {}
+
+Positions = dict[str, Position]
+
+
+def grid_size(count: int) -> int:
+    """Number of cells for `count` names: a power of two, at least twice as many."""
+    return max(MIN_CELLS, 1 << math.ceil(math.log2(max(1, 2 * count))))
+
+
+def assign_cells(names: Iterable[str], cell_count: int) -> dict[str, int]:
+    """The cell of each name; `cell_count` must be larger than the number of names."""
+    occupied: dict[int, str] = {}
     for name in sorted(names):
-        told = blake2b(name.encode("utf-8", "surrogatepass"), digest_size=4).digest()
-        at = int.from_bytes(told, "big") % cells
-        while at in taken:
-            at = (at + 1) % cells
-        taken[at] = name
-    return {name: at for at, name in taken.items()}
+        digest = blake2b(name.encode("utf-8", "surrogatepass"), digest_size=4).digest()
+        cell = int.from_bytes(digest, "big") % cell_count
+        while cell in occupied:
+            cell = (cell + 1) % cell_count
+        occupied[cell] = name
+    return {name: cell for cell, name in occupied.items()}
 
 
-def place(names: Iterable[str], left: float, top: float, width: float) -> tuple[Spots, float]:
-    """Centres of the names in a box, and the height that its grid takes."""
+def place(names: Iterable[str], left: float, top: float, width: float) -> tuple[Positions, float]:
+    """Positions of names in a box whose cells begin at (left, top), and the height of its grid."""
     rows = list(names)
-    count = grid(len(rows))
-    across = max(4, min(int(width // CELL), 16))
-    step = width / across
-    found = {
-        name: (left + step * (at % across) + step / 2, top + CELL * (at // across) + CELL / 2)
-        for name, at in cells(rows, count).items()
+    cell_count = grid_size(len(rows))
+    columns = max(MIN_COLUMNS, min(int(width // CELL_HEIGHT), MAX_COLUMNS))
+    step = width / columns
+    positions = {
+        name: Position(
+            left + step * (cell % columns) + step / 2, top + CELL_HEIGHT * (cell // columns) + CELL_HEIGHT / 2
+        )
+        for name, cell in assign_cells(rows, cell_count).items()
     }
-    return found, CELL * math.ceil(count / across)
+    return positions, CELL_HEIGHT * math.ceil(cell_count / columns)
 
 
-def shift(before: Spots, after: Spots, width: float) -> float:
-    """Share of the names in both that moved by over a twentieth of the width."""
-    both = before.keys() & after.keys()
-    far = sum(math.dist(before[name], after[name]) > width / 20 for name in both)
-    return far / max(1, len(both))
+def moved_share(before: Mapping[str, Position], after: Mapping[str, Position], width: float) -> float:
+    """Share of the names in both pictures that moved by more than a twentieth of the width, 0 to 1."""
+    common = before.keys() & after.keys()
+    moved = sum(math.dist(before[name], after[name]) > width / MOVED_DIVISOR for name in common)
+    return moved / max(1, len(common))
--- a/onyxhollow/topology/model.py
+++ b/onyxhollow/topology/model.py
@@ -1,172 +1,246 @@
-"""What is known of a fleet, by whom and how long ago. Pure.
+"""What is known of a fleet, by which member and how long ago. Pure.
 
-A view is what one member said of itself and of all others; a snapshot is some views, those asked in vain
-among them. Nothing is merged away: where members disagree, both views stay.
+A view is what one member reports of itself and of all others; a snapshot is a set of views, with the members
+that could not be polled. Nothing is merged away: where members disagree, both views remain.
+
+The structures are read from `GET /control/fleet` and `/control/addresses`, and are the content of a snapshot
+file. Their keys there are older than the names of the fields, so each renamed field states its key. States
+stay strings, since a newer member may report one that this build doesn't know; those that are acted on are in
+the enums below.
 """
 
 from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Mapping
+from enum import StrEnum
 from typing import Any
 
 import msgspec
 
-MAJOR, MINOR = 1, 1
+MAJOR = 1  # version of the snapshot file; another major version is refused
+MINOR = 1  # newer minor versions only add keys, which are ignored
+NEVER = 1e6  # seconds; an age reported for what has not happened yet
+NO_LOAD_AGE = 1e9  # seconds; an endpoint without a load report counts as older than any other
+
+
+class MemberState(StrEnum):
+    """State of a member in the membership protocol, as another member sees it."""
+
+    ALIVE = "alive"
+    SUSPECT = "suspect"
+    DEAD = "dead"
+    LEFT = "left"
+
+
+class ServicePhase(StrEnum):
+    """Whether a member takes clients."""
 
+    IN_SERVICE = "in service"
+    DRAINING = "leaving"
+    OUT_OF_SERVICE = "out of service"
+    STOPPING = "stopping"
+
+
+class MemberStatus(msgspec.Struct, frozen=True):
+    """One member as another (or itself) sees it; after a restart it has a higher incarnation."""
 
-class Member(msgspec.Struct, frozen=True):
     name: str
-    epoch: int = 0
-    life: str = "alive"
+    incarnation: int = msgspec.field(default=0, name="epoch")
+    state: str = msgspec.field(default=MemberState.ALIVE.value, name="life")
     zone: str = ""
-    votes: bool = False
-    holds: bool = False
-    damped: bool = False
+    is_voter: bool = msgspec.field(default=False, name="votes")
+    holds_leases: bool = msgspec.field(default=False, name="holds")
+    is_damped: bool = msgspec.field(
+        default=False, name="damped"
+    )  # its state changes too often to be relied on
+
 
+class LinkStatus(msgspec.Struct, frozen=True):
+    """What one member has seen of the direct path to a peer and back, without indirect probes."""
 
-class Link(msgspec.Struct, frozen=True):
-    """What one member has seen of the way to another and back, without helpers."""
+    peer: str = msgspec.field(name="to")
+    incarnation: int = msgspec.field(default=0, name="epoch")
+    received_ago: float = msgspec.field(default=NEVER, name="heard")  # seconds since the last direct datagram
+    probes: int = msgspec.field(default=0, name="asked")  # direct probes sent
+    loss: float = msgspec.field(default=0.0, name="lost")  # share of probes without a direct answer, 0 to 1
+    rtt_ms: float = 0.0  # round trip, milliseconds
+    probed_ago: float = msgspec.field(default=NEVER, name="asked_ago")  # seconds since the last probe
 
-    to: str
-    epoch: int = 0
-    heard: float = 1e6  # seconds since anything came straight from it
-    asked: int = 0
-    lost: float = 0.0
-    rtt_ms: float = 0.0
-    asked_ago: float = 1e6  # seconds since it was last asked
 
+class EndpointStatus(msgspec.Struct, frozen=True):
+    """One endpoint as a member sees it."""
 
-class Server(msgspec.Struct, frozen=True):
     name: str
     zone: str = ""
     state: str = "in service"
-    own: int = 0  # connections of the member that says so
-    size: float = 1.0
-    load: float | None = None
-    load_age: float | None = None
-    distrust: float = 0.0
-    arrives: bool = False
+    connections: int = msgspec.field(default=0, name="own")  # of the reporting member
+    weight: float = msgspec.field(default=1.0, name="size")
+    load: float | None = None  # share of its capacity; None without a recent load report
+    load_age: float | None = None  # seconds
+    outlier_score: float = msgspec.field(default=0.0, name="distrust")
+    is_warming_up: bool = msgspec.field(default=False, name="arrives")
 
 
-class Duty(msgspec.Struct, frozen=True):
-    duty: str
+class LeaseStatus(msgspec.Struct, frozen=True):
+    """The lease of one role as a member sees it."""
+
+    role: str = msgspec.field(name="duty")
     term: int = 0
-    holder: str = ""  # name~epoch
-    here: str = ""
-    left: float | None = None
+    holder: str = ""  # member id, name~incarnation
+    local_state: str = msgspec.field(default="", name="here")  # of the reporting member's candidate
+    remaining: float | None = msgspec.field(default=None, name="left")  # seconds, if the reporter holds it
+
+    @property
+    def holder_name(self) -> str:
+        """Name of the holder without its incarnation; empty if nobody is known."""
+        return self.holder.rpartition("~")[0]
 
 
-class Address(msgspec.Struct, frozen=True):
+class AddressStatus(msgspec.Struct, frozen=True):
+    """A shared address at one site, as the controller of addresses sees it."""
+
     address: str
     site: str
-    standing: str = ""
+    preference: str = msgspec.field(default="", name="standing")  # advertised, withdrawn, ...
     cause: str = ""
-    health: float | None = None
-    reached: bool = True
-    carried: bool = True
-    stays: str = ""
-    drain: str = ""
+    health: float | None = None  # 0 to 1; None if the site has not reported
+    reachable: bool = msgspec.field(default=True, name="reached")  # its announcer answers the controller
+    installed: bool = msgspec.field(
+        default=True, name="carried"
+    )  # the routing daemon has taken the preference
+    suppressed_by: str = msgspec.field(
+        default="", name="stays"
+    )  # rule by which it isn't withdrawn though it should be
+    drain: str = ""  # reason of an operator's override; empty without one, here and below
     pin: str = ""
     exclude: str = ""
 
 
-class ListState(msgspec.Struct, frozen=True):
+class EndpointListStatus(msgspec.Struct, frozen=True):
+    """How a member gets the endpoint list."""
+
     version: int = -1
-    rests: bool = False
-    tells: bool = False
+    polling_suspended: bool = msgspec.field(default=False, name="rests")  # another member polls in its place
+    is_publisher: bool = msgspec.field(default=False, name="tells")  # it polls in the place of others
 
 
-class View(msgspec.Struct, frozen=True):
-    """What one member says."""
+class MemberView(msgspec.Struct, frozen=True):
+    """What one member reports, of itself and of all others."""
 
-    me: str
+    member_id: str = msgspec.field(name="me")  # name~incarnation; the name alone in virtual time
     zone: str = ""
     version: str = ""
-    service: str = ""
-    health: int = 0
-    stalled: float = 0.0
-    stalled_ago: float | None = None
-    members: list[Member] = []
-    links: list[Link] = []
-    servers: list[Server] = []
-    duties: list[Duty] = []
-    list_state: ListState | None = msgspec.field(default=None, name="list")
-    addresses: list[Address] = []
+    service_phase: str = msgspec.field(default="", name="service")
+    local_health: int = msgspec.field(default=0, name="health")  # 0 is best (Lifeguard's multiplier)
+    stalled_seconds: float = msgspec.field(default=0.0, name="stalled")  # of late, in sum
+    stalled_ago: float | None = None  # seconds since the last stall; None without one
+    members: list[MemberStatus] = []
+    links: list[LinkStatus] = []
+    endpoints: list[EndpointStatus] = msgspec.field(default_factory=list, name="servers")
+    leases: list[LeaseStatus] = msgspec.field(default_factory=list, name="duties")
+    endpoint_list: EndpointListStatus | None = msgspec.field(default=None, name="list")
+    addresses: list[AddressStatus] = []
 
     @property
     def name(self) -> str:
-        return self.me.rpartition("~")[0] or self.me
+        """Name of the member without its incarnation."""
+        return self.member_id.rpartition("~")[0] or self.member_id
+
+    @property
+    def incarnation(self) -> int:
+        """Incarnation of the reporting process; 0 if its id carries none."""
+        suffix = self.member_id.rpartition("~")[2]
+        return int(suffix) if suffix.isdigit() else 0
 
 
-class Silent(msgspec.Struct, frozen=True):
-    """One that was asked and did not answer, or not with anything that can be read."""
+class UnreachableMember(msgspec.Struct, frozen=True):
+    """A member that was polled and did not answer, or not with anything that can be read."""
 
-    at: str
-    why: str
+    target: str = msgspec.field(name="at")  # HOST:PORT, or a log's member and file
+    reason: str = msgspec.field(name="why")
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    at: float  # Unix seconds
-    views: list[View] = []
-    silent: list[Silent] = []
+    """The views of a fleet's members at one time, and what they amount to."""
+
+    taken_at: float = msgspec.field(name="at")  # Unix seconds
+    views: list[MemberView] = []
+    unreachable: list[UnreachableMember] = msgspec.field(default_factory=list, name="silent")
     major: int = MAJOR
     minor: int = MINOR
 
-    def members(self) -> dict[str, Member]:
-        """Every name that anyone speaks of, the newest process of it; what it says of itself first."""
-        found: dict[str, Member] = {}
+    def members(self) -> dict[str, MemberStatus]:
+        """Every member in any view, of each the newest incarnation; a member's own report comes first."""
+        newest: dict[str, MemberStatus] = {}
         for view in self.views:
             for row in view.members:
-                known = found.get(row.name)
-                if known is None or (row.epoch, row.life == "alive") > (known.epoch, known.life == "alive"):
-                    found[row.name] = row
+                known = newest.get(row.name)
+                if known is None or _newness(row) > _newness(known):
+                    newest[row.name] = row
         for view in self.views:
-            epoch = int(view.me.rpartition("~")[2]) if view.me.rpartition("~")[2].isdigit() else 0
-            if view.name not in found or epoch >= found[view.name].epoch:
-                seen = found.get(view.name, Member(view.name))
-                found[view.name] = msgspec.structs.replace(seen, epoch=epoch, life="alive", zone=view.zone)
-        return found
-
-    def by_name(self) -> dict[str, View]:
+            if view.name not in newest or view.incarnation >= newest[view.name].incarnation:
+                reported = newest.get(view.name, MemberStatus(view.name))
+                newest[view.name] = msgspec.structs.replace(
+                    reported, incarnation=view.incarnation, state=MemberState.ALIVE.value, zone=view.zone
+                )
+        return newest
+
+    def views_by_name(self) -> dict[str, MemberView]:
+        """The views by the name of the member that reports it."""
         return {view.name: view for view in self.views}
 
-    def servers(self) -> dict[str, Server]:
-        """The one with the newest load, its connections in sum over the members asked."""
-        found: dict[str, Server] = {}
-        total: dict[str, int] = {}
+    def endpoints(self) -> dict[str, EndpointStatus]:
+        """Each endpoint with its newest load report, and its connections in sum over the polled members."""
+        newest: dict[str, EndpointStatus] = {}
+        connections: Counter[str] = Counter()
         for view in self.views:
-            for row in view.servers:
-                total[row.name] = total.get(row.name, 0) + row.own
-                known = found.get(row.name)
-                age = 1e9 if row.load_age is None else row.load_age
-                if known is None or age < (1e9 if known.load_age is None else known.load_age):
-                    found[row.name] = row
-        return {name: msgspec.structs.replace(row, own=total[name]) for name, row in found.items()}
-
-    def flows(self) -> dict[str, dict[str, int]]:
-        """Connections of the members asked, in sum from each zone to each zone, the most first."""
-        zones = {name: row.zone for name, row in self.servers().items()}
-        found: dict[str, Counter[str]] = {}
+            for row in view.endpoints:
+                connections[row.name] += row.connections
+                known = newest.get(row.name)
+                if known is None or _load_age(row) < _load_age(known):
+                    newest[row.name] = row
+        return {
+            name: msgspec.structs.replace(row, connections=connections[name]) for name, row in newest.items()
+        }
+
+    def connections_by_zone(self) -> dict[str, dict[str, int]]:
+        """Connections of the polled members: zone of the member, zone of the endpoint, count; most first."""
+        endpoint_zones = {name: row.zone for name, row in self.endpoints().items()}
+        counts: dict[str, Counter[str]] = {}
         for view in self.views:
-            for row in view.servers:
-                if row.own:
-                    found.setdefault(view.zone, Counter())[zones[row.name]] += row.own
-        return {zone: dict(rows.most_common()) for zone, rows in sorted(found.items())}
-
-    def duties(self) -> dict[str, Duty]:
-        """Of each the highest term that anyone knows of."""
-        found: dict[str, Duty] = {}
+            for row in view.endpoints:
+                if row.connections:
+                    counts.setdefault(view.zone, Counter())[endpoint_zones[row.name]] += row.connections
+        return {zone: dict(rows.most_common()) for zone, rows in sorted(counts.items())}
+
+    def leases(self) -> dict[str, LeaseStatus]:
+        """The lease of each role under the highest term that any member knows."""
+        newest: dict[str, LeaseStatus] = {}
         for view in self.views:
-            for row in view.duties:
-                known = found.get(row.duty)
-                if known is None or row.term > known.term or row.here == "holding":
-                    found[row.duty] = row
-        return found
-
-    def addresses(self) -> dict[tuple[str, str], Address]:
+            for row in view.leases:
+                known = newest.get(row.role)
+                if known is None or row.term > known.term or row.local_state == "holding":
+                    newest[row.role] = row
+        return newest
+
+    def addresses(self) -> dict[tuple[str, str], AddressStatus]:
+        """Shared addresses by (address, site)."""
         return {(row.address, row.site): row for view in self.views for row in view.addresses}
 
 
-def view_of(told: dict[str, Any], addresses: list[dict[str, Any]] | None = None) -> View:
-    """From GET /control/fleet. Raises msgspec.ValidationError; keys that it does not know are passed over."""
-    return msgspec.convert({**told, "addresses": addresses or []}, View, strict=False)
+def _newness(row: MemberStatus) -> tuple[int, bool]:
+    return row.incarnation, row.state == MemberState.ALIVE
+
+
+def _load_age(row: EndpointStatus) -> float:
+    return NO_LOAD_AGE if row.load_age is None else row.load_age
+
+
+def decode_view(body: Mapping[str, Any], addresses: list[dict[str, Any]] | None = None) -> MemberView:
+    """Reads the answer of `GET /control/fleet` and rows of `/control/addresses`; unknown keys are ignored.
+
+    Raises:
+        msgspec.ValidationError: a value is missing or of another type.
+    """
+    return msgspec.convert({**body, "addresses": addresses or []}, MemberView, strict=False)
--- a/onyxhollow/topology/snapshot_file.py
+++ b/onyxhollow/topology/snapshot_file.py
@@ -11,32 +11,47 @@
 from onyxhollow.topology.model import MAJOR, Snapshot
 
 MAGIC = b"OXTOPO01"
-LARGEST = 256 << 20  # bytes, unpacked
+MAX_UNPACKED = 256 << 20  # bytes; guards against a frame that unpacks to more than memory
+COMPRESSION_LEVEL = 6
 SUFFIX = ".oxt"
 
 
 class SnapshotError(Exception):
-    """A file that can't be used; one line."""
+    """A file that can't be read or written; one line: where, what was expected, what was found."""
 
 
 def pack(snapshot: Snapshot) -> bytes:
-    return MAGIC + zstandard.ZstdCompressor(level=6).compress(msgspec.msgpack.encode(snapshot))
+    """The content of a snapshot file."""
+    body = msgspec.msgpack.encode(snapshot)
+    return MAGIC + zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(body)
 
 
-def unpack(body: bytes, where: str) -> Snapshot:
-    if body[: len(MAGIC)] != MAGIC:
-        raise SnapshotError(f"{where}: expected a file that begins with {MAGIC.decode()}, got {body[:8]!r}")
+def unpack(content: bytes, place: str) -> Snapshot:
+    """Reads the content of a snapshot file; `place` names it in errors.
+
+    Raises:
+        SnapshotError: not a snapshot, not complete, too large or of another major version.
+    """
+    if content[: len(MAGIC)] != MAGIC:
+        raise SnapshotError(
+            f"{place}: expected a file that begins with {MAGIC.decode()}, got {content[:8]!r}"
+        )
     try:
-        told = zstandard.ZstdDecompressor().decompress(body[len(MAGIC) :], max_output_size=LARGEST)
-        snapshot = msgspec.msgpack.decode(told, type=Snapshot)
+        body = zstandard.ZstdDecompressor().decompress(content[len(MAGIC) :], max_output_size=MAX_UNPACKED)
+        snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except (zstandard.ZstdError, msgspec.DecodeError, MemoryError) as error:
-        raise SnapshotError(f"{where}: expected a whole snapshot, got {str(error)[:120]}") from None
+        raise SnapshotError(f"{place}: expected a whole snapshot, got {str(error)[:120]}") from None
     if snapshot.major != MAJOR:
-        raise SnapshotError(f"{where}: expected version {MAJOR}, got {snapshot.major}")
+        raise SnapshotError(f"{place}: expected version {MAJOR}, got {snapshot.major}")
     return snapshot
 
 
 def read(path: Path) -> Snapshot:
+    """Reads a snapshot file.
+
+    Raises:
+        SnapshotError: it can't be opened, or `unpack` refuses it.
+    """
     try:
         return unpack(path.read_bytes(), str(path))
     except OSError as error:
@@ -44,27 +59,40 @@
 
 
 def save(path: Path, snapshot: Snapshot) -> None:
-    """Whole or not at all."""
-    beside = path.with_name(f"{path.name}.{os.getpid()}.part")
+    """Writes a snapshot file atomically: a reader finds it complete or not at all.
+
+    Raises:
+        SnapshotError: it can't be written.
+    """
+    partial = path.with_name(f"{path.name}.{os.getpid()}.part")
     try:
-        beside.write_bytes(pack(snapshot))
-        beside.replace(path)
+        partial.write_bytes(pack(snapshot))
+        partial.replace(path)
     except OSError as error:
         raise SnapshotError(f"{path}: {error.strerror}") from None
 
 
-def record(folder: Path, snapshot: Snapshot, most: int) -> Path:
-    """Into a ring: past `most` the oldest go."""
+def save_to_ring(folder: Path, snapshot: Snapshot, capacity: int) -> Path:
+    """Adds a file named by the snapshot's time; past `capacity` files the oldest are deleted.
+
+    Raises:
+        SnapshotError: the folder or the file can't be written.
+    """
     try:
         folder.mkdir(parents=True, exist_ok=True)
     except OSError as error:
         raise SnapshotError(f"{folder}: {error.strerror}") from None
-    path = folder / f"{snapshot.at:017.3f}{SUFFIX}"
+    path = folder / f"{snapshot.taken_at:017.3f}{SUFFIX}"
     save(path, snapshot)
-    for old in sorted(folder.glob(f"*{SUFFIX}"))[:-most]:
-        old.unlink(missing_ok=True)
+    for outdated in sorted(folder.glob(f"*{SUFFIX}"))[:-capacity]:
+        outdated.unlink(missing_ok=True)
     return path
 
 
-def ring(folder: Path) -> list[Snapshot]:
+def read_ring(folder: Path) -> list[Snapshot]:
+    """All snapshots of a folder, oldest first.
+
+    Raises:
+        SnapshotError: one of them can't be read.
+    """
     return [read(path) for path in sorted(folder.glob(f"*{SUFFIX}"))]
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -145,14 +145,16 @@
 def picture_told(s):
     """The picture of a fleet as topology draws and checks it."""
     return {
-        "members": {name: (m.epoch, m.life, m.zone, m.votes) for name, m in s.members().items()},
-        "servers": {name: (r.state, r.load, r.load_age, r.own) for name, r in s.servers().items()},
-        "duties": {name: (d.term, d.holder, d.here) for name, d in s.duties().items()},
-        "views": [(v.name, v.zone, v.version, v.service, v.stalled, v.stalled_ago) for v in s.views],
-        "addresses": [(a.address, a.site, a.standing, a.cause) for a in s.addresses().values()],
-        "links": [(k.to, k.asked, k.lost, k.rtt_ms) for v in s.views for k in v.links],
-        "silent": [(one.at, one.why) for one in s.silent],
-        "flows": s.flows(),
+        "members": {name: (m.incarnation, m.state, m.zone, m.is_voter) for name, m in s.members().items()},
+        "servers": {name: (r.state, r.load, r.load_age, r.connections) for name, r in s.endpoints().items()},
+        "duties": {name: (d.term, d.holder, d.local_state) for name, d in s.leases().items()},
+        "views": [
+            (v.name, v.zone, v.version, v.service_phase, v.stalled_seconds, v.stalled_ago) for v in s.views
+        ],
+        "addresses": [(a.address, a.site, a.preference, a.cause) for a in s.addresses().values()],
+        "links": [(k.peer, k.probes, k.loss, k.rtt_ms) for v in s.views for k in v.links],
+        "silent": [(one.target, one.reason) for one in s.unreachable],
+        "flows": s.connections_by_zone(),
     }
 
 
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -10,25 +10,48 @@
 from onyxhollow.lab import runs, scenario
 from onyxhollow.lab.fleet.rig import Rig, text
 from onyxhollow.lab.fleet.sites import Sites
-from onyxhollow.topology import commands, compare, draw, faults, gather, layout, logs, snapshot_file
-from onyxhollow.topology.model import Address, Duty, Link, Member, Server, Snapshot, View
+from onyxhollow.topology import (
+    commands,
+    compare,
+    draw,
+    export,
+    fault_types,
+    gather,
+    layout,
+    logs,
+    snapshot_file,
+)
+from onyxhollow.topology.faults import find_faults
+from onyxhollow.topology.model import (
+    AddressStatus,
+    EndpointStatus,
+    LeaseStatus,
+    LinkStatus,
+    MemberStatus,
+    MemberView,
+    Snapshot,
+)
+from onyxhollow.topology.scene import build_scene
 
 
 def fleet(count, zones=("a", "b"), servers=4, odd=()):
     """Views of members that all see all."""
     names = [*odd, *(f"n{n}" for n in range(count - len(odd)))]
-    rows = [Member(name, 1, "alive", zones[n % len(zones)]) for n, name in enumerate(names)]
-    blocks = [Server(f"s{n}", zones[n % len(zones)], own=1, load=0.3, load_age=1.0) for n in range(servers)]
+    rows = [MemberStatus(name, 1, "alive", zones[n % len(zones)]) for n, name in enumerate(names)]
+    blocks = [
+        EndpointStatus(f"s{n}", zones[n % len(zones)], connections=1, load=0.3, load_age=1.0)
+        for n in range(servers)
+    ]
     views = [
-        View(
+        MemberView(
             f"{row.name}~1",
             row.zone,
             "1",
             "in service",
             members=rows,
-            servers=blocks,
-            links=[Link(other.name, 1, 0.5, 9, 0.0, 1.0) for other in rows if other is not row],
-            duties=[Duty("voters", 3, f"{names[0]}~1", "holding" if n == 0 else "idle")],
+            endpoints=blocks,
+            links=[LinkStatus(other.name, 1, 0.5, 9, 0.0, 1.0) for other in rows if other is not row],
+            leases=[LeaseStatus("voters", 3, f"{names[0]}~1", "holding" if n == 0 else "idle")],
         )
         for n, row in enumerate(rows)
     ]
@@ -40,13 +63,13 @@
     change = msgspec.structs.replace
     views = []
     for view in snapshot.views:
-        rows = [change(row, life=lives.get(row.name, row.life)) for row in view.members]
+        rows = [change(row, state=lives.get(row.name, row.state)) for row in view.members]
         views.append(change(view, members=rows) if view.name in who else view)
     return change(snapshot, views=views)
 
 
 def kinds(snapshot):
-    return [(one.kind, one.who) for one in faults.find(snapshot)]
+    return [(one.kind, one.subjects) for one in find_faults(snapshot)]
 
 
 def test_a_well_fleet_has_no_trouble_and_each_trouble_is_named_once():
@@ -57,30 +80,30 @@
     assert kinds(halves) == [("cut", ("n1", "n3", "n5"))]
     five = msgspec.structs.replace(well, views=[view for view in well.views if view.name != "n3"])
     assert kinds(seen(five, ("n0", "n1", "n2", "n4", "n5"), n3="dead")) == [("gone", ("n3",))]
-    deaf = [Link("n0", 1, 30.0, 9, 1.0, 0.0)]
+    deaf = [LinkStatus("n0", 1, 30.0, 9, 1.0, 0.0)]
     rest = [msgspec.structs.replace(view, links=deaf) if view.name == "n1" else view for view in well.views]
     assert kinds(msgspec.structs.replace(well, views=rest)) == [("one-way", ("n0", "n1"))]
     asleep = [
-        msgspec.structs.replace(view, stalled=3.0, stalled_ago=1.0) if view.name == "n2" else view
+        msgspec.structs.replace(view, stalled_seconds=3.0, stalled_ago=1.0) if view.name == "n2" else view
         for view in well.views
     ]
     assert kinds(msgspec.structs.replace(well, views=asleep)) == [("stalled", ("n2",))]
-    free = [Duty("voters", 3, "n0~1", "idle")]
-    unheld = [msgspec.structs.replace(view, duties=free) for view in well.views]
+    free = [LeaseStatus("voters", 3, "n0~1", "idle")]
+    unheld = [msgspec.structs.replace(view, leases=free) for view in well.views]
     assert kinds(msgspec.structs.replace(well, views=unheld)) == [("no holder", ("voters",))]
     away = [
-        msgspec.structs.replace(view, service="leaving" if view.zone == "b" else "in service")
+        msgspec.structs.replace(view, service_phase="leaving" if view.zone == "b" else "in service")
         for view in well.views
     ]
     assert kinds(msgspec.structs.replace(well, views=away)) == [("zone draining", ("b",))]
     two = [msgspec.structs.replace(view, version="2") if view.name == "n0" else view for view in well.views]
     assert kinds(msgspec.structs.replace(well, views=two)) == [("versions", ("1", "2"))]
     out = [
-        msgspec.structs.replace(view, addresses=[Address("x", "a", "withdrawn", "health")])
+        msgspec.structs.replace(view, addresses=[AddressStatus("x", "a", "withdrawn", "health")])
         for view in well.views[:1]
     ] + well.views[1:]
     assert kinds(msgspec.structs.replace(well, views=out)) == [("withdrawn", ("x", "a"))]
-    out[0] = msgspec.structs.replace(out[0], addresses=[Address("x", "a", "unknown", reached=False)])
+    out[0] = msgspec.structs.replace(out[0], addresses=[AddressStatus("x", "a", "unknown", reachable=False)])
     assert kinds(msgspec.structs.replace(well, views=out)) == []
 
 
@@ -94,14 +117,14 @@
             a, b = f"n{n}", f"n{(n + far) % 80}"
             goes = (zones[a], zones[b]) not in cut and b != deaf
             back = goes and (zones[b], zones[a]) not in cut and a != deaf
-            heard[a, b] = Link(b, 1, 5.0 if back else 500.0, 4, 0.2, 1.0, 5.0)
+            heard[a, b] = LinkStatus(b, 1, 5.0 if back else 500.0, 4, 0.2, 1.0, 5.0)
             if goes:
-                heard[b, a] = heard.get((b, a), Link(a, 1, 5.0, 4, 0.2, 1.0, 500.0))
-    rows = [Member(name, 1, "alive", zone) for name, zone in zones.items()]
+                heard[b, a] = heard.get((b, a), LinkStatus(a, 1, 5.0, 4, 0.2, 1.0, 500.0))
+    rows = [MemberStatus(name, 1, "alive", zone) for name, zone in zones.items()]
     views = []
     for name, zone in zones.items():
         links = [link for (a, _), link in heard.items() if a == name]
-        views.append(View(f"{name}~1", zone, "1", "in service", members=rows, links=links))
+        views.append(MemberView(f"{name}~1", zone, "1", "in service", members=rows, links=links))
     return Snapshot(1000.0, views)
 
 
@@ -115,9 +138,9 @@
 
 def test_connections_are_told_in_sum_from_zone_to_zone():
     well = fleet(6, servers=4)
-    assert well.flows() == {"a": {"a": 6, "b": 6}, "b": {"a": 6, "b": 6}}
+    assert well.connections_by_zone() == {"a": {"a": 6, "b": 6}, "b": {"a": 6, "b": 6}}
     assert "connections to a 6, b 6" in draw.svg(well)
-    assert msgspec.json.decode(draw.as_json(well))["connections"]["a"]["b"] == 6
+    assert msgspec.json.decode(export.as_json(well))["connections"]["a"]["b"] == 6
 
 
 def lines(path, *rows):
@@ -158,9 +181,9 @@
         log.write(b'{"t": 4, "half\n[]\nnothing\n')
     paths = sorted(tmp_path.glob("*.log"))
     early = logs.read(paths, until=5.0)
-    assert kinds(early) == [("stalled", ("n1",))] and early.duties()["ledger"].holder == "n0~11"
+    assert kinds(early) == [("stalled", ("n1",))] and early.leases()["ledger"].holder == "n0~11"
     assert {name: row.zone for name, row in early.members().items()} == {"n0": "a", "n1": "b"}
-    assert early.servers()["s0"].load == 0.4 and early.servers()["s1"].state == "draining"
+    assert early.endpoints()["s0"].load == 0.4 and early.endpoints()["s1"].state == "draining"
     late = logs.read(paths)
     assert [view.name for view in late.views] == ["n0"] and ("gone", ("n1",)) in kinds(late)
     out = tmp_path / "fleet.svg"
@@ -177,9 +200,9 @@
     path = tmp_path / "run.oxt"
     assert runs.text(runs.play(day, 1, "module", picture=(path, 3.0))) == plain
     held = snapshot_file.read(path)
-    assert held.at == 3.0 and kinds(held) == []
-    assert (len(held.views), len(held.servers())) == (day.fleet.proxies, day.fleet.servers)
-    assert sum(sum(row.values()) for row in held.flows().values()) > 0
+    assert held.taken_at == 3.0 and kinds(held) == []
+    assert (len(held.views), len(held.endpoints())) == (day.fleet.proxies, day.fleet.servers)
+    assert sum(sum(row.values()) for row in held.connections_by_zone().values()) > 0
     assert commands.main(["draw", "--from", str(path), "-o", str(tmp_path / "run.html")]) == 0
     with pytest.raises(runs.RunError, match="--picture"):
         runs.play(day, 1, "two-choices", picture=(path, 3.0))
@@ -197,8 +220,8 @@
     assert "<script>alert" not in made + page and "\u202e" not in made + page and "\x1b" not in made + page
     assert "http://" not in page.replace("http://www.w3.org/2000/svg", "") and "https://" not in page
     assert len(page) < 300_000 + 1500 * count
-    assert draw.dot(snapshot).startswith("digraph")
-    assert msgspec.json.decode(draw.as_json(snapshot))["troubles"] == []
+    assert export.dot(snapshot).startswith("digraph")
+    assert msgspec.json.decode(export.as_json(snapshot))["troubles"] == []
     again = snapshot_file.unpack(snapshot_file.pack(snapshot), "here")
     assert again == snapshot and draw.svg(again) == made
 
@@ -206,8 +229,8 @@
 def test_one_more_member_moves_little_and_the_same_fleet_looks_the_same():
     shifts = []
     for count in range(290, 310):
-        before, after = draw.scene(fleet(count, zones="abcd")), draw.scene(fleet(count + 1, zones="abcd"))
-        shifts.append(layout.shift(before["spots"], after["spots"], before["width"]))
+        before, after = build_scene(fleet(count, zones="abcd")), build_scene(fleet(count + 1, zones="abcd"))
+        shifts.append(layout.moved_share(before.positions, after.positions, before.width))
     assert sorted(shifts)[len(shifts) // 2] < 0.02 and max(shifts) < 0.05
 
 
@@ -221,8 +244,8 @@
     with pytest.raises(snapshot_file.SnapshotError, match="expected version 1, got 2"):
         snapshot_file.unpack(snapshot_file.pack(newer), "file")
     for number in range(7):
-        snapshot_file.record(tmp_path, msgspec.structs.replace(fleet(2), at=1000.0 + number), 4)
-    assert [one.at for one in snapshot_file.ring(tmp_path)] == [1003.0, 1004.0, 1005.0, 1006.0]
+        snapshot_file.save_to_ring(tmp_path, msgspec.structs.replace(fleet(2), taken_at=1000.0 + number), 4)
+    assert [one.taken_at for one in snapshot_file.read_ring(tmp_path)] == [1003.0, 1004.0, 1005.0, 1006.0]
     assert commands.main(["replay", str(tmp_path), "-o", str(tmp_path / "course.html")]) == 0
     assert (tmp_path / "course.html").read_text().count("<svg") == 4
 
@@ -232,7 +255,9 @@
     after = seen(fleet(5), ("n0",), n1="suspect")
     found = compare.differences(before, after)
     assert "came: member n4 in a" in found and compare.differences(before, before) == []
-    moved = [msgspec.structs.replace(view, duties=[Duty("voters", 4, "n1~1")]) for view in before.views]
+    moved = [
+        msgspec.structs.replace(view, leases=[LeaseStatus("voters", 4, "n1~1")]) for view in before.views
+    ]
     assert compare.differences(before, msgspec.structs.replace(before, views=moved)) == [
         "duty voters: n0, now n1, term 4"
     ]
@@ -275,9 +300,9 @@
     ],
 )
 def test_a_member_that_answers_rubbish_slowly_or_nothing_is_drawn_as_silent(answer, monkeypatch):
-    monkeypatch.setattr(gather, "PATIENCE", 1.0)
+    monkeypatch.setattr(gather, "POLL_TIMEOUT", 1.0)
     found = gather.gather([liar(answer)])
-    assert not found.views and len(found.silent) == 1 and kinds(found) == []
+    assert not found.views and len(found.unreachable) == 1 and kinds(found) == []
     xml.dom.minidom.parseString(draw.svg(found).encode())
 
 
@@ -320,18 +345,18 @@
         while worker.is_alive():
             rig.turn()
         found[:] = [result[0]]
-        kept = [one for one in faults.find(result[0]) if one.kind != "silent"]
-        return sorted((one.kind, one.who) for one in kept) == sorted(wanted)
+        kept = [one for one in find_faults(result[0]) if one.kind != "silent"]
+        return sorted((one.kind, one.subjects) for one in kept) == sorted(wanted)
 
     try:
         rig.wait(named, within, f"named {wanted}")
     except Exception as error:
-        raise AssertionError(f"{error}; {[one.words for one in faults.find(found[0])]}") from None
+        raise AssertionError(f"{error}; {[one.description for one in find_faults(found[0])]}") from None
     return found[0]
 
 
 def test_each_trouble_of_real_processes_is_named_and_no_other(tmp_path, monkeypatch):
-    monkeypatch.setattr(faults, "STALLED_LATELY", 6.0)
+    monkeypatch.setattr(fault_types, "STALL_MEMORY", 6.0)
     with Rig(tmp_path / "rig", members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
         rig.start()
         rig.wait_members()
@@ -409,4 +434,4 @@
         rig.ask(keeper, "/release?name=addresses", "POST")
         rig.wait_holder("addresses", other_than=keeper, within=40)
         found = look(rig, [("gone", tuple(one for one in [name])) for name in sorted((holder, other))], 30)
-        assert "announcer/b" in found.duties()
+        assert "announcer/b" in found.leases()
