--- a/onyxhollow/fleet/gate.py
+++ b/onyxhollow/fleet/gate.py
@@ -55,8 +55,9 @@
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.loop import Loop
 from onyxhollow.management.api import PLAIN, Answer, Management
-from onyxhollow.wire.buffers import LONGEST_LINE, BufferPool
-from onyxhollow.wire.channel import Channel, ListenError
+from onyxhollow.wire.buffers import MAX_LINE_SIZE, BufferPool
+from onyxhollow.wire.channel import Channel
+from onyxhollow.wire.listening import ListenError
 
 TAKES = 3.0  # seconds for the daemon to answer a command
 AGAIN = 0.3  # seconds until its socket is tried again
@@ -260,7 +261,7 @@
         """One command at a time; each is taken or failed before the next."""
         while True:
             try:
-                self.channel = Channel.dial(
+                self.channel = Channel.connect(
                     self.loop, read_address(self.told.speaker, ""), self.pool, self.wake
                 )
                 until = self.loop.now + TAKES
@@ -290,17 +291,17 @@
             due = [name for name, standing in self.table.stands.items() if self.taken[name] is not standing]
             due.sort(key=lambda name: -self.table.stands[name])
             if not due:
-                channel.inbox.rest()  # nothing is owed: what comes says only that it lives
-                channel.settle(False)
+                channel.inbox.take_rest()  # nothing is owed: what comes says only that it lives
+                channel.set_paused(False)
                 yield self.loop.now + 1.0
                 continue
             name, standing = due[0], self.table.stands[due[0]]
             command = self.table.command(name)
             channel.write(command.encode() + b"\n")
             got, until = b"", self.loop.now + TAKES
-            while b"\n" not in got and len(got) < LONGEST_LINE:  # ends with a bare LF, as its API does
-                got += channel.inbox.rest()
-                channel.settle(False)
+            while b"\n" not in got and len(got) < MAX_LINE_SIZE:  # ends with a bare LF, as its API does
+                got += channel.inbox.take_rest()
+                channel.set_paused(False)
                 if b"\n" not in got:
                     if self.loop.now >= until or channel.ended:
                         break
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,8 +16,9 @@
 from conftest import CALLS, Toy
 
 from onyxhollow.interface import DeduplicationScope, Idempotency
-from onyxhollow.lifecycle.proxy import OWN, Proxy
-from onyxhollow.wire import discovery, sessions
+from onyxhollow.lifecycle.accepting import ClientAcceptor
+from onyxhollow.lifecycle.limits import OWN_DESCRIPTORS
+from onyxhollow.wire import discovery_connection, first_line, session_registry
 from onyxhollow.wire.channel import Channel
 
 PATIENT = replace(CALLS, handshake_objective=4.0, attempt_timeout=4.0)
@@ -49,7 +50,7 @@
     def make(servers="ab", listeners=None, **changes):
         proxy = loopback(servers, known=False, listeners=listeners or {"calls": PATIENT}, **changes)
         proxy.toys[servers[0]] = LateToy()
-        proxy.proxy.sessions.servers.connect_time = 3.0
+        proxy.proxy.sessions.attempts.connect_timeout = 3.0
         body = json.dumps({"seq": 8, "whole": True, "hosts": [proxy.row(servers[0])]}).encode()
         proxy.answer_list(body)
         proxy.until(lambda: proxy.proxy.discovery.version == 8)
@@ -119,14 +120,14 @@
     # Its end stood unread in the system's buffer, and the line went out after it.
     proxy = loopback()
     client = proxy.open()
-    begun = Channel.dial.__func__
+    begun = Channel.connect.__func__
 
     def leave_then_dial(cls, *values):
         if values[1][1] == proxy.toys["a"].port:
             client.sock.close()
         return begun(cls, *values)
 
-    monkeypatch.setattr(Channel, "dial", classmethod(leave_then_dial))
+    monkeypatch.setattr(Channel, "connect", classmethod(leave_then_dial))
     proxy.until(lambda: proxy.counts["clients gone before an answer"] == 1)
     assert proxy.counts["dials"] == 1 and not proxy.counts["dials written whole"]
     proxy.until(lambda: proxy.toys["a"].accept())
@@ -190,7 +191,7 @@
     left = time.monotonic()
     if how == "half-close":  # it was closed with no answer: read, it was owed one
         proxy.until(lambda: client.read() == REFUSED and client.end)
-    proxy.until(lambda: not proxy.proxy.sessions.taken)
+    proxy.until(lambda: not proxy.proxy.sessions.active_count)
     assert time.monotonic() - left < 0.1
     proxy.answer_list(json.dumps({"seq": 8, "whole": True, "hosts": [proxy.row("a")]}).encode())
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
@@ -204,8 +205,8 @@
 @pytest.mark.parametrize("said", [b"", b"PING\r\n"])
 def test_a_request_that_crosses_the_end_of_a_resting_connection_finds_its_answer(loopback, monkeypatch, said):
     # Read after the end of sending it could not be answered any more, and the connection was closed.
-    monkeypatch.setattr(sessions, "FIRST_LINE", 0.2)
-    monkeypatch.setattr(sessions, "FRONT_LINE", 0.2)
+    monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT", 0.2)
+    monkeypatch.setattr(first_line, "FRONT_LINE_TIMEOUT", 0.2)
     proxy = loopback()
     client = proxy.client(said)
     ends = Channel.finish
@@ -221,7 +222,7 @@
 
 
 def test_a_request_that_comes_as_its_resting_connection_is_to_be_ended_is_served(loopback, monkeypatch):
-    monkeypatch.setattr(sessions, "FIRST_LINE", 0.2)
+    monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT", 0.2)
     proxy = loopback()
     client = proxy.client()
     proxy.until(lambda: proxy.proxy.sessions.table.live)
@@ -250,8 +251,8 @@
 
 
 def test_a_request_that_crosses_an_eviction_for_room_finds_its_answer(loopback, monkeypatch):
-    monkeypatch.setattr(sessions, "YOUNG", 0.0)
-    proxy = loopback(sockets=OWN + 10)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
+    proxy = loopback(sockets=OWN_DESCRIPTORS + 10)
     first = proxy.client(b"PING\r\n")
     proxy.until(lambda: first.read() == b"PONG\r\n")
     shut = Channel.close
@@ -270,21 +271,21 @@
 
 
 def test_a_last_answer_that_its_client_reads_slowly_is_not_given_up_for_room(loopback, monkeypatch):
-    monkeypatch.setattr(sessions, "LAST_WORD", 0.0)
-    proxy = loopback(sockets=OWN + 16)
+    monkeypatch.setattr(session_registry, "CLOSING_GRACE", 0.0)
+    proxy = loopback(sockets=OWN_DESCRIPTORS + 16)
     client, server = proxy.standing()
     (live,) = proxy.proxy.sessions.table.live
     live.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     line = b"m" + b"x" * 4000 + b"\r\n"
     server.sock.settimeout(0.01)
-    while not live.client.out:
+    while not live.client.outgoing:
         try:
             server.sock.sendall(line)
         except TimeoutError:
             proxy.idle(0.01)
-    live.handle.decisions.move(live.handle)
-    proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.leaving)
-    monkeypatch.setattr(sessions, "YOUNG", 0.0)
+    live.handle.decisions.migrate(live.handle)
+    proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.closing)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
     others = [proxy.client(b"PING\r\n") for _ in range(40)]
     proxy.until(lambda: sum(bool(peer.read() and peer.end) for peer in others) > 20)
     proxy.until(lambda: client.read().endswith(b"MOVE\r\n") and client.end == "closed")
@@ -296,31 +297,31 @@
 def test_all_that_stands_in_the_listeners_queue_at_the_stop_is_answered(loopback, monkeypatch):
     # One bounded accept was made before it was closed; the system reset the rest.
     proxy = loopback(sockets=1000, known=False)
-    clients, ends = [], Proxy.stop_listening
+    clients, ends = [], ClientAcceptor.stop_listening
 
     def rush(inner, *values):
         clients.extend(proxy.open() for _ in range(200))
         return ends(inner, *values)
 
-    monkeypatch.setattr(Proxy, "stop_listening", rush)
-    proxy.proxy.stop_span = 0.9
-    proxy.proxy.loop.spawn(proxy.proxy.stop())
+    monkeypatch.setattr(ClientAcceptor, "stop_listening", rush)
+    proxy.proxy.shutdown.stop_time = 0.9
+    proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: not proxy.proxy.loop.running, within=4)
     assert [client.read() for client in clients] == [REFUSED] * 200
 
 
 def test_a_queue_that_no_descriptor_is_left_for_is_answered_by_the_end_of_the_stop(loopback, monkeypatch):
-    monkeypatch.setattr(sessions, "YOUNG", 0.0)
-    proxy = loopback(sockets=OWN + 100, known=False)
-    clients, ends = [], Proxy.stop_listening
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
+    proxy = loopback(sockets=OWN_DESCRIPTORS + 100, known=False)
+    clients, ends = [], ClientAcceptor.stop_listening
 
     def rush(inner, *values):
         clients.extend(proxy.open(wait=300) for _ in range(150))
         return ends(inner, *values)
 
-    monkeypatch.setattr(Proxy, "stop_listening", rush)
-    proxy.proxy.stop_span = 2.5
-    proxy.proxy.loop.spawn(proxy.proxy.stop())
+    monkeypatch.setattr(ClientAcceptor, "stop_listening", rush)
+    proxy.proxy.shutdown.stop_time = 2.5
+    proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: not proxy.proxy.loop.running, within=5)
     assert proxy.counts["accepts put off for want of room"]
     assert [client.read() for client in clients] == [REFUSED] * 150
@@ -374,7 +375,7 @@
 
 def test_a_connection_to_the_list_that_never_comes_up_is_followed_by_another(loopback, monkeypatch):
     # It was waited for as long as the watch that it was made for.
-    monkeypatch.setattr(discovery, "CONNECTED_WITHIN", 0.3, raising=False)
+    monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT", 0.3)
     proxy = loopback(max_poll_interval=20.0)
     proxy.list = LateToy()
     proxy.reload_to(proxy.list)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -5,6 +5,7 @@
 import socket
 import time
 from dataclasses import replace
+from functools import partial
 from types import SimpleNamespace
 
 import orjson
@@ -16,15 +17,18 @@
 from onyxhollow.__main__ import main
 from onyxhollow.counters import Counters
 from onyxhollow.interface import EndpointListKind, Idempotency
+from onyxhollow.lifecycle import draining, replacement, shutdown
 from onyxhollow.lifecycle import handover as handovers
-from onyxhollow.lifecycle import proxy as proxies
 from onyxhollow.lifecycle.config import ConfigError, decode, needs_restart, read_config
 from onyxhollow.lifecycle.handover import Handover, StateError, decode_state, encode_state, given_socket
 from onyxhollow.management import metrics
 from onyxhollow.state_snapshot import avoided, describe, take_back
-from onyxhollow.wire import sessions
-from onyxhollow.wire.channel import ListenError
-from onyxhollow.wire.passing import Receiver
+from onyxhollow.wire.client_session import accept_handoff
+from onyxhollow.wire.connection_handoff import ConnectionHandoff
+from onyxhollow.wire.established_connection import EstablishedConnection
+from onyxhollow.wire.handoff_channel import HandoffReceiver
+from onyxhollow.wire.listening import ListenError
+from onyxhollow.wire.session_registry import SessionRegistry
 
 OPERATORS = ("127.0.0.1", 0)
 BOTH = {"calls": CALLS, "once": replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)}
@@ -84,8 +88,11 @@
     crowd = [proxy.operator(READY) for _ in range(200)]
     caller = proxy.operator(READY + END)
     proxy.until(lambda: caller.read(), within=1.0)
-    assert b" 200 " in caller.got and proxy.proxy.management.pool.open <= proxy.proxy.management.most
-    assert not proxy.proxy.pool.open  # none of it is counted among the sessions' connections
+    assert (
+        b" 200 " in caller.got
+        and proxy.proxy.management.pool.open_connections <= proxy.proxy.management.max_connections
+    )
+    assert not proxy.proxy.pool.open_connections  # none of it is counted among the sessions' connections
     proxy.until(lambda: sum(bool(peer.read() == b"" and peer.end) for peer in crowd) >= 150)
 
 
@@ -96,8 +103,8 @@
     left.sock.shutdown(socket.SHUT_WR)
     proxy.until(lambda: whole.read() and whole.end and not left.read() and left.end)
     assert b" 200 " in whole.got and not half.end
-    (caller,) = proxy.proxy.management.callers
-    caller.came -= 5.0
+    (caller,) = proxy.proxy.management.pending
+    caller.accepted_at -= 5.0
     proxy.proxy.management.sweeper.wake()
     proxy.until(lambda: not half.read() and half.end)
 
@@ -111,7 +118,7 @@
 
 
 def test_operators_are_served_in_the_middle_of_a_long_turn(served, monkeypatch):
-    monkeypatch.setattr(loops, "SOON", 0.0)
+    monkeypatch.setattr(loops, "URGENT_INTERVAL", 0.0)
     proxy, order = served(), []
     loop = proxy.proxy.loop
     caller = proxy.operator(READY + END)
@@ -179,8 +186,8 @@
 
 
 def test_clients_are_sent_away_between_lines_and_what_still_comes_is_served(served, monkeypatch):
-    monkeypatch.setattr(proxies, "AWAY_FROM", 0.1)
-    monkeypatch.setattr(proxies, "AWAY_SPAN", 0.8)
+    monkeypatch.setattr(draining, "DRAIN_DELAY", 0.1)
+    monkeypatch.setattr(draining, "DRAIN_TIME", 0.8)
     proxy = served()
     front = proxy.client(b"PING\r\n")
     proxy.until(lambda: front.read() == b"PONG\r\n")
@@ -191,7 +198,7 @@
     assert proxy.ask("ready")[0] == 503
     late, _ = proxy.standing()
     dialling = proxy.open()
-    proxy.proxy.reload()  # does not bring it back
+    proxy.proxy.reloader.reload()  # does not bring it back
     assert proxy.ask("ready")[0] == 503
     for client, _ in [*standing, (late, None)]:
         proxy.until(lambda client=client: client.read() == b"MOVE\r\n" and client.end == "closed", within=1.2)
@@ -207,7 +214,7 @@
 
 
 def test_taken_back_half_way_those_not_moved_yet_stay(served, monkeypatch):
-    monkeypatch.setattr(proxies, "AWAY_FROM", 0.05)
+    monkeypatch.setattr(draining, "DRAIN_DELAY", 0.05)
     proxy = served()
     clients = [proxy.standing()[0] for _ in range(12)]
     proxy.ask("out-of-service", "POST")
@@ -305,20 +312,22 @@
     first, other = proxy.first_dial()
     settings = replace(proxy.config.settings, listeners={"once": BOTH["once"]}, max_attempts=1)
     proxy.config = replace(proxy.config, settings=settings)
-    proxy.proxy.reload()
+    proxy.proxy.reloader.reload()
     first.say(b"ERR\r\n")
     proxy.until(lambda: other.asked()).say(b"UP r\r\n")  # its second dial, which new ones no longer have
     proxy.until(lambda: dialling.read() == b"UP r\r\n")
     on_its_way = proxy.open("calls")
-    proxy.until(lambda: proxy.proxy.sessions.taken == 2)
+    proxy.until(lambda: proxy.proxy.sessions.active_count == 2)
     for live in proxy.proxy.sessions.table.live:
         assert live.handle.sess.listener is CALLS
-    monkeypatch.setattr(sessions.Sessions, "listener", lambda self, name: self.listeners.get(name))
+    monkeypatch.setattr(
+        SessionRegistry, "find_listener", lambda self, name: self.settings.listeners.get(name)
+    )
     too_late = proxy.open("calls")
     proxy.until(lambda: too_late.read() == b"ERR\r\n")
     assert not on_its_way.read() and read_figures(proxy.ask("counters")[1])["lb_success_total", "calls"] == 1
-    proxy.proxy.read_again = lambda: read_config("/nowhere")
-    proxy.proxy.reload()
+    proxy.proxy.reloader.reread_config = lambda: read_config("/nowhere")
+    proxy.proxy.reloader.reload()
     told = read_figures(proxy.ask("counters")[1])
     assert (told["lb_reconfig_ok_total", None], told["lb_reconfig_failed_total", None]) == (1, 1)
 
@@ -409,7 +418,7 @@
     accepted = overlap.taken_by(new)
     front.say(b"PING\r\n")
     overlap.until(lambda: front.read() == b"PONG\r\nPONG\r\n")  # never a no meanwhile
-    old.proxy.loop.spawn(old.proxy.stop())
+    old.proxy.loop.spawn(old.proxy.shutdown.run())
     front.say(b"PING\r\n")
     overlap.until(lambda: front.read() == b"PONG\r\n" * 3 and front.end == "closed")  # after the answer
     overlap.until(lambda: not old.proxy.loop.running)
@@ -436,15 +445,20 @@
 
 
 def test_a_third_process_or_a_folder_that_cant_be_used_hands_nothing_over(overlap, tmp_path, monkeypatch):
-    monkeypatch.setattr(handovers, "BEGIN_WITHIN", 0.05)
+    monkeypatch.setattr(handovers, "LOCK_TIMEOUT", 0.05)
     old, new = overlap.start(), overlap.start()
     third = Handover(str(tmp_path))
     assert not old.proxy.handover.follows and new.proxy.handover.follows
-    assert third.alone and not third.follows and not third.heard() and not third.move_up()
+    assert (
+        third.has_no_role
+        and not third.follows
+        and not third.successor_announcement()
+        and not third.take_over()
+    )
     with pytest.raises(OSError):
         Handover(str(tmp_path / "nowhere"))
     (tmp_path / "onyxhollow-successor").write_bytes(b'{"version": 1, "state"')
-    assert old.proxy.handover.heard() == {}
+    assert old.proxy.handover.successor_announcement() == {}
 
 
 def test_a_descriptor_that_is_no_listening_socket_is_refused(tmp_path):
@@ -467,7 +481,7 @@
     unread = Peer(socket.create_connection(overlap.socket.getsockname()))
     overlap.until(lambda: old.counts["connections accepted"] == 42)
     new = replaced(overlap)
-    old.proxy.loop.spawn(old.proxy.stop())
+    old.proxy.loop.spawn(old.proxy.shutdown.run())
     overlap.until(lambda: new.counts["connections taken over"] == 40)
     later.say(b"UP r2\r\n")
     overlap.until(lambda: waiting.read() == b"UP r2\r\n" and new.counts["connections taken over"] == 41)
@@ -491,7 +505,7 @@
     assert new.counts["dials"] == 0  # nothing was dialled anew
     told = read_figures(new.ask("counters")[1])
     assert (told["lb_inflight", None], told["lb_success_total", "calls"]) == (42, 0)
-    new.proxy.loop.spawn(new.proxy.stop())  # and from it, moved, as there is no successor
+    new.proxy.loop.spawn(new.proxy.shutdown.run())  # and from it, moved, as there is no successor
     overlap.until(lambda: all(c.read().endswith(b"MOVE\r\n") and c.end for c, _ in pairs), within=3.5)
 
 
@@ -501,14 +515,16 @@
     clients = [old.standing()[0] for _ in range(3)]
     new = replaced(overlap)
     if fails == "refuses":
-        monkeypatch.setattr(sessions, "read_carried", lambda _: 1 / 0)
+        monkeypatch.setattr(ConnectionHandoff, "decode", lambda _: 1 / 0)
     elif fails == "dies":
         new.proxy.loop.running = False
         overlap.running.remove(new)  # never turned again: it has the messages, and answers none
-        monkeypatch.setattr(proxies, "STOP_MARGIN", 2.6)
+        monkeypatch.setattr(shutdown, "STOP_MARGIN", 2.6)
     else:
-        monkeypatch.setattr(proxies.Handover, "heard", lambda _: {"state": "taking", "path": "/nowhere"})
-    old.proxy.loop.spawn(old.proxy.stop())
+        monkeypatch.setattr(
+            Handover, "successor_announcement", lambda _: {"state": "taking", "path": "/nowhere"}
+        )
+    old.proxy.loop.spawn(old.proxy.shutdown.run())
     overlap.until(lambda: all(c.read() == b"MOVE\r\n" and c.end == "closed" for c in clients), within=3.5)
     assert not old.counts["connections passed on"]
 
@@ -530,18 +546,19 @@
     client, _ = proxy.standing()
     (live,) = proxy.proxy.sessions.table.live
     sent = []
-    list(live.pass_on(live.handle, SimpleNamespace(send=lambda record, *_: sent.append(record)), 0.0))
+    sender = SimpleNamespace(send=lambda record, *_: sent.append(record))
+    list(EstablishedConnection(live, live.forwarder, 0.0).hand_off(sender))
     record = orjson.loads(orjson.dumps({"version": 1, "number": 7, **sent[0]}))
     record["line"] = record["line"].replace("OPEN 9b1f1", "OPEN 9b1f2")
-    receiver = Receiver.__new__(Receiver)
-    receiver.loop, receiver.take = proxy.proxy.loop, proxy.proxy.sessions.receive
+    receiver = HandoffReceiver.__new__(HandoffReceiver)
+    receiver.loop, receiver.take = proxy.proxy.loop, partial(accept_handoff, proxy.proxy.sessions)
     text = json.dumps({**record, **change}).encode()
     for message in (text, json.dumps(record).encode()[:-9], b""):
         ends = socket.socketpair()
-        assert receiver.taken(message, [end.detach() for end in ends]).endswith(b" refused")
+        assert receiver.answer_for(message, [end.detach() for end in ends]).endswith(b" refused")
     assert len(proxy.proxy.sessions.table) == 1 and not client.end
     ends = socket.socketpair(), socket.socketpair()
-    assert receiver.taken(json.dumps(record).encode(), [pair[0].detach() for pair in ends]) == b"7 taken"
+    assert receiver.answer_for(json.dumps(record).encode(), [pair[0].detach() for pair in ends]) == b"7 taken"
 
 
 def test_a_hand_over_file_is_used_whole_or_not_at_all():
@@ -592,7 +609,7 @@
 
 
 def test_a_successor_that_hears_no_list_goes_on_from_the_old_ones_and_takes_clients(overlap, monkeypatch):
-    monkeypatch.setattr(proxies, "LIST_HEARD", 0.4)
+    monkeypatch.setattr(replacement, "LIST_TIMEOUT", 0.4)
     old = overlap.start()
     rows = [old.row("a"), old.row("a", "leaving") | {"host": "b"}]
     whole = {"seq": 41, "whole": True, "hosts": rows}
@@ -625,14 +642,14 @@
 
 
 def test_a_client_that_reads_nothing_is_not_held_past_the_time_for_sending_away(served, monkeypatch):
-    monkeypatch.setattr(proxies, "AWAY_FROM", 0.05)
-    monkeypatch.setattr(proxies, "AWAY_SPAN", 0.5)
-    monkeypatch.setattr(proxies, "AWAY_HELD", 0.1)
+    monkeypatch.setattr(draining, "DRAIN_DELAY", 0.05)
+    monkeypatch.setattr(draining, "DRAIN_TIME", 0.5)
+    monkeypatch.setattr(draining, "CLOSING_TIME", 0.1)
     proxy = served()
     client, server = proxy.standing()
     (live,) = proxy.proxy.sessions.table.live
     live.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    while not live.client.out:
+    while not live.client.outgoing:
         server.say(b"x" * 1000 + b"\r\n")
         proxy.proxy.loop.turn(0.001)
     proxy.ask("out-of-service", "POST")
@@ -646,7 +663,7 @@
     new = replaced(overlap)
     for _ in range(4):
         overlap.taken_by(new)
-    old.proxy.loop.spawn(old.proxy.stop())
+    old.proxy.loop.spawn(old.proxy.shutdown.run())
     overlap.until(lambda: new.counts["connections taken over"] == 1 or client.read() == b"MOVE\r\n")
     overlap.until(lambda: not old.proxy.loop.running)
 
@@ -655,7 +672,7 @@
     old = overlap.start()
     new = replaced(overlap)
     overlap.taken_by(new)
-    new.proxy.loop.spawn(new.proxy.stop())
+    new.proxy.loop.spawn(new.proxy.shutdown.run())
     overlap.until(lambda: not old.proxy.service.replaced, within=0.4)
     assert new.proxy.loop.running
     overlap.until(lambda: not new.proxy.loop.running)
@@ -665,11 +682,11 @@
 def test_a_stop_while_clients_are_sent_away_ends_as_usual_and_figures_go_on(served):
     proxy = served()
     clients = [proxy.standing()[0] for _ in range(5)]
-    proxy.proxy.stop_span = 0.9
+    proxy.proxy.shutdown.stop_time = 0.9
     proxy.ask("out-of-service", "POST")
-    proxy.proxy.loop.spawn(proxy.proxy.stop())
+    proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: proxy.proxy.service.stopping)
     assert proxy.ask("in-service", "POST")[0] == proxy.ask("ready")[0] == 503
     assert read_figures(proxy.ask("counters")[1])["lb_inflight", None] == 5
     proxy.until(lambda: not proxy.proxy.loop.running, within=2.5)
-    assert all(client.read() == b"MOVE\r\n" for client in clients) and not proxy.proxy.sessions.taken
+    assert all(client.read() == b"MOVE\r\n" for client in clients) and not proxy.proxy.sessions.active_count
