--- a/onyxhollow/simulator_adapter/__init__.py
+++ b/onyxhollow/simulator_adapter/__init__.py
@@ -1,1 +1,4 @@
-"""Speaks the bench's wire: decodes events into calls on the decision module, encodes what it asks."""
+"""The decisions on the operators' simulator: its messages become calls, their requests become messages.
+
+`wire` decodes and checks values, `instance` is one simulated proxy, `adapter` the conversation.
+"""
--- a/onyxhollow/simulator_adapter/__main__.py
+++ b/onyxhollow/simulator_adapter/__main__.py
@@ -1,3 +1,5 @@
+"""Serves the simulator on standard input and output: `python -m onyxhollow.simulator_adapter`."""
+
 import sys
 
 from onyxhollow.simulator_adapter.adapter import main
