--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -27,7 +27,7 @@
 from onyxhollow.lifecycle.handover import Handover, decode_state, encode_state, given_socket
 from onyxhollow.lifecycle.limits import STOP_MARGIN
 from onyxhollow.lifecycle.proxy import Proxy
-from onyxhollow.topology import keep, logs
+from onyxhollow.topology import logs, snapshot_file
 from onyxhollow.wire.connection_handoff import ConnectionHandoff
 
 DATA = Path(__file__).parent / "data" / "compatibility" / "proxy"
@@ -148,14 +148,16 @@
 def picture_told(s):
     """The picture of a fleet as topology draws and checks it."""
     return {
-        "members": {name: (m.epoch, m.life, m.zone, m.votes) for name, m in s.members().items()},
-        "servers": {name: (r.state, r.load, r.load_age, r.own) for name, r in s.servers().items()},
-        "duties": {name: (d.term, d.holder, d.here) for name, d in s.duties().items()},
-        "views": [(v.name, v.zone, v.version, v.service, v.stalled, v.stalled_ago) for v in s.views],
-        "addresses": [(a.address, a.site, a.standing, a.cause) for a in s.addresses().values()],
-        "links": [(k.to, k.asked, k.lost, k.rtt_ms) for v in s.views for k in v.links],
-        "silent": [(one.at, one.why) for one in s.silent],
-        "flows": s.flows(),
+        "members": {name: (m.incarnation, m.state, m.zone, m.is_voter) for name, m in s.members().items()},
+        "servers": {name: (r.state, r.load, r.load_age, r.connections) for name, r in s.endpoints().items()},
+        "duties": {name: (d.term, d.holder, d.local_state) for name, d in s.leases().items()},
+        "views": [
+            (v.name, v.zone, v.version, v.service_phase, v.stalled_seconds, v.stalled_ago) for v in s.views
+        ],
+        "addresses": [(a.address, a.site, a.preference, a.cause) for a in s.addresses().values()],
+        "links": [(k.peer, k.probes, k.loss, k.rtt_ms) for v in s.views for k in v.links],
+        "silent": [(one.target, one.reason) for one in s.unreachable],
+        "flows": s.connections_by_zone(),
     }
 
 
@@ -380,9 +382,9 @@
 
 def test_a_snapshot_file_is_read_and_written_back():
     body = (DATA / "snapshot.oxt").read_bytes()
-    found = keep.read(DATA / "snapshot.oxt")
-    unpacked = [zstandard.ZstdDecompressor().decompress(row[8:]) for row in (body, keep.pack(found))]
-    assert body[:8] == keep.pack(found)[:8] == b"OXTOPO01" and unpacked[0] == unpacked[1]
+    found = snapshot_file.read(DATA / "snapshot.oxt")
+    unpacked = [zstandard.ZstdDecompressor().decompress(row[8:]) for row in (body, snapshot_file.pack(found))]
+    assert body[:8] == snapshot_file.pack(found)[:8] == b"OXTOPO01" and unpacked[0] == unpacked[1]
     assert msgspec.to_builtins(found) == json.loads((DATA / "snapshot.json").read_bytes())
     assert plain(picture_told(found)) == MEANING["snapshot"]
 
