--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -1,8 +1,8 @@
-"""The topology tool: how long a picture takes, how steady it is, what it names, what asking members costs.
+"""The topology tool: how long a picture takes, how stable it is, which faults it names, what a poll costs.
 
     python benchmarks/topology.py [--quick] [--out FILE]
 
-The last line is one JSON object. Full: 200 processes are asked; quick: 30, some two minutes. Nothing else
+The last line is one JSON object. Full: 200 processes are polled; quick: 30, some two minutes. Nothing else
 should run beside it.
 """
 
@@ -42,7 +42,7 @@
     return Snapshot(1000.0, views)
 
 
-def drawn() -> dict[str, Any]:
+def measure_drawing() -> dict[str, Any]:
     snapshot = fleet(300, 100)
     began = time.monotonic()
     page = draw.html(snapshot)
@@ -59,7 +59,7 @@
     }
 
 
-def asked(rig: Rig, names: list[str]) -> tuple[Snapshot, float]:
+def poll(rig: Rig, names: list[str]) -> tuple[Snapshot, float]:
     """The rig goes on meanwhile."""
     result: list[Snapshot] = []
     at = [text(rig.now_by[name].management) for name in names]
@@ -72,13 +72,11 @@
 
 
 def named(rig: Rig, wanted: list[tuple[str, tuple[str, ...]]], within: float) -> tuple[int, int]:
-    """How many of the troubles are named at last, and how many others beside them."""
+    """How many of the faults are named at last, and how many others beside them."""
     until, best = time.monotonic() + within, (0, 99)
     while time.monotonic() < until:
         names = [name for name, process in rig.now_by.items() if process.alive and not process.stopped]
-        found = {
-            (one.kind, one.subjects) for one in find_faults(asked(rig, names)[0]) if one.kind != "silent"
-        }
+        found = {(one.kind, one.subjects) for one in find_faults(poll(rig, names)[0]) if one.kind != "silent"}
         hit, other = len(found & set(wanted)), len(found - set(wanted))
         if (hit, -other) > (best[0], -best[1]):
             best = hit, other
@@ -88,8 +86,8 @@
     return best
 
 
-def troubles(folder: Path) -> dict[str, Any]:
-    """One after another on five processes, each mended before the next."""
+def faults_named(folder: Path) -> dict[str, Any]:
+    """One fault after another on five processes, each repaired before the next."""
     fault_types.STALL_MEMORY = 6.0
     total = hits = others = 0
     with Rig(folder, members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
@@ -134,14 +132,14 @@
 
 
 def cost(folder: Path, members: int, seconds: float) -> dict[str, Any]:
-    """All are asked at once; one is asked each second while the others are not."""
+    """All are polled at once; one is polled each second while the others are not."""
     with Rig(
         folder, members=members, zones=("a", "b", "c", "d"), period=1.0 if members > 20 else 0.4, leases=[]
     ) as rig:
         rig.start()
         rig.wait_members(within=120)
         rig.play(2.0)
-        snapshot, took = asked(rig, rig.names)
+        snapshot, took = poll(rig, rig.names)
         found = [one for one in find_faults(snapshot) if one.kind != "silent"]
         polled, others = rig.names[-1], rig.names[members // 2 : members // 2 + 5]
 
@@ -152,7 +150,7 @@
         before, until = (cpu([polled]), cpu(others)), time.monotonic() + seconds
         while time.monotonic() < until:
             due = time.monotonic() + 1.0
-            asked(rig, [polled])
+            poll(rig, [polled])
             rig.play(max(0.0, due - time.monotonic()))
         mine, theirs = cpu([polled]) - before[0], cpu(others) - before[1]
     print(
@@ -173,15 +171,15 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--out", type=Path)
-    told = parser.parse_args()
+    args = parser.parse_args()
     began = time.monotonic()
-    result = drawn()
+    result = measure_drawing()
     with tempfile.TemporaryDirectory() as folder:
-        result |= troubles(Path(folder) / "five")
-        result |= cost(Path(folder) / "many", 30 if told.quick else 200, 10.0 if told.quick else 20.0)
+        result |= faults_named(Path(folder) / "five")
+        result |= cost(Path(folder) / "many", 30 if args.quick else 200, 10.0 if args.quick else 20.0)
     result["seconds"] = round(time.monotonic() - began, 1)
-    if told.out:
-        told.out.write_text(json.dumps(result))
+    if args.out:
+        args.out.write_text(json.dumps(result))
     print(json.dumps(result))
 
 
--- a/onyxhollow/topology/commands.py
+++ b/onyxhollow/topology/commands.py
@@ -43,7 +43,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the shell is told."""
+    """How a command ended."""
 
     DONE = 0
     FAULT_FOUND = 1
--- a/onyxhollow/topology/export.py
+++ b/onyxhollow/topology/export.py
@@ -16,11 +16,11 @@
     marks = unhealthy_members(snapshot, find_faults(snapshot))
     for name, member in snapshot.members().items():
         graph.add_node(
-            f"m:{name}", label=sanitize(name), kind="member", zone=member.zone, trouble=marks.get(name, "")
+            f"m:{name}", label=sanitize(name), kind="member", zone=member.zone, mark=marks.get(name, "")
         )
     for name, endpoint in snapshot.endpoints().items():
         graph.add_node(
-            f"s:{name}", label=sanitize(name), kind="server", zone=endpoint.zone, load=endpoint.load
+            f"s:{name}", label=sanitize(name), kind="endpoint", zone=endpoint.zone, load=endpoint.load
         )
     for view in snapshot.views:
         for link in view.links:
@@ -28,9 +28,9 @@
                 graph.add_edge(
                     f"m:{link.peer}",
                     f"m:{view.name}",
-                    heard=link.received_ago,
-                    lost=link.loss,
-                    rtt=link.rtt_ms,
+                    received_ago=link.received_ago,
+                    loss=link.loss,
+                    rtt_ms=link.rtt_ms,
                 )
         for row in view.endpoints:
             if row.connections:
@@ -43,8 +43,8 @@
     graph = build_graph(snapshot)
     lines = ["digraph fleet {"]
     for node, attributes in graph.nodes(data=True):
-        shape = "box" if attributes["kind"] == "server" else "ellipse"
-        style = ' style="dashed" penwidth=3' if attributes.get("trouble") else ""
+        shape = "box" if attributes["kind"] == "endpoint" else "ellipse"
+        style = ' style="dashed" penwidth=3' if attributes.get("mark") else ""
         lines.append(f"  {_quote(node)} [label={_quote(attributes['label'])} shape={shape}{style}];")
     for source, target, attributes in graph.edges(data=True):
         if "connections" in attributes:
--- a/onyxhollow/topology/model.py
+++ b/onyxhollow/topology/model.py
@@ -106,12 +106,8 @@
     cause: str = ""
     health: float | None = None  # 0 to 1; None if the site has not reported
     reachable: bool = msgspec.field(default=True, name="reached")  # its announcer answers the controller
-    installed: bool = msgspec.field(
-        default=True, name="carried"
-    )  # the routing daemon has taken the preference
-    suppressed_by: str = msgspec.field(
-        default="", name="stays"
-    )  # rule by which it isn't withdrawn though it should be
+    installed: bool = msgspec.field(default=True, name="carried")  # the routing daemon has taken it
+    suppressed_by: str = msgspec.field(default="", name="stays")  # rule that suppresses its withdrawal
     drain: str = ""  # reason of an operator's override; empty without one, here and below
     pin: str = ""
     exclude: str = ""
@@ -122,7 +118,9 @@
 
     version: int = -1
     polling_suspended: bool = msgspec.field(default=False, name="rests")  # another member polls in its place
-    is_publisher: bool = msgspec.field(default=False, name="tells")  # it polls in the place of others
+    is_publisher: bool = msgspec.field(
+        default=False, name="tells"
+    )  # it polls in their place and passes the list on
 
 
 class MemberView(msgspec.Struct, frozen=True):
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -44,7 +44,7 @@
     ]
 
 
-def test_a_session_is_dialled_stands_and_ends_and_late_news_of_it_are_ignored():
+def test_a_session_is_forwarded_established_and_ended_and_later_messages_of_it_are_ignored():
     end = ["answer", 3, 9, 1000, 0, True, "10.0.0.1:80", 0, None]
     begun = ["begun", 3, 9, 0, "10.0.0.1:80", 5000000]
     code, out, errors = talk(
@@ -54,7 +54,7 @@
     assert out.count(["ok"]) == 3
 
 
-def test_a_killed_instance_drops_all_and_its_late_outcomes():
+def test_a_killed_instance_drops_its_sessions_and_ignores_their_later_outcomes():
     late = ["answer", 3, 9, 1000, 110, False, "10.0.0.1:80", 0, None]
     code, out, _ = talk(
         *begin(),
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad, said",
+    "bad, expected",
     [
         ("{nonsense", "line 8: not JSON"),
         (["hearsay", 3], "line 9: unknown message hearsay"),
@@ -84,14 +84,14 @@
         (["provision", 4, 1, {"listeners": []}], "line 9: missing setting rules: expected an object"),
     ],
 )
-def test_a_malformed_line_is_named_and_ends_the_adapter(bad, said):
+def test_a_malformed_line_is_named_and_ends_the_adapter(bad, expected):
     lines = [bad] if isinstance(bad, str) else [["sync", 7000000000], bad]
     code, out, errors = talk(*begin(), *lines)
-    assert code != 0 and errors.startswith(said) and errors.count("\n") == 1
+    assert code != 0 and errors.startswith(expected) and errors.count("\n") == 1
     assert out[-1] == ["ok"]
 
 
-def test_a_failure_of_the_module_is_reported_with_its_text(monkeypatch):
+def test_a_failure_of_the_decisions_is_reported_with_its_text(monkeypatch):
     def broken(*_):
         raise KeyError("lost my way")
 
@@ -100,14 +100,14 @@
     assert code == 0 and any(x[0] == "internalError" and "lost my way" in x[2] for x in out)
 
 
-def test_an_open_connection_that_ends_as_withdrawn_is_not_held_against_its_server(monkeypatch):
-    """The client left, or its server sent it away: this wire has one word for both."""
-    blamed = []
-    monkeypatch.setattr("onyxhollow.policy.Balancer.blame", lambda *told: blamed.append(told))
+def test_an_established_session_that_ends_as_cancelled_does_not_penalize_its_endpoint(monkeypatch):
+    """The client left, or its endpoint sent it away: this wire has one word for both."""
+    failures = []
+    monkeypatch.setattr("onyxhollow.policy.Balancer.blame", lambda *values: failures.append(values))
     begun = ["begun", 3, 9, 0, "10.0.0.1:80", 5000000]
     end = ["answer", 3, 9, 0, 125, True, "10.0.0.1:80", 1000, None]
     code, _, errors = talk(*begin(), ["sync", 6000000000], begun, ["go"], ["sync", 7000000000], end, ["go"])
-    assert (code, errors, blamed) == (0, "", [])
+    assert (code, errors, failures) == (0, "", [])
 
 
 def test_the_earlier_module_name_warns_in_one_line_and_writes_the_same_bytes():
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -1,4 +1,4 @@
-"""The picture of a fleet: what it names, how it is kept, compared and drawn; and on real processes."""
+"""The picture of a fleet: faults, snapshot files, comparisons and drawings, also of real processes."""
 
 import socket
 import threading
@@ -58,8 +58,8 @@
     return Snapshot(1000.0, views)
 
 
-def seen(snapshot, who, **lives):
-    """The same with one member holding others for something else."""
+def reporting(snapshot, who, **lives):
+    """The same, but `who` report other states for some members."""
     change = msgspec.structs.replace
     views = []
     for view in snapshot.views:
@@ -72,43 +72,47 @@
     return [(one.kind, one.subjects) for one in find_faults(snapshot)]
 
 
-def test_a_well_fleet_has_no_trouble_and_each_trouble_is_named_once():
-    well = fleet(6)
-    assert kinds(well) == [] and kinds(Snapshot(1.0)) == []
-    halves = seen(well, ("n0", "n2", "n4"), n1="dead", n3="dead", n5="dead")
-    halves = seen(halves, ("n1", "n3", "n5"), n0="dead", n2="dead", n4="dead")
+def test_a_healthy_fleet_has_no_fault_and_each_fault_is_named_once():
+    healthy = fleet(6)
+    assert kinds(healthy) == [] and kinds(Snapshot(1.0)) == []
+    halves = reporting(healthy, ("n0", "n2", "n4"), n1="dead", n3="dead", n5="dead")
+    halves = reporting(halves, ("n1", "n3", "n5"), n0="dead", n2="dead", n4="dead")
     assert kinds(halves) == [("cut", ("n1", "n3", "n5"))]
-    five = msgspec.structs.replace(well, views=[view for view in well.views if view.name != "n3"])
-    assert kinds(seen(five, ("n0", "n1", "n2", "n4", "n5"), n3="dead")) == [("gone", ("n3",))]
-    deaf = [LinkStatus("n0", 1, 30.0, 9, 1.0, 0.0)]
-    rest = [msgspec.structs.replace(view, links=deaf) if view.name == "n1" else view for view in well.views]
-    assert kinds(msgspec.structs.replace(well, views=rest)) == [("one-way", ("n0", "n1"))]
-    asleep = [
+    five = msgspec.structs.replace(healthy, views=[view for view in healthy.views if view.name != "n3"])
+    assert kinds(reporting(five, ("n0", "n1", "n2", "n4", "n5"), n3="dead")) == [("gone", ("n3",))]
+    silent = [LinkStatus("n0", 1, 30.0, 9, 1.0, 0.0)]
+    rest = [
+        msgspec.structs.replace(view, links=silent) if view.name == "n1" else view for view in healthy.views
+    ]
+    assert kinds(msgspec.structs.replace(healthy, views=rest)) == [("one-way", ("n0", "n1"))]
+    stalled = [
         msgspec.structs.replace(view, stalled_seconds=3.0, stalled_ago=1.0) if view.name == "n2" else view
-        for view in well.views
+        for view in healthy.views
     ]
-    assert kinds(msgspec.structs.replace(well, views=asleep)) == [("stalled", ("n2",))]
+    assert kinds(msgspec.structs.replace(healthy, views=stalled)) == [("stalled", ("n2",))]
     free = [LeaseStatus("voters", 3, "n0~1", "idle")]
-    unheld = [msgspec.structs.replace(view, leases=free) for view in well.views]
-    assert kinds(msgspec.structs.replace(well, views=unheld)) == [("no holder", ("voters",))]
+    unowned = [msgspec.structs.replace(view, leases=free) for view in healthy.views]
+    assert kinds(msgspec.structs.replace(healthy, views=unowned)) == [("no holder", ("voters",))]
     away = [
         msgspec.structs.replace(view, service_phase="leaving" if view.zone == "b" else "in service")
-        for view in well.views
+        for view in healthy.views
+    ]
+    assert kinds(msgspec.structs.replace(healthy, views=away)) == [("zone draining", ("b",))]
+    two = [
+        msgspec.structs.replace(view, version="2") if view.name == "n0" else view for view in healthy.views
     ]
-    assert kinds(msgspec.structs.replace(well, views=away)) == [("zone draining", ("b",))]
-    two = [msgspec.structs.replace(view, version="2") if view.name == "n0" else view for view in well.views]
-    assert kinds(msgspec.structs.replace(well, views=two)) == [("versions", ("1", "2"))]
+    assert kinds(msgspec.structs.replace(healthy, views=two)) == [("versions", ("1", "2"))]
     out = [
         msgspec.structs.replace(view, addresses=[AddressStatus("x", "a", "withdrawn", "health")])
-        for view in well.views[:1]
-    ] + well.views[1:]
-    assert kinds(msgspec.structs.replace(well, views=out)) == [("withdrawn", ("x", "a"))]
+        for view in healthy.views[:1]
+    ] + healthy.views[1:]
+    assert kinds(msgspec.structs.replace(healthy, views=out)) == [("withdrawn", ("x", "a"))]
     out[0] = msgspec.structs.replace(out[0], addresses=[AddressStatus("x", "a", "unknown", reachable=False)])
-    assert kinds(msgspec.structs.replace(well, views=out)) == []
+    assert kinds(msgspec.structs.replace(healthy, views=out)) == []
 
 
 def large(cut=(), deaf=""):
-    """Eighty members of two zones that have each asked six others of late; ways from source to target of
+    """Eighty members of two zones that have each probed six others of late; ways from source to target of
     `cut` (zones) are down, and all that goes to `deaf`."""
     zones = {f"n{n}": "ab"[n % 2] for n in range(80)}
     heard = {}
@@ -128,7 +132,7 @@
     return Snapshot(1000.0, views)
 
 
-def test_links_of_a_large_fleet_are_judged_in_sum():
+def test_paths_of_a_large_fleet_are_judged_in_sum():
     assert kinds(large()) == []
     assert kinds(large(cut={("a", "b")})) == [("zone one-way", ("a", "b"))]
     assert kinds(large(cut={("a", "b"), ("b", "a")})) == [("zone link cut", ("a", "b"))]
@@ -136,11 +140,11 @@
     assert "marker-end" in draw.svg(large(cut={("a", "b")}))
 
 
-def test_connections_are_told_in_sum_from_zone_to_zone():
-    well = fleet(6, servers=4)
-    assert well.connections_by_zone() == {"a": {"a": 6, "b": 6}, "b": {"a": 6, "b": 6}}
-    assert "connections to a 6, b 6" in draw.svg(well)
-    assert msgspec.json.decode(export.as_json(well))["connections"]["a"]["b"] == 6
+def test_connections_are_summed_from_zone_to_zone():
+    healthy = fleet(6, servers=4)
+    assert healthy.connections_by_zone() == {"a": {"a": 6, "b": 6}, "b": {"a": 6, "b": 6}}
+    assert "connections to a 6, b 6" in draw.svg(healthy)
+    assert msgspec.json.decode(export.as_json(healthy))["connections"]["a"]["b"] == 6
 
 
 def lines(path, *rows):
@@ -152,7 +156,7 @@
     )
 
 
-def test_a_picture_is_made_of_logs_as_it_was_at_a_moment(tmp_path):
+def test_a_picture_is_made_of_logs_as_of_a_given_time(tmp_path):
     def begin(at, name, epoch, zone):
         return at, name, "fleet", {"epoch": epoch, "voters": ["n0"], "zone": zone, "version": "1"}
 
@@ -199,10 +203,10 @@
     plain = runs.text(runs.play(day, 1, "module"))
     path = tmp_path / "run.oxt"
     assert runs.text(runs.play(day, 1, "module", picture=(path, 3.0))) == plain
-    held = snapshot_file.read(path)
-    assert held.taken_at == 3.0 and kinds(held) == []
-    assert (len(held.views), len(held.endpoints())) == (day.fleet.proxies, day.fleet.servers)
-    assert sum(sum(row.values()) for row in held.connections_by_zone().values()) > 0
+    saved = snapshot_file.read(path)
+    assert saved.taken_at == 3.0 and kinds(saved) == []
+    assert (len(saved.views), len(saved.endpoints())) == (day.fleet.proxies, day.fleet.servers)
+    assert sum(sum(row.values()) for row in saved.connections_by_zone().values()) > 0
     assert commands.main(["draw", "--from", str(path), "-o", str(tmp_path / "run.html")]) == 0
     with pytest.raises(runs.RunError, match="--picture"):
         runs.play(day, 1, "two-choices", picture=(path, 3.0))
@@ -212,7 +216,7 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, 6, 300, 1000])
-def test_pictures_hold_for_odd_names_and_any_number_of_members(count, tmp_path):
+def test_pictures_are_safe_with_odd_names_and_any_number_of_members(count, tmp_path):
     snapshot = fleet(count, odd=ODD if count >= 6 else (), servers=min(count, 100))
     made = draw.svg(snapshot)
     xml.dom.minidom.parseString(made.encode())
@@ -234,7 +238,7 @@
     assert sorted(shifts)[len(shifts) // 2] < 0.02 and max(shifts) < 0.05
 
 
-def test_snapshots_are_whole_or_refused_and_a_ring_keeps_the_newest(tmp_path):
+def test_snapshots_are_complete_or_refused_and_a_ring_has_the_newest(tmp_path):
     body = snapshot_file.pack(fleet(3))
     for broken in (b"", body[:40], b"OXTOPO02" + body[8:], body[:-1], b"\x00" * 100):
         with pytest.raises(snapshot_file.SnapshotError) as caught:
@@ -250,9 +254,9 @@
     assert (tmp_path / "course.html").read_text().count("<svg") == 4
 
 
-def test_differences_are_told_in_words():
+def test_differences_are_described_in_words():
     before = fleet(4)
-    after = seen(fleet(5), ("n0",), n1="suspect")
+    after = reporting(fleet(5), ("n0",), n1="suspect")
     found = compare.differences(before, after)
     assert "came: member n4 in a" in found and compare.differences(before, before) == []
     moved = [
@@ -263,8 +267,8 @@
     ]
 
 
-def liar(answer):
-    """A member that answers something else, once: its address."""
+def serve_once(answer):
+    """The address of a member that answers once, with something else."""
     sock = socket.create_server(("127.0.0.1", 0))
 
     def run():
@@ -299,14 +303,14 @@
         slowly,
     ],
 )
-def test_a_member_that_answers_rubbish_slowly_or_nothing_is_drawn_as_silent(answer, monkeypatch):
+def test_a_member_that_answers_rubbish_slowly_or_nothing_is_unreachable(answer, monkeypatch):
     monkeypatch.setattr(gather, "POLL_TIMEOUT", 1.0)
-    found = gather.gather([liar(answer)])
+    found = gather.gather([serve_once(answer)])
     assert not found.views and len(found.unreachable) == 1 and kinds(found) == []
     xml.dom.minidom.parseString(draw.svg(found).encode())
 
 
-def test_commands_say_in_one_line_what_they_cannot_do(tmp_path, capsys):
+def test_a_command_that_fails_reports_it_in_one_line(tmp_path, capsys):
     (tmp_path / "bad.oxt").write_bytes(b"no")
     for words in (
         ["show"],
@@ -332,50 +336,50 @@
 # real processes
 
 
-def look(rig, wanted, within, but=(), at=None):
-    """Until the picture of those asked names exactly this. at: only these are asked, as from one side."""
+def wait_for_faults(rig, expected, within, but=(), at=None):
+    """Waits until the picture names exactly these faults. at: only these are polled, as from one side."""
     found = []
 
-    def named():
+    def are_named():
         names = [name for name, process in rig.now_by.items() if process.alive and name not in but]
-        asked = [text(rig.now_by[name].management) for name in (at or names)]
+        polled = [text(rig.now_by[name].management) for name in (at or names)]
         result = []
-        worker = threading.Thread(target=lambda: result.append(gather.gather(asked)))
+        worker = threading.Thread(target=lambda: result.append(gather.gather(polled)))
         worker.start()
         while worker.is_alive():
             rig.turn()
         found[:] = [result[0]]
-        kept = [one for one in find_faults(result[0]) if one.kind != "silent"]
-        return sorted((one.kind, one.subjects) for one in kept) == sorted(wanted)
+        named = [one for one in find_faults(result[0]) if one.kind != "silent"]
+        return sorted((one.kind, one.subjects) for one in named) == sorted(expected)
 
     try:
-        rig.wait(named, within, f"named {wanted}")
+        rig.wait(are_named, within, f"named {expected}")
     except Exception as error:
         raise AssertionError(f"{error}; {[one.description for one in find_faults(found[0])]}") from None
     return found[0]
 
 
-def test_each_trouble_of_real_processes_is_named_and_no_other(tmp_path, monkeypatch):
+def test_each_fault_of_real_processes_is_named_and_no_other(tmp_path, monkeypatch):
     monkeypatch.setattr(fault_types, "STALL_MEMORY", 6.0)
     with Rig(tmp_path / "rig", members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
         rig.start()
         rig.wait_members()
         rig.wait_holder()
-        well = look(rig, [], 15)
-        assert len(well.views) == 5 and len(well.members()) == 5
+        healthy = wait_for_faults(rig, [], 15)
+        assert len(healthy.views) == 5 and len(healthy.members()) == 5
         rig.stop("n4")
         rig.play(1.2)
         rig.go_on("n4")
-        look(rig, [("stalled", ("n4",))], 10)
-        look(rig, [], 30)
+        wait_for_faults(rig, [("stalled", ("n4",))], 10)
+        wait_for_faults(rig, [], 30)
         rules = rig.cut(["n3"], ["n1"], both=False)
-        look(rig, [("one-way", ("n3", "n1"))], 30)
+        wait_for_faults(rig, [("one-way", ("n3", "n1"))], 30)
         rig.mend(rules)
-        look(rig, [], 30)
+        wait_for_faults(rig, [], 30)
         rules = rig.cut(["n1", "n3"], ["n0", "n2", "n4"])
-        halves = look(rig, [("cut", ("n1", "n3"))], 40)
+        halves = wait_for_faults(rig, [("cut", ("n1", "n3"))], 40)
         assert {view.name for view in halves.views} == set(rig.names)
-        look(
+        wait_for_faults(
             rig,
             [
                 ("gone", ("n0",)),
@@ -389,15 +393,15 @@
         )
         rig.mend(rules)
         rig.wait_members(within=60)
-        look(rig, [], 40)
+        wait_for_faults(rig, [], 40)
         for name in ("n1", "n3"):
             rig.ask(name, "/out-of-service", "POST", base="/control")
-        look(rig, [("zone draining", ("b",))], 20)
+        wait_for_faults(rig, [("zone draining", ("b",))], 20)
         for name in ("n1", "n3"):
             rig.ask(name, "/in-service", "POST", base="/control")
-        look(rig, [], 20)
+        wait_for_faults(rig, [], 20)
         rig.kill("n4")
-        look(rig, [("gone", ("n4",))], 30)
+        wait_for_faults(rig, [("gone", ("n4",))], 30)
         folder = tmp_path / "rig"  # the same from what they have written, once all have
 
         def written():
@@ -410,19 +414,19 @@
         rig.trial("n4", version="9.9")
         rig.start("n4")
         rig.wait_members(within=40)
-        look(rig, [("versions", ("0.2.0", "9.9"))], 30)
+        wait_for_faults(rig, [("versions", ("0.2.0", "9.9"))], 30)
 
 
-def test_a_withdrawn_address_and_a_lost_holder_are_named_on_real_processes(tmp_path):
+def test_a_withdrawn_address_and_a_lost_lease_holder_are_named_on_real_processes(tmp_path):
     with Sites(tmp_path / "rig") as sites:
         rig = sites.rig
         sites.start()
         sites.wait_standing(a=2, b=2, c=2)
-        look(rig, [], 20)
+        wait_for_faults(rig, [], 20)
         for server in sites.of("a"):
             server.base = 1.2
         sites.wait_standing(a=0, b=2, c=2)
-        look(rig, [("withdrawn", ("addr0", "a")), ("withdrawn", ("addr1", "a"))], 20)
+        wait_for_faults(rig, [("withdrawn", ("addr0", "a")), ("withdrawn", ("addr1", "a"))], 20)
         for server in sites.of("a"):
             server.base = 0.1
         sites.wait_standing(a=2, b=2, c=2)
@@ -433,5 +437,7 @@
         keeper = rig.wait_holder("addresses", within=40)  # the next one never hears from their site
         rig.ask(keeper, "/release?name=addresses", "POST")
         rig.wait_holder("addresses", other_than=keeper, within=40)
-        found = look(rig, [("gone", tuple(one for one in [name])) for name in sorted((holder, other))], 30)
+        found = wait_for_faults(
+            rig, [("gone", tuple(one for one in [name])) for name in sorted((holder, other))], 30
+        )
         assert "announcer/b" in found.leases()
