--- a/onyxhollow/topology/model.py
+++ b/onyxhollow/topology/model.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from collections import Counter
+from collections import Counter, defaultdict
 from collections.abc import Mapping
 from enum import StrEnum
 from typing import Any
@@ -33,6 +33,9 @@
     LEFT = "left"
 
 
+ALIVE = MemberState.ALIVE.value
+
+
 class ServicePhase(StrEnum):
     """Whether a member takes clients."""
 
@@ -47,7 +50,7 @@
 
     name: str
     incarnation: int = msgspec.field(default=0, name="epoch")
-    state: str = msgspec.field(default=MemberState.ALIVE.value, name="life")
+    state: str = msgspec.field(default=ALIVE, name="life")
     zone: str = ""
     is_voter: bool = msgspec.field(default=False, name="votes")
     holds_leases: bool = msgspec.field(default=False, name="holds")
@@ -171,16 +174,18 @@
     def members(self) -> dict[str, MemberStatus]:
         """Every member in any view, of each the newest incarnation; a member's own report comes first."""
         newest: dict[str, MemberStatus] = {}
+        freshness: dict[str, tuple[int, bool]] = {}  # incarnation, whether alive; a large fleet has many rows
         for view in self.views:
             for row in view.members:
-                known = newest.get(row.name)
-                if known is None or _newness(row) > _newness(known):
+                row_freshness = (row.incarnation, row.state == ALIVE)
+                if row.name not in freshness or row_freshness > freshness[row.name]:
+                    freshness[row.name] = row_freshness
                     newest[row.name] = row
         for view in self.views:
             if view.name not in newest or view.incarnation >= newest[view.name].incarnation:
                 reported = newest.get(view.name, MemberStatus(view.name))
                 newest[view.name] = msgspec.structs.replace(
-                    reported, incarnation=view.incarnation, state=MemberState.ALIVE.value, zone=view.zone
+                    reported, incarnation=view.incarnation, state=ALIVE, zone=view.zone
                 )
         return newest
 
@@ -191,12 +196,14 @@
     def endpoints(self) -> dict[str, EndpointStatus]:
         """Each endpoint with its newest load report, and its connections in sum over the polled members."""
         newest: dict[str, EndpointStatus] = {}
-        connections: Counter[str] = Counter()
+        ages: dict[str, float] = {}
+        connections: dict[str, int] = {}
         for view in self.views:
             for row in view.endpoints:
-                connections[row.name] += row.connections
-                known = newest.get(row.name)
-                if known is None or _load_age(row) < _load_age(known):
+                connections[row.name] = connections.get(row.name, 0) + row.connections
+                age = NO_LOAD_AGE if row.load_age is None else row.load_age
+                if row.name not in ages or age < ages[row.name]:
+                    ages[row.name] = age
                     newest[row.name] = row
         return {
             name: msgspec.structs.replace(row, connections=connections[name]) for name, row in newest.items()
@@ -205,11 +212,11 @@
     def connections_by_zone(self) -> dict[str, dict[str, int]]:
         """Connections of the polled members: zone of the member, zone of the endpoint, count; most first."""
         endpoint_zones = {name: row.zone for name, row in self.endpoints().items()}
-        counts: dict[str, Counter[str]] = {}
+        counts: defaultdict[str, Counter[str]] = defaultdict(Counter)
         for view in self.views:
             for row in view.endpoints:
                 if row.connections:
-                    counts.setdefault(view.zone, Counter())[endpoint_zones[row.name]] += row.connections
+                    counts[view.zone][endpoint_zones[row.name]] += row.connections
         return {zone: dict(rows.most_common()) for zone, rows in sorted(counts.items())}
 
     def leases(self) -> dict[str, LeaseStatus]:
@@ -227,14 +234,6 @@
         return {(row.address, row.site): row for view in self.views for row in view.addresses}
 
 
-def _newness(row: MemberStatus) -> tuple[int, bool]:
-    return row.incarnation, row.state == MemberState.ALIVE
-
-
-def _load_age(row: EndpointStatus) -> float:
-    return NO_LOAD_AGE if row.load_age is None else row.load_age
-
-
 def decode_view(body: Mapping[str, Any], addresses: list[dict[str, Any]] | None = None) -> MemberView:
     """Reads the answer of `GET /control/fleet` and rows of `/control/addresses`; unknown keys are ignored.
 
--- a/onyxhollow/topology/paths.py
+++ b/onyxhollow/topology/paths.py
@@ -113,9 +113,8 @@
     A member that has received nothing from its target since the probe does not know which of the two was
     lost. If the target has received something since about then, it was the answer, else the probe.
     """
-    links = {Path(name, link.peer): link for name, view in views.items() for link in view.links}
-    for path, link in links.items():
-        source, target = path
+    links = {(name, link.peer): link for name, view in views.items() for link in view.links}
+    for (source, target), link in links.items():
         if target not in views or not link.probes or not MIN_PROBE_AGE <= link.probed_ago <= MAX_PROBE_AGE:
             continue
         if (source in cut_off) != (target in cut_off):
@@ -123,9 +122,9 @@
         if is_stalled(views[source]) or is_stalled(views[target]):
             continue
         answered = link.received_ago <= link.probed_ago
-        reverse = links.get(Path(target, source))
+        reverse = links.get((target, source))
         received = reverse is not None and reverse.received_ago <= link.probed_ago + MIN_PROBE_AGE
-        yield path, answered or received
+        yield Path(source, target), answered or received
         if answered or received:
             yield Path(target, source), answered
 
--- a/onyxhollow/topology/scene.py
+++ b/onyxhollow/topology/scene.py
@@ -97,17 +97,17 @@
     return ", ".join(f"{sanitize(zone, MAX_ZONE_NAME) or 'no zone'} {count}" for zone, count in rows)
 
 
-def zones_of(snapshot: Snapshot) -> list[str]:
+def list_zones(members: Mapping[str, MemberStatus], endpoints: Mapping[str, EndpointStatus]) -> list[str]:
     """Zones of members and endpoints, sorted by name."""
-    zones = {member.zone for member in snapshot.members().values()}
-    return sorted(zones | {endpoint.zone for endpoint in snapshot.endpoints().values()})
+    zones = {member.zone for member in members.values()}
+    return sorted(zones | {endpoint.zone for endpoint in endpoints.values()})
 
 
 def build_scene(snapshot: Snapshot) -> Scene:
     """Places everything that a snapshot holds."""
     faults = find_faults(snapshot)
     builder = _BoxBuilder(snapshot, faults)
-    zones = zones_of(snapshot)
+    zones = list_zones(builder.members, builder.endpoints)
     boxes: list[ZoneBox] = []
     top = PAGE_HEADER
     row_height = 0.0
--- a/onyxhollow/topology/terminal.py
+++ b/onyxhollow/topology/terminal.py
@@ -9,9 +9,9 @@
 from onyxhollow.topology.scene import (
     MAX_DESCRIPTION,
     describe_flows,
+    list_zones,
     sanitize,
     unhealthy_members,
-    zones_of,
 )
 
 COLUMNS = ("zone", "members", "asked", "ill", "servers", "busiest", "connections", "goes to")
@@ -29,7 +29,7 @@
     polled = snapshot.views_by_name()
     marks = unhealthy_members(snapshot, faults)
     flows = snapshot.connections_by_zone()
-    for zone in zones_of(snapshot):
+    for zone in list_zones(members, endpoints):
         names = [name for name, member in members.items() if member.zone == zone]
         zone_endpoints = [endpoint for endpoint in endpoints.values() if endpoint.zone == zone]
         table.add_row(
