--- a/onyxhollow/fleet/leader_tasks.py
+++ b/onyxhollow/fleet/leader_tasks.py
@@ -33,8 +33,8 @@
     last_progress_at: float
     superseded: bool
 
-    def start(self, term: int, lease_held: Callable[[], bool], /) -> None:
-        """The lease of `term` has begun; `lease_held` is called just before each act."""
+    def start(self, term: int, holds_lease: Callable[[], bool], /) -> None:
+        """The lease of `term` has begun; `holds_lease` is called just before each act."""
 
     def stop(self) -> None:
         """The lease has ended, or is about to: no act follows."""
@@ -110,20 +110,20 @@
         self.last_progress_at = loop.now
         self.superseded = False
 
-    def start(self, term: int, lease_held: Callable[[], bool]) -> None:
+    def start(self, term: int, holds_lease: Callable[[], bool]) -> None:
         """Begins a run under a term."""
         self.run_number += 1
         self.last_progress_at = self.loop.now
         self.superseded = False
-        self.task = self.loop.spawn(self._run(self.run_number, term, lease_held))
+        self.task = self.loop.spawn(self._run(self.run_number, term, holds_lease))
 
-    def _run(self, this_run: int, term: int, lease_held: Callable[[], bool]) -> Generator[float, None, None]:
+    def _run(self, this_run: int, term: int, holds_lease: Callable[[], bool]) -> Generator[float, None, None]:
         number = 0
         while self.run_number == this_run:
             due = self.loop.now + self.interval
             number += 1
             try:
-                yield from self._act(this_run, f"{self.target}&term={term}&number={number}", lease_held)
+                yield from self._act(this_run, f"{self.target}&term={term}&number={number}", holds_lease)
             except DiscoveryStatusError as error:
                 self.close_connection()
                 self.superseded = error.status == STALE_TERM_STATUS
@@ -134,7 +134,7 @@
                 yield due
 
     def _act(
-        self, this_run: int, target: str, lease_held: Callable[[], bool]
+        self, this_run: int, target: str, holds_lease: Callable[[], bool]
     ) -> Generator[float, None, None]:
         until = self.loop.now + CALL_TIMEOUT
         if self.connection is None or not self.connection.reusable:
@@ -146,7 +146,7 @@
             if self.loop.now >= until or self.run_number != this_run:
                 raise EndpointListError("not up")
             yield until
-        if not lease_held():  # the last thing before the act
+        if not holds_lease():  # the last thing before the act
             self.count("acts not done: the lease had ended")
             return
         yield from connection.get(target, until, lambda: self.run_number != this_run, "POST")
--- a/onyxhollow/fleet/lease_messenger.py
+++ b/onyxhollow/fleet/lease_messenger.py
@@ -7,8 +7,7 @@
 
 from onyxhollow.fleet.context import MemberContext
 from onyxhollow.fleet.identity import VOTES
-from onyxhollow.leases.candidate import VoterMessage
-from onyxhollow.leases.messages import Message, encode
+from onyxhollow.leases.messages import Message, VoterMessage, encode
 
 LEASE_PAYLOAD = 1  # kind of a payload or broadcast that holds an election message
 
--- a/onyxhollow/fleet/lease_service.py
+++ b/onyxhollow/fleet/lease_service.py
@@ -4,14 +4,13 @@
 
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
 
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
 from onyxhollow.fleet.identity import member_name
 from onyxhollow.fleet.leader_tasks import LeaderTask
 from onyxhollow.fleet.lease_messenger import LeaseMessenger
+from onyxhollow.fleet.lease_runner import HolderChange, LeaseRunner
 from onyxhollow.fleet.role_ranking import RoleRanking
 from onyxhollow.fleet.voter_service import VoterService
 from onyxhollow.leases.candidate import Candidate, Transition
@@ -31,29 +30,6 @@
 MAX_FAILURES = 6  # that lengthen the quiet period
 
 
-@dataclass(slots=True)
-class LeaseRunner:
-    """One role at this member.
-
-    Attributes:
-        candidate: This process's candidacy.
-        zone: The zone that the holder has to be of; None: any.
-        task: What the holder does; None: nothing but holding.
-        held_since: When this process last got the lease, or was told by an operator to.
-        quiet_until: Before this the process is no candidate.
-        logged_expiry: The end of the lease that was last logged.
-        failures: Of the task, in a row.
-    """
-
-    candidate: Candidate
-    zone: str | None
-    task: LeaderTask | None
-    held_since: float = 0.0
-    quiet_until: float = 0.0
-    logged_expiry: float = 0.0
-    failures: int = 0
-
-
 class LeaseService:
     """Runs the candidates of one member, starts and stops the tasks of the roles that it holds.
 
@@ -94,7 +70,7 @@
         self.last_fault_at = now
         self.runners: dict[str, LeaseRunner] = {}
         self.known_holders: dict[str, KnownTerm] = {}
-        self.history: deque[dict[str, Any]] = deque(maxlen=MAX_HISTORY)
+        self.history: deque[HolderChange] = deque(maxlen=MAX_HISTORY)
 
     def add(self, role: str, zone: str | None, task: LeaderTask | None) -> None:
         """Makes this member a candidate for a role."""
@@ -149,7 +125,7 @@
         self.known_holders[role] = announced
         self.on_holder(role, term, process_id)
         at = round(self.context.loop.now, 3)
-        self.history.append({"duty": role, "term": term, "who": process_id, "t": at})
+        self.history.append(HolderChange(role, term, process_id, at))
         runner = self.runners.get(role)
         if runner:
             runner.candidate.highest_term = max(runner.candidate.highest_term, term)
@@ -185,7 +161,7 @@
         """Looks at what may have changed around each held lease: the service state, the task's progress."""
         for runner in self.runners.values():
             if runner.candidate.holds(now):
-                self._check_held(runner, now)
+                self._check_lease(runner, now)
 
     def apply_transitions(self, now: float) -> None:
         """Starts and stops tasks as leases have begun and ended."""
@@ -211,7 +187,7 @@
     def _successor(self, runner: LeaseRunner) -> str:
         return self.ranking.successor(runner.candidate.role, runner.zone)
 
-    def _check_held(self, runner: LeaseRunner, now: float) -> None:
+    def _check_lease(self, runner: LeaseRunner, now: float) -> None:
         timeout = self.context.fleet.file.leases.progress_timeout
         task = runner.task
         if not self.may_hold_roles():
@@ -222,7 +198,7 @@
         elif task and self.context.loop.now - task.last_progress_at > timeout:
             self._give_up(runner, "no progress", now)
         else:
-            if now - runner.held_since > timeout:
+            if now - runner.leading_since > timeout:
                 runner.failures = 0  # it makes progress again
             self._return_to_preferred(runner, now)
 
@@ -232,7 +208,7 @@
         order = self.order(runner)
         if not order or order[0] == self.context.process_id:
             return
-        if min(now - self.last_fault_at, now - runner.held_since) < stability_period:
+        if min(now - self.last_fault_at, now - runner.leading_since) < stability_period:
             return
         preferred = self.context.find_member(order[0])
         if preferred and now - preferred.since >= stability_period:
@@ -259,7 +235,7 @@
         if not target:
             runner.quiet_until = now + QUIET_PERIOD
         else:
-            runner.held_since = now
+            runner.leading_since = now
         self._hand_over(runner, "operator", found[-1] if found else self._successor(runner))
 
     def _hand_over(self, runner: LeaseRunner, cause: str, target: str) -> None:
@@ -295,7 +271,7 @@
     def _begin(self, runner: LeaseRunner, transition: Transition, now: float) -> None:
         candidate = runner.candidate
         term = transition.term
-        runner.held_since = now
+        runner.leading_since = now
         left = candidate.expires_at - clock.now()
         self.context.log_event(
             "duty",
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -20,15 +20,10 @@
 from onyxhollow.fleet.file import FleetConfig, RoleScope, RoleTable, TaskKind
 from onyxhollow.fleet.identity import MAY_HOLD_ROLES, VOTES, make_process_id, split_process_id
 from onyxhollow.fleet.leader_tasks import LeaderTask, WebhookTask
-from onyxhollow.fleet.lease_messenger import LeaseMessenger
-from onyxhollow.fleet.lease_router import LeaseRouter
-from onyxhollow.fleet.lease_service import LeaseService
+from onyxhollow.fleet.leasing import Leasing
 from onyxhollow.fleet.lists import LIST, Lists
-from onyxhollow.fleet.role_ranking import RoleRanking
 from onyxhollow.fleet.shares import SHARE, Shares
 from onyxhollow.fleet.status_api import StatusApi
-from onyxhollow.fleet.voter_service import VoterService
-from onyxhollow.fleet.voter_set_service import VoterSetService
 from onyxhollow.interface import Endpoint, EndpointListKind
 from onyxhollow.leases.messages import VOTERS_ROLE, VoterSet
 from onyxhollow.lifecycle.proxy import Proxy
@@ -38,7 +33,6 @@
 from onyxhollow.membership.swim import Member, SwimMembership
 
 CHECK_INTERVAL = 0.1  # seconds between checks of what changes outside: the service state, a task's progress
-RANKING_INTERVAL = 1.0  # seconds after which the order of members is worked out anew
 STALL_LOGGED = 0.5  # seconds of standing still from which it is logged
 SHORTEST_WAIT = 0.001  # seconds between two steps of the member's coroutine
 
@@ -68,8 +62,7 @@
         self.membership = self._make_membership(now)
         self._logged_stalls = 0.0
         self._check_at = now
-        self._rank_at = now
-        self._build_leases(now)
+        self.leasing = Leasing(self, self.may_hold_roles, self._on_holder, now)
         gossip_config = fleet.file.gossip_config()
         self.lists: Lists | None = None
         self.shares = Shares(self, gossip_config) if gossip_config else None
@@ -80,7 +73,7 @@
     @property
     def voters(self) -> VoterSet:
         """The newest voter set that this member knows of."""
-        return self.voter_sets.voter_set
+        return self.leasing.voter_sets.voter_set
 
     def log_event(self, event: str, **values: Any) -> None:
         """Writes one line to the proxy's log, with the monotonic time in `at`."""
@@ -103,38 +96,18 @@
         me = Update(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
         return SwimMembership(me, fleet.file.protocol_config(), self.rng, fleet.seeds, now)
 
-    def _build_leases(self, now: float) -> None:
-        self.ranking = RoleRanking(self.membership, self.name, self.process_id, self.may_hold_roles)
-        self.messenger = LeaseMessenger(self)
-        self.voter_service = VoterService(self, self.messenger, self._adopt_voter_set, now)
-        self.leases = LeaseService(
-            self,
-            self.messenger,
-            self.ranking,
-            self.voter_service,
-            self.may_hold_roles,
-            self._on_holder,
-            now,
-        )
-        first_voters = VoterSet(0, tuple(self.fleet.file.voters))
-        self.voter_sets = VoterSetService(self, self.messenger, self.leases, self.voter_service, first_voters)
-        self.router = LeaseRouter(self, self.messenger, self.leases, self.voter_sets, self.voter_service)
-
-    def _adopt_voter_set(self, voter_set: VoterSet, now: float) -> None:
-        self.voter_sets.adopt(voter_set, now)
-
     def _on_holder(self, role: str, term: int, process_id: str) -> None:
         if self.addresses:
             self.addresses.learn_holder(role, term, process_id)
 
     def _add_roles(self) -> None:
-        self.leases.add(VOTERS_ROLE, None, None)
+        self.leasing.leases.add(VOTERS_ROLE, None, None)
         for role in self.fleet.file.roles:
             self._add_role(role)
         if self.fleet.addresses:
             self.addresses = Addresses(self, self.fleet.addresses)
             for name, zone, task in self.addresses.duties():
-                self.leases.add(name, zone, task)
+                self.leasing.leases.add(name, zone, task)
 
     def _add_role(self, role: RoleTable) -> None:
         zone = self.zone if role.scope is RoleScope.ZONE else None
@@ -145,7 +118,7 @@
             task = self.lists
         else:
             task = self._make_webhook(name, role)
-        self.leases.add(name, zone, task)
+        self.leasing.leases.add(name, zone, task)
 
     def _make_webhook(self, name: str, role: RoleTable) -> WebhookTask:
         host, _, port = role.call_address.rpartition(":")
@@ -158,9 +131,7 @@
         proxy.parts.append(self)
         status = StatusApi(
             self,
-            self.messenger,
-            self.leases,
-            self.voter_service,
+            self.leasing,
             authenticator.dropped,
             self.lists,
             self.shares,
@@ -198,10 +169,7 @@
             yield self.loop.now + max(SHORTEST_WAIT, self._next_due() - clock.now())
 
     def _next_due(self) -> float:
-        times = [self.membership.next_due, self._check_at, self.leases.next_due()]
-        voter_due = self.voter_service.next_due()
-        if voter_due is not None:
-            times.append(voter_due)
+        times = [self.membership.next_due, self._check_at, self.leasing.next_due()]
         if self.lists:
             times.append(self.lists.next_due())
         if self.shares:
@@ -220,8 +188,8 @@
             self._take_membership_changes(now)
             self._take_payloads(now)
             self._take_broadcasts(now)
-            self.router.route_local(now)
-        self.leases.apply_transitions(now)
+            self.leasing.router.route_local(now)
+        self.leasing.leases.apply_transitions(now)
         self._flush()
 
     def _tick(self, now: float) -> None:
@@ -231,8 +199,7 @@
         if now >= self._check_at:
             self._check_at = now + CHECK_INTERVAL
             self._check(now)
-        self.voter_service.tick(now)
-        self.leases.tick(now)
+        self.leasing.tick(now)
         if self.lists:
             self.lists.tick(now)
         if self.shares:
@@ -242,21 +209,18 @@
 
     def _check(self, now: float) -> None:
         """Looks at what changes without a message."""
-        flags = (MAY_HOLD_ROLES if self.may_hold_roles() else 0) | (VOTES if self.voter_service.voter else 0)
+        flags = (MAY_HOLD_ROLES if self.may_hold_roles() else 0) | (
+            VOTES if self.leasing.voter_service.voter else 0
+        )
         if flags != self.membership.local.flags:
             self.membership.set_flags(flags)
-            self.ranking.clear()
-        self.voter_service.check(now)
-        if now >= self._rank_at:
-            self._rank_at = now + RANKING_INTERVAL
-            self.ranking.clear()  # a member that was damped may be no longer
-        self.leases.check(now)
-        self.voter_sets.check(now)
+            self.leasing.ranking.clear()
+        self.leasing.check(now)
 
     def _something_waits(self) -> bool:
         membership = self.membership
         return bool(
-            self.messenger.local
+            self.leasing.messenger.local
             or membership.changes
             or membership.received_payloads
             or membership.received_broadcasts
@@ -267,11 +231,11 @@
         self.membership.changes = []
         for change in changes:
             member = change.member
-            self.ranking.clear()
+            self.leasing.ranking.clear()
             if self.shares:
                 self.shares.changed = True
             if member.state in (MemberState.SUSPECT, MemberState.DEAD):
-                self.leases.last_fault_at = now
+                self.leasing.leases.last_fault_at = now
             self.log_event(
                 "member",
                 member=member.name,
@@ -298,7 +262,7 @@
             if self.addresses:
                 self.addresses.on_message(member, body, now)
         else:
-            self.router.on_payload(member, body, now)
+            self.leasing.router.on_payload(member, body, now)
 
     def _take_broadcasts(self, now: float) -> None:
         events = self.membership.received_broadcasts
@@ -314,7 +278,7 @@
             if self.addresses:
                 self.addresses.on_broadcast(body)
         else:
-            self.router.on_broadcast(body, now)
+            self.leasing.router.on_broadcast(body, now)
 
     def _log_stalls(self) -> None:
         stalled = self.membership.stalled
@@ -338,14 +302,14 @@
         """The process ends: what it holds goes on to others at once."""
         if self.closed:
             return
-        self.leases.hand_over_all("stopped")
+        self.leasing.leases.hand_over_all("stopped")
         self._step()
         self.membership.leave()
         self._flush()
         self.closed = True
         self.loop.watch(self.transport.descriptor, 0, None)
         self.transport.close()
-        self.voter_service.close()
+        self.leasing.voter_service.close()
         if self.addresses:
             self.addresses.close()
 
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -13,14 +13,14 @@
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
 from onyxhollow.fleet.identity import MAY_HOLD_ROLES, VOTES, member_name
-from onyxhollow.fleet.lease_messenger import LeaseMessenger
-from onyxhollow.fleet.lease_service import LeaseRunner, LeaseService
+from onyxhollow.fleet.lease_runner import LeaseRunner
+from onyxhollow.fleet.leasing import Leasing
 from onyxhollow.fleet.lists import Lists
 from onyxhollow.fleet.shares import Shares
-from onyxhollow.fleet.voter_service import VoterService
 from onyxhollow.leases.messages import VOTERS_ROLE, HandOverCommand, KnownTerm, ReplaceVoterCommand
 from onyxhollow.management.api import PLAIN, Answer
 from onyxhollow.membership.swim import Member
+from onyxhollow.policy import Server
 
 JSON = "application/json"
 LOAD_SHOWN_FOR = 60.0  # seconds after which a load is no longer shown
@@ -45,17 +45,15 @@
     def __init__(
         self,
         context: MemberContext,
-        messenger: LeaseMessenger,
-        leases: LeaseService,
-        voter_service: VoterService,
+        leasing: Leasing,
         dropped: Counter[str],
         list_replication: Lists | None,
         load_gossip: Shares | None,
     ) -> None:
         self.context = context
-        self.messenger = messenger
-        self.leases = leases
-        self.voter_service = voter_service
+        self.messenger = leasing.messenger
+        self.leases = leasing.leases
+        self.voter_service = leasing.voter_service
         self.dropped = dropped
         self.list_replication = list_replication
         self.load_gossip = load_gossip
@@ -104,7 +102,11 @@
     def show_history(self, query: str) -> Answer:
         """The last changes of holders; `name=ROLE` for one role alone."""
         role = dict(parse_qsl(query)).get("name")
-        rows = [row for row in self.leases.history if role in (None, row["duty"])]
+        rows = [
+            {"duty": change.role, "term": change.term, "who": change.process_id, "t": change.at}
+            for change in self.leases.history
+            if role in (None, change.role)
+        ]
         return 200, orjson.dumps(rows, option=orjson.OPT_APPEND_NEWLINE), JSON
 
     def hand_over(self, query: str) -> Answer:
@@ -211,18 +213,21 @@
     def _endpoints(self) -> list[dict[str, Any]]:
         """What this process knows of the endpoints: own connections, load and how old that is."""
         balancer = self.context.proxy.decisions.balancer
-        at = self.context.loop.now
-        return [
-            {
-                "name": s.name,
-                "zone": s.zone,
-                "state": s.readiness.value,
-                "own": len(s.connections),
-                "size": s.size,
-                "load": round(s.load, 3) if at - s.load_at < LOAD_SHOWN_FOR else None,
-                "load_age": round(at - s.load_at, 1) if at - s.load_at < LOAD_SHOWN_FOR else None,
-                "distrust": round(s.score(at), 2),
-                "arrives": s.arrival is not None,
-            }
-            for s in sorted(balancer.servers.values(), key=lambda s: s.name)
-        ]
+        endpoints = sorted(balancer.servers.values(), key=lambda endpoint: endpoint.name)
+        return [self._endpoint(endpoint) for endpoint in endpoints]
+
+    def _endpoint(self, endpoint: Server) -> dict[str, Any]:
+        now = self.context.loop.now
+        age = now - endpoint.load_at
+        load_known = age < LOAD_SHOWN_FOR
+        return {
+            "name": endpoint.name,
+            "zone": endpoint.zone,
+            "state": endpoint.readiness.value,
+            "own": len(endpoint.connections),
+            "size": endpoint.size,
+            "load": round(endpoint.load, 3) if load_known else None,
+            "load_age": round(age, 1) if load_known else None,
+            "distrust": round(endpoint.score(now), 2),
+            "arrives": endpoint.arrival is not None,
+        }
--- a/onyxhollow/fleet/voter_service.py
+++ b/onyxhollow/fleet/voter_service.py
@@ -114,8 +114,7 @@
                 self.context.log_event("voter recovered", duties=len(self.voter.slots))
             else:
                 self.voter.recovering = True
-        for name, query in queries:
-            self.messenger.send_to_voter(name, query)
+        self.messenger.send_all(queries)
 
     def on_message(self, process_id: str, name: str, message: Message) -> None:
         """A message from the process of that id and member name; ignored without a voter."""
--- a/onyxhollow/lab/fleet/broken.py
+++ b/onyxhollow/lab/fleet/broken.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable, Iterable
 
-from onyxhollow.leases.candidate import Candidate, VoterMessage
+from onyxhollow.leases.candidate import Candidate
 from onyxhollow.leases.candidate_states import CandidateState
-from onyxhollow.leases.messages import Message
+from onyxhollow.leases.messages import Message, VoterMessage
 from onyxhollow.leases.timing import LeaseTiming
 from onyxhollow.leases.voter import Voter
 
--- a/onyxhollow/lab/fleet/explore.py
+++ b/onyxhollow/lab/fleet/explore.py
@@ -22,8 +22,8 @@
 from typing import Any
 
 from onyxhollow.lab.fleet import broken
-from onyxhollow.leases.candidate import Candidate, VoterMessage
-from onyxhollow.leases.messages import LeaseOffer, Message, VoteResponse, VoterSet, encode
+from onyxhollow.leases.candidate import Candidate
+from onyxhollow.leases.messages import LeaseOffer, Message, VoteResponse, VoterMessage, VoterSet, encode
 from onyxhollow.leases.timing import LeaseTiming
 from onyxhollow.leases.voter import Voter
 
--- a/onyxhollow/leases/candidate.py
+++ b/onyxhollow/leases/candidate.py
@@ -9,17 +9,16 @@
 import math
 from dataclasses import dataclass
 from random import Random
-from typing import NamedTuple
 
 from onyxhollow.leases.candidate_states import NEXT_STATE, CandidateEvent, CandidateState, CandidateStateError
 from onyxhollow.leases.messages import (
     ConfigurationCommitted,
-    Message,
     PendingVoterSet,
     Refusal,
     ReleaseNotice,
     VoteRequest,
     VoteResponse,
+    VoterMessage,
     VoterSet,
 )
 from onyxhollow.leases.timing import LeaseTiming
@@ -47,13 +46,6 @@
     waited: float = 0.0
 
 
-class VoterMessage(NamedTuple):
-    """A message and the name of the voter that it goes to."""
-
-    voter: str
-    message: Message
-
-
 @dataclass(frozen=True, slots=True)
 class RequestRound:
     """One round of vote requests.
--- a/onyxhollow/leases/messages.py
+++ b/onyxhollow/leases/messages.py
@@ -73,6 +73,13 @@
     """One message, or one stored record."""
 
 
+class VoterMessage(NamedTuple):
+    """A message and the name of the voter that it goes to."""
+
+    voter: str
+    message: Message
+
+
 class VoteRequest(Message, frozen=True, tag=1):
     """A candidate asks for a lease that begins when the voter receives this.
 
--- a/onyxhollow/leases/reconfiguration.py
+++ b/onyxhollow/leases/reconfiguration.py
@@ -8,11 +8,12 @@
 
 from __future__ import annotations
 
-from onyxhollow.leases.candidate import Candidate, VoterMessage
+from onyxhollow.leases.candidate import Candidate
 from onyxhollow.leases.messages import (
     ReconfigurationRequest,
     ReconfigurationResponse,
     ReplaceVoterCommand,
+    VoterMessage,
     VoterSet,
 )
 
--- a/onyxhollow/leases/voter.py
+++ b/onyxhollow/leases/voter.py
@@ -40,6 +40,7 @@
     StateResponse,
     VoteRequest,
     VoteResponse,
+    VoterMessage,
     VoterSet,
     VoterSetChanged,
 )
@@ -66,11 +67,11 @@
     """What a recovering voter does.
 
     Attributes:
-        queries: Messages to other voters, by name.
+        queries: Messages to other voters.
         records: What has to be stored, once it has recovered.
     """
 
-    queries: list[tuple[str, Message]]
+    queries: list[VoterMessage]
     records: list[Message]
 
 
@@ -174,7 +175,8 @@
             return RecoveryOutput([], [])
         self.next_query_at = now + STATE_QUERY_INTERVAL
         self.query_round += 1
-        return RecoveryOutput([(name, StateQuery(self.query_round)) for name in self.peers], [])
+        query = StateQuery(self.query_round)
+        return RecoveryOutput([VoterMessage(name, query) for name in self.peers], [])
 
     def next_due(self) -> float:
         """When `tick` has something to do; inf if it has not."""
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -1,4 +1,4 @@
-"""Duties on real processes: started by the rig, with faults between them, judged from the record alone."""
+"""Roles on real processes: started by the rig, with faults between them, judged from the record alone."""
 
 import signal
 import time
@@ -44,7 +44,7 @@
     return [act for act in rig.ledger.acts if act.who.startswith(f"{who}~")]
 
 
-def test_a_duty_goes_on_when_its_holder_is_killed_stopped_cut_off_or_ends(rig_of):
+def test_a_role_gets_another_holder_when_its_holder_is_killed_stopped_cut_off_or_ends(rig_of):
     rig = rig_of()
     first = settled(rig)
     rig.kill(first)
@@ -74,7 +74,7 @@
     assert verdict.holds >= 5
 
 
-def test_a_holder_woken_in_the_middle_of_an_act_looks_at_the_clock_first(rig_of):
+def test_a_holder_woken_in_the_middle_of_an_act_checks_its_lease_first(rig_of):
     rig = rig_of(duties=[bugs.BUSY])
     for _ in range(4):
         rig.wait_members() if rig.lines else settled(rig)
@@ -204,7 +204,7 @@
     second.close()
 
 
-def test_a_holder_is_replaced_under_load_and_its_duty_goes_on(rig_of):
+def test_a_holder_is_replaced_under_load_and_its_successor_takes_the_role(rig_of):
     rig = rig_of(servers=2)
     echo = [EchoServer(rig.loop) for _ in range(2)]
     for number, server in enumerate(echo):
@@ -234,7 +234,7 @@
         one.close()
 
 
-def test_a_voter_is_replaced_by_a_command_and_the_duty_goes_on(rig_of, capfd):
+def test_a_voter_is_replaced_by_a_command_and_the_role_keeps_a_holder(rig_of, capfd):
     rig = rig_of(members=4)
     rig.spare_voters = ("n3",)
     settled(rig)
@@ -257,7 +257,7 @@
     capfd.readouterr()
 
 
-def test_operators_see_and_move_duties(rig_of, capfd):
+def test_operators_show_and_hand_over_roles(rig_of, capfd):
     rig = rig_of()
     first = settled(rig)
     at = ":".join(map(str, rig.now_by[first].management))
@@ -278,7 +278,7 @@
     clean(rig)
 
 
-def test_a_duty_goes_back_to_its_preferred_member_once_that_is_steady_and_not_in_trouble(rig_of):
+def test_a_role_returns_to_its_preferred_member_once_that_is_stable(rig_of):
     rig = rig_of(steady=2.0, members=4)
     first = settled(rig)
     rig.wait(lambda: rig.said(rig.now_by[first].title, "start"), 1, "up")
@@ -316,5 +316,5 @@
 
 
 @pytest.mark.parametrize("name", sorted(broken.BUGS))
-def test_each_bug_put_in_is_found_on_real_processes(name, tmp_path):
+def test_each_planted_bug_is_found_on_real_processes(name, tmp_path):
     assert bugs.found(name, tmp_path / "rig")
