--- a/onyxhollow/fleet/address_tables.py
+++ b/onyxhollow/fleet/address_tables.py
@@ -7,10 +7,10 @@
 
 from rich.table import Table
 
-from onyxhollow.addresses.routes import Preference
 from onyxhollow.fleet.commands import CallError
 
 VIEW_COLUMNS = ("address", "site", "standing", "for", "health", "sessions", "of", "flaps", "notes")
+PREFERENCES = ("withdrawn", "lesser", "advertised")  # by number; the core would load the fleet's libraries
 HISTORY_COLUMNS = ("when", "what", "address", "site", "why", "evidence")
 JsonObject = dict[str, Any]  # an answer, whose keys docs/addresses.md gives
 
@@ -94,7 +94,7 @@
 
 def decision_row(row: JsonObject) -> tuple[float, str, str, str, str, str]:
     """A decision: Unix time, and the columns after it."""
-    what = Preference(row["standing"]).label
+    what = PREFERENCES[row["standing"]]
     evidence = f"term {row['term']}; {row['evidence']}"
     return row["at"], what, row["address"], row["site"], row["why"], evidence
 
--- a/onyxhollow/fleet/shared_addresses/service.py
+++ b/onyxhollow/fleet/shared_addresses/service.py
@@ -28,7 +28,7 @@
 from onyxhollow.addresses.overrides import OverrideLog
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
-from onyxhollow.fleet.identity import process_id_of
+from onyxhollow.fleet.identity import make_process_id
 from onyxhollow.fleet.leader_tasks import LeaderTask
 from onyxhollow.fleet.shared_addresses.announcer_task import AnnouncerTask
 from onyxhollow.fleet.shared_addresses.connection_drain import ConnectionDrain
@@ -109,7 +109,7 @@
         """Takes in a payload of another member; one that cannot be read is counted."""
         message = self.decode(body)
         if message is not None:
-            self.dispatch(message, member.name, process_id_of(member), now)
+            self.dispatch(message, member.name, make_process_id(member.name, member.epoch), now)
 
     def on_broadcast(self, body: bytes) -> None:
         """Takes in a broadcast."""
--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -32,6 +32,8 @@
     "speaker": "routing daemon",
     "store waits": "store unavailable",
     "told": "routing command",
+    "voter remembers": "voter recovered",
+    "voter waits": "voter log unavailable",
 }
 SERVICE = {"out of service": "leaving", "in service": "in service", "stop": "stopping"}
 
