--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import CALLS
+from peers import CALLS
 
 from onyxhollow.interface import (
     EndpointListKind,
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import PLAIN
+from peers import PLAIN
 
 from onyxhollow.interface import (
     Endpoint,
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,6 +1,6 @@
 """How connections are handed off: the stages, who goes first, when it ends."""
 
-from conftest import CALLS
+from peers import CALLS
 
 from onyxhollow.interface import (
     AttemptOutcome,
