--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -19,6 +19,12 @@
     ("serve", "run one proxy"),
     ("check", "check a configuration and say what it holds"),
 )
+ROUTE_GUARD = "route-guard"
+OLD_ROUTE_GUARD = "gate"  # accepted for one release, with a warning
+ROUTE_GUARD_COMMANDS = (
+    (ROUTE_GUARD, "stand between a site's announcers and its routing daemon"),
+    (OLD_ROUTE_GUARD, f"the former name of {ROUTE_GUARD}"),
+)
 # Commands with a parser of their own, which gets all that follows.
 OTHER_COMMANDS = (
     ("members", "who is there, as a running process sees it"),
@@ -55,8 +61,9 @@
     for name, purpose in OTHER_COMMANDS:
         command = commands.add_parser(name, help=purpose, add_help=False)
         command.add_argument("words", nargs=argparse.REMAINDER)
-    gate = commands.add_parser("gate", help="stand between a site's announcers and its routing daemon")
-    gate.add_argument("--config", required=True, help="TOML")
+    for name, purpose in ROUTE_GUARD_COMMANDS:
+        command = commands.add_parser(name, help=purpose)
+        command.add_argument("--config", required=True, help="TOML")
     return parser
 
 
@@ -104,19 +111,23 @@
 
 def run_fleet_command(arguments: argparse.Namespace) -> int:
     """The commands on a running fleet, and the route guard."""
+    command = arguments.command
+    if command == OLD_ROUTE_GUARD:
+        notice = f"{OLD_ROUTE_GUARD}: now called {ROUTE_GUARD}; this name goes with the next release"
+        sys.stderr.write(f"onyxhollow: {notice}\n")
     try:
-        if arguments.command == "gate":
-            from onyxhollow.fleet.gate import main as run_gate
+        if command in (ROUTE_GUARD, OLD_ROUTE_GUARD):
+            from onyxhollow.fleet.route_guard import main as run_route_guard
 
-            return run_gate(arguments.config)
-        if arguments.command == "addresses":
-            from onyxhollow.fleet.addressing import main as run_addresses
+            return run_route_guard(arguments.config)
+        if command == "addresses":
+            from onyxhollow.fleet.address_commands import main as run_addresses
 
             return run_addresses(arguments.words)
         from onyxhollow.fleet.commands import main as run
     except ImportError as error:
         return missing_extra("fleet", error)
-    return run(arguments.command, arguments.words)
+    return run(command, arguments.words)
 
 
 def read_files(arguments: argparse.Namespace) -> tuple[Config, FleetConfig | None]:
@@ -187,18 +198,19 @@
 
 def print_fleet(fleet: FleetConfig) -> None:
     """What a fleet file holds."""
-    roles = ", ".join(
-        f"{role.name} ({role.task.value}, one a {role.scope.value})" for role in fleet.file.roles
-    )
+    file = fleet.file
+    roles = ", ".join(f"{role.name} ({role.task.value}, one a {role.scope.value})" for role in file.roles)
+    host, port = fleet.advertise
     print(
-        f"fleet {fleet.file.fleet}: member at {fleet.advertise[0]}:{fleet.advertise[1]}, "
-        f"voters {', '.join(fleet.file.voters)}, lease {fleet.file.leases.duration:g} s"
+        f"fleet {file.fleet}: member at {host}:{port}, "
+        f"voters {', '.join(file.voters)}, lease {file.leases.duration:g} s"
     )
     print(f"duties: {roles or 'none'}")
     shared = fleet.addresses
     if shared is not None:
-        names, sites = (", ".join(row.name for row in some) for some in (shared.service, shared.site))
-        print(f"addresses: {names} at {sites}, at least {shared.policy.least}")
+        names = ", ".join(service.name for service in shared.services)
+        sites = ", ".join(site.name for site in shared.sites)
+        print(f"addresses: {names} at {sites}, at least {shared.policy.min_sites}")
 
 
 if __name__ == "__main__":
--- a/onyxhollow/wire/established_connection.py
+++ b/onyxhollow/wire/established_connection.py
@@ -70,7 +70,7 @@
         self.server.finish()
         session.end(ConnectionEvent.MIGRATED, why)
         if outcome is AttemptOutcome.CANCELLED:
-            self.handle.report_client_gone()  # by this proxy, not by its endpoint: no evidence
+            self.handle.report_client_gone()  # ended by this proxy: it says nothing of its endpoint
         self.handle.report_ended(outcome, self.duration(), True)
 
     def end_with_endpoint(self, outcome: AttemptOutcome) -> None:
