--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 
 
 class FakeHost:
-    """Notes what it is asked; time passes only when a story says so."""
+    """Records what it is asked; time passes only when a test says so."""
 
     def __init__(self, settings, seed):
         self.now, self.wake, self.did, self.taken = 1000.0, [], [], 0
--- a/tests/decision_setups.py
+++ b/tests/decision_setups.py
@@ -30,6 +30,6 @@
 
 def without_reports(start, **changes):
     """Four balancers, four servers of size 4; customers may hold 320 connections: own 20 fill a server."""
-    told = {"tenants": {"acme": Tenant("acme", 1.0, 320.0)}, "instance_count": 4}
-    host = start(**(told | changes))
+    quotas = {"tenants": {"acme": Tenant("acme", 1.0, 320.0)}, "instance_count": 4}
+    host = start(**(quotas | changes))
     return host, host.servers(*"abcd", weight=4.0)
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -13,13 +13,13 @@
 
 
 def test_sessions_of_a_group_meet_on_one_endpoint_at_all_instances(start):
-    homes = set()
+    meeting_points = set()
     for seed in (1, 2, 3):
         host = start(seed, group_affinity=True)
         host.servers(*"abcdef", weight=4.0)
         host.balancer.full_connections = 5.0
-        homes |= {host.take(group="g7").endpoint.name for _ in range(3)}
-    assert len(homes) == 1
+        meeting_points |= {host.take(group="g7").endpoint.name for _ in range(3)}
+    assert len(meeting_points) == 1
 
 
 def test_a_group_whose_endpoints_are_full_waits_and_is_not_strewn(start):
@@ -28,10 +28,10 @@
     host.loads(**{s.name: 0.1 for s in servers})
     stretch = set()
     for _ in range(17):
-        home = host.balancer.affinity_endpoint(host.take(group="g", stands=False))
-        if home is not None:
-            home.overloaded_at = host.now
-            stretch.add(home)
+        affinity = host.balancer.affinity_endpoint(host.take(group="g", stands=False))
+        if affinity is not None:
+            affinity.overloaded_at = host.now
+            stretch.add(affinity)
     before = len(host.asked("start_attempt"))
     host.balancer.awaits_load_report = lambda *_: False
     sess = host.take(group="g", stands=False)
@@ -54,14 +54,14 @@
     balancer.slow_start.tokens[cold], cold.arrival.credit = (1.0, host.now), 1
     assert balancer.affinity_endpoint(sess) is cold
     balancer.slow_start.tokens[cold] = (0.0, host.now)
-    assert balancer.affinity_endpoint(sess) in old  # not held until there is more: it meets at the next one
+    assert balancer.affinity_endpoint(sess) in old  # it does not wait for more: it meets at the next one
 
 
 def test_a_group_is_not_strewn_over_arriving_endpoints_that_happen_to_have_a_turn(start):
     # Another one had a turn at each balancer and moment: the group's work was paid for at eight servers.
-    homes, customers = set(), {"acme": Tenant("acme", connection_quota=4000.0)}
+    meeting_points, tenants = set(), {"acme": Tenant("acme", connection_quota=4000.0)}
     for n in range(100):
-        host = start(n, instance_count=200, instance_index=n, group_affinity=True, tenants=customers)
+        host = start(n, instance_count=200, instance_index=n, group_affinity=True, tenants=tenants)
         old = [f"s{n}" for n in range(12)]
         host.servers(*old)
         host.wait(1.0)
@@ -70,9 +70,9 @@
         host.wait(3.0 + n / 50)
         sess = host.take(stands=False)
         sess.group = "g"
-        if (home := host.balancer.affinity_endpoint(sess)) is not None:
-            homes.add(home.name)
-    assert 1 <= len(homes) <= 2
+        if (affinity := host.balancer.affinity_endpoint(sess)) is not None:
+            meeting_points.add(affinity.name)
+    assert 1 <= len(meeting_points) <= 2
 
 
 def test_an_instance_that_starts_among_loaded_endpoints_places_groups_where_others_do(start):
@@ -88,7 +88,7 @@
 
 
 def test_affinity_is_local_only_while_the_fleet_is_empty_by_a_zone_crossings_price(start):
-    # Two in three dials crossed rooms for three points; strewn over rooms a full fleet pays groups thrice.
+    # Two in three attempts crossed zones for three points; strewn over zones a full fleet pays groups thrice.
     for price, load, near in ((0.03, 0.2, True), (0.03, 0.4, False), (0.01, 0.2, False)):
         host = start(group_affinity=True, zone="here", cross_zone_price=price)
         host.servers(*(f"far{n}" for n in range(30)), zone="there")
@@ -97,12 +97,14 @@
             server.arrival = None
         host.loads(**{s.name: load for s in host.balancer.endpoints})
         host.balancer.rebalance_subset()
-        homes = [host.balancer.affinity_endpoint(host.take(group=f"g{n}", stands=False)) for n in range(20)]
-        assert (sum(s.zone == "here" for s in homes) >= 16) is near
+        meeting_points = [
+            host.balancer.affinity_endpoint(host.take(group=f"g{n}", stands=False)) for n in range(20)
+        ]
+        assert (sum(s.zone == "here" for s in meeting_points) >= 16) is near
 
 
 def test_sessions_of_one_group_are_the_crowd_at_its_endpoint(start):
-    # Shared out as if over the fleet, the room at a home went to all sessions of its group at once.
+    # Shared out as if over the fleet, the capacity at a meeting point went to all its sessions at once.
     placed = []
     for others in (2, 0):
         placed.append(0)
@@ -121,7 +123,7 @@
 
 
 def test_without_load_reports_a_group_has_one_endpoint_for_all_zones_and_a_shedding_one_rests_longer(start):
-    homes = set()
+    meeting_points = set()
     for zone in ("north", "south"):
         host, _ = without_reports(start, group_affinity=True, zone=zone, cross_zone_price=0.1)
         for name in "abcd":
@@ -129,9 +131,9 @@
                 name, kind=EndpointListKind.DELTA, zone="north" if name in "ab" else "south", weight=4.0
             )
         host.balancer.refresh_health()
-        homes.add(host.take(group="g7").endpoint.name)
-    assert len(homes) == 1
-    server = host.balancer.tracked[homes.pop()]
+        meeting_points.add(host.take(group="g7").endpoint.name)
+    assert len(meeting_points) == 1
+    server = host.balancer.tracked[meeting_points.pop()]
     server.overloaded_at = host.now
     host.wait(4.0)
     assert not host.balancer.eligible(server)
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -92,7 +92,7 @@
 
 
 def test_a_live_weight_is_read_as_connections_and_not_as_a_size(start):
-    # Taken for a size, the homes of groups wandered with it and the fullest server looked smallest.
+    # Taken for a size, the ring wandered with it and the fullest server looked smallest.
     host = start(live_weights=True, group_affinity=True, instance_count=8)
     servers = host.servers("a", "b", "c", weight=4.0, machine_type="m")
     host.servers("d", kind=EndpointListKind.DELTA, weight=2.0, machine_type="n")
@@ -103,7 +103,7 @@
     assert {s.name: list(s.ring_positions) for s in host.balancer.endpoints} == places
     assert [round(s.shared_connections, 6) for s in servers] == [9.0, 3.0, 0.0]
     host.loads(a=0.9)
-    assert host.balancer.load_of(servers[1]) == pytest.approx(0.3)  # told of one, and so of all of its kind
+    assert host.balancer.load_of(servers[1]) == pytest.approx(0.3)  # reported of one: of all of its type
     host.servers("a", kind=EndpointListKind.DELTA, weight=0.5, machine_type="m")
     assert host.balancer.load_of(servers[0]) == pytest.approx(0.7)  # its report is carried on
     weigh = [host.balancer.cost(s, None, None) for s in servers]
@@ -113,7 +113,7 @@
 
 
 def test_a_switch_to_live_weights_and_back_reads_nothing_old_as_new(start):
-    # A load reported under sizes was carried on by all connections at the first live word.
+    # A load reported under sizes was carried on by all connections at the first live weight.
     host = start(group_affinity=True)
     a, b = host.servers("a", "b", weight=4.0, machine_type="m")
     sess, live = host.take(), replace(PLAIN, group_affinity=True, live_weights=True)
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -5,7 +5,7 @@
 
 def test_endpoints_are_checked_often_only_while_one_is_overloaded(start):
     host = start(health_checks=True, health_check_price=0.01)
-    host.balancer.awaits_load_report = lambda *_: False  # asked loads have a story of their own
+    host.balancer.awaits_load_report = lambda *_: False  # which has tests of its own
     a, *_ = host.servers(*"abcdefgh")
 
     def probes():
@@ -41,7 +41,7 @@
 
 
 def test_capacity_that_all_instances_see_is_not_filled_by_all_at_once(start):
-    def dials(count):
+    def attempts(count):
         placed = 0
         for seed in range(count):
             host = start(seed, **FEW_CONNECTIONS)
@@ -53,7 +53,7 @@
             placed += len(host.asked("start_attempt"))
         return placed
 
-    assert 0 < dials(100) < 25
+    assert 0 < attempts(100) < 25
 
 
 def test_endpoints_full_by_an_estimate_alone_are_checked_while_sessions_wait(start):
@@ -65,13 +65,13 @@
         host.take()
     host.wait(0.6)
     host.loads(a=0.4, b=0.4)
-    held = [len(server.connections) for server in host.balancer.tracked.values()]
+    before = [len(server.connections) for server in host.balancer.tracked.values()]
     asked = len(host.asked("check_health"))
     while not host.balancer.queue:
         host.take()
     host.wait(0.45)
     grown = [len(server.connections) for server in host.balancer.tracked.values()]
-    assert any(new > 1.5 * old for new, old in zip(grown, held, strict=True))
+    assert any(new > 1.5 * old for new, old in zip(grown, before, strict=True))
     assert 2 <= len(host.asked("check_health")) - asked <= 6
     host.loads(a=0.4, b=0.4)
     host.wait(0.1)
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -11,16 +11,16 @@
 
 
 def test_after_a_restart_among_many_an_endpoint_has_capacity_for_a_share_of_the_tenants_quotas(start):
-    told = {"tenants": {"acme": Tenant("acme", 1.0, 600.0)}}
+    quotas = {"tenants": {"acme": Tenant("acme", 1.0, 600.0)}}
     placed = []
     for seed in range(20):
-        host = start(seed, group_affinity=True, **FEW_CONNECTIONS, **told)
+        host = start(seed, group_affinity=True, **FEW_CONNECTIONS, **quotas)
         host.servers(*(f"s{n}" for n in range(12)), weight=4.0)
         host.loads(**{f"s{n}": 0.5 for n in range(12)})
         host.balancer.refresh_health()
         assert host.balancer.full_connections == pytest.approx(
             600 / 100 / 48
-        )  # nothing open here: the fleet's as told
+        )  # nothing open here: the fleet's as the quotas say
         host.take(group="g", stands=False)
         placed.append(len(host.asked("start_attempt")))
     assert sum(placed) > 12  # by own connections alone, none, it would be a few
@@ -41,7 +41,7 @@
 
 
 def test_without_load_reports_the_own_part_of_the_tenants_quotas_bounds_an_endpoint(start):
-    """On 200 proxies without reports a group's home was filled until it threw its connections out."""
+    """On 200 proxies without reports a group's endpoint was filled until it threw its connections out."""
     host, servers = without_reports(start, max_retry_after=1.0)
     for _ in range(200):
         host.take()
@@ -50,6 +50,6 @@
     assert set(counts.values()) == {13} and len(counts) == 4  # 0.65 of 20 each, and nothing past it
     host.wait(3.0)
     assert len(host.asked("reject")) == 200 - 52
-    host.loads(a=0.1)  # the first report that is heard ends the guessing
+    host.loads(a=0.1)  # the first report that comes ends the estimate
     host.balancer.refresh_health()
     assert not host.balancer.loads_unknown and host.balancer.eligible(servers[0])
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -79,7 +79,7 @@
         host.loads(b=0.3, c=0.3)
         host.wait(0.6)
         a.load, a.load_reported_at, a.connections_at_report = load, host.now, len(a.connections)
-        host.balancer.start_migration(a, "the story")
+        host.balancer.start_migration(a, "for a test")
         moved.append(len(host.asked("migrate")))
     assert moved == [2, 0] and len(a.connections) >= 18
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -80,7 +80,7 @@
     left.on_client_gone()
     left.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
     moved.endpoint.overloaded_at = host.now
-    host.balancer.start_migration(moved.endpoint, "a story")
+    host.balancer.start_migration(moved.endpoint, "for a test")
     assert host.asked("migrate")
     moved.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
     assert moved.endpoint.outlier_score(host.now) == 0.0
