--- a/onyxhollow/lab/experiment.py
+++ b/onyxhollow/lab/experiment.py
@@ -49,10 +49,12 @@
 def policy_text(name: str) -> str:
     """What a policy's text hashes to: a run of another text under the same name is no run of this one."""
     decisions.find(name)
-    parts: list[Any] = [policy, baselines if name in baselines.BY_NAME else decisions]
+    other = baselines if name in baselines.BY_NAME else decisions
     if name not in decisions.names():
         return hashlib.blake2b(decisions.text_at(name).encode(), digest_size=8).hexdigest()
-    return hashlib.blake2b("".join(map(inspect.getsource, parts)).encode(), digest_size=8).hexdigest()
+    modules = sorted(Path(path) for folder in policy.__path__ for path in Path(folder).glob("*.py"))
+    texts = [*(module.read_text() for module in modules), inspect.getsource(other)]
+    return hashlib.blake2b("".join(texts).encode(), digest_size=8).hexdigest()
 
 
 def matrix(scenarios: Iterable[Scenario], policies: Sequence[str], seeds: Iterable[int]) -> list[Cell]:
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -2,6 +2,7 @@
 
 import json
 import os
+import shutil
 import signal
 import subprocess
 import sys
@@ -177,3 +178,16 @@
     days = [search.draw_day(search.Random(seed), seed, base) for seed in range(10)]
     assert all(day.fleet == base.fleet and day.clients.group_size == 40 for day in days)
     assert all(search.playable(day) for day in days) and len({day.clients.load for day in days}) > 5
+
+
+def test_a_change_in_any_module_of_the_decisions_makes_other_runs(tmp_path, monkeypatch):
+    from onyxhollow import policy
+
+    (folder,) = policy.__path__
+    shutil.copytree(folder, tmp_path / "policy")
+    monkeypatch.setattr(policy, "__path__", [str(tmp_path / "policy")])
+    texts = [experiment.policy_text("module")]
+    for module in sorted((tmp_path / "policy").glob("*.py")):
+        module.write_text(module.read_text() + "# changed")
+        texts.append(experiment.policy_text("module"))
+    assert len(texts) > 10 and len(set(texts)) == len(texts)
