--- /dev/null
+++ b/tests/test_fleet_parts.py
@@ -0,0 +1,66 @@
+"""Parts of a fleet member by themselves: its socket, and its voter on a disk that fails."""
+
+import errno
+import socket
+from collections import Counter
+from types import SimpleNamespace
+from unittest.mock import MagicMock
+
+from onyxhollow.fleet import clock, datagram_transport
+from onyxhollow.fleet.datagram_transport import DatagramTransport
+from onyxhollow.fleet.lease_messenger import LeaseMessenger
+from onyxhollow.fleet.voter_service import VoterService
+from onyxhollow.leases.messages import VoteRequest, VoterSet
+from onyxhollow.membership.messages import LARGEST
+
+VOTER_SET = VoterSet(0, ("a", "b", "c"))
+
+
+def test_datagrams_past_the_rate_or_the_size_are_not_sent_and_counted(monkeypatch):
+    now = 100.0
+    monkeypatch.setattr(clock, "now", lambda: now)
+    monkeypatch.setattr(datagram_transport, "SEND_BURST", 4.0)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
+        receiver.bind(("127.0.0.1", 0))
+        authenticator = SimpleNamespace(close=lambda parts, _: b"".join(parts))
+        counts = Counter()
+        transport = DatagramTransport(("127.0.0.1", 0), authenticator, counts)
+        small = SimpleNamespace(parts=[b"x"], to=0, address=receiver.getsockname())
+        large = SimpleNamespace(parts=[b"x" * (LARGEST + 1)], to=0, address=receiver.getsockname())
+        transport.send_all([large, *[small] * 5])
+        assert counts["datagrams out"] == 3 and counts["bytes out"] == 3
+        assert counts["not sent: larger than a datagram"] == 1
+        assert counts["not sent: too much at once"] == 2
+        now += 1.5 / datagram_transport.SEND_RATE
+        transport.send_all([small, small])
+        assert counts["datagrams out"] == 4 and counts["not sent: too much at once"] == 3
+        transport.close()
+
+
+def test_a_voter_whose_disk_fails_answers_nothing_and_logs_the_fault_once(tmp_path, monkeypatch):
+    events = []
+    context = MagicMock(voters=VOTER_SET, counts=Counter())
+    context.name = "a"
+    context.process_id = "a~1"
+    context.fleet.folder = str(tmp_path)
+    context.fleet.file.leases.duration = 4.0
+    context.log_event = lambda event, **values: events.append((event, values.get("why")))
+    messenger = LeaseMessenger(context)
+    service = VoterService(context, messenger, MagicMock(), 0.0)
+    service.check(0.0)
+    assert messenger.has_own_voter and events == [("voter", None)]
+    service.voter.recovering = False
+
+    def request(term):
+        service.on_message("a~1", "a", VoteRequest("d", term, "a~1", 1, 4.0, 0))
+
+    with monkeypatch.context() as patch:
+        patch.setattr("os.fsync", MagicMock(side_effect=OSError(errno.EIO, "no")))
+        request(1)
+        request(1)
+    assert not messenger.local and not service.voter.slots and service.disk_failing
+    assert events[1:] == [("voter disk", "no")] and context.counts["voter: disk failures"] == 2
+    request(1)
+    assert [message.granted for _, message in messenger.local] == [True] and not service.disk_failing
+    assert events[2:] == [("voter disk", "")]
+    service.close()
