--- a/onyxhollow/addresses/messages.py
+++ b/onyxhollow/addresses/messages.py
@@ -1,4 +1,7 @@
-"""What is said of addresses between members, and what is written down: MessagePack by msgspec, as arrays."""
+"""Messages about shared addresses between members, and the records that voters store.
+
+MessagePack by msgspec, structs as arrays: tags and the order of fields are fixed by the wire and the disk.
+"""
 
 from __future__ import annotations
 
@@ -7,175 +10,194 @@
 
 import msgspec
 
-ROOM = 900  # bytes of rows in one message: a datagram less seal, names and what rides along
+PAGE_BYTES = 900  # of rows in one message: a datagram less seal, names and what shares it
 T = TypeVar("T")
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """One thing said."""
+    """One message between members."""
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
+class RouteStatus(msgspec.Struct, array_like=True, frozen=True):
     """One address at one site."""
 
     address: str
-    standing: int
+    preference: int
     cause: str
-    age: float  # seconds that it has stood so
+    age: float  # seconds since the preference last changed
     flaps: float
-    last: bool = False  # it must stay, whatever is seen at the site alone
-    carried_out: bool = True  # the speaker has been told, and has taken it
+    is_last: bool = False  # the site must not withdraw it by itself, whatever it sees
+    installed: bool = True  # the routing daemon has taken the preference
 
 
-class Grant(Message, frozen=True, tag=1):
-    """From the keeper to a site's announcer: all its addresses. Also the keeper's word that it is there."""
+class RouteAssignment(Message, frozen=True, tag=1):
+    """From the controller to a site's announcer: its addresses; without rows: only that it lives."""
 
-    term: int  # of the keeper
-    number: int
+    term: int  # of the controller
+    number: int  # rises within a term
     site: str
-    rows: list[Row]
+    rows: list[RouteStatus]
 
 
-class Report(Message, frozen=True, tag=2):
-    """From a site's announcer to the keeper, in answer to each grant and by itself."""
+class SiteReport(Message, frozen=True, tag=2):
+    """From a site's announcer to the controller, in answer to each assignment and by itself."""
 
     site: str
-    term: int  # of the keeper whose word is the newest here
-    number: int
-    announcer: int  # term of the announcer
-    gate: bool  # whether its gate answers, with a speaker
-    rows: list[Row]
+    controller_term: int  # of the newest assignment received
+    assignment_number: int
+    announcer_term: int
+    guard_ready: bool  # the route guard answers, and has a routing daemon
+    rows: list[RouteStatus]
 
 
-class Seen(msgspec.Struct, array_like=True, frozen=True):
-    """What one member says of an address at its site."""
+class AddressHealth(msgspec.Struct, array_like=True, frozen=True):
+    """How one member sees an address at its site."""
 
     address: str
-    health: float  # 0 to 1: the least of what follows
+    health: float  # 0 to 1: the least of all that the member looks at
     reason: str
     load: float  # open sessions
-    coming: float  # new sessions a second
+    arrival_rate: float  # new sessions a second
 
 
-class Evidence(Message, frozen=True, tag=3):
+class HealthReport(Message, frozen=True, tag=3):
+    """From each member to the controller."""
+
     site: str
-    rows: list[Seen]
+    rows: list[AddressHealth]
 
 
-class Order(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """An operator's word; the newest of a kind for an address at a site counts."""
+class Override(msgspec.Struct, array_like=True, frozen=True, tag=11):
+    """An operator's override; the newest of a kind for an address at a site counts."""
 
     id: str
-    number: int  # higher than all that its taker knew of
-    verb: str  # drain, undrain, pin, unpin, exclude, include
+    number: int  # higher than all that its receiver knew of
+    verb: str  # a key of overrides.VERBS
     address: str  # "": all
     site: str
-    who: str
-    why: str
-    given: float  # Unix seconds
-    until: float  # Unix seconds; 0: until it is taken back
+    operator: str
+    reason: str
+    given_at: float  # Unix seconds
+    expires_at: float  # Unix seconds; 0: never
 
 
-class Decided(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """A line of the history."""
+class DecisionRecord(msgspec.Struct, array_like=True, frozen=True, tag=12):
+    """A line of the history: one change that the controller has decided."""
 
     term: int
     number: int
-    at: float  # Unix seconds
+    decided_at: float  # Unix seconds
     address: str
     site: str
-    standing: int
+    preference: int
     cause: str
-    why: str
+    reason: str
     evidence: str
 
 
-Written = Order | Decided
+StoredRecord = Override | DecisionRecord
 
 
-class Keep(Message, frozen=True, tag=4):
-    """Please write these down, for good."""
+class StoreRequest(Message, frozen=True, tag=4):
+    """Asks a voter to store records durably."""
 
-    rows: list[Written]
+    rows: list[StoredRecord]
 
 
-class Kept(Message, frozen=True, tag=5):
-    """They are on this voter's disk: ids of orders, term and number of decisions."""
+class StoreAcknowledgement(Message, frozen=True, tag=5):
+    """The records are on this voter's disk; see `record_id`."""
 
     voter: str
     ids: list[str]
 
 
-class Want(Message, frozen=True, tag=6):
-    """The keeper asks for the orders that a voter has; known: a digest of its own."""
+class OverrideQuery(Message, frozen=True, tag=6):
+    """Asks a voter for its overrides; an equal digest needs none of them."""
+
+    digest: int
 
-    known: int
 
+class OverrideResponse(Message, frozen=True, tag=7):
+    """A voter's overrides, or a page of them; none if the digests are equal."""
 
-class Have(Message, frozen=True, tag=7):
     voter: str
-    known: int  # a digest of what it has
-    count: int  # how many it has
-    orders: list[Order]  # some of them; none if the asker has the same
+    digest: int
+    count: int  # of all overrides that the voter has
+    overrides: list[Override]
 
 
-class Hello(Message, frozen=True, tag=8):
-    """The keeper is here: for those who came after it."""
+class ControllerAnnouncement(Message, frozen=True, tag=8):
+    """Names the controller, for members that joined after it took over."""
 
     term: int
-    who: str
+    process_id: str
 
 
-class Ask(Message, frozen=True, tag=9):
-    """A member asks the keeper, or for the history a voter, on behalf of an operator."""
+class QueryRequest(Message, frozen=True, tag=9):
+    """A member asks the controller, or for the history a voter, on behalf of an operator."""
 
     id: str
-    what: str  # view, plan, history
-    order: Order | None = None
+    kind: str  # view, plan, history
+    override: Override | None = None
 
 
-class Told(Message, frozen=True, tag=10):
+class QueryResponsePart(Message, frozen=True, tag=10):
+    """A part of the answer: compressed JSON, cut into pieces."""
+
     id: str
     part: int
     parts: int
-    body: bytes  # of a compressed JSON text
+    body: bytes
 
 
-class Leave(Message, frozen=True, tag=13):
-    """From a site's announcer to its members: these are withdrawn by an order, and open connections go."""
+class DrainRequest(Message, frozen=True, tag=13):
+    """From a site's announcer to its members: move the open connections of what an override has withdrawn."""
 
     site: str
     addresses: list[str]
 
 
 MESSAGES = msgspec.msgpack.Decoder(
-    Grant | Report | Evidence | Keep | Kept | Want | Have | Hello | Ask | Told | Leave
+    RouteAssignment
+    | SiteReport
+    | HealthReport
+    | StoreRequest
+    | StoreAcknowledgement
+    | OverrideQuery
+    | OverrideResponse
+    | ControllerAnnouncement
+    | QueryRequest
+    | QueryResponsePart
+    | DrainRequest
 )
-WRITTEN = msgspec.msgpack.Decoder(Written)
+STORED_RECORDS = msgspec.msgpack.Decoder(StoredRecord)
 encode = msgspec.msgpack.Encoder().encode
 
 
-def pages(rows: Iterable[T], room: int = ROOM) -> Iterator[list[T]]:
-    """Rows in messages that fit into a datagram each: a larger one is never sent, however often it is tried.
-    A row by itself is bounded where it is made."""
+def paginate(rows: Iterable[T], page_bytes: int = PAGE_BYTES) -> Iterator[list[T]]:
+    """Rows in pages that fit into a datagram each; a larger message would never be sent.
+
+    A single row is bounded where it is made.
+    """
     page: list[T] = []
     size = 0
     for row in rows:
-        more = len(encode(row))
-        if page and size + more > room:
+        row_size = len(encode(row))
+        if page and size + row_size > page_bytes:
             yield page
-            page, size = [], 0
+            page = []
+            size = 0
         page.append(row)
-        size += more
+        size += row_size
     if page:
         yield page
 
 
-def short(text: str, most: int) -> str:
-    """The beginning of a text that takes at most so many bytes."""
-    return text.encode()[:most].decode(errors="ignore")
+def truncate_utf8(text: str, max_bytes: int) -> str:
+    """The longest beginning of a text that takes at most `max_bytes` in UTF-8."""
+    return text.encode()[:max_bytes].decode(errors="ignore")
 
 
-def mark(row: Written) -> str:
-    """How a row is called when it is said to be kept."""
-    return row.id if isinstance(row, Order) else f"{row.term}.{row.number}"
+def record_id(record: StoredRecord) -> str:
+    """How a record is named when it is acknowledged."""
+    return record.id if isinstance(record, Override) else f"{record.term}.{record.number}"
--- a/onyxhollow/fleet/lease_router.py
+++ b/onyxhollow/fleet/lease_router.py
@@ -23,7 +23,7 @@
     ReplaceVoterCommand,
     VoteResponse,
 )
-from onyxhollow.membership.swim import Member
+from onyxhollow.membership.member_table import Member
 
 
 class LeaseRouter:
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -12,15 +12,15 @@
 from onyxhollow import __version__
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
+from onyxhollow.fleet.gossip_service import GossipService
 from onyxhollow.fleet.identity import MAY_HOLD_ROLES, VOTES, member_name
 from onyxhollow.fleet.lease_runner import LeaseRunner
 from onyxhollow.fleet.leasing import Leasing
-from onyxhollow.fleet.lists import Lists
-from onyxhollow.fleet.shares import Shares
+from onyxhollow.fleet.list_replication import ListReplication
 from onyxhollow.leases.messages import VOTERS_ROLE, HandOverCommand, KnownTerm, ReplaceVoterCommand
 from onyxhollow.management.api import PLAIN, Answer
-from onyxhollow.membership.swim import Member
-from onyxhollow.policy import Server
+from onyxhollow.membership.member_table import Member
+from onyxhollow.policy.tracked import TrackedEndpoint
 
 JSON = "application/json"
 LOAD_SHOWN_FOR = 60.0  # seconds after which a load is no longer shown
@@ -47,8 +47,8 @@
         context: MemberContext,
         leasing: Leasing,
         dropped: Counter[str],
-        list_replication: Lists | None,
-        load_gossip: Shares | None,
+        list_replication: ListReplication | None,
+        load_gossip: GossipService | None,
     ) -> None:
         self.context = context
         self.messenger = leasing.messenger
@@ -73,28 +73,29 @@
         now = clock.now()
         context = self.context
         membership = context.membership
+        last_stall_at = membership.last_stall_at
         answer = {
             "me": context.process_id,
             "zone": context.zone,
             "there": membership.live_count(),
-            "health": membership.health,
-            "stalled": round(membership.stalled, 3),
-            "stalls": membership.counts["stalls"],
-            "stalled_ago": round(now - membership.stalled_at, 2) if membership.stalls_seen else None,
+            "health": membership.local_health.score,
+            "stalled": round(membership.stalled_seconds, 3),
+            "stalls": membership.counters["stalls"],
+            "stalled_ago": None if last_stall_at is None else round(now - last_stall_at, 2),
             "version": __version__,
             "service": context.proxy.service.phase.value,
             "links": self._links(now),
             "servers": self._endpoints(),
             "members": [
                 self._member(member, now)
-                for member in sorted(membership.members.values(), key=lambda member: member.who)
+                for member in sorted(membership.members.values(), key=lambda member: member.key)
             ],
             "duties": self._roles(now),
             "voters": {"version": context.voters.version, "names": context.voters.names},
             "voter": self._voter(),
-            "list": self.list_replication.state() if self.list_replication else None,
-            "sharing": self.load_gossip.state(now) if self.load_gossip else None,
-            "counts": dict(context.counts + membership.counts),
+            "list": self.list_replication.status() if self.list_replication else None,
+            "sharing": self.load_gossip.status(now) if self.load_gossip else None,
+            "counts": dict(context.counts + membership.counters),
             "dropped": dict(self.dropped),
         }
         return 200, orjson.dumps(answer, option=orjson.OPT_APPEND_NEWLINE), JSON
@@ -160,7 +161,7 @@
             "for": round(now - member.since, 1),
             "votes": bool(member.flags & VOTES),
             "holds": bool(member.flags & MAY_HOLD_ROLES),
-            "damped": self.context.membership.damping.damped(member.name, now),
+            "damped": self.context.membership.flap_damping.is_damped(member.name, now),
         }
 
     def _roles(self, now: float) -> list[dict[str, Any]]:
@@ -201,11 +202,11 @@
             {
                 "to": name,
                 "epoch": epoch,
-                "heard": round(min(LONGEST_AGE, now - link.heard_at), 2),
-                "asked": link.asked,
-                "asked_ago": round(min(LONGEST_AGE, now - link.asked_at), 2),
-                "lost": round(link.lost, 3),
-                "rtt_ms": round(1000 * link.rtt, 2),
+                "heard": round(min(LONGEST_AGE, now - link.received_at), 2),
+                "asked": link.probes,
+                "asked_ago": round(min(LONGEST_AGE, now - link.probed_at), 2),
+                "lost": round(link.loss_rate, 3),
+                "rtt_ms": round(1000 * link.round_trip_time, 2),
             }
             for (name, epoch), link in sorted(self.context.membership.links.items())
         ]
@@ -213,21 +214,21 @@
     def _endpoints(self) -> list[dict[str, Any]]:
         """What this process knows of the endpoints: own connections, load and how old that is."""
         balancer = self.context.proxy.decisions.balancer
-        endpoints = sorted(balancer.servers.values(), key=lambda endpoint: endpoint.name)
+        endpoints = sorted(balancer.tracked.values(), key=lambda endpoint: endpoint.name)
         return [self._endpoint(endpoint) for endpoint in endpoints]
 
-    def _endpoint(self, endpoint: Server) -> dict[str, Any]:
+    def _endpoint(self, endpoint: TrackedEndpoint) -> dict[str, Any]:
         now = self.context.loop.now
-        age = now - endpoint.load_at
+        age = now - endpoint.load_reported_at
         load_known = age < LOAD_SHOWN_FOR
         return {
             "name": endpoint.name,
             "zone": endpoint.zone,
-            "state": endpoint.readiness.value,
+            "state": endpoint.state.value,
             "own": len(endpoint.connections),
             "size": endpoint.size,
             "load": round(endpoint.load, 3) if load_known else None,
             "load_age": round(age, 1) if load_known else None,
-            "distrust": round(endpoint.score(now), 2),
+            "distrust": round(endpoint.outlier_score(now), 2),
             "arrives": endpoint.arrival is not None,
         }
--- a/onyxhollow/lifecycle/replacement.py
+++ b/onyxhollow/lifecycle/replacement.py
@@ -123,7 +123,7 @@
         clock.restore(common["starts"])
         if not self.first_list.received and common["discovery"] == list(configured_discovery):
             self.apply_list(decode_endpoint_list(common["list"], clock, self.loop.now))
-        servers = self.decisions.take_back(common, records)
+        servers = self.decisions.restore_snapshot(common, records)
         self.log("taken over", servers=servers, version=common["list"]["seq"])
 
     def apply_list(self, endpoint_list: EndpointList) -> None:
@@ -139,7 +139,7 @@
         """Listens for the predecessor's open connections; None where that can't be."""
         take = partial(accept_handoff, self.sessions)
         try:
-            return HandoffReceiver(self.loop, self.handover.handoff_path, take, self.decisions.all_adopted)
+            return HandoffReceiver(self.loop, self.handover.handoff_path, take, self.decisions.on_all_adopted)
         except OSError as error:  # a path too long, perhaps: its clients are migrated then
             self.log("nothing passed on", why=str(error))
             return None
@@ -167,7 +167,7 @@
     def write_state(self, token: str) -> None:
         """Writes what this process knows, for the successor of that token."""
         try:
-            common, records = self.decisions.describe()
+            common, records = self.decisions.take_snapshot()
             common |= {"discovery": self.discovery.address, "list": self.discovery.snapshot()}
             common["starts"] = self.discovery.clock.starts
             self.handover.write_state(token, common, records)
--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -23,6 +23,19 @@
 # Log events that earlier versions wrote under another name: the reader knows both, so that old logs stay
 # readable.
 EVENT_ALIASES: dict[str, str] = {
+    "address alone": "address cut off",
+    "address leaves": "address drain",
+    "gate": "route guard",
+    "gate disk": "route guard disk",
+    "order": "override",
+    "refused": "stale term",
+    "speaker": "routing daemon",
+    "store waits": "store unavailable",
+    "told": "routing command",
+    "sharing": "gossip",
+    "list rests": "list polling suspended",
+    "list asks": "list polling resumed",
+    "drains told": "drains received",
     "voter remembers": "voter recovered",
     "voter waits": "voter log unavailable",
 }
@@ -86,8 +99,8 @@
             self.list_version = int(told.get("version", -1))
         elif event == "probe" and told.get("load") is not None:
             self.loads[str(told["server"])] = float(told["load"]), at
-        elif event in ("list rests", "list asks"):
-            self.rests = event == "list rests"
+        elif event in ("list polling suspended", "list polling resumed"):
+            self.rests = event == "list polling suspended"
         elif event == "address":
             key = str(told["address"]), str(told["site"])
             self.addresses[key] = Address(*key, str(told["standing"]), str(told.get("cause", "")))
--- a/onyxhollow/wire/client_session.py
+++ b/onyxhollow/wire/client_session.py
@@ -143,7 +143,7 @@
     def close(self) -> None:
         """Closes what was not ended in order, forgets the session, and logs it."""
         if self.handle is not None:
-            self.handle.forget()
+            self.handle.close()
         self.registry.table.remove(self)
         for channel in (self.client, self.server):
             if channel is not None and channel.wake == self.wake:
--- a/onyxhollow/wire/placement.py
+++ b/onyxhollow/wire/placement.py
@@ -54,7 +54,7 @@
             self.session.answer(True)
             return None
         self.taken_at = self.loop.now
-        handle = self.registry.decisions.take(
+        handle = self.registry.decisions.admit(
             self.wake, listener, tenant, self.request.group, self.time_for_decisions(), self.request.load
         )
         self.session.handle = handle
@@ -91,32 +91,32 @@
         """Makes the attempts that the decisions choose; None when the session was answered instead."""
         session = self.session
         while True:
-            selection = yield from handle.pick(session.is_abandoned)
+            selection = yield from handle.wait_for_selection(session.is_abandoned)
             if selection is None:
-                session.conclude(handle, handle.give_up().refused)
+                session.conclude(handle, handle.give_up().rejected)
                 return None
-            if selection.server is None:
-                session.answer(selection.refused, selection.retry_after)
+            if selection.endpoint is None:
+                session.answer(selection.rejected, selection.retry_after)
                 return None
             if session.is_absent():
-                session.conclude(handle, handle.give_up(AttemptOutcome.NOT_SENT).refused)
+                session.conclude(handle, handle.give_up(AttemptOutcome.NOT_SENT).rejected)
                 return None
             started_at = self.loop.now
-            session.endpoint = selection.server
+            session.endpoint = selection.endpoint
             session.attempt_count += 1
             self.counters.add("dials")
-            result = yield from self.attempt(selection.server, selection.time)
+            result = yield from self.attempt(selection.endpoint, selection.timeout)
             duration = self.loop.now - started_at
             if session.is_open:
                 self.counters.add("sessions accepted")
-                handle.report_accepted(duration)
+                handle.report_established(duration)
                 return handle
             self.log_failure(selection, result, duration)
             if session.is_abandoned():
-                refused = handle.give_up(result.outcome, duration, result.load).refused
+                refused = handle.give_up(result.outcome, duration, result.load).rejected
                 session.conclude(handle, refused)
                 return None
-            handle.report(self.blameless_outcome(result.outcome), duration, False, result.load)
+            handle.report_ended(self.blameless_outcome(result.outcome), duration, False, result.load)
 
     def log_failure(self, selection: Selection, result: AttemptResult, duration: float) -> None:
         """Counts and logs an attempt that did not come up."""
@@ -125,10 +125,10 @@
         self.registry.log(
             "dial",
             id=self.request.session_id,
-            server=selection.server,
+            server=selection.endpoint,
             end=outcome,
             took=round(duration, 4),
-            given=round(selection.time, 3),
+            given=round(selection.timeout, 3),
             since=round(self.loop.now - self.taken_at, 4),
         )
 
@@ -214,6 +214,6 @@
             cancelled = self.session.is_absent()
         else:
             if self.session.is_absent() and not handle.answered:
-                handle.report_gone()  # where it is allowed, the decisions call the attempt back
-            cancelled = handle.call_back
+                handle.report_client_gone()  # where it is allowed, the decisions call the attempt back
+            cancelled = handle.cancel_requested
         return AttemptOutcome.CANCELLED if cancelled or self.session.stopping else None
--- a/onyxhollow/wire/session_core.py
+++ b/onyxhollow/wire/session_core.py
@@ -106,7 +106,7 @@
         One that has only ended its sending still reads: it gets its final answer all the same, which is lost
         on the way to one that is not there.
         """
-        handle.report_gone()
+        handle.report_client_gone()
         if self.state is not ConnectionState.ENDED:
             self.counters.add("clients gone before an answer")
             self.end(ConnectionEvent.CLIENT_GONE, "client gone")
--- a/tests/membership_network.py
+++ b/tests/membership_network.py
@@ -3,20 +3,21 @@
 import heapq
 from random import Random
 
-from onyxhollow.membership.messages import MemberState, Update
-from onyxhollow.membership.seal import DatagramAuthenticator
-from onyxhollow.membership.swim import ProtocolConfig, SwimMembership
+from onyxhollow.membership.config import ProtocolConfig
+from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator
+from onyxhollow.membership.messages import MemberState, MemberUpdate
+from onyxhollow.membership.swim import SwimMembership
 
 KEYS = [b"k" * 16]
 
 
 class Net:
-    """Members in made-up time: datagrams take a moment, and links can be cut."""
+    """Members in simulated time: datagrams take up to 10 ms, and links can be cut."""
 
-    def __init__(self, count, seed=1, terms=None):
+    def __init__(self, count, seed=1, config=None):
         self.now, self.rng, self.due, self.number = 100.0, Random(seed), [], 0
-        self.terms = terms or ProtocolConfig()
-        self.swims, self.seals, self.down, self.stalled, self.cut = {}, {}, set(), set(), set()
+        self.config = config or ProtocolConfig()
+        self.swims, self.authenticators, self.down, self.stalled, self.cut = {}, {}, set(), set(), set()
         self.sent, self.largest = 0, 0
         for number in range(count):
             self.add(f"m{number}")
@@ -24,17 +25,17 @@
     def add(self, name, epoch=1, address=None):
         key = f"{name}~{epoch}"
         address = address or (key, 1)
-        me = Update(name, epoch, 0, MemberState.ALIVE, address, "z", 3)
+        local = MemberUpdate(name, epoch, 0, MemberState.ALIVE, address, "z", 3)
         self.swims[key] = SwimMembership(
-            me, self.terms, Random(hash_of(key)), [("m0~1", 1), ("m1~1", 1)], self.now
+            local, self.config, Random(hash_of(key)), [("m0~1", 1), ("m1~1", 1)], self.now
         )
-        self.seals[key] = DatagramAuthenticator("f", name, epoch, KEYS)
+        self.authenticators[key] = DatagramAuthenticator("f", name, epoch, KEYS)
         return self.swims[key]
 
     def flush(self, key):
         swim = self.swims[key]
         for out in swim.outbox:
-            datagram = self.seals[key].close(out.parts, out.to)
+            datagram = self.authenticators[key].sign(out.messages, out.receiver_epoch)
             self.largest = max(self.largest, len(datagram))
             self.sent += len(datagram)
             target = out.address[0]
@@ -52,17 +53,17 @@
             ticks = min((self.swims[key].next_due for key in runs), default=until)
             self.now = max(self.now, min(until, ticks, self.due[0][0] if self.due else until))
             if self.now >= until:
-                for swim in self.swims.values():  # what is kept beside the members is a part of them
-                    assert swim.present == {m.who: m for m in swim.members.values() if m.is_live}
-                    assert swim.suspects == {
-                        w: m for w, m in swim.present.items() if m.state is MemberState.SUSPECT
+                for swim in self.swims.values():  # the indexes agree with the table
+                    assert swim.table.live == {m.key: m for m in swim.members.values() if m.is_live}
+                    assert swim.table.suspects == {
+                        w: m for w, m in swim.table.live.items() if m.state is MemberState.SUSPECT
                     }
                 return
             while self.due and self.due[0][0] <= self.now:
                 _, _, source, target, datagram = heapq.heappop(self.due)
                 if target in self.down or target in self.stalled:
                     continue
-                if packet := self.seals[target].open(datagram):
+                if packet := self.authenticators[target].verify(datagram):
                     self.swims[target].on_message(self.now, packet, (source, 1))
                 self.flush(target)
             for key in runs:
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -11,7 +11,7 @@
 from onyxhollow.fleet.lease_messenger import LeaseMessenger
 from onyxhollow.fleet.voter_service import VoterService
 from onyxhollow.leases.messages import VoteRequest, VoterSet
-from onyxhollow.membership.messages import LARGEST
+from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES
 
 VOTER_SET = VoterSet(0, ("a", "b", "c"))
 
@@ -22,11 +22,12 @@
     monkeypatch.setattr(datagram_transport, "SEND_BURST", 4.0)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
         receiver.bind(("127.0.0.1", 0))
-        authenticator = SimpleNamespace(close=lambda parts, _: b"".join(parts))
+        address = receiver.getsockname()
+        authenticator = SimpleNamespace(sign=lambda messages, _: b"".join(messages))
         counts = Counter()
         transport = DatagramTransport(("127.0.0.1", 0), authenticator, counts)
-        small = SimpleNamespace(parts=[b"x"], to=0, address=receiver.getsockname())
-        large = SimpleNamespace(parts=[b"x" * (LARGEST + 1)], to=0, address=receiver.getsockname())
+        small = SimpleNamespace(messages=[b"x"], receiver_epoch=0, address=address)
+        large = SimpleNamespace(messages=[b"x" * (MAX_DATAGRAM_BYTES + 1)], receiver_epoch=0, address=address)
         transport.send_all([large, *[small] * 5])
         assert counts["datagrams out"] == 3 and counts["bytes out"] == 3
         assert counts["not sent: larger than a datagram"] == 1
--- a/tests/test_role_ranking.py
+++ b/tests/test_role_ranking.py
@@ -21,8 +21,8 @@
 
     first = next(process for process in order() if process != "m0~1")
     for _ in range(4):
-        membership.damping.gone(first.partition("~")[0], net.now)
+        membership.flap_damping.record_failure(first.partition("~")[0], net.now)
     assert order()[-1] == first
     for name in ("m1", "m2", "m3", "m4") * 4:
-        membership.damping.gone(name, net.now)
+        membership.flap_damping.record_failure(name, net.now)
     assert sorted(order()) == [f"m{n}~1" for n in range(5)] and order()[0] == "m0~1"
