--- a/onyxhollow/append_log.py
+++ b/onyxhollow/append_log.py
@@ -58,7 +58,7 @@
 
     Attributes:
         bodies: The records that count.
-        size: Bytes of header and records; 0 without a whole header.
+        size: Bytes of header and records; 0 without a complete header.
         torn_tail: What follows them and does not count; "" if nothing does.
     """
 
--- a/onyxhollow/fleet/context.py
+++ b/onyxhollow/fleet/context.py
@@ -1,4 +1,4 @@
-"""What a part of a fleet member may ask of that member.
+"""What a part of a fleet member may use of that member.
 
 The endpoint list, the shared addresses and the gossip of loads each run inside one member and use its socket,
 clock and log. They depend on this protocol; only `onyxhollow.fleet.node`, which assembles the member, knows
@@ -68,7 +68,7 @@
 
     @property
     def task(self) -> Task:
-        """The member's coroutine; `task.wake()` makes it look at what is due."""
+        """The member's coroutine; `task.wake()` makes it do what is due."""
 
     @property
     def closed(self) -> bool:
--- a/onyxhollow/fleet/datagram_transport.py
+++ b/onyxhollow/fleet/datagram_transport.py
@@ -17,6 +17,15 @@
 SEND_RATE = 1500.0  # datagrams a second; past it they are dropped and counted
 SEND_BURST = 3000.0  # datagrams at once
 
+# Counters, by their names in /control/fleet.
+DATAGRAMS_IN = "datagrams in"
+BYTES_IN = "bytes in"
+DATAGRAMS_OUT = "datagrams out"
+BYTES_OUT = "bytes out"
+RATE_EXCEEDED = "not sent: too much at once"
+TOO_LARGE = "not sent: larger than a datagram"
+REFUSED_BY_SYSTEM = "not sent: refused by the system"
+
 
 class DatagramTransport:
     """Owns the UDP socket; `close` closes it.
@@ -63,8 +72,8 @@
                 break
             except OSError:
                 continue  # a refusal of something sent before
-            self.counts["datagrams in"] += 1
-            self.counts["bytes in"] += len(datagram)
+            self.counts[DATAGRAMS_IN] += 1
+            self.counts[BYTES_IN] += len(datagram)
             packet = self.authenticator.verify(datagram)
             if packet:
                 yield packet, (source[0], source[1])
@@ -76,7 +85,7 @@
         self._refilled_at = now
         for out in outbox:
             if self._tokens < 1.0:
-                self.counts["not sent: too much at once"] += 1
+                self.counts[RATE_EXCEEDED] += 1
                 continue
             self._tokens -= 1.0
             self._send(out)
@@ -88,11 +97,11 @@
     def _send(self, out: OutgoingDatagram) -> None:
         datagram = self.authenticator.sign(out.messages, out.receiver_epoch)
         if len(datagram) > MAX_DATAGRAM_BYTES:  # it would be dropped there, and nobody here would know
-            self.counts["not sent: larger than a datagram"] += 1
+            self.counts[TOO_LARGE] += 1
             return
-        self.counts["datagrams out"] += 1
-        self.counts["bytes out"] += len(datagram)
+        self.counts[DATAGRAMS_OUT] += 1
+        self.counts[BYTES_OUT] += len(datagram)
         try:
             self._socket.sendto(datagram, out.address)
         except OSError:  # full, or nobody is there
-            self.counts["not sent: refused by the system"] += 1
+            self.counts[REFUSED_BY_SYSTEM] += 1
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -194,7 +194,7 @@
 
     Args:
         path: Of the file.
-        environment: $LB_FLEET_LISTEN goes before the file's `listen`, and stands for `advertise` too: so one
+        environment: $LB_FLEET_LISTEN goes before the file's `listen`, and replaces `advertise` too: so one
             file serves all members.
 
     Raises:
--- a/onyxhollow/fleet/lease_router.py
+++ b/onyxhollow/fleet/lease_router.py
@@ -25,6 +25,8 @@
 )
 from onyxhollow.membership.member_table import Member
 
+MALFORMED = "duties: rubbish"  # counter, by its name in /control/fleet
+
 
 class LeaseRouter:
     """Decodes election messages and calls candidates, the proposer or the voter."""
@@ -48,7 +50,7 @@
         try:
             message = MESSAGE_DECODER.decode(body)
         except (msgspec.DecodeError, RecursionError):
-            self.context.counts["duties: rubbish"] += 1
+            self.context.counts[MALFORMED] += 1
             return
         self._route(make_process_id(member.name, member.epoch), member.name, message, now)
 
--- a/onyxhollow/fleet/lease_runner.py
+++ b/onyxhollow/fleet/lease_runner.py
@@ -1,4 +1,4 @@
-"""What a member knows of one role: its candidacy and task, and the holders that it has heard of."""
+"""What a member knows of one role: its candidacy and task, and the holders that were announced."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         candidate: This process's candidacy.
         zone: The zone that the holder has to be of; None: any.
         task: What the holder does; None: nothing but holding.
-        leading_since: When this process last got the lease, or was told by an operator to.
+        leading_since: When this process last got the lease, or an operator named its member as the target.
         quiet_until: Before this the process is no candidate.
         logged_expiry: The end of the lease that was last logged.
         failures: Of the task, in a row.
@@ -33,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderChange:
-    """A new holder of a role that this process has heard of.
+    """A new holder of a role, as it became known to this process.
 
     Attributes:
         role: Name of the role.
         term: Of the holder's lease.
         process_id: Of the holder.
-        at: When it was heard of, seconds on the loop's clock.
+        at: When it became known, seconds on the loop's clock.
     """
 
     role: str
--- a/onyxhollow/fleet/lease_service.py
+++ b/onyxhollow/fleet/lease_service.py
@@ -35,7 +35,7 @@
 
     Attributes:
         runners: By role.
-        known_holders: By role: the highest term heard of, and the process that has it.
+        known_holders: By role: the highest term known of, and the process that has it.
         history: The last changes of holders, as `/control/fleet/history` shows them.
         last_fault_at: When a member was last suspected or found dead.
     """
@@ -56,9 +56,9 @@
             context: The member.
             messenger: Carries messages of candidates.
             ranking: The order of candidates.
-            voter_service: Its slots tell of holders too.
+            voter_service: Its slots show holders too.
             may_hold_roles: Whether this process may hold roles now.
-            on_holder: Called with role, term and process id of each new holder heard of.
+            on_holder: Called with role, term and process id of each new holder that is announced.
             now: The time.
         """
         self.context = context
@@ -155,10 +155,10 @@
             return ""
         return process_id
 
-    # Leases that are held.
+    # The own leases.
 
     def check(self, now: float) -> None:
-        """Looks at what may have changed around each held lease: the service state, the task's progress."""
+        """Checks what may have changed around each own lease: the service state, the task's progress."""
         for runner in self.runners.values():
             if runner.candidate.holds(now):
                 self._check_lease(runner, now)
@@ -169,7 +169,7 @@
             self._apply(runner, now)
 
     def hand_over_all(self, cause: str) -> None:
-        """Hands over whatever is held: the process ends."""
+        """Hands over all own leases: the process ends."""
         for runner in self.runners.values():
             self._hand_over(runner, cause, self._successor(runner))
 
--- a/onyxhollow/fleet/leasing.py
+++ b/onyxhollow/fleet/leasing.py
@@ -13,7 +13,7 @@
 from onyxhollow.fleet.voter_set_service import VoterSetService
 from onyxhollow.leases.messages import VoterSet
 
-RANKING_INTERVAL = 1.0  # seconds after which the order of members is worked out anew
+RANKING_INTERVAL = 1.0  # seconds after which the order of members is computed again
 
 
 class Leasing:
@@ -40,7 +40,7 @@
         Args:
             context: The member.
             may_hold_roles: Whether this process may hold roles now.
-            on_holder: Called with role, term and process id of each new holder heard of.
+            on_holder: Called with role, term and process id of each new holder that is announced.
             now: The time.
         """
         self.ranking = RoleRanking(context.membership, context.name, context.process_id, may_hold_roles)
@@ -74,7 +74,7 @@
         self.leases.tick(now)
 
     def check(self, now: float) -> None:
-        """Looks at what changes without a message: the voter's log, the ranking, held leases, a proposal."""
+        """Checks what changes without a message: the voter's log, the ranking, own leases, a proposal."""
         self.voter_service.check(now)
         if now >= self._reorder_at:
             self._reorder_at = now + RANKING_INTERVAL
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -210,7 +210,7 @@
             self.addresses.tick(now)
 
     def _check(self, now: float) -> None:
-        """Looks at what changes without a message."""
+        """Checks what changes without a message."""
         flags = (MAY_HOLD_ROLES if self.may_hold_roles() else 0) | (
             VOTES if self.leasing.voter_service.voter else 0
         )
@@ -293,7 +293,7 @@
             self.list_replication.on_own_list(kind)
 
     def close(self) -> None:
-        """The process ends: what it holds goes on to others at once."""
+        """The process ends: its leases are handed over at once."""
         if self.closed:
             return
         self.leasing.leases.hand_over_all("stopped")
--- a/onyxhollow/fleet/role_ranking.py
+++ b/onyxhollow/fleet/role_ranking.py
@@ -18,7 +18,7 @@
 
 @lru_cache(CACHED_HASHES)
 def rendezvous_hash(role: str, member: str) -> int:
-    """A member's place in a role's order; cached, since each change of the members asks for all of them."""
+    """A member's place in a role's order; cached, since each change of the members needs all of them."""
     return xxhash.xxh3_64_intdigest(f"{role}\0{member}".encode())
 
 
@@ -54,7 +54,7 @@
         self._orders: dict[str, list[str]] = {}
 
     def clear(self) -> None:
-        """Members or flags have changed, or time has passed: orders are worked out anew."""
+        """Members or flags have changed, or time has passed: orders are computed again."""
         self._orders.clear()
 
     def order(self, role: str, zone: str | None) -> list[str]:
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -24,7 +24,7 @@
 
 JSON = "application/json"
 LOAD_SHOWN_FOR = 60.0  # seconds after which a load is no longer shown
-LONGEST_AGE = 1e6  # seconds; stands for "never"
+LONGEST_AGE = 1e6  # seconds; means "never"
 QUOTED = 80  # characters of a wrong value that an error shows
 SHOWN_CANDIDATES = 3  # of a role's order
 
--- a/onyxhollow/fleet/voter_service.py
+++ b/onyxhollow/fleet/voter_service.py
@@ -23,6 +23,7 @@
 LOG_NAME = "voter"  # of the append log in the fleet file's folder
 OPEN_RETRY_INTERVAL = 0.5  # seconds until a log is tried again that another process has open
 COMPACT_AT = 512  # records past which the log is rewritten
+DISK_FAILURES = "voter: disk failures"  # counter, by its name in /control/fleet
 LOGGED_REASON = 200  # characters of an error that a log event shows
 
 
@@ -153,7 +154,7 @@
             else:
                 self.log.append(*(encode(record) for record in records))
         except OSError as error:
-            self.context.counts["voter: disk failures"] += 1
+            self.context.counts[DISK_FAILURES] += 1
             if not self.disk_failing:
                 self.context.log_event("voter disk", why=f"{error.strerror}"[:LOGGED_REASON])
             self.disk_failing = True
--- a/onyxhollow/fleet/voter_set_service.py
+++ b/onyxhollow/fleet/voter_set_service.py
@@ -55,7 +55,7 @@
             self._propose(now)
 
     def on_command(self, command: ReplaceVoterCommand, now: float) -> None:
-        """An operator's command; ignored without the lease of VOTERS_ROLE or while another is carried out."""
+        """An operator's command; ignored without the lease of VOTERS_ROLE or while another is in progress."""
         holds = self.leases.runners[VOTERS_ROLE].candidate.holds(now)
         if holds and not self.reconfiguration.in_progress:
             self.reconfiguration.command = command
--- a/onyxhollow/leases/candidate.py
+++ b/onyxhollow/leases/candidate.py
@@ -68,8 +68,8 @@
     Attributes:
         state: Changes by `NEXT_STATE` alone.
         term: Of the latest request; while holding, that of the lease.
-        highest_term: The highest term of the role heard of.
-        expires_at: End of the own lease; -inf if none is held.
+        highest_term: The highest term of the role known of.
+        expires_at: End of the own lease; -inf if none is running.
         rounds: Rounds of requests whose responses still count, by number.
         refusals: The latest refusal of each voter, since the latest request began.
         retransmit_at: When requests are sent again to those that have not answered.
@@ -78,7 +78,7 @@
         priority: This member's place among the candidates, as last given to `tick`.
         free_since: When the role was first seen free; inf if it is not.
         holder: Process id of the holder, as far as known; "" if it is not.
-        pending: The latest accepted voter set that a voter told of; only for VOTERS_ROLE.
+        pending: The latest accepted voter set that a voter reported; only for VOTERS_ROLE.
         transitions: Taken and cleared by the owner.
     """
 
@@ -113,7 +113,7 @@
         self.transitions: list[Transition] = []
 
     def holds(self, now: float) -> bool:
-        """Whether the lease is held at `now`, which has to be read just before the act."""
+        """Whether the lease is running at `now`, which has to be read just before the act."""
         return self.state is CandidateState.HOLDING and now < self.expires_at
 
     def next_due(self) -> float:
@@ -146,7 +146,7 @@
         return self.start_pre_vote(now)
 
     def start_pre_vote(self, now: float) -> list[VoterMessage]:
-        """Asks without effect first: a candidate that requests and loses costs the holder a voter."""
+        """Starts without effect: a candidate that requests at once and loses costs the holder a voter."""
         return self._begin_attempt(now, CandidateEvent.PRE_VOTE_STARTED)
 
     def start_request(self, now: float) -> list[VoterMessage]:
@@ -238,7 +238,7 @@
         ]
 
     def release_notices(self) -> list[VoterMessage]:
-        """Tells every voter that the votes for this term are returned."""
+        """Notifies every voter that the votes for this term are returned."""
         notice = ReleaseNotice(self.role, self.term, self.process_id)
         return [VoterMessage(voter, notice) for voter in self.voter_set.names]
 
--- a/onyxhollow/leases/candidate_states.py
+++ b/onyxhollow/leases/candidate_states.py
@@ -31,7 +31,7 @@
     (CandidateState.PRE_VOTE, CandidateEvent.REQUEST_STARTED): CandidateState.REQUESTING,
     (CandidateState.REQUESTING, CandidateEvent.REQUEST_STARTED): CandidateState.REQUESTING,
     (CandidateState.REQUESTING, CandidateEvent.MAJORITY_GRANTED): CandidateState.HOLDING,
-    # Refused by a majority, timed out, or a newer voter set; late responses tell of that in IDLE too.
+    # Refused by a majority, timed out, or a newer voter set; late responses can show that in IDLE too.
     (CandidateState.IDLE, CandidateEvent.FELL_BACK): CandidateState.IDLE,
     (CandidateState.PRE_VOTE, CandidateEvent.FELL_BACK): CandidateState.IDLE,
     (CandidateState.REQUESTING, CandidateEvent.FELL_BACK): CandidateState.IDLE,
--- a/onyxhollow/leases/messages.py
+++ b/onyxhollow/leases/messages.py
@@ -81,7 +81,7 @@
 
 
 class VoteRequest(Message, frozen=True, tag=1):
-    """A candidate asks for a lease that begins when the voter receives this.
+    """A candidate requests a lease that begins when the voter receives this.
 
     Attributes:
         role: Name of the role.
@@ -90,7 +90,7 @@
         round: Returned with the response, so that it can be matched to this request.
         lease_duration: Seconds.
         voter_set_version: Version of the voter set that the candidate knows.
-        pre_vote: Only tell whether the vote would be granted; changes nothing at the voter.
+        pre_vote: Only answer whether the vote would be granted; changes nothing at the voter.
     """
 
     role: str
@@ -146,7 +146,7 @@
 
 
 class StateQuery(Message, frozen=True, tag=5):
-    """A recovering voter asks the other voters for the terms that they know of."""
+    """A recovering voter queries the other voters for the terms that they know of."""
 
     round: int
 
--- a/onyxhollow/leases/reconfiguration.py
+++ b/onyxhollow/leases/reconfiguration.py
@@ -1,7 +1,7 @@
 """Replacing a voter: what the holder of VOTERS_ROLE does. Pure.
 
 The term of its lease is the ballot number of a single-decree Paxos (Lamport 1998) for the next version of the
-voter set. The votes for that lease were the first phase and told what voters had accepted before; that is
+voter set. The votes for that lease were the first phase and reported what voters had accepted before; that is
 proposed first, since a majority may have accepted it already. What a majority of the *present* voters accepts
 is in force from then on.
 """
@@ -22,7 +22,7 @@
     """The proposer of one member.
 
     Attributes:
-        command: The operator's command that is being carried out; None if there is none.
+        command: The operator's command that is being executed; None if there is none.
         round: Number of the latest round of requests.
         proposed: The voter set of that round; None if nothing is proposed.
         accepted_by: The voters that have accepted it in that round.
@@ -53,7 +53,7 @@
     def propose(self, now: float, candidate: Candidate, voter_set: VoterSet) -> list[VoterMessage]:
         """Opens a round of requests; called again while no majority has accepted.
 
-        Drops command and proposal if the lease of VOTERS_ROLE is not held or there is nothing to propose.
+        Drops command and proposal without the lease of VOTERS_ROLE, or if there is nothing to propose.
         """
         proposed = self.next_voter_set(candidate, voter_set) if candidate.holds(now) else None
         if proposed is None:
--- a/onyxhollow/leases/timing.py
+++ b/onyxhollow/leases/timing.py
@@ -1,6 +1,6 @@
 """How long a lease lasts for its holder, and the intervals that follow from it.
 
-The lease is counted from before the voters were asked, on the holder's own clock, and lasts
+The lease is counted from before the requests were sent, on the holder's own clock, and lasts
 `LeaseTiming.holder_span` seconds: the lease's duration less the stated bound on clock rates. With rates
 within 1 - bound and 1 + bound of true time, a voter's grant lasts at least duration / (1 + bound), and the
 holder's span ends at the latest after span / (1 - bound): the same.
--- a/onyxhollow/leases/voter.py
+++ b/onyxhollow/leases/voter.py
@@ -4,8 +4,8 @@
 returns what to answer and what has to be stored before the answer is sent. What its safety rests on:
 
 - A grant runs out on the voter's own clock, the lease's duration after the request came in. The candidate
-  counts from before it asked and stops earlier by the stated bound on clock rates, so no bound on message
-  delays is needed.
+  counts from before it sent the request and stops earlier by the stated bound on clock rates, so no bound
+  on message delays is needed.
 - A term is given to one candidate, once, and only if it is higher than all before. Two majorities share a
   voter, which orders their terms; so terms rise from holder to holder.
 - Grants outlive the process. A voter that starts with its records takes each lease as granted just now. One
@@ -165,7 +165,7 @@
         if not self.recovering or self.name not in self.voter_set.names:
             return RecoveryOutput([], [])
         # Any majority that this voter was part of has another member among so many of its peers. When all
-        # peers have lost their memory too, their word that it is lost is as much as there is to be had.
+        # peers have lost their memory too, nobody has more to report than that.
         remembering = sum(1 for name in self.peers if self.peer_recovering.get(name) is False)
         all_answered = all(name in self.peer_recovering for name in self.peers)
         if now >= self.silent_until and (remembering >= self.voter_set.majority or all_answered):
