--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -13,13 +13,13 @@
 import msgspec
 
 from onyxhollow.addresses.file import AddressesError, AddressesFile, read_addresses
-from onyxhollow.gossip import core as gossip
+from onyxhollow.gossip.config import GossipConfig
 from onyxhollow.leases.messages import VOTERS_ROLE
 from onyxhollow.leases.timing import LeaseTiming
 from onyxhollow.leases.voter import MAX_LEASE_DURATION, MAX_ROLES
-from onyxhollow.membership.messages import NAME, Address
-from onyxhollow.membership.seal import KeyFileError, read_keys
-from onyxhollow.membership.swim import ProtocolConfig
+from onyxhollow.membership.config import ProtocolConfig
+from onyxhollow.membership.datagram_authenticator import KeyFileError, read_keys
+from onyxhollow.membership.messages import MAX_NAME_CHARACTERS, Address
 
 VOTER_COUNTS = (3, 5, 7)
 MAX_PORT = 65535
@@ -79,7 +79,7 @@
 
 
 class SharingTable(FileTable, frozen=True):
-    """Gossip of load reports; `onyxhollow.gossip.core.GossipConfig` says what each value means."""
+    """Gossip of load reports; `onyxhollow.gossip.config.GossipConfig` says what each value means."""
 
     enabled: bool = msgspec.field(default=False, name="on")
     push_interval: float = msgspec.field(default=0.25, name="every")
@@ -147,19 +147,19 @@
     def protocol_config(self) -> ProtocolConfig:
         """The configuration of the membership protocol."""
         table = self.membership
-        return ProtocolConfig(period=table.period, timeout=table.timeout, sync_every=table.sync_interval)
+        return ProtocolConfig(period=table.period, timeout=table.timeout, sync_interval=table.sync_interval)
 
-    def gossip_config(self) -> gossip.GossipConfig | None:
+    def gossip_config(self) -> GossipConfig | None:
         """The configuration of the gossip of load reports; None if it is off."""
         table = self.sharing
         if not table.enabled:
             return None
-        return gossip.GossipConfig(
-            table.push_interval,
-            table.fanout,
-            table.poll_interval,
-            table.report_interval,
-            audit=table.audit_interval,
+        return GossipConfig(
+            push_interval=table.push_interval,
+            fanout=table.fanout,
+            poll_interval=table.poll_interval,
+            report_interval=table.report_interval,
+            audit_interval=table.audit_interval,
         )
 
     def lease_timing(self) -> LeaseTiming:
@@ -266,8 +266,10 @@
     names |= {f"voters[{place}]": name for place, name in enumerate(file.voters)}
     names |= {f"duty[{place}].name": role.name for place, role in enumerate(file.roles)}
     for key, name in names.items():
-        if not 0 < len(name) <= NAME or not name.isprintable():
-            raise FleetFileError(f"{key}: expected 1 to {NAME} printable characters, got {name[:QUOTED]!r}")
+        if not 0 < len(name) <= MAX_NAME_CHARACTERS or not name.isprintable():
+            raise FleetFileError(
+                f"{key}: expected 1 to {MAX_NAME_CHARACTERS} printable characters, got {name[:QUOTED]!r}"
+            )
 
 
 def _check_voters(file: FleetFile) -> None:
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -17,21 +17,22 @@
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.datagram_transport import DatagramTransport
 from onyxhollow.fleet.file import FleetConfig, RoleScope, RoleTable, TaskKind
+from onyxhollow.fleet.gossip_service import GOSSIP_PAYLOAD, GossipService
 from onyxhollow.fleet.identity import MAY_HOLD_ROLES, VOTES, make_process_id, split_process_id
 from onyxhollow.fleet.leader_tasks import LeaderTask, WebhookTask
 from onyxhollow.fleet.leasing import Leasing
-from onyxhollow.fleet.lists import LIST, Lists
+from onyxhollow.fleet.list_replication import LIST_PAYLOAD, ListReplication
 from onyxhollow.fleet.shared_addresses.messenger import ADDRESSES
 from onyxhollow.fleet.shared_addresses.service import SharedAddresses
-from onyxhollow.fleet.shares import SHARE, Shares
 from onyxhollow.fleet.status_api import StatusApi
 from onyxhollow.interface import Endpoint, EndpointListKind
 from onyxhollow.leases.messages import VOTERS_ROLE, VoterSet
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.loop import READ, Task
-from onyxhollow.membership.messages import MemberState, Update
-from onyxhollow.membership.seal import DatagramAuthenticator
-from onyxhollow.membership.swim import Member, SwimMembership
+from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator
+from onyxhollow.membership.member_table import Member
+from onyxhollow.membership.messages import MemberState, MemberUpdate
+from onyxhollow.membership.swim import SwimMembership
 
 CHECK_INTERVAL = 0.1  # seconds between checks of what changes outside: the service state, a task's progress
 STALL_LOGGED = 0.5  # seconds of standing still from which it is logged
@@ -65,8 +66,8 @@
         self._check_at = now
         self.leasing = Leasing(self, self.may_hold_roles, self._on_holder, now)
         gossip_config = fleet.file.gossip_config()
-        self.lists: Lists | None = None
-        self.shares = Shares(self, gossip_config) if gossip_config else None
+        self.list_replication: ListReplication | None = None
+        self.load_gossip = GossipService(self, gossip_config) if gossip_config else None
         self.addresses: SharedAddresses | None = None
         self._add_roles()
         self._join_proxy(authenticator)
@@ -94,8 +95,8 @@
 
     def _make_membership(self, now: float) -> SwimMembership:
         fleet = self.fleet
-        me = Update(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
-        return SwimMembership(me, fleet.file.protocol_config(), self.rng, fleet.seeds, now)
+        local = MemberUpdate(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
+        return SwimMembership(local, fleet.file.protocol_config(), self.rng, fleet.seeds, now)
 
     def _on_holder(self, role: str, term: int, process_id: str) -> None:
         if self.addresses:
@@ -115,8 +116,8 @@
         name = f"{role.name}/{zone}" if zone is not None else role.name
         task: LeaderTask
         if role.task is TaskKind.LIST:
-            self.lists = Lists(self, name, zone, role.interval, role.service)
-            task = self.lists
+            self.list_replication = ListReplication(self, name, zone, role.interval, role.service)
+            task = self.list_replication
         else:
             task = self._make_webhook(name, role)
         self.leasing.leases.add(name, zone, task)
@@ -134,8 +135,8 @@
             self,
             self.leasing,
             authenticator.dropped,
-            self.lists,
-            self.shares,
+            self.list_replication,
+            self.load_gossip,
         )
         proxy.routes |= status.routes()
         proxy.routes |= self.addresses.routes() if self.addresses else {}
@@ -171,10 +172,10 @@
 
     def _next_due(self) -> float:
         times = [self.membership.next_due, self._check_at, self.leasing.next_due()]
-        if self.lists:
-            times.append(self.lists.next_due())
-        if self.shares:
-            times.append(self.shares.next_due)
+        if self.list_replication:
+            times.append(self.list_replication.next_due())
+        if self.load_gossip:
+            times.append(self.load_gossip.next_due)
         if self.addresses:
             times.append(self.addresses.next_due())
         return min(times)
@@ -201,10 +202,10 @@
             self._check_at = now + CHECK_INTERVAL
             self._check(now)
         self.leasing.tick(now)
-        if self.lists:
-            self.lists.tick(now)
-        if self.shares:
-            self.shares.tick(now)
+        if self.list_replication:
+            self.list_replication.tick(now)
+        if self.load_gossip:
+            self.load_gossip.tick(now)
         if self.addresses:
             self.addresses.tick(now)
 
@@ -228,13 +229,11 @@
         )
 
     def _take_membership_changes(self, now: float) -> None:
-        changes = self.membership.changes
-        self.membership.changes = []
-        for change in changes:
+        for change in self.membership.take_changes():
             member = change.member
             self.leasing.ranking.clear()
-            if self.shares:
-                self.shares.changed = True
+            if self.load_gossip:
+                self.load_gossip.on_members_changed()
             if member.state in (MemberState.SUSPECT, MemberState.DEAD):
                 self.leasing.leases.last_fault_at = now
             self.log_event(
@@ -242,23 +241,21 @@
                 member=member.name,
                 epoch=member.epoch,
                 life=member.state.name.lower(),
-                why=change.why,
+                why=change.cause,
                 there=self.membership.live_count(),
             )
 
     def _take_payloads(self, now: float) -> None:
-        payloads = self.membership.received_payloads
-        self.membership.received_payloads = []
-        for member, payload in payloads:
+        for member, payload in self.membership.take_payloads():
             self._on_payload(member, payload.kind, payload.body, now)
 
     def _on_payload(self, member: Member, kind: int, body: bytes, now: float) -> None:
-        if kind == LIST:
-            if self.lists:
-                self.lists.on_message(member, body, now)
-        elif kind == SHARE:
-            if self.shares:
-                self.shares.on_message(member, body, now)
+        if kind == LIST_PAYLOAD:
+            if self.list_replication:
+                self.list_replication.on_message(member, body, now)
+        elif kind == GOSSIP_PAYLOAD:
+            if self.load_gossip:
+                self.load_gossip.on_message(member, body, now)
         elif kind == ADDRESSES:
             if self.addresses:
                 self.addresses.on_message(member, body, now)
@@ -266,15 +263,13 @@
             self.leasing.router.on_payload(member, body, now)
 
     def _take_broadcasts(self, now: float) -> None:
-        events = self.membership.received_broadcasts
-        self.membership.received_broadcasts = []
-        for event in events:
-            self._on_broadcast(event.kind, event.body, now)
+        for broadcast in self.membership.take_broadcasts():
+            self._on_broadcast(broadcast.kind, broadcast.body, now)
 
     def _on_broadcast(self, kind: int, body: bytes, now: float) -> None:
-        if kind == LIST:
-            if self.lists:
-                self.lists.on_broadcast(body, now)
+        if kind == LIST_PAYLOAD:
+            if self.list_replication:
+                self.list_replication.on_broadcast(body)
         elif kind == ADDRESSES:
             if self.addresses:
                 self.addresses.on_broadcast(body)
@@ -282,22 +277,20 @@
             self.leasing.router.on_broadcast(body, now)
 
     def _log_stalls(self) -> None:
-        stalled = self.membership.stalled
+        stalled = self.membership.stalled_seconds
         if stalled - self._logged_stalls >= STALL_LOGGED:
             self.log_event("stalled", seconds=round(stalled - self._logged_stalls, 3))
             self._logged_stalls = stalled
 
     def _flush(self) -> None:
-        outbox = self.membership.outbox
-        self.membership.outbox = []
-        self.transport.send_all(outbox)
+        self.transport.send_all(self.membership.take_outbox())
 
     # A part of the proxy.
 
     def on_endpoint_list(self, kind: EndpointListKind, _: list[Endpoint]) -> None:
         """The proxy's own endpoint list has changed."""
-        if self.lists:
-            self.lists.own_list(kind)
+        if self.list_replication:
+            self.list_replication.on_own_list(kind)
 
     def close(self) -> None:
         """The process ends: what it holds goes on to others at once."""
--- a/onyxhollow/fleet/role_ranking.py
+++ b/onyxhollow/fleet/role_ranking.py
@@ -85,7 +85,7 @@
 
     def _able(self, zone: str | None) -> set[RankedProcess]:
         now = clock.now()
-        damped = self.membership.damping.damped
+        damped = self.membership.flap_damping.is_damped
         able = {
             RankedProcess(
                 member.state is MemberState.SUSPECT,
--- a/onyxhollow/fleet/routing_daemon.py
+++ b/onyxhollow/fleet/routing_daemon.py
@@ -90,7 +90,7 @@
         while not channel.ended:
             name = self.next_address()
             if name is None:
-                channel.inbox.take_rest()  # nothing is outstanding: what comes only shows that it lives
+                channel.inbox.take_rest()  # nothing outstanding: what comes says only that the daemon lives
                 channel.set_paused(False)
                 yield self.loop.now + IDLE_CHECK
                 continue
--- a/onyxhollow/fleet/shared_addresses/local_health.py
+++ b/onyxhollow/fleet/shared_addresses/local_health.py
@@ -29,7 +29,7 @@
         """Health, load and arrival rate of each address, now."""
         service_state = self.member.proxy.service
         ready = service_state.ready and not service_state.replaced
-        endpoints, with_capacity = self.member.proxy.decisions.room(self.member.zone)
+        endpoints, with_capacity = self.member.proxy.decisions.count_with_capacity(self.member.zone)
         sessions = self.count_sessions()
         rows = []
         for service in self.services:
--- a/onyxhollow/fleet/shared_addresses/service.py
+++ b/onyxhollow/fleet/shared_addresses/service.py
@@ -40,7 +40,7 @@
 from onyxhollow.fleet.shared_addresses.override_store import VoterStore
 from onyxhollow.fleet.shared_addresses.query_api import QueryApi, QueryKind
 from onyxhollow.management.api import Answer
-from onyxhollow.membership.swim import Member
+from onyxhollow.membership.member_table import Member
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -98,8 +98,8 @@
             config.seed,
             self.counters,
             log=lambda line: self.log.event("mode", line=line),
-            probe=self.health_checker.start_check,
-            watch=self.discovery.poll,
+            check_health=self.health_checker.start_check,
+            poll_endpoint_list=self.discovery.poll,
         )
         self.decisions.report_list(EndpointListKind.CACHED, config.known.endpoints)
         self.sessions = SessionRegistry(
@@ -204,7 +204,7 @@
     ) -> None:
         """A health check has a result; the duration is in seconds."""
         self.log.event("probe", server=endpoint, end=outcome.value, took=round(duration, 4), load=load)
-        self.decisions.report_probe(endpoint, outcome, duration, load)
+        self.decisions.report_health_check(endpoint, outcome, duration, load)
 
     def run_timer(self) -> Generator[float, None, None]:
         """The decisions' one timer. A failure in it is logged, and the timer goes on."""
--- a/onyxhollow/wire/established_connection.py
+++ b/onyxhollow/wire/established_connection.py
@@ -44,8 +44,10 @@
                 self.end_with_client()
             elif session.handoff_sender is not None and (yield from self.hand_off(session.handoff_sender)):
                 pass  # the successor serves it from here on
-            elif handle.move or session.stopping:
-                self.migrate("moved" if handle.move else "moved at stop", AttemptOutcome.CANCELLED)
+            elif handle.migrate_requested or session.stopping:
+                self.migrate(
+                    "moved" if handle.migrate_requested else "moved at stop", AttemptOutcome.CANCELLED
+                )
             elif (check_at := forwarder.check_echoes()) <= self.loop.now:
                 self.migrate("silent server", AttemptOutcome.RESET)
             else:
@@ -68,8 +70,8 @@
         self.server.finish()
         session.end(ConnectionEvent.MIGRATED, why)
         if outcome is AttemptOutcome.CANCELLED:
-            self.handle.report_gone()  # ended by this proxy, not by its endpoint: it says nothing of that
-        self.handle.report(outcome, self.duration(), True)
+            self.handle.report_client_gone()  # ended by this proxy: it says nothing of its endpoint
+        self.handle.report_ended(outcome, self.duration(), True)
 
     def end_with_endpoint(self, outcome: AttemptOutcome) -> None:
         """The endpoint has ended it: the client's side ends the same way, after the last bytes."""
@@ -81,7 +83,7 @@
         else:
             self.client.finish()
         self.server.close()
-        self.handle.report(outcome, self.duration(), True)
+        self.handle.report_ended(outcome, self.duration(), True)
 
     def end_with_client(self) -> None:
         """The client has ended it: the endpoint's side ends the same way, after the last bytes."""
@@ -97,8 +99,8 @@
         else:
             self.server.finish()
         self.client.close()
-        self.handle.report_gone()
-        self.handle.report(AttemptOutcome.CANCELLED, self.duration(), True)
+        self.handle.report_client_gone()
+        self.handle.report_ended(AttemptOutcome.CANCELLED, self.duration(), True)
 
     # to the successor of this process
 
@@ -138,7 +140,7 @@
 
     def describe(self) -> ConnectionHandoff | None:
         """All that the successor needs; None once the decisions have forgotten the session."""
-        decided = self.handle.sess
+        decided = self.handle.session
         request = self.session.request
         if decided is None or request is None:
             return None
@@ -163,5 +165,5 @@
         session.end(ConnectionEvent.HANDOFF_TAKEN, "passed on")
         self.client.close()
         self.server.close()
-        self.handle.report_gone()
-        self.handle.report(AttemptOutcome.CANCELLED, self.duration(), True)
+        self.handle.report_client_gone()
+        self.handle.report_ended(AttemptOutcome.CANCELLED, self.duration(), True)
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -24,7 +24,14 @@
 from onyxhollow.addresses.controller_views import plan, view
 from onyxhollow.addresses.routes import Preference
 from onyxhollow.append_log import AppendLog
-from onyxhollow.fleet import identity, lease_messenger, lists, route_guard, shares, telling
+from onyxhollow.fleet import (
+    gossip_service,
+    identity,
+    lease_messenger,
+    list_messages,
+    list_replication,
+    route_guard,
+)
 from onyxhollow.fleet.file import read_fleet
 from onyxhollow.fleet.route_guard_config import read_guard_config
 from onyxhollow.fleet.shared_addresses import messenger
@@ -32,12 +39,12 @@
 from onyxhollow.fleet.shared_addresses.override_store import OverrideStore
 from onyxhollow.fleet.shared_addresses.query_api import QueryApi
 from onyxhollow.fleet.voter_service import VoterService
-from onyxhollow.gossip import messages as sharing
+from onyxhollow.gossip import messages as gossip
 from onyxhollow.leases import messages as leasing
 from onyxhollow.leases.voter import Voter
 from onyxhollow.leases.voter_slot import VoterSlot
 from onyxhollow.membership import messages as members
-from onyxhollow.membership.seal import DatagramAuthenticator
+from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator
 
 DATA = pathlib.Path(__file__).parent / "data" / "compatibility" / "fleet"
 
@@ -121,10 +128,15 @@
     standing.InstalledRoute(name="address-a", preference=1, controller_term=82, call_number=83),
 ]
 SHARING = {
-    "page": sharing.Page(rows=[
-        sharing.Row(server="s1", by=301, number=302, age=303, load=304, load_age=305, held=306, doubters=307)
+    "page": gossip.ReportPage(reports=[
+        gossip.EndpointReport(
+            endpoint="s1", owner=301, sequence=302, age=303, load=304, load_age=305, connections=306,
+            failing_members=307,
+        )
     ]),
-    "counts": sharing.Counts(number=311, rows=[("s2", 312, 313)]),
+    "counts": gossip.ConnectionCounts(
+        sequence=311, counts=[gossip.EndpointCount(endpoint="s2", connections=312, failures=313)]
+    ),
 }  # fmt: skip
 LIST_ROWS = [
     {"host": "s3", "health": "leaving", "zone": "east"},
@@ -132,30 +144,36 @@
 ]
 BODY = bytes.fromhex((DATA / "list-rows.hex").read_text())  # another zlib may pack them otherwise
 LISTS = {
-    "beat": telling.Beat(duty="list-east", term=401, source="lists", version=402, lost=True),
-    "rows": telling.Rows(
-        duty="list-east", term=411, source="lists", version=412, base=413, part=414, parts=415, body=BODY
+    "beat": list_messages.Heartbeat(
+        role="list-east", term=401, source="lists", version=402, disconnected=True
     ),
-    "want": telling.Want(duty="list-east", term=421, source="lists", have=422),
-    "doubt": telling.Doubt(duty="list-east", term=431, source="lists", version=432),
+    "rows": list_messages.ListUpdate(
+        role="list-east", term=411, source="lists", version=412, base=413, part=414, parts=415, body=BODY
+    ),
+    "want": list_messages.ResyncRequest(role="list-east", term=421, source="lists", known_version=422),
+    "doubt": list_messages.Suspicion(role="list-east", term=431, source="lists", version=432),
 }  # fmt: skip
 PARTS = {
     "ping": members.Ping(nonce=501),
     "ack": members.Ack(nonce=511),
-    "ping-for": members.PingFor(nonce=521, name="m3", epoch=522, address=("192.0.2.3", 523)),
+    "ping-for": members.PingRequest(nonce=521, name="m3", epoch=522, address=("192.0.2.3", 523)),
     "nack": members.Nack(nonce=531),
-    "update": members.Update(
-        name="m4", epoch=541, incarnation=542, life=members.MemberState.DEAD, address=("192.0.2.4", 543),
-        zone="east", flags=identity.MAY_HOLD_ROLES | identity.VOTES, by="m5",
+    "update": members.MemberUpdate(
+        name="m4", epoch=541, incarnation=542, state=members.MemberState.DEAD, address=("192.0.2.4", 543),
+        zone="east", flags=identity.MAY_HOLD_ROLES | identity.VOTES, suspected_by="m5",
     ),
     "sync": members.Sync(digest=551, joining=True),
-    "event": members.Event(name="m6", epoch=561, number=562, kind=lists.LIST, body=b"event"),
-    "carried": members.Carried(kind=messenger.ADDRESSES, body=b"carried"),
+    "event": members.Broadcast(
+        name="m6", epoch=561, sequence=562, kind=list_replication.LIST_PAYLOAD, body=b"event"
+    ),
+    "carried": members.Payload(kind=messenger.ADDRESSES, body=b"carried"),
 }  # fmt: skip
 
 
 def packet(part):
-    return members.Packet(fleet="fleet-one", name="m1", epoch=11, number=12, to=13, parts=[part])
+    return members.Packet(
+        fleet="fleet-one", name="m1", epoch=11, sequence=12, receiver_epoch=13, messages=[part]
+    )
 
 
 PACKETS = {name: packet(part) for name, part in PARTS.items()}
@@ -163,9 +181,9 @@
 SAID = {
     "duties": (ELECTION, leasing.MESSAGE_DECODER, leasing.encode, leasing.LeaseMessage),
     "addresses": (ADDRESSES, addressing.MESSAGES, addressing.encode, addressing.MESSAGES.type),
-    "sharing": (SHARING, sharing.MESSAGES, sharing.encode, sharing.MESSAGES.type),
-    "lists": (LISTS, telling.MESSAGES, telling.encode, telling.Messages),
-    "packets": (PACKETS, members.PACKETS, members.encode, members.Parts),
+    "sharing": (SHARING, gossip.MESSAGE_DECODER, gossip.encode, gossip.Messages),
+    "lists": (LISTS, list_messages.MESSAGE_DECODER, list_messages.encode, list_messages.Messages),
+    "packets": (PACKETS, members.PACKET_DECODER, members.encode, members.Messages),
 }
 STORED = {
     "voter": (VOTER_RECORDS, leasing.RECORD_DECODER, leasing.encode, leasing.VoterRecord),
@@ -177,7 +195,7 @@
     ),
     "gate": (GATE_ROWS, standing.RECORDS, standing.encode, standing.RECORDS.type),
 }
-MODULES = leasing, addressing, sharing, telling, members, standing
+MODULES = leasing, addressing, gossip, list_messages, members, standing
 
 
 def structs(value):
@@ -322,7 +340,12 @@
 
 
 def test_numbers_and_words_that_members_send_and_keep():
-    assert (lease_messenger.LEASE_PAYLOAD, lists.LIST, shares.SHARE, messenger.ADDRESSES) == (1, 2, 3, 4)
+    assert (
+        lease_messenger.LEASE_PAYLOAD,
+        list_replication.LIST_PAYLOAD,
+        gossip_service.GOSSIP_PAYLOAD,
+        messenger.ADDRESSES,
+    ) == (1, 2, 3, 4)
     assert (identity.MAY_HOLD_ROLES, identity.VOTES) == (1, 2)
     life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
@@ -336,9 +359,9 @@
 
 
 def test_rows_of_a_list_are_packed_as_recorded():
-    assert telling.unpack([BODY]) == LIST_ROWS
-    assert zlib.decompress(b"".join(telling.pack(LIST_ROWS))) == zlib.decompress(BODY)
-    assert telling.drains(telling.unpack([BODY])) == LIST_ROWS[:1]
+    assert list_messages.decode_records([BODY]) == LIST_ROWS
+    assert zlib.decompress(b"".join(list_messages.encode_records(LIST_ROWS))) == zlib.decompress(BODY)
+    assert list_messages.draining_records(list_messages.decode_records([BODY])) == LIST_ROWS[:1]
 
 
 def test_a_sealed_packet_opens_and_is_sealed_again_as_recorded():
@@ -346,12 +369,12 @@
     ours, second = read_fleet(str(DATA / "fleet.toml"), {}.get).keys
     assert (ours, second) == (bytes(range(24)), bytes(range(0xF0, 0x100)))
     sender = DatagramAuthenticator("fleet-one", "m1", 11, [ours])
-    sender.number = 11
-    assert sender.close([members.encode(part) for part in PARTS.values()], 13) == datagram
+    sender.sequence = 11
+    assert sender.sign([members.encode(part) for part in PARTS.values()], 13) == datagram
     for held in ([ours], [second, ours]):
-        opened = DatagramAuthenticator("fleet-one", "m2", 13, held).open(datagram)
-        assert opened == msgspec.structs.replace(packet(None), parts=list(PARTS.values()))
-    assert DatagramAuthenticator("fleet-one", "m2", 13, [second]).open(datagram) is None
+        opened = DatagramAuthenticator("fleet-one", "m2", 13, held).verify(datagram)
+        assert opened == msgspec.structs.replace(packet(None), messages=list(PARTS.values()))
+    assert DatagramAuthenticator("fleet-one", "m2", 13, [second]).verify(datagram) is None
 
 
 def test_a_voter_starts_from_its_recorded_memory(tmp_path):
@@ -437,9 +460,15 @@
     assert elsewhere.listen == elsewhere.advertise == ("192.0.2.99", 7199)
     timing, rules = fleet.file.protocol_config(), fleet.file.lease_timing()
     share = fleet.file.gossip_config()
-    assert (timing.period, timing.timeout, timing.sync_every) == (1.25, 0.45, 11.5)
+    assert (timing.period, timing.timeout, timing.sync_interval) == (1.25, 0.45, 11.5)
     assert (rules.duration, rules.rate_bound) == (3.75, 0.015)
-    assert (share.every, share.fan, share.report, share.renew, share.audit) == (0.35, 3, 6.5, 1.75, 31.5)
+    assert (
+        share.push_interval,
+        share.fanout,
+        share.poll_interval,
+        share.report_interval,
+        share.audit_interval,
+    ) == (0.35, 3, 6.5, 1.75, 31.5)
 
 
 def test_the_keepers_view_and_plan_are_told_as_recorded():
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -19,7 +19,7 @@
 import msgspec
 import pytest
 import zstandard
-from conftest import CALLS, Peer
+from peers import CALLS, Peer
 
 from onyxhollow.interface import Idempotency
 from onyxhollow.lifecycle import replacement
@@ -123,11 +123,12 @@
 def server_told(s, proxy):
     """What the decisions know of one server."""
     b, now = proxy.decisions.balancer, proxy.loop.now
-    figures = [(f.value, now - f.at) if f.value else None for f in (s.set_up, s.delay)]
-    tokens = b.budget.tokens[s][0] if s in b.budget.tokens else None
+    figures = [(f.value, now - f.at) if f.value else None for f in (s.handshake_time, s.message_delay)]
+    tokens = b.slow_start.tokens[s][0] if s in b.slow_start.tokens else None
     return (
-        (s.readiness.value, s.zone, s.cell, s.kind, s.size, s.started, proxy.addresses.find(s.name)),
-        (len(s.connections), s.heard, s.load, now - s.load_at, s.score(now), now - s.strained_at),
+        (s.state.value, s.zone, s.cell, s.machine_type, s.size, s.started_at, proxy.addresses.find(s.name)),
+        (len(s.connections), s.ever_used, s.load, now - s.load_reported_at)
+        + (s.outlier_score(now), now - s.overloaded_at),
         *figures,
         (s.arrival.count, s.arrival.moved, tokens) if s.arrival else None,
     )
@@ -137,10 +138,10 @@
     """What all decisions know."""
     b, now = proxy.decisions.balancer, proxy.loop.now
     return {
-        "setting_up": (b.setting_up.value, now - b.setting_up.at),
-        "taken": (b.budget.rate(now), now - b.budget.since),
+        "setting_up": (b.handshake_time.value, now - b.handshake_time.at),
+        "taken": (b.slow_start.rate(now), now - b.slow_start.since),
         "seq": proxy.discovery.version,
-        "servers": {name: server_told(s, proxy) for name, s in b.servers.items()},
+        "servers": {name: server_told(s, proxy) for name, s in b.tracked.items()},
     }
 
 
@@ -274,12 +275,12 @@
     """All that operators may ask, one after another: the whole answers, figures without their values."""
     calls = replace(CALLS, name="calls"), replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)
     proxy = loopback(management=("127.0.0.1", 0), listeners={row.name: row for row in calls})
-    proxy.standing()
+    proxy.established()
     found = {}
     for place, call in enumerate(CONTROL):
         peer = proxy.operator(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         proxy.until(lambda peer=peer: peer.read() and peer.end)
-        head, _, body = peer.got.decode().partition("\r\n\r\n")
+        head, _, body = peer.received.decode().partition("\r\n\r\n")
         if "counters" in call:
             head, body = re.sub(r"Content-Length: \d+", "Content-Length: N", head), page_shape(body)
         found[f"{place} {call}"] = [head.splitlines(), body]
@@ -328,8 +329,8 @@
     (client, near), (server, far) = socket.socketpair(), socket.socketpair()
     successor.take_connection(near, far)
     client, server = Peer(client), Peer(server)
-    client.say(b"\r\n")
-    server.say(b" 1\r\n")
+    client.send(b"\r\n")
+    server.send(b" 1\r\n")
     to_client, to_server = (line.encode("latin-1") for line in MEANING["connection"]["unsent"])
     successor.until(lambda: server.read() == to_server + b"m 2\r\n")
     successor.until(lambda: client.read() == to_client + b"m 1\r\n")
