--- a/tests/test_list_replication.py
+++ b/tests/test_list_replication.py
@@ -2,9 +2,12 @@
 
 from random import Random
 
-from onyxhollow.fleet.list_messages import Heartbeat, ListUpdate, ResyncRequest
+from onyxhollow.fleet import paced_sender
+from onyxhollow.fleet.drain_broadcast import DRAINS_PER_BROADCAST, DrainBroadcast
+from onyxhollow.fleet.list_messages import Heartbeat, ListUpdate, ResyncRequest, decode_records
 from onyxhollow.fleet.list_publisher import Publisher
 from onyxhollow.fleet.list_subscriber import MAX_PUBLISHER_LAG, Subscriber
+from onyxhollow.fleet.paced_sender import GROUP_INTERVAL, GROUP_SIZE, PacedSender
 
 
 def make_publisher():
@@ -56,3 +59,29 @@
             continue
         assert subscriber.resume_at <= 0.1 + MAX_PUBLISHER_LAG + 0.1 + 2.0, fault
         assert subscriber.tick(subscriber.resume_at)
+
+
+def test_each_drain_is_broadcast_once_and_again_when_its_state_changes():
+    drains = DrainBroadcast("list")
+    records = [record(f"s{number}", "leaving") for number in range(DRAINS_PER_BROADCAST + 1)]
+    updates = drains.updates([record("active"), *records], "s", 7)
+    assert [len(decode_records([update.body])) for update in updates] == [DRAINS_PER_BROADCAST, 1]
+    assert all((update.source, update.version, update.parts) == ("s", 7, 1) for update in updates)
+    assert drains.updates(records, "s", 8) == []
+    (update,) = drains.updates([*records[1:], record("s0", "left")], "s", 9)
+    assert decode_records([update.body]) == [record("s0", "left")]
+
+
+def test_updates_are_sent_in_groups_and_a_full_queue_drops_further_ones(monkeypatch):
+    monkeypatch.setattr(paced_sender, "MAX_QUEUED", 2 * GROUP_SIZE)
+    sent = []
+    sender = PacedSender(lambda receiver, update: sent.append((receiver, update)))
+    assert all(sender.enqueue("member", number, 1.0) for number in range(2 * GROUP_SIZE))
+    assert not sender.enqueue("member", "one too many", 1.0)
+    assert sender.next_due == 1.0
+    sender.tick(1.0)
+    sender.tick(1.0 + GROUP_INTERVAL / 2)
+    assert [update for _, update in sent] == list(range(GROUP_SIZE))
+    sender.tick(1.0 + GROUP_INTERVAL)
+    assert [update for _, update in sent] == list(range(2 * GROUP_SIZE))
+    assert sender.next_due == float("inf")
