--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -30,7 +30,7 @@
 from onyxhollow.service_state import ServicePhase, ServiceState
 from onyxhollow.wire.buffers import BufferPool
 from onyxhollow.wire.endpoint_addresses import EndpointAddresses
-from onyxhollow.wire.endpoint_list_watch import EndpointListWatch, WatchTerms
+from onyxhollow.wire.endpoint_list_watch import EndpointListWatch, WatchConfig
 from onyxhollow.wire.health_checks import HealthChecker
 from onyxhollow.wire.listening import listen_socket
 from onyxhollow.wire.network_context import NetworkContext
@@ -82,7 +82,7 @@
         self.discovery = EndpointListWatch(
             context,
             config.discovery,
-            WatchTerms.of(settings),
+            WatchConfig.of(settings),
             clock=config.clock,
             version=config.known.version,
             on_update=self.on_endpoint_list,
--- a/onyxhollow/lifecycle/reloading.py
+++ b/onyxhollow/lifecycle/reloading.py
@@ -6,7 +6,7 @@
 
 from onyxhollow.decision_adapter import DecisionAdapter
 from onyxhollow.lifecycle.config import Config, ConfigError, needs_restart
-from onyxhollow.wire.endpoint_list_watch import EndpointListWatch, WatchTerms
+from onyxhollow.wire.endpoint_list_watch import EndpointListWatch, WatchConfig
 from onyxhollow.wire.health_checks import HealthChecker
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_registry import SessionRegistry, SessionSettings
@@ -79,5 +79,5 @@
         settings = config.settings
         self.sessions.apply_settings(SessionSettings.of(settings, config.connect_timeout))
         self.health_checker.apply_settings(settings.load_field, config.health_check_timeout)
-        self.discovery.apply_settings(WatchTerms.of(settings))
+        self.discovery.apply_settings(WatchConfig.of(settings))
         self.decisions.reconfigure(settings)
--- a/onyxhollow/wire/endpoint_list_watch.py
+++ b/onyxhollow/wire/endpoint_list_watch.py
@@ -46,14 +46,14 @@
     return min(MAX_WAIT, max(max_poll_interval / 2, instance_count / FLEET_POLL_RATE))
 
 
-class WatchTerms(NamedTuple):
+class WatchConfig(NamedTuple):
     """The part of the settings that a watch goes by."""
 
     poll_wait: float  # seconds that one poll waits for a change
     pushed: bool  # the decisions expect updates without having asked for them
 
     @classmethod
-    def of(cls, settings: Settings) -> WatchTerms:
+    def of(cls, settings: Settings) -> WatchConfig:
         """Picks them out of all settings."""
         wait = poll_wait(settings.max_poll_interval, settings.instance_count)
         return cls(wait, not settings.list_is_polled)
@@ -66,7 +66,7 @@
         self,
         context: NetworkContext,
         address: Address,
-        terms: WatchTerms,
+        config: WatchConfig,
         clock: RemoteClock,
         version: int,
         on_update: Callable[[EndpointListKind, list[Endpoint]], None],
@@ -79,13 +79,13 @@
         self.addresses = context.addresses
         self.log = context.log
         self.address = address
-        self.terms = terms
+        self.config = config
         self.clock = clock
         self.version = version
         self.on_update = on_update
         self.rng = rng
         self.answer_at_once = answer_at_once  # the first answer is waited for, changed or not
-        self.poll_requested = terms.pushed
+        self.poll_requested = config.pushed
         self.staggered_polls = 0  # answers until the service no longer counts as a busy one
         self.timeouts = 0  # polls in a row that nothing came on
         self.interrupted = True  # no poll has been answered yet, or not since one failed
@@ -112,9 +112,9 @@
             self.poll_requested = True
         self.task.wake()
 
-    def apply_settings(self, terms: WatchTerms) -> None:
-        """Sets the terms of polls from the next one on."""
-        self.terms = terms
+    def apply_settings(self, config: WatchConfig) -> None:
+        """Sets what polls go by, from the next one on."""
+        self.config = config
 
     def switch_to(self, address: Address, resync: bool = False) -> None:
         """Follows another service from now on, after a reload; it is polled at once, for a snapshot.
@@ -146,7 +146,7 @@
                 yield from self.stagger()
                 if self.suspended:
                     break
-            if self.terms.pushed and not self.suspended:
+            if self.config.pushed and not self.suspended:
                 yield from self.loop.sleep(self.backoff)
                 self.poll_requested = True
 
@@ -239,7 +239,7 @@
         wait = LEAST_WAIT
         grace = ANSWER_TIMEOUT
         if not self.answer_at_once:
-            wait = min(MAX_WAIT, self.terms.poll_wait * self.rng.uniform(*JITTER))
+            wait = min(MAX_WAIT, self.config.poll_wait * self.rng.uniform(*JITTER))
             grace = SILENCE_TIMEOUT
         return f"/v1/endpoints?index={self.version}&wait={round(wait * 1000)}", wait + grace
 
--- a/onyxhollow/wire/placement.py
+++ b/onyxhollow/wire/placement.py
@@ -98,7 +98,7 @@
             if selection.endpoint is None:
                 session.answer(selection.rejected, selection.retry_after)
                 return None
-            if session.is_absent():
+            if session.is_disconnected():
                 session.conclude(handle, handle.give_up(AttemptOutcome.NOT_SENT).rejected)
                 return None
             started_at = self.loop.now
@@ -151,7 +151,7 @@
         if result.channel is None:
             session.advance(ConnectionEvent.ATTEMPT_FAILED)
             return result
-        if session.is_absent():
+        if session.is_disconnected():
             result.channel.close()
             session.advance(ConnectionEvent.ATTEMPT_FAILED)
             return AttemptResult(AttemptOutcome.CANCELLED)
@@ -211,9 +211,9 @@
         """Whether the attempt in flight is to end now, and as what."""
         handle = self.session.handle
         if handle is None:
-            cancelled = self.session.is_absent()
+            cancelled = self.session.is_disconnected()
         else:
-            if self.session.is_absent() and not handle.answered:
+            if self.session.is_disconnected() and not handle.answered:
                 handle.report_client_gone()  # where it is allowed, the decisions call the attempt back
             cancelled = handle.cancel_requested
         return AttemptOutcome.CANCELLED if cancelled or self.session.stopping else None
--- a/onyxhollow/wire/session_core.py
+++ b/onyxhollow/wire/session_core.py
@@ -69,7 +69,7 @@
         self.stopping = True
         self.wake()
 
-    def is_absent(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Before UP: whether the client has left, or sent more while it was to wait and is cut off for it."""
         if self.state is not ConnectionState.ENDED and len(self.client.inbox):
             self.dismiss("bytes before UP", self.client.inbox.take_rest())
@@ -77,7 +77,7 @@
 
     def is_abandoned(self) -> bool:
         """Before UP: whether there is nothing to wait for any more."""
-        return self.is_absent() or self.stopping
+        return self.is_disconnected() or self.stopping
 
     def dismiss(self, why: str, line: bytes) -> None:
         """Answers what can't be read or used with ERR, at once, whatever else waits on that connection."""
@@ -95,12 +95,12 @@
 
     def conclude(self, handle: SessionHandle, rejected: bool) -> None:
         """Ends a session for which nothing more is tried: the client has left, or the proxy stops."""
-        if self.is_absent():
-            self.end_absent(handle, rejected)
+        if self.is_disconnected():
+            self.end_disconnected(handle, rejected)
         else:
             self.answer(rejected)
 
-    def end_absent(self, handle: SessionHandle, rejected: bool) -> None:
+    def end_disconnected(self, handle: SessionHandle, rejected: bool) -> None:
         """Ends a session whose client has gone before it was answered.
 
         One that has only ended its sending still reads: it gets its final answer all the same, which is lost
