--- a/onyxhollow/wire/discovery_connection.py
+++ b/onyxhollow/wire/discovery_connection.py
@@ -79,21 +79,27 @@
                 if self.loop.now >= due:
                     raise DiscoveryTimeoutError("silence")
                 yield due
-            elif isinstance(event, h11.Response):
-                if event.status_code != OK:
-                    raise DiscoveryStatusError(event.status_code)
-            elif isinstance(event, h11.Data):
-                body += event.data
-                if len(body) > MAX_BODY_SIZE:
-                    raise EndpointListError("list too long")
-            elif isinstance(event, h11.EndOfMessage):
+            elif self.take(event, body):
                 break
-            else:
-                raise EndpointListError("half an answer")
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
         return bytes(body)
 
+    def take(self, event: object, body: bytearray) -> bool:
+        """Takes a part of the answer, adding its data to the body; whether it was the last one."""
+        if isinstance(event, h11.Response):
+            if event.status_code != OK:
+                raise DiscoveryStatusError(event.status_code)
+            return False
+        if isinstance(event, h11.Data):
+            body += event.data
+            if len(body) > MAX_BODY_SIZE:
+                raise EndpointListError("list too long")
+            return False
+        if isinstance(event, h11.EndOfMessage):
+            return True
+        raise EndpointListError("half an answer")
+
     def send_request(self, target: str, method: str) -> None:
         """Writes a request without a body."""
         headers = [("Host", self.host), ("Accept", "application/json")]
--- a/onyxhollow/wire/established_connection.py
+++ b/onyxhollow/wire/established_connection.py
@@ -31,8 +31,11 @@
 
     def run(self) -> Generator[float, None, None]:
         """Serves the connection to its end."""
-        session, forwarder = self.session, self.forwarder
-        client, server, handle = self.client, self.server, self.handle
+        session = self.session
+        forwarder = self.forwarder
+        client = self.client
+        server = self.server
+        handle = self.handle
         while True:
             if not forwarder.forward_to_client():
                 self.migrate("of a malformed server", AttemptOutcome.ERROR)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -26,7 +26,7 @@
 EMPTY_LIST = json.dumps({"seq": 8, "whole": False, "hosts": []}).encode()
 
 
-class LateToy(ScriptedServer):
+class LateServer(ScriptedServer):
     """A server whose connections come up late: its queue is full until it lets them in. The system tries
     again a second after the first time."""
 
@@ -49,7 +49,7 @@
 
     def make(servers="ab", listeners=None, **changes):
         proxy = loopback(servers, known=False, listeners=listeners or {"calls": PATIENT}, **changes)
-        proxy.endpoints[servers[0]] = LateToy()
+        proxy.endpoints[servers[0]] = LateServer()
         proxy.proxy.sessions.attempts.connect_timeout = 3.0
         body = json.dumps({"seq": 8, "whole": True, "hosts": [proxy.list_record(servers[0])]}).encode()
         proxy.answer_list(body)
@@ -379,7 +379,7 @@
     # It was waited for as long as the watch that it was made for.
     monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT", 0.3)
     proxy = loopback(max_poll_interval=20.0)
-    proxy.list_service = LateToy()
+    proxy.list_service = LateServer()
     proxy.follow_list_of(proxy.list_service)
     proxy.until(lambda: proxy.counts["list calls"] >= 3, within=2.0)
     proxy.list_service.let_in()
