--- a/onyxhollow/lab/ledger.py
+++ b/onyxhollow/lab/ledger.py
@@ -7,17 +7,14 @@
 
 import math
 from collections.abc import Iterable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
 from onyxhollow.lab.evenness import Evenness
-from onyxhollow.lab.world.clients import Cause
-
-if TYPE_CHECKING:
-    from onyxhollow.lab.scenario import Scenario
-    from onyxhollow.lab.world.draws import Wish
+from onyxhollow.lab.scenario import Scenario
+from onyxhollow.lab.world.types import Cause, Wish
 
 WINDOW = 10  # seconds of the worst window
 LONGEST_US = 120_000_000
--- a/onyxhollow/lab/search.py
+++ b/onyxhollow/lab/search.py
@@ -14,7 +14,8 @@
 import msgspec
 
 from onyxhollow.lab import experiment
-from onyxhollow.lab.scenario import Clients, Fleet, ListSource, Scenario, check
+from onyxhollow.lab.scenario import Scenario, check
+from onyxhollow.lab.specs import Clients, Fleet, ListSource
 from onyxhollow.lab.world import faults
 
 KEEP = 0.75  # share of a day's gap that its cut-down form must show
--- a/onyxhollow/lab/sockets/discovery.py
+++ b/onyxhollow/lab/sockets/discovery.py
@@ -4,22 +4,43 @@
 
 import math
 import socket
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 from urllib.parse import parse_qs, urlsplit
 
 import h11
 import orjson
 
 from onyxhollow.lab.sockets.lines import Lines, accepting, listening
+from onyxhollow.lab.sockets.servers import Door
 from onyxhollow.lab.world.listing import GONE, Row
-
-if TYPE_CHECKING:
-    from onyxhollow.lab.sockets.engine import Sockets
+from onyxhollow.lab.world.world import World
+from onyxhollow.loop import Loop
 
 HEALTH = {"in service": "active", "draining": "leaving", "gone": "left"}
 STILL_WATCHING = 0.2  # seconds from the last answer within which the next call continues a watch
 
 
+class ListHost(Protocol):
+    """What the stand-in for the list needs of the engine that runs it."""
+
+    world: World
+    loop: Loop
+    in_fleet: bool
+
+    @property
+    def now(self) -> float:
+        """Seconds since the run began."""
+
+    def unix(self, when: float) -> float:
+        """Unix time of a time of the world."""
+
+    def door(self, server: str, proxy: int) -> Door:
+        """Where a proxy finds a server."""
+
+    def complain(self, what: str) -> None:
+        """Reports a breach of the protocol."""
+
+
 class Asker:
     """One connection of a proxy to the list."""
 
@@ -100,7 +121,7 @@
 class Desk:
     """Where one proxy asks for the list."""
 
-    def __init__(self, engine: Sockets, proxy: int) -> None:
+    def __init__(self, engine: ListHost, proxy: int) -> None:
         self.engine, self.proxy = engine, proxy
         self.askers: dict[Asker, None] = {}
         self.watchers: dict[Asker, int] = {}
--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -23,8 +23,8 @@
 from onyxhollow.lab.sockets.lines import Lines
 from onyxhollow.lab.sockets.proxies import READY_WITHIN, Process, free_address, wire_settings
 from onyxhollow.lab.sockets.servers import Dial, Door
-from onyxhollow.lab.world.clients import Cause, Session
-from onyxhollow.lab.world.servers import State
+from onyxhollow.lab.world.servers import Session, State
+from onyxhollow.lab.world.types import Cause
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
 
--- a/onyxhollow/lab/sockets/servers.py
+++ b/onyxhollow/lab/sockets/servers.py
@@ -5,18 +5,34 @@
 
 import contextlib
 import socket
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from onyxhollow.lab.sockets.lines import Lines, accepting, listening
-from onyxhollow.lab.world.clients import Session
-from onyxhollow.lab.world.servers import Server, State, Verdict
-
-if TYPE_CHECKING:
-    from onyxhollow.lab.sockets.engine import Sockets
+from onyxhollow.lab.world.servers import Server, Session, State, Verdict
+from onyxhollow.lab.world.world import World
+from onyxhollow.loop import Loop
 
 FILLERS = 2  # connections that fill the queue of a machine that has gone, so that no more come up
 
 
+class ServerHost(Protocol):
+    """What stand-in servers need of the engine that runs them."""
+
+    world: World
+    loop: Loop
+    dials: dict[int, Dial]  # the newest of each session
+
+    @property
+    def now(self) -> float:
+        """Seconds since the run began."""
+
+    def by_id(self, line: bytes) -> Session | None:
+        """The session whose id a line carries."""
+
+    def complain(self, what: str) -> None:
+        """Reports a breach of the protocol."""
+
+
 class Dial:
     """One connection of a proxy to a server."""
 
@@ -116,7 +132,7 @@
 class Door:
     """Where one proxy finds one server, or in a large fleet those of one zone do: `proxy` is their first."""
 
-    def __init__(self, engine: Sockets, server: Server, proxy: int) -> None:
+    def __init__(self, engine: ServerHost, server: Server, proxy: int) -> None:
         self.engine, self.server, self.proxy = engine, server, proxy
         self.dials: dict[Dial, None] = {}
         self.blocked = False
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -25,9 +25,9 @@
 from onyxhollow.lab.decisions import Maker
 from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.together import Talk, Trouble
-from onyxhollow.lab.world.clients import Cause, Session
 from onyxhollow.lab.world.listing import Row
-from onyxhollow.lab.world.servers import Server, State, Verdict
+from onyxhollow.lab.world.servers import Server, Session, State, Verdict
+from onyxhollow.lab.world.types import Cause
 from onyxhollow.lab.world.world import World
 
 PROBE_TIME = 0.3  # seconds until a probe is given up
--- a/onyxhollow/lab/world/draws.py
+++ b/onyxhollow/lab/world/draws.py
@@ -9,68 +9,18 @@
 
 import math
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from pathlib import Path
-from typing import TYPE_CHECKING
 
 import numpy as np
 
-if TYPE_CHECKING:
-    from onyxhollow.lab.scenario import Scenario
+from onyxhollow.lab.scenario import Scenario
+from onyxhollow.lab.world.streams import stream
+from onyxhollow.lab.world.types import Rates, Wish
 
-TABLE = 1 << 16
 # Calls over a working day, by the hour from midnight: a trough at night, a peak before noon and one in
 # the evening.
 HOURS = (22, 14, 9, 7, 7, 11, 24, 46, 68, 83, 92, 95, 88, 84, 86, 88, 91, 97, 100, 98, 90, 74, 52, 34)
-PURPOSES = ("arrivals", "lives", "traits", "standing", "tables", "servers", "network", "faults")
-
-
-def stream(seed: int, purpose: str) -> np.random.Generator:
-    return np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, PURPOSES.index(purpose)])))
-
-
-class Tables:
-    """Numbers drawn ahead that a client or server reads by its own number: the k-th draw of number i is the
-    same whatever happened to others meanwhile."""
-
-    def __init__(self, seed: int) -> None:
-        rng = stream(seed, "tables")
-        self.uniforms: list[float] = rng.random(TABLE).tolist()
-        self.normals: list[float] = rng.standard_normal(TABLE).tolist()
-
-    def uniform(self, who: int, draw: int) -> float:
-        return self.uniforms[(who * 40503 + draw * 977) & (TABLE - 1)]
-
-    def normal(self, who: int, draw: int) -> float:
-        return self.normals[(who * 30011 + draw * 1471) & (TABLE - 1)]
-
-    def exponential(self, who: int, draw: int) -> float:
-        return -math.log(1.0 - self.uniforms[(who * 52361 + draw * 613 + 17) & (TABLE - 1)])
-
-
-@dataclass(slots=True)
-class Wish:
-    """One client's wish for a connection, from due to end (seconds)."""
-
-    number: int
-    due: float
-    end: float
-    listener: int
-    customer: int
-    zone: int
-    group: int  # -1: none
-    load: float  # usual load, cores of work
-    over: bool  # beyond its customer's share when it came
-    stands: bool  # open before the start
-
-
-@dataclass(slots=True)
-class Rates:
-    """Factors on the rate of arrivals and on loads that faults bring, known before the start."""
-
-    arrivals: list[tuple[float, float, float]] = field(default_factory=list)  # from, to, factor
-    costly: list[tuple[float, float, int, float, float]] = field(default_factory=list)
-    # from, to, listener (-1: any), share, factor
 
 
 def shaping(scenario: Scenario, rates: Rates, rng: np.random.Generator) -> Callable[[np.ndarray], np.ndarray]:
--- a/onyxhollow/lab/world/faults.py
+++ b/onyxhollow/lab/world/faults.py
@@ -9,19 +9,68 @@
 from __future__ import annotations
 
 import math
-from typing import TYPE_CHECKING, Annotated
+from collections.abc import Sequence
+from typing import Annotated, Protocol
 
 import msgspec
+import numpy as np
 from msgspec import Meta
 
-if TYPE_CHECKING:
-    from onyxhollow.lab.world.draws import Rates
-    from onyxhollow.lab.world.servers import Server
-    from onyxhollow.lab.world.world import World
+from onyxhollow.lab.specs import NotNegative, Positive, Share
+from onyxhollow.lab.world.agenda import Agenda
+from onyxhollow.lab.world.listing import ServerList
+from onyxhollow.lab.world.servers import Server
+from onyxhollow.lab.world.types import Rates
 
-Positive = Annotated[float, Meta(gt=0)]
-NotNegative = Annotated[float, Meta(ge=0)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+
+class FaultTarget(Protocol):
+    """What faults see of the world, and do to it."""
+
+    agenda: Agenda
+    servers: list[Server]
+    struck: dict[int, list[Server]]  # servers of a fault that has begun, by the fault's number
+
+    @property
+    def proxies(self) -> Sequence[object]:
+        """All proxies, by number."""
+
+    def zone_name(self, zone: int) -> str: ...
+
+    def fault_stream(self, number: int) -> np.random.Generator: ...
+
+    def fall_silent(self, server: Server) -> None: ...
+
+    def vanish(self, server: Server, number: int) -> None: ...
+
+    def reappear(self, server: Server, number: int) -> None: ...
+
+    def add_server(self) -> None: ...
+
+    def start_server(self, server: Server) -> None: ...
+
+    def stop_server(self, server: Server, silently: bool) -> None: ...
+
+    def restart_server(self, server: Server) -> None: ...
+
+    def drain_server(self, server: Server, span: float, returns: bool, replaced: bool) -> None: ...
+
+    def cut_all(self, server: Server) -> None: ...
+
+    def cut_links(self, number: int, servers: list[Server], proxies: list[int], one_way: bool) -> None: ...
+
+    def mend_links(self, number: int) -> None: ...
+
+    def crash_proxy(self, number: int) -> None: ...
+
+    def restart_proxy(self, number: int) -> None: ...
+
+    def stop_proxy(self, number: int, span: float, away: float) -> None: ...
+
+    def stall_proxy(self, number: int, span: float) -> None: ...
+
+    def mass_drop(self, share: float, span: float, number: int) -> None: ...
+
+    list: ServerList  # last: from here on the name hides the type
 
 
 class Plan(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True, tag_field="kind"):
@@ -46,10 +95,10 @@
     def shape(self, rates: Rates, listeners: list[str]) -> None:
         """Changes the clients that are drawn ahead."""
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         """At its time."""
 
-    def end(self, world: World, number: int) -> None:
+    def end(self, world: FaultTarget, number: int) -> None:
         """When it is over."""
 
 
@@ -59,7 +108,7 @@
     part: Share = 0.15
     zone: str = ""
 
-    def hit(self, world: World, number: int) -> list[Server]:
+    def hit(self, world: FaultTarget, number: int) -> list[Server]:
         running = [s for s in world.servers if s.running and not s.gone_silent]
         if self.zone:
             running = [s for s in running if world.zone_name(s.zone) == self.zone]
@@ -67,18 +116,18 @@
         chosen = sorted(world.fault_stream(number).permutation(len(running))[:count].tolist())
         return [running[place] for place in chosen]
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         world.struck[number] = self.hit(world, number)
         for server in world.struck[number]:
             self.strike(world, server, number)
 
-    def end(self, world: World, number: int) -> None:
+    def end(self, world: FaultTarget, number: int) -> None:
         for server in world.struck.pop(number, []):
             self.lift(world, server, number)
 
-    def strike(self, world: World, server: Server, number: int) -> None: ...
+    def strike(self, world: FaultTarget, server: Server, number: int) -> None: ...
 
-    def lift(self, world: World, server: Server, number: int) -> None: ...
+    def lift(self, world: FaultTarget, server: Server, number: int) -> None: ...
 
 
 class Slow(OnServers, frozen=True, kw_only=True, tag="slow"):
@@ -86,21 +135,21 @@
 
     times: Annotated[float, Meta(gt=1)] = 4.0
 
-    def strike(self, world: World, server: Server, number: int) -> None:
+    def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         server.factors[number] = 1.0 / self.times
 
-    def lift(self, world: World, server: Server, number: int) -> None:
+    def lift(self, world: FaultTarget, server: Server, number: int) -> None:
         server.factors.pop(number, None)
 
 
 class Hung(OnServers, frozen=True, kw_only=True, tag="hung"):
     """Servers take connections and answer nothing."""
 
-    def strike(self, world: World, server: Server, number: int) -> None:
+    def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         server.hung.add(number)
         world.fall_silent(server)
 
-    def lift(self, world: World, server: Server, number: int) -> None:
+    def lift(self, world: FaultTarget, server: Server, number: int) -> None:
         server.hung.discard(number)
 
 
@@ -109,10 +158,10 @@
 
     share: Share = 0.7
 
-    def strike(self, world: World, server: Server, number: int) -> None:
+    def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         server.errors[number] = self.share
 
-    def lift(self, world: World, server: Server, number: int) -> None:
+    def lift(self, world: FaultTarget, server: Server, number: int) -> None:
         server.errors.pop(number, None)
 
 
@@ -123,27 +172,27 @@
     on: Positive = 2.0
     off: Positive = 2.0
 
-    def strike(self, world: World, server: Server, number: int) -> None:
+    def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         if number in world.struck and server in world.struck[number]:
             server.factors[number] = 1.0 - self.takes
             world.agenda.after(self.on, self.rest, world, server, number)
 
-    def rest(self, world: World, server: Server, number: int) -> None:
+    def rest(self, world: FaultTarget, server: Server, number: int) -> None:
         server.factors.pop(number, None)
         if number in world.struck:
             world.agenda.after(self.off, self.strike, world, server, number)
 
-    def lift(self, world: World, server: Server, number: int) -> None:
+    def lift(self, world: FaultTarget, server: Server, number: int) -> None:
         server.factors.pop(number, None)
 
 
 class Vanish(OnServers, frozen=True, kw_only=True, tag="vanish"):
     """Machines go without a word; connections stay open and silent. They come back restarted."""
 
-    def strike(self, world: World, server: Server, number: int) -> None:
+    def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         world.vanish(server, number)
 
-    def lift(self, world: World, server: Server, number: int) -> None:
+    def lift(self, world: FaultTarget, server: Server, number: int) -> None:
         world.reappear(server, number)
 
 
@@ -161,10 +210,10 @@
 class Crash(OnServers, frozen=True, kw_only=True, tag="crash"):
     """Server processes die: connections are reset, new ones refused. They come back cold when it ends."""
 
-    def strike(self, world: World, server: Server, number: int) -> None:
+    def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         world.stop_server(server, silently=True)
 
-    def lift(self, world: World, server: Server, number: int) -> None:
+    def lift(self, world: FaultTarget, server: Server, number: int) -> None:
         world.start_server(server)
 
 
@@ -173,7 +222,7 @@
 
     lasts: NotNegative = 0.0
 
-    def strike(self, world: World, server: Server, number: int) -> None:
+    def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         world.cut_all(server)
 
 
@@ -184,12 +233,12 @@
     proxies: Share = 0.5
     one_way: bool = False
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         count = max(1, round(self.proxies * len(world.proxies)))
         cut_off = world.fault_stream(number).permutation(len(world.proxies))[:count]
         world.cut_links(number, self.hit(world, number), sorted(cut_off.tolist()), self.one_way)
 
-    def end(self, world: World, number: int) -> None:
+    def end(self, world: FaultTarget, number: int) -> None:
         world.mend_links(number)
 
 
@@ -198,10 +247,10 @@
 
     factor: NotNegative = 0.2
 
-    def strike(self, world: World, server: Server, number: int) -> None:
+    def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         server.lies[number] = self.factor
 
-    def lift(self, world: World, server: Server, number: int) -> None:
+    def lift(self, world: FaultTarget, server: Server, number: int) -> None:
         server.lies.pop(number, None)
 
 
@@ -211,11 +260,11 @@
 
     step: float = 30.0
 
-    def strike(self, world: World, server: Server, number: int) -> None:
+    def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         server.clock_off += self.step
         world.agenda.after(self.lasts / 2, world.restart_server, server)
 
-    def lift(self, world: World, server: Server, number: int) -> None:
+    def lift(self, world: FaultTarget, server: Server, number: int) -> None:
         server.clock_off -= self.step
 
 
@@ -246,7 +295,7 @@
     share: Share = 0.4
     lasts: NotNegative = 1.0
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         world.mass_drop(self.share, self.lasts, number)
 
 
@@ -255,7 +304,7 @@
 
     servers: Annotated[int, Meta(ge=1, le=100000)] = 4
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         for place in range(self.servers):
             world.agenda.after(self.lasts * place / self.servers, world.add_server)
 
@@ -265,7 +314,7 @@
 
     drain: NotNegative = 4.0
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         hit = self.hit(world, number)
         for place, server in enumerate(hit):
             world.agenda.after(
@@ -281,7 +330,7 @@
     drain: NotNegative = 4.0
     replaced: bool = False
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         hit = self.hit(world, number)
         size = max(1, math.ceil(self.batch * len(hit)))
         batches = [hit[first : first + size] for first in range(0, len(hit), size)]
@@ -298,15 +347,15 @@
     lasts: NotNegative = 3.0
     one_by_one: NotNegative = 0.0
 
-    def chosen(self, world: World, number: int) -> list[int]:
+    def chosen(self, world: FaultTarget, number: int) -> list[int]:
         count = max(1, round(self.part * len(world.proxies)))
         return sorted(world.fault_stream(number).permutation(len(world.proxies))[:count].tolist())
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         for proxy in self.chosen(world, number):
             world.crash_proxy(proxy)
 
-    def end(self, world: World, number: int) -> None:
+    def end(self, world: FaultTarget, number: int) -> None:
         for place, proxy in enumerate(self.chosen(world, number)):
             world.agenda.after(place * self.one_by_one, world.restart_proxy, proxy)
 
@@ -318,11 +367,11 @@
     apart: NotNegative = 3.0
     stop: Positive = 3.0
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         for place, proxy in enumerate(self.chosen(world, number)):
             world.agenda.after(place * self.apart, world.stop_proxy, proxy, self.stop, self.lasts)
 
-    def end(self, world: World, number: int) -> None:
+    def end(self, world: FaultTarget, number: int) -> None:
         """Each comes back by itself."""
 
 
@@ -331,21 +380,21 @@
 
     lasts: NotNegative = 0.5
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         for proxy in self.chosen(world, number):
             world.stall_proxy(proxy, self.lasts)
 
-    def end(self, world: World, number: int) -> None:
+    def end(self, world: FaultTarget, number: int) -> None:
         """The stall ends by itself."""
 
 
 class ListDown(Plan, frozen=True, kw_only=True, tag="list_down"):
     """The server list answers nobody; watches end."""
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         world.list.go_down(number)
 
-    def end(self, world: World, number: int) -> None:
+    def end(self, world: FaultTarget, number: int) -> None:
         world.list.come_up(number)
 
 
@@ -354,10 +403,10 @@
 
     late: Positive = 5.0
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         world.list.late[number] = self.late
 
-    def end(self, world: World, number: int) -> None:
+    def end(self, world: FaultTarget, number: int) -> None:
         world.list.late.pop(number, None)
 
 
@@ -366,7 +415,7 @@
 
     lasts: NotNegative = 0.0
 
-    def begin(self, world: World, number: int) -> None:
+    def begin(self, world: FaultTarget, number: int) -> None:
         world.list.go_down(number)
         world.list.come_up(number)
 
--- a/onyxhollow/lab/world/listing.py
+++ b/onyxhollow/lab/world/listing.py
@@ -9,11 +9,9 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:
-    from onyxhollow.lab.scenario import ListSource
-    from onyxhollow.lab.world.agenda import Agenda
+from onyxhollow.lab.specs import ListSource
+from onyxhollow.lab.world.agenda import Agenda
 
 IN_SERVICE, DRAINING, GONE = "in service", "draining", "gone"
 KEPT = 4096  # changes remembered; a proxy that missed more gets the whole list
--- a/onyxhollow/lab/world/servers.py
+++ b/onyxhollow/lab/world/servers.py
@@ -1,4 +1,6 @@
-"""One server: cores, connections, cold start, falling over, drain. Pure: told the time, asked for
+"""Clients, their sessions and the servers these are at, in one module as each knows the other.
+
+A server: cores, connections, cold start, falling over, drain. Pure: told the time, asked for
 verdicts.
 
 Work is a fluid. What connections ask for beyond the capacity piles up; a message takes the time of what
@@ -12,11 +14,9 @@
 from collections import Counter, deque
 from collections.abc import Callable
 from enum import Enum
-from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:
-    from onyxhollow.lab.scenario import Fleet, Kind, ListenerSpec
-    from onyxhollow.lab.world.clients import Session
+from onyxhollow.lab.specs import Fleet, Kind, ListenerSpec
+from onyxhollow.lab.world.types import Cause, Wish
 
 BUSIEST = 0.985  # load above which messages take no longer by the formula alone; the pile tells the rest
 SLACK = 3.0  # average connections by which a cold budget may be passed, for chance
@@ -38,6 +38,72 @@
     SILENT = "silent"
 
 
+class Client:
+    __slots__ = (
+        "wish",
+        "cause",
+        "since",
+        "tries",
+        "spell",
+        "draws",
+        "session",
+        "done",
+        "was_up",
+        "honours",
+        "unsafe",
+    )
+
+    def __init__(self, wish: Wish, honours: bool) -> None:
+        self.wish, self.honours = wish, honours
+        self.cause, self.since = Cause.LATE, wish.due
+        self.tries = self.spell = self.draws = 0
+        self.session: Session | None = None
+        self.done = self.was_up = False
+        self.unsafe = False  # its last try may have run, and it may not come again
+
+    @property
+    def group(self) -> int:
+        return self.wish.group
+
+    def draw(self) -> int:
+        self.draws += 1
+        return self.draws
+
+
+class Session:
+    """One try of a client at one proxy, and the connection that came of it."""
+
+    __slots__ = (
+        "number",
+        "client",
+        "proxy",
+        "deadline",
+        "load",
+        "server",
+        "slot",
+        "up_at",
+        "earned_at",
+        "answered",
+        "over",
+        "muted",
+    )
+
+    def __init__(self, number: int, client: Client, proxy: int, deadline: float) -> None:
+        self.number, self.client, self.proxy = number, client, proxy
+        self.deadline = deadline
+        self.load = client.wish.load
+        self.server: Server | None = None
+        self.slot, self.up_at, self.earned_at = 0, -1.0, 0.0
+        self.answered = False  # its client has an answer, or has gone
+        self.over = False  # all is over
+        self.muted = False  # open, but nothing comes through
+
+    @property
+    def key(self) -> tuple[int, int]:
+        """What must not run twice: one wish for one connection."""
+        return self.client.wish.number, self.client.spell
+
+
 class Server:
     def __init__(
         self,
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -10,22 +10,22 @@
 
 import math
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 import numpy as np
 
 from onyxhollow.lab.evenness import Seen
 from onyxhollow.lab.ledger import Ledger
 from onyxhollow.lab.referee import Referee
+from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.world import listing
 from onyxhollow.lab.world.agenda import Agenda
-from onyxhollow.lab.world.clients import Cause, Client, Session, wait_after
-from onyxhollow.lab.world.draws import Rates, Tables, populate, stream
+from onyxhollow.lab.world.clients import wait_after
+from onyxhollow.lab.world.draws import populate
 from onyxhollow.lab.world.listing import Row, ServerList
-from onyxhollow.lab.world.servers import Server, State, Verdict
-
-if TYPE_CHECKING:
-    from onyxhollow.lab.scenario import Scenario
+from onyxhollow.lab.world.servers import Client, Server, Session, State, Verdict
+from onyxhollow.lab.world.streams import Tables, stream
+from onyxhollow.lab.world.types import Cause, Rates
 
 STEP = 0.1  # seconds between steps of the servers' work
 LOOK = 1.0  # seconds between entries of the load map and of message latencies
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,8 +14,8 @@
 from onyxhollow.lab.referee import Referee  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
 from onyxhollow.lab.world import faults  # noqa: E402
-from onyxhollow.lab.world.clients import Cause  # noqa: E402
 from onyxhollow.lab.world.servers import State  # noqa: E402
+from onyxhollow.lab.world.types import Cause  # noqa: E402
 from onyxhollow.lab.world.world import World  # noqa: E402
 from onyxhollow.policy import Balancer  # noqa: E402
 
