--- a/onyxhollow/lifecycle/operator_pages.py
+++ b/onyxhollow/lifecycle/operator_pages.py
@@ -34,7 +34,7 @@
     def metrics(self, _: str) -> Answer:
         """All metrics in the Prometheus text format."""
         counts = self.counters.counts
-        listed, down = self.decisions.avoided()
+        listed, down = self.decisions.count_avoided()
         refused = counts["reloads refused"]
         values = (
             ("backend_calls_total", counts["dials written whole"]),
--- a/onyxhollow/lifecycle/reloading.py
+++ b/onyxhollow/lifecycle/reloading.py
@@ -80,4 +80,4 @@
         self.sessions.apply_settings(SessionSettings.of(settings, config.connect_timeout))
         self.health_checker.apply_settings(settings.load_field, config.health_check_timeout)
         self.discovery.apply_settings(WatchTerms.of(settings))
-        self.decisions.resettle(settings)
+        self.decisions.reconfigure(settings)
--- a/onyxhollow/simulator_adapter/instance.py
+++ b/onyxhollow/simulator_adapter/instance.py
@@ -52,13 +52,13 @@
 
     # The decisions' requests to their host.
 
-    def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
+    def start_attempt(self, token: Hashable, endpoint: str, timeout: float) -> None:
         """Forwards a session to an endpoint; `timeout` in seconds."""
-        self._send("forward", token, server, max(MIN_TIMEOUT_NS, round(timeout * NS_PER_S)))
+        self._send("forward", token, endpoint, max(MIN_TIMEOUT_NS, round(timeout * NS_PER_S)))
 
-    def cancel_attempt(self, token: Hashable, dial: int) -> None:
+    def cancel_attempt(self, token: Hashable, attempt: int) -> None:
         """Withdraws an attempt, counted from 0 in its session."""
-        self._send("recall", token, dial)
+        self._send("recall", token, attempt)
 
     def reject(self, token: Hashable, retry_after: float) -> None:
         """Rejects a session; the client may come back after `retry_after` seconds."""
@@ -74,9 +74,9 @@
         """Tells a client to come back, so that its session goes to another endpoint."""
         self._send("relocate", token)
 
-    def check_health(self, server: str) -> None:
+    def check_health(self, endpoint: str) -> None:
         """Sends a health check to an endpoint."""
-        self._send("soundOut", server)
+        self._send("soundOut", endpoint)
 
     def poll_endpoint_list(self) -> None:
         """Polls discovery for the endpoint list."""
@@ -101,12 +101,12 @@
             raise WireError(f"form: impossible value {form!r}")
         if rows is not None and not isinstance(rows, list):
             raise WireError(f"membersList: impossible value {rows!r}")
-        self.balancer.server_list(LIST_KINDS[form], [read_endpoint(row) for row in rows or []])
+        self.balancer.on_endpoint_list(LIST_KINDS[form], [read_endpoint(row) for row in rows or []])
 
     def on_session(self, *values: Any) -> None:
         """A client requests a session."""
         request = read_session(list(values), self.settings.listeners)
-        session = self.balancer.take(
+        session = self.balancer.admit(
             request.token,
             self.settings.listeners[request.listener],
             self.settings.tenants.get(request.tenant),
@@ -136,7 +136,7 @@
         """An endpoint has accepted a session; `took` is the time of its set-up."""
         session = self.sessions.get(whole(token, "corr"))
         if session is not None:
-            session.accepted(read_seconds(took, "tookNs"))
+            session.on_established(read_seconds(took, "tookNs"))
 
     def on_change(self, token: Any, _attempt: Any, _endpoint: Any, kind: Any, value: Any, *_: Any) -> None:
         """The load or the message delay of an established session has changed."""
@@ -144,9 +144,9 @@
         if session is None:
             return
         if kind == ChangeKind.LOAD:
-            session.load_news(read_amount(value, "value") / US_PER_S)
+            session.on_load(read_amount(value, "value") / US_PER_S)
         elif kind == ChangeKind.DELAY:
-            session.delay_news(read_amount(value, "value") / MS_PER_S)
+            session.on_message_delay(read_amount(value, "value") / MS_PER_S)
 
     def on_attempt_ended(self, token: Any, took: Any, how: Any, complete: Any, *rest: Any) -> None:
         """An attempt, or with `complete` the session, has ended; the third of `rest` is a load report."""
@@ -160,9 +160,10 @@
             del self.sessions[token]
         outcome = read_outcome(how)
         load = self._reported_load(rest[2] if len(rest) > 2 else None)
-        if outcome is AttemptOutcome.CANCELLED and session.standing:
-            session.client_gone()  # this wire does not say whether its server sent it away or the client left
-        session.dial_ended(outcome, complete, read_seconds(took, "tookNs"), load)
+        if outcome is AttemptOutcome.CANCELLED and session.established:
+            # This wire does not say whether its endpoint sent it away or the client left.
+            session.on_client_gone()
+        session.on_attempt_ended(outcome, complete, read_seconds(took, "tookNs"), load)
 
     def on_client_gone(self, token: Any, *_: Any) -> None:
         """The client has left."""
@@ -170,9 +171,9 @@
         session = self.sessions.get(token)
         if session is None:
             return
-        if not session.dialling:
+        if not session.attempt_in_flight:
             del self.sessions[token]
-        session.client_gone()
+        session.on_client_gone()
 
     def on_timer(self, *_: Any) -> None:
         """The timer has fired."""
@@ -182,7 +183,9 @@
         """A health check has ended."""
         outcome = read_outcome(how)
         seconds = read_seconds(took or 0, "tookNs")
-        self.balancer.probed(read_text(endpoint, "server"), outcome, seconds, self._reported_load(report))
+        self.balancer.on_health_check(
+            read_text(endpoint, "server"), outcome, seconds, self._reported_load(report)
+        )
 
     def on_peer_message(self, *_: Any) -> None:
         """A message of another proxy: no decision here depends on one."""
--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -20,10 +20,21 @@
 # Log events that earlier versions wrote under another name: old name, present name. The reader accepts both,
 # so that old logs remain readable.
 EVENT_ALIASES: dict[str, str] = {
+    "address alone": "address cut off",
+    "address leaves": "address drain",
+    "gate": "route guard",
+    "gate disk": "route guard disk",
+    "order": "override",
+    "refused": "stale term",
+    "speaker": "routing daemon",
+    "store waits": "store unavailable",
+    "told": "routing command",
     "sharing": "gossip",
     "list rests": "list polling suspended",
     "list asks": "list polling resumed",
     "drains told": "drains received",
+    "voter remembers": "voter recovered",
+    "voter waits": "voter log unavailable",
 }
 MAX_FILE = 1 << 30  # bytes
 MAX_PLACE = 200  # characters of the files' names in an error
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -18,89 +18,125 @@
 import pytest
 
 from onyxhollow.addresses import messages as addressing
-from onyxhollow.addresses import table as standing
-from onyxhollow.addresses.announcer import Announcer
-from onyxhollow.addresses.keeper import Keeper
-from onyxhollow.addresses.rules import Standing
+from onyxhollow.addresses import route_table as standing
+from onyxhollow.addresses.announcer import Announcer, GuardedRoute, GuardState
+from onyxhollow.addresses.controller import Controller
+from onyxhollow.addresses.controller_views import plan, view
+from onyxhollow.addresses.routes import Preference
 from onyxhollow.append_log import AppendLog
-from onyxhollow.fleet import advertise, gate, lists, node, shares, telling
+from onyxhollow.fleet import (
+    gossip_service,
+    identity,
+    lease_messenger,
+    list_messages,
+    list_replication,
+    route_guard,
+)
 from onyxhollow.fleet.file import read_fleet
-from onyxhollow.gossip import messages as sharing
-from onyxhollow.leases import messages as duties
-from onyxhollow.leases.voter import Seat, Voter
+from onyxhollow.fleet.route_guard_config import read_guard_config
+from onyxhollow.fleet.shared_addresses import messenger
+from onyxhollow.fleet.shared_addresses.announcer_task import AnnouncerTask
+from onyxhollow.fleet.shared_addresses.override_store import OverrideStore
+from onyxhollow.fleet.shared_addresses.query_api import QueryApi
+from onyxhollow.fleet.voter_service import VoterService
+from onyxhollow.gossip import messages as gossip
+from onyxhollow.leases import messages as leasing
+from onyxhollow.leases.voter import Voter
+from onyxhollow.leases.voter_slot import VoterSlot
 from onyxhollow.membership import messages as members
-from onyxhollow.membership.seal import DatagramAuthenticator
+from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator
 
 DATA = pathlib.Path(__file__).parent / "data" / "compatibility" / "fleet"
 
 # What the recordings say. Within one struct no two values are alike, and none is its field's default.
-COUNCIL = duties.Council(version=31, names=("voter-a", "voter-b", "voter-c"))
-LATER = duties.Council(version=32, names=("voter-a", "voter-b", "voter-d"))
-PENDING = duties.Proposal(term=63, council=LATER)
-DUTIES = {
-    "ask": duties.Ask(duty="d1", term=101, who="m~1", round=102, lease=3.5, version=103, look=True),
-    "answer": duties.Answer(
-        duty="d2", term=111, round=112, yes=True, highest=113, holder="m~2", left=2.5, why="held",
-        council=COUNCIL, pending=PENDING,
+COUNCIL = leasing.VoterSet(version=31, names=("voter-a", "voter-b", "voter-c"))
+LATER = leasing.VoterSet(version=32, names=("voter-a", "voter-b", "voter-d"))
+PENDING = leasing.PendingVoterSet(term=63, voter_set=LATER)
+ELECTION = {
+    "ask": leasing.VoteRequest(
+        role="d1", term=101, candidate="m~1", round=102, lease_duration=3.5, voter_set_version=103,
+        pre_vote=True,
+    ),
+    "answer": leasing.VoteResponse(
+        role="d2", term=111, round=112, granted=True, highest_term=113, holder="m~2", remaining=2.5,
+        refusal=leasing.Refusal.HELD, voter_set=COUNCIL, pending=PENDING,
+    ),
+    "release": leasing.ReleaseNotice(role="d3", term=121, holder="m~3"),
+    "offer": leasing.LeaseOffer(role="d4", term=131),
+    "recall": leasing.StateQuery(round=141),
+    "recalled": leasing.StateResponse(
+        round=151, recovering=True, known_terms={"d5": (152, "m~5")}, voter_set=COUNCIL
     ),
-    "release": duties.Release(duty="d3", term=121, who="m~3"),
-    "offer": duties.Offer(duty="d4", term=131),
-    "recall": duties.Recall(round=141),
-    "recalled": duties.Recalled(round=151, blank=True, terms={"d5": (152, "m~5")}, council=COUNCIL),
-    "propose": duties.Propose(term=161, round=162, council=LATER),
-    "accepted": duties.Accepted(round=171, yes=True, highest=172, version=173),
-    "learn": duties.Learn(council=COUNCIL),
-    "command": duties.Command(duty="d6", to="m6", passed=True),
-    "held": duties.Held(duty="d7", term=181, who="m~7"),
-    "change": duties.Change(remove="voter-c", add="voter-d"),
+    "propose": leasing.ReconfigurationRequest(term=161, round=162, voter_set=LATER),
+    "accepted": leasing.ReconfigurationResponse(
+        round=171, accepted=True, highest_term=172, voter_set_version=173
+    ),
+    "learn": leasing.ConfigurationCommitted(voter_set=COUNCIL),
+    "command": leasing.HandOverCommand(role="d6", target="m6", forwarded=True),
+    "held": leasing.LeaderAnnouncement(role="d7", term=181, holder="m~7"),
+    "change": leasing.ReplaceVoterCommand(remove="voter-c", add="voter-d"),
 }  # fmt: skip
-VOTER_ROWS = [
-    duties.Seated(council=COUNCIL),
-    duties.Granted(duty="list-east", term=41, who="m~41", lease=3.75),
-    duties.Granted(duty="call-out", term=52, who="m~52", lease=3.75),
-    duties.Released(duty="call-out", term=52),
-    duties.Granted(duty="known", term=9, who="", lease=0.0),
-    duties.Accepting(proposal=PENDING),
-    duties.Remembers(),
+VOTER_RECORDS = [
+    leasing.VoterSetChanged(voter_set=COUNCIL),
+    leasing.LeaseGrant(role="list-east", term=41, holder="m~41", lease_duration=3.75),
+    leasing.LeaseGrant(role="call-out", term=52, holder="m~52", lease_duration=3.75),
+    leasing.LeaseReleased(role="call-out", term=52),
+    leasing.LeaseGrant(role="known", term=9, holder="", lease_duration=0.0),
+    leasing.ProposalAccepted(pending=PENDING),
+    leasing.MemoryRecovered(),
 ]
-ORDER = addressing.Order(
-    id="1f-2", number=21, verb="drain", address="address-a", site="east", who="operator-a", why="works",
-    given=1700000001.5, until=1700003601.5,
+ORDER = addressing.Override(
+    id="1f-2", number=21, verb="drain", address="address-a", site="east",
+    operator="operator-a", reason="works", given_at=1700000001.5, expires_at=1700003601.5,
 )  # fmt: skip
-FOR_ALL = addressing.Order(
-    id="1f-3", number=22, verb="pin", address="", site="west", who="operator-b", why="full",
-    given=1700000002.5, until=0.0,
+FOR_ALL = addressing.Override(
+    id="1f-3", number=22, verb="pin", address="", site="west", operator="operator-b", reason="full",
+    given_at=1700000002.5, expires_at=0.0,
 )  # fmt: skip
-DECIDED = addressing.Decided(
-    term=71, number=72, at=1700000003.5, address="address-a", site="east", standing=1, cause="order",
-    why="operator-a: works", evidence="health 0.9",
+DECIDED = addressing.DecisionRecord(
+    term=71, number=72, decided_at=1700000003.5, address="address-a", site="east", preference=1,
+    cause="order", reason="operator-a: works", evidence="health 0.9",
 )  # fmt: skip
-ROW = addressing.Row(
-    address="address-a", standing=1, cause="ill", age=12.5, flaps=1.5, last=True, carried_out=False
+ROW = addressing.RouteStatus(
+    address="address-a", preference=1, cause="ill", age=12.5, flaps=1.5, is_last=True, installed=False
+)
+SEEN = addressing.AddressHealth(
+    address="address-a", health=0.75, reason="servers", load=40.0, arrival_rate=2.5
 )
-SEEN = addressing.Seen(address="address-a", health=0.75, reason="servers", load=40.0, coming=2.5)
 ADDRESSES = {
-    "grant": addressing.Grant(term=201, number=202, site="east", rows=[ROW]),
-    "report": addressing.Report(site="east", term=211, number=212, announcer=213, gate=True, rows=[ROW]),
-    "evidence": addressing.Evidence(site="east", rows=[SEEN]),
-    "keep": addressing.Keep(rows=[ORDER, DECIDED]),
-    "kept": addressing.Kept(voter="voter-a", ids=["1f-2", "71.72"]),
-    "want": addressing.Want(known=221),
-    "have": addressing.Have(voter="voter-a", known=231, count=232, orders=[ORDER, FOR_ALL]),
-    "hello": addressing.Hello(term=241, who="m~8"),
-    "ask": addressing.Ask(id="1f-4", what="plan", order=ORDER),
-    "told": addressing.Told(id="1f-5", part=251, parts=252, body=b"body"),
-    "leave": addressing.Leave(site="east", addresses=["address-a", "address-b"]),
+    "grant": addressing.RouteAssignment(term=201, number=202, site="east", rows=[ROW]),
+    "report": addressing.SiteReport(
+        site="east",
+        controller_term=211,
+        assignment_number=212,
+        announcer_term=213,
+        guard_ready=True,
+        rows=[ROW],
+    ),
+    "evidence": addressing.HealthReport(site="east", rows=[SEEN]),
+    "keep": addressing.StoreRequest(rows=[ORDER, DECIDED]),
+    "kept": addressing.StoreAcknowledgement(voter="voter-a", ids=["1f-2", "71.72"]),
+    "want": addressing.OverrideQuery(digest=221),
+    "have": addressing.OverrideResponse(voter="voter-a", digest=231, count=232, overrides=[ORDER, FOR_ALL]),
+    "hello": addressing.ControllerAnnouncement(term=241, process_id="m~8"),
+    "ask": addressing.QueryRequest(id="1f-4", kind="plan", override=ORDER),
+    "told": addressing.QueryResponsePart(id="1f-5", part=251, parts=252, body=b"body"),
+    "leave": addressing.DrainRequest(site="east", addresses=["address-a", "address-b"]),
 }
 GATE_ROWS = [
-    standing.Term(term=81, member="m~9"),
-    standing.Stands(name="address-a", standing=1, keeper=82, number=83),
+    standing.ClaimedTerm(term=81, member="m~9"),
+    standing.InstalledRoute(name="address-a", preference=1, controller_term=82, call_number=83),
 ]
 SHARING = {
-    "page": sharing.Page(rows=[
-        sharing.Row(server="s1", by=301, number=302, age=303, load=304, load_age=305, held=306, doubters=307)
+    "page": gossip.ReportPage(reports=[
+        gossip.EndpointReport(
+            endpoint="s1", owner=301, sequence=302, age=303, load=304, load_age=305, connections=306,
+            failing_members=307,
+        )
     ]),
-    "counts": sharing.Counts(number=311, rows=[("s2", 312, 313)]),
+    "counts": gossip.ConnectionCounts(
+        sequence=311, counts=[gossip.EndpointCount(endpoint="s2", connections=312, failures=313)]
+    ),
 }  # fmt: skip
 LIST_ROWS = [
     {"host": "s3", "health": "leaving", "zone": "east"},
@@ -108,47 +144,58 @@
 ]
 BODY = bytes.fromhex((DATA / "list-rows.hex").read_text())  # another zlib may pack them otherwise
 LISTS = {
-    "beat": telling.Beat(duty="list-east", term=401, source="lists", version=402, lost=True),
-    "rows": telling.Rows(
-        duty="list-east", term=411, source="lists", version=412, base=413, part=414, parts=415, body=BODY
+    "beat": list_messages.Heartbeat(
+        role="list-east", term=401, source="lists", version=402, disconnected=True
+    ),
+    "rows": list_messages.ListUpdate(
+        role="list-east", term=411, source="lists", version=412, base=413, part=414, parts=415, body=BODY
     ),
-    "want": telling.Want(duty="list-east", term=421, source="lists", have=422),
-    "doubt": telling.Doubt(duty="list-east", term=431, source="lists", version=432),
+    "want": list_messages.ResyncRequest(role="list-east", term=421, source="lists", known_version=422),
+    "doubt": list_messages.Suspicion(role="list-east", term=431, source="lists", version=432),
 }  # fmt: skip
 PARTS = {
     "ping": members.Ping(nonce=501),
     "ack": members.Ack(nonce=511),
-    "ping-for": members.PingFor(nonce=521, name="m3", epoch=522, address=("192.0.2.3", 523)),
+    "ping-for": members.PingRequest(nonce=521, name="m3", epoch=522, address=("192.0.2.3", 523)),
     "nack": members.Nack(nonce=531),
-    "update": members.Update(
-        name="m4", epoch=541, incarnation=542, life=members.MemberState.DEAD, address=("192.0.2.4", 543),
-        zone="east", flags=node.HOLDS | node.VOTES, by="m5",
+    "update": members.MemberUpdate(
+        name="m4", epoch=541, incarnation=542, state=members.MemberState.DEAD, address=("192.0.2.4", 543),
+        zone="east", flags=identity.MAY_HOLD_ROLES | identity.VOTES, suspected_by="m5",
     ),
     "sync": members.Sync(digest=551, joining=True),
-    "event": members.Event(name="m6", epoch=561, number=562, kind=lists.LIST, body=b"event"),
-    "carried": members.Carried(kind=advertise.ADDRESSES, body=b"carried"),
+    "event": members.Broadcast(
+        name="m6", epoch=561, sequence=562, kind=list_replication.LIST_PAYLOAD, body=b"event"
+    ),
+    "carried": members.Payload(kind=messenger.ADDRESSES, body=b"carried"),
 }  # fmt: skip
 
 
 def packet(part):
-    return members.Packet(fleet="fleet-one", name="m1", epoch=11, number=12, to=13, parts=[part])
+    return members.Packet(
+        fleet="fleet-one", name="m1", epoch=11, sequence=12, receiver_epoch=13, messages=[part]
+    )
 
 
 PACKETS = {name: packet(part) for name, part in PARTS.items()}
 # file: what it says, its decoder, its encoder, the kinds that it has to have
 SAID = {
-    "duties": (DUTIES, duties.MESSAGES, duties.encode, duties.Messages),
+    "duties": (ELECTION, leasing.MESSAGE_DECODER, leasing.encode, leasing.LeaseMessage),
     "addresses": (ADDRESSES, addressing.MESSAGES, addressing.encode, addressing.MESSAGES.type),
-    "sharing": (SHARING, sharing.MESSAGES, sharing.encode, sharing.MESSAGES.type),
-    "lists": (LISTS, telling.MESSAGES, telling.encode, telling.Messages),
-    "packets": (PACKETS, members.PACKETS, members.encode, members.Parts),
+    "sharing": (SHARING, gossip.MESSAGE_DECODER, gossip.encode, gossip.Messages),
+    "lists": (LISTS, list_messages.MESSAGE_DECODER, list_messages.encode, list_messages.Messages),
+    "packets": (PACKETS, members.PACKET_DECODER, members.encode, members.Messages),
 }
 STORED = {
-    "voter": (VOTER_ROWS, duties.ROWS, duties.encode, duties.Rows),
-    "addresses": ([ORDER, DECIDED, FOR_ALL], addressing.WRITTEN, addressing.encode, addressing.Written),
+    "voter": (VOTER_RECORDS, leasing.RECORD_DECODER, leasing.encode, leasing.VoterRecord),
+    "addresses": (
+        [ORDER, DECIDED, FOR_ALL],
+        addressing.STORED_RECORDS,
+        addressing.encode,
+        addressing.StoredRecord,
+    ),
     "gate": (GATE_ROWS, standing.RECORDS, standing.encode, standing.RECORDS.type),
 }
-MODULES = duties, addressing, sharing, telling, members, standing
+MODULES = leasing, addressing, gossip, list_messages, members, standing
 
 
 def structs(value):
@@ -172,52 +219,53 @@
 
 def read_values(fleet):
     """Each value of a fleet file and of its file of addresses, by its key in the file."""
-    told, shared = fleet.told, fleet.addresses
-    timing, leases, share, policy = told.membership, told.leases, told.sharing, shared.policy
+    file, shared = fleet.file, fleet.addresses
+    timing, leases, share, policy = file.membership, file.leases, file.sharing, shared.policy
     main = {
-        "fleet": told.fleet, "key_file": told.key_file, "listen": told.listen, "voters": told.voters,
-        "advertise": told.advertise, "folder": told.folder, "seeds": told.seeds, "addresses": told.addresses,
-        "record": told.record,
-        "membership": {"period": timing.period, "timeout": timing.timeout, "sync": timing.sync},
+        "fleet": file.fleet, "key_file": file.key_file, "listen": file.listen, "voters": file.voters,
+        "advertise": file.advertise, "folder": file.folder, "seeds": file.seeds, "addresses": file.addresses,
+        "record": file.log_renewals,
+        "membership": {"period": timing.period, "timeout": timing.timeout, "sync": timing.sync_interval},
         "leases": {
-            "lease": leases.lease, "rate_bound": leases.rate_bound, "steady": leases.steady,
-            "patience": leases.patience,
+            "lease": leases.duration, "rate_bound": leases.rate_bound, "steady": leases.stability_period,
+            "patience": leases.progress_timeout,
         },
         "sharing": {
-            "on": share.on, "every": share.every, "fan": share.fan, "report": share.report,
-            "renew": share.renew, "audit": share.audit,
+            "on": share.enabled, "every": share.push_interval, "fan": share.fanout,
+            "report": share.poll_interval, "renew": share.report_interval, "audit": share.audit_interval,
         },
         "duty": [
             {
-                "name": d.name, "work": d.work, "per": d.per, "call": d.call, "path": d.path,
-                "service": d.service, "every": d.every,
+                "name": role.name, "work": role.task, "per": role.scope, "call": role.call_address,
+                "path": role.path, "service": role.service, "every": role.interval,
             }
-            for d in told.duty
+            for role in file.roles
         ],
     }  # fmt: skip
     addresses = {
-        "every": shared.every, "synthetic": shared.synthetic,
+        "every": shared.interval, "synthetic": shared.probe_interval,
         "service": [
             {
-                "name": s.name, "prefix": s.prefix, "listeners": s.listeners, "customers": s.customers,
+                "name": s.name, "prefix": s.prefix, "listeners": s.listeners, "customers": s.tenants,
                 "owner": s.owner, "note": s.note,
             }
-            for s in shared.service
+            for s in shared.services
         ],
         "site": [
             {
-                "name": s.name, "gate": s.gate, "next_hop": s.next_hop, "capacity": s.capacity,
-                "preference": s.preference, "cut_off": s.cut_off,
+                "name": s.name, "gate": s.route_guard, "next_hop": s.next_hop, "capacity": s.capacity,
+                "preference": s.med, "cut_off": s.cut_off,
             }
-            for s in shared.site
+            for s in shared.sites
         ],
         "policy": {
-            "least": policy.least, "most_at_once": policy.most_at_once, "window": policy.window,
-            "ill": policy.ill, "dead": policy.dead, "well": policy.well, "ill_for": policy.ill_for,
-            "dead_for": policy.dead_for, "well_for": policy.well_for, "well_most": policy.well_most,
-            "flap_half_life": policy.flap_half_life, "step": policy.step, "fill": policy.fill,
-            "drain_for": policy.drain_for, "drained": policy.drained,
-            "cut_off_after": policy.cut_off_after, "fresh": policy.fresh,
+            "least": policy.min_sites, "most_at_once": policy.max_concurrent_withdrawals,
+            "window": policy.withdrawal_window, "ill": policy.unhealthy_below, "dead": policy.dead_below,
+            "well": policy.healthy_from, "ill_for": policy.unhealthy_for, "dead_for": policy.dead_for,
+            "well_for": policy.healthy_for, "well_most": policy.max_healthy_for,
+            "flap_half_life": policy.flap_half_life, "step": policy.recovery_step,
+            "fill": policy.max_utilization, "drain_for": policy.drain_for, "drained": policy.drained_ratio,
+            "cut_off_after": policy.cut_off_after, "fresh": policy.max_evidence_age,
         },
     }  # fmt: skip
     return main, addresses
@@ -258,8 +306,8 @@
 def test_stores_are_read_and_written_as_recorded(name, tmp_path):
     rows, decoder, encode, _ = STORED[name]
     old = AppendLog(stored(name, tmp_path / "old"), name)
-    assert (old.cut, old.fresh) == ("", False)
-    assert [decoder.decode(body) for body in old.rows] == rows
+    assert (old.torn_tail, old.is_new) == ("", False)
+    assert [decoder.decode(body) for body in old.bodies] == rows
     for way in ("append", "rewrite"):
         new = AppendLog(str(tmp_path / way), name)
         bodies = [encode(row) for row in rows]
@@ -292,19 +340,28 @@
 
 
 def test_numbers_and_words_that_members_send_and_keep():
-    assert (node.DUTIES, lists.LIST, shares.SHARE, advertise.ADDRESSES) == (1, 2, 3, 4)
-    assert (node.HOLDS, node.VOTES) == (1, 2)
+    assert (
+        lease_messenger.LEASE_PAYLOAD,
+        list_replication.LIST_PAYLOAD,
+        gossip_service.GOSSIP_PAYLOAD,
+        messenger.ADDRESSES,
+    ) == (1, 2, 3, 4)
+    assert (identity.MAY_HOLD_ROLES, identity.VOTES) == (1, 2)
     life = members.MemberState
     assert [int(one) for one in (life.ALIVE, life.SUSPECT, life.DEAD, life.LEFT)] == [0, 1, 2, 3]
-    assert [int(one) for one in (Standing.WITHDRAWN, Standing.LESSER, Standing.ADVERTISED)] == [0, 1, 2]
-    assert (duties.VOTERS, advertise.KEEPER) == ("voters", "addresses")
-    assert advertise.announcer_of("east") == "announcer/east"
+    assert [int(one) for one in (Preference.WITHDRAWN, Preference.LOWERED, Preference.ADVERTISED)] == [
+        0,
+        1,
+        2,
+    ]
+    assert (leasing.VOTERS_ROLE, messenger.CONTROLLER_ROLE) == ("voters", "addresses")
+    assert messenger.announcer_role("east") == "announcer/east"
 
 
 def test_rows_of_a_list_are_packed_as_recorded():
-    assert telling.unpack([BODY]) == LIST_ROWS
-    assert zlib.decompress(b"".join(telling.pack(LIST_ROWS))) == zlib.decompress(BODY)
-    assert telling.drains(telling.unpack([BODY])) == LIST_ROWS[:1]
+    assert list_messages.decode_records([BODY]) == LIST_ROWS
+    assert zlib.decompress(b"".join(list_messages.encode_records(LIST_ROWS))) == zlib.decompress(BODY)
+    assert list_messages.draining_records(list_messages.decode_records([BODY])) == LIST_ROWS[:1]
 
 
 def test_a_sealed_packet_opens_and_is_sealed_again_as_recorded():
@@ -312,49 +369,50 @@
     ours, second = read_fleet(str(DATA / "fleet.toml"), {}.get).keys
     assert (ours, second) == (bytes(range(24)), bytes(range(0xF0, 0x100)))
     sender = DatagramAuthenticator("fleet-one", "m1", 11, [ours])
-    sender.number = 11
-    assert sender.close([members.encode(part) for part in PARTS.values()], 13) == datagram
+    sender.sequence = 11
+    assert sender.sign([members.encode(part) for part in PARTS.values()], 13) == datagram
     for held in ([ours], [second, ours]):
-        opened = DatagramAuthenticator("fleet-one", "m2", 13, held).open(datagram)
-        assert opened == msgspec.structs.replace(packet(None), parts=list(PARTS.values()))
-    assert DatagramAuthenticator("fleet-one", "m2", 13, [second]).open(datagram) is None
+        opened = DatagramAuthenticator("fleet-one", "m2", 13, held).verify(datagram)
+        assert opened == msgspec.structs.replace(packet(None), messages=list(PARTS.values()))
+    assert DatagramAuthenticator("fleet-one", "m2", 13, [second]).verify(datagram) is None
 
 
 def test_a_voter_starts_from_its_recorded_memory(tmp_path):
     mine = MagicMock()
     mine.fleet.folder, mine.name, mine.voters = stored("voter", tmp_path), "voter-b", LATER
-    mine.told.leases.lease = 3.75
-    node.Node.open_records(mine, 1000.0)
-    voter = mine.voter
+    mine.fleet.file.leases.duration = 3.75
+    service = VoterService(mine, MagicMock(), MagicMock(), 1000.0)
+    service.open_log(1000.0)
+    voter = service.voter
     assert isinstance(voter, Voter)
-    assert voter.seats == {
-        "list-east": Seat(41, "m~41", 1003.75),
-        "call-out": Seat(52),
-        "known": Seat(9),
+    assert voter.slots == {
+        "list-east": VoterSlot(41, "m~41", 1003.75),
+        "call-out": VoterSlot(52),
+        "known": VoterSlot(9),
     }
-    assert (voter.council, voter.pending, voter.blank) == (COUNCIL, PENDING, False)
-    mine.records.rewrite([duties.encode(row) for row in voter.rows()])
+    assert (voter.voter_set, voter.pending, voter.recovering) == (COUNCIL, PENDING, False)
+    service.log.rewrite([leasing.encode(row) for row in voter.records()])
     assert (tmp_path / "voter").read_bytes() == (DATA / "voter-anew").read_bytes()
-    mine.records.close()
+    service.close()
 
 
 def test_orders_and_history_are_kept_and_told_as_recorded(tmp_path):
-    store = advertise.Store(stored("addresses", tmp_path / "old"))
-    assert (store.orders(), store.decided()) == ([ORDER, FOR_ALL], [DECIDED])
-    new = advertise.Store(str(tmp_path / "new"))
-    assert new.keep([ORDER, DECIDED, FOR_ALL]) == ["1f-2", "71.72", "1f-3"]
+    store = OverrideStore(stored("addresses", tmp_path / "old"))
+    assert (store.overrides(), store.decisions()) == ([ORDER, FOR_ALL], [DECIDED])
+    new = OverrideStore(str(tmp_path / "new"))
+    assert new.append([ORDER, DECIDED, FOR_ALL]) == ["1f-2", "71.72", "1f-3"]
     assert (tmp_path / "new" / "addresses").read_bytes() == (DATA / "addresses").read_bytes()
-    mine = MagicMock()
-    mine.store = store
-    advertise.Addresses.answer(mine, addressing.Ask("1f-6", "history"), "m~1", 1000.0)
-    told = b"".join(call.args[1].body for call in mine.to_who.call_args_list)
+    outgoing = MagicMock()
+    queries = QueryApi(MagicMock(), outgoing, MagicMock(), MagicMock(store=store), MagicMock(), MagicMock())
+    queries.on_request(addressing.QueryRequest("1f-6", "history"), "m~1", 1000.0)
+    told = b"".join(call.args[1].body for call in outgoing.to_process.call_args_list)
     assert zlib.decompress(told) == (DATA / "history.json").read_bytes()
     for one in (store, new):
-        one.records.close()
+        one.close()
 
 
 def test_a_gate_starts_from_its_recorded_memory_and_answers_as_recorded(tmp_path):
-    told, addresses, site = gate.read_gate(str(DATA / "gate.toml"))
+    told, addresses, site = read_guard_config(str(DATA / "gate.toml"))
     said = tomllib.loads((DATA / "gate.toml").read_text())
     assert (told.addresses, told.site, told.listen, told.speaker, told.folder) == (
         said["addresses"], said["site"], said["listen"], said["speaker"], said["folder"],
@@ -365,28 +423,27 @@
         port = free.getsockname()[1]
     told = msgspec.structs.replace(told, listen=f"127.0.0.1:{port}")
     with open(tmp_path / "log", "wb") as log:
-        mine = gate.Gate(told, addresses, site, stored("gate", tmp_path), log.fileno())
+        mine = route_guard.RouteGuard(told, addresses, site, stored("gate", tmp_path), log.fileno())
         table = mine.table
-        assert (table.term, table.member, table.keeper, table.number) == (81, "m~9", 82, 83)
-        assert table.stands == {"address-a": Standing.LESSER}
+        assert (table.term, table.member, table.controller_term, table.call_number) == (81, "m~9", 82, 83)
+        assert table.preferences == {"address-a": Preference.LOWERED}
         answers = [
-            mine.tell(),
+            mine.answer_state(),
             mine.claim("term=91&member=m~10"),
-            mine.put("term=91&number=92&keeper=93&name=address-a&as=2"),
-            mine.alive("term=91&last=address-a"),
-            mine.seen("member=m1&address-a=0.5"),
+            mine.set_preference("term=91&number=92&keeper=93&name=address-a&as=2"),
+            mine.heartbeat("term=91&last=address-a"),
+            mine.report_health("member=m1&address-a=0.5"),
         ]
-        mine.records.close()
-        mine.management.listener.close()
+        mine.close()
     assert [status for status, *_ in answers] == [200] * 5
-    assert (table.last, table.stands) == ({"address-a"}, {"address-a": Standing.ADVERTISED})
+    assert (table.last_addresses, table.preferences) == ({"address-a"}, {"address-a": Preference.ADVERTISED})
     assert b"".join(body for _, body, _ in answers) == (DATA / "gate.json").read_bytes()
 
 
 def test_the_files_of_a_fleet_say_what_they_said():
     fleet = read_fleet(str(DATA / "fleet.toml"), {}.get)
     for told, values, name in zip(
-        (fleet.told, fleet.addresses), read_values(fleet), ("fleet", "addresses"), strict=True
+        (fleet.file, fleet.addresses), read_values(fleet), ("fleet", "addresses"), strict=True
     ):
         said = tomllib.loads((DATA / f"{name}.toml").read_text())
         given = orjson.loads(orjson.dumps(values))
@@ -401,43 +458,55 @@
     assert fleet.folder == str(DATA / "remembered")
     elsewhere = read_fleet(str(DATA / "fleet.toml"), {"LB_FLEET_LISTEN": "192.0.2.99:7199"}.get)
     assert elsewhere.listen == elsewhere.advertise == ("192.0.2.99", 7199)
-    timing, rules, share = fleet.told.terms(), fleet.told.rules(), fleet.told.share()
-    assert (timing.period, timing.timeout, timing.sync_every) == (1.25, 0.45, 11.5)
-    assert (rules.lease, rules.rate_bound) == (3.75, 0.015)
-    assert (share.every, share.fan, share.report, share.renew, share.audit) == (0.35, 3, 6.5, 1.75, 31.5)
+    timing, rules = fleet.file.protocol_config(), fleet.file.lease_timing()
+    share = fleet.file.gossip_config()
+    assert (timing.period, timing.timeout, timing.sync_interval) == (1.25, 0.45, 11.5)
+    assert (rules.duration, rules.rate_bound) == (3.75, 0.015)
+    assert (
+        share.push_interval,
+        share.fanout,
+        share.poll_interval,
+        share.report_interval,
+        share.audit_interval,
+    ) == (0.35, 3, 6.5, 1.75, 31.5)
 
 
 def test_the_keepers_view_and_plan_are_told_as_recorded():
     addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
-    core = Keeper(addresses, COUNCIL.names, 71, 1000.0, 1700000000.0)
-    stands = msgspec.structs.replace(ROW, standing=2, last=False, carried_out=True)
+    core = Controller(addresses, COUNCIL.names, 71, 1000.0)
+    stands = msgspec.structs.replace(ROW, preference=2, is_last=False, installed=True)
     for voter in COUNCIL.names:
-        core.heard(addressing.Have(voter, 0, 0, []), voter, 1000.0, 1700000004.0)
+        core.on_message(addressing.OverrideResponse(voter, 0, 0, []), voter, 1000.0, 1700000004.0)
     for site in ("east", "west", "north"):
-        core.heard(addressing.Report(site, 71, 1, 7, True, [stands]), f"m-{site}", 1000.5, 1700000004.5)
-        core.heard(addressing.Evidence(site, [SEEN]), f"m-{site}", 1000.5, 1700000004.5)
+        core.on_message(
+            addressing.SiteReport(site, 71, 1, 7, True, [stands]), f"m-{site}", 1000.5, 1700000004.5
+        )
+        core.on_message(addressing.HealthReport(site, [SEEN]), f"m-{site}", 1000.5, 1700000004.5)
     exclude = msgspec.structs.replace(FOR_ALL, verb="exclude")
     east = msgspec.structs.replace(exclude, site="east")
     core.tick(1000.5, 1700000004.5)
-    told = [core.plan(east, 1000.5, 1700000004.5)]
-    core.heard(addressing.Have("voter-a", 0, 1, [ORDER]), "voter-a", 1000.5, 1700000004.5)
+    told = [plan(core, east, 1000.5, 1700000004.5)]
+    core.on_message(addressing.OverrideResponse("voter-a", 0, 1, [ORDER]), "voter-a", 1000.5, 1700000004.5)
     core.tick(1001.0, 1700000005.0)
-    told += [core.view(1002.0), core.plan(exclude, 1002.0, 1700000006.0)]
+    told += [view(core, 1002.0), plan(core, exclude, 1002.0, 1700000006.0)]
     assert orjson.dumps(told) == (DATA / "keeper.json").read_bytes()
 
 
 def test_an_announcer_calls_its_gate_as_recorded():
     addresses = read_fleet(str(DATA / "fleet.toml"), {}.get).addresses
-    core = Announcer(addresses, addresses.site[0], 91, 1000.0)
-    mine, calls = MagicMock(), []
-    mine.running, mine.shared.node.process_id = 1, "m~10"
-    mine.shared.node.loop.now, mine.shared.told.every = 1000.0, 0.625
-    mine.act = lambda this, core, target, still: calls.append(target) or iter(())
-    for stands in ({}, {"address-a": (2, 2)}):
+    core = Announcer(addresses, addresses.sites[0], 91, 1000.0)
+    member, calls = MagicMock(process_id="m~10"), []
+    member.loop.now = 1000.0
+    task = AnnouncerTask(member, addresses, MagicMock(), addresses.sites[0])
+    task.run_number = 1
+    task.call_guard = lambda this, core, target, still: calls.append(target) or iter(())
+    assert addresses.interval == 0.625
+    advertised = GuardedRoute(Preference.ADVERTISED, Preference.ADVERTISED)
+    for stands in ({}, {"address-a": advertised}):
         if stands:
-            core.stands(stands, 82, True, 1000.0)
-            core.granted(addressing.Grant(82, 84, "east", [ROW]), 1000.0)
-        next(advertise.AnnouncerWork.run(mine, 1, core, lambda: True))
+            core.on_guard_state(GuardState(stands, 82, True), 1000.0)
+            core.on_assignment(addressing.RouteAssignment(82, 84, "east", [ROW]), 1000.0)
+        next(task.run(1, core, lambda: True))
     assert calls == [
         "/claim?term=91&member=m~10",
         "/alive?term=91&last=",
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -95,7 +95,7 @@
     def broken(*_):
         raise KeyError("lost my way")
 
-    monkeypatch.setattr("onyxhollow.policy.Balancer.take", broken)
+    monkeypatch.setattr("onyxhollow.policy.Balancer.admit", broken)
     code, out, _ = talk(*begin())
     assert code == 0 and any(x[0] == "internalError" and "lost my way" in x[2] for x in out)
 
@@ -103,7 +103,7 @@
 def test_an_established_session_that_ends_as_cancelled_does_not_penalize_its_endpoint(monkeypatch):
     """The client left, or its endpoint sent it away: this wire has one word for both."""
     failures = []
-    monkeypatch.setattr("onyxhollow.policy.Balancer.blame", lambda *values: failures.append(values))
+    monkeypatch.setattr("onyxhollow.policy.Balancer.record_failure", lambda *values: failures.append(values))
     begun = ["begun", 3, 9, 0, "10.0.0.1:80", 5000000]
     end = ["answer", 3, 9, 0, 125, True, "10.0.0.1:80", 1000, None]
     code, _, errors = talk(*begin(), ["sync", 6000000000], begun, ["go"], ["sync", 7000000000], end, ["go"])
