--- a/onyxhollow/lab/together.py
+++ b/onyxhollow/lab/together.py
@@ -6,9 +6,10 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 from random import Random
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import msgspec
 
@@ -17,14 +18,43 @@
 from onyxhollow.gossip.load_gossip import LoadGossip
 from onyxhollow.gossip.messages import ConnectionCounts, ReportPage
 from onyxhollow.gossip.ownership import GossipMember
-
-if TYPE_CHECKING:
-    from onyxhollow.lab.virtual import Instance, Virtual
+from onyxhollow.lab.world.servers import Session
+from onyxhollow.lab.world.world import World
+from onyxhollow.policy import Balancer
 
 NOTICED = 2.0  # seconds until all know that a member is gone
 SEEN = 0.5  # ... that one has come
 
 
+class GossipingProxy(Protocol):
+    """What gossip needs of a simulated proxy."""
+
+    number: int
+    zone: int
+    alive: bool
+    stalled_until: float  # seconds
+
+    @property
+    def balancer(self) -> Balancer:
+        """Its decisions."""
+
+    def check_health(self, server: str, shared: bool = False) -> None:
+        """Sends a health check; with `shared` on behalf of all members."""
+
+
+class GossipEngine(Protocol):
+    """What gossip needs of the engine in virtual time."""
+
+    world: World
+
+    @property
+    def instances(self) -> Mapping[int, GossipingProxy]:
+        """Proxies by number."""
+
+    def one_way(self, zone: int, other: int, sess: Session | None) -> float:
+        """Seconds that a message takes between two zones."""
+
+
 @dataclass(frozen=True, slots=True)
 class Trouble:
     """What is done to sharing alone."""
@@ -35,7 +65,7 @@
 
 
 class Talk:
-    def __init__(self, engine: Virtual, terms: GossipConfig, trouble: Trouble) -> None:
+    def __init__(self, engine: GossipEngine, terms: GossipConfig, trouble: Trouble) -> None:
         self.engine, self.terms, self.trouble = engine, terms, trouble
         self.world = engine.world
         self.cores: dict[int, LoadGossip] = {}  # by proxy
@@ -43,7 +73,7 @@
         self.rng = Random(engine.world.seed * 7 + 5)
         self.messages = self.rows = 0
 
-    def joined(self, instance: Instance, epoch: int) -> None:
+    def joined(self, instance: GossipingProxy, epoch: int) -> None:
         """A proxy has started."""
         now, zone = self.world.agenda.now, self.world.zone_name(instance.zone)
         core = LoadGossip(
@@ -62,7 +92,7 @@
         for core in self.cores.values():
             core.set_members(there)
 
-    def tick(self, instance: Instance, core: LoadGossip) -> None:
+    def tick(self, instance: GossipingProxy, core: LoadGossip) -> None:
         if not instance.alive or self.cores.get(instance.number) is not core:
             return
         now, balancer = self.world.agenda.now, instance.balancer
@@ -77,7 +107,7 @@
         self.pass_on(instance, core)
         self.world.agenda.at(core.next_due, self.tick, instance, core)
 
-    def pass_on(self, instance: Instance, core: LoadGossip) -> None:
+    def pass_on(self, instance: GossipingProxy, core: LoadGossip) -> None:
         """What a core has left to be done."""
         for server in core.take_polls():
             instance.check_health(server, shared=True)
