--- a/onyxhollow/simulator_adapter/instance.py
+++ b/onyxhollow/simulator_adapter/instance.py
@@ -52,13 +52,13 @@
 
     # The decisions' requests to their host.
 
-    def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
+    def start_attempt(self, token: Hashable, endpoint: str, timeout: float) -> None:
         """Forwards a session to an endpoint; `timeout` in seconds."""
-        self._send("forward", token, server, max(MIN_TIMEOUT_NS, round(timeout * NS_PER_S)))
+        self._send("forward", token, endpoint, max(MIN_TIMEOUT_NS, round(timeout * NS_PER_S)))
 
-    def cancel_attempt(self, token: Hashable, dial: int) -> None:
+    def cancel_attempt(self, token: Hashable, attempt: int) -> None:
         """Withdraws an attempt, counted from 0 in its session."""
-        self._send("recall", token, dial)
+        self._send("recall", token, attempt)
 
     def reject(self, token: Hashable, retry_after: float) -> None:
         """Rejects a session; the client may come back after `retry_after` seconds."""
@@ -74,9 +74,9 @@
         """Tells a client to come back, so that its session goes to another endpoint."""
         self._send("relocate", token)
 
-    def check_health(self, server: str) -> None:
+    def check_health(self, endpoint: str) -> None:
         """Sends a health check to an endpoint."""
-        self._send("soundOut", server)
+        self._send("soundOut", endpoint)
 
     def poll_endpoint_list(self) -> None:
         """Polls discovery for the endpoint list."""
