--- a/tests/peers.py
+++ b/tests/peers.py
@@ -21,6 +21,11 @@
 from onyxhollow.wire.endpoint_list import decode_endpoint_list
 from onyxhollow.wire.remote_clock import RemoteClock
 
+# Each worker of a test run has a loopback address of its own: a process of another test goes on dialling
+# the ports of servers that it has lost, and the system may give one of them to a server of this test.
+WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
+HOST = f"127.7.{WORKER % 250}.1"
+
 CALLS = Listener("calls", handshake_objective=0.3, attempt_timeout=2.0, message_objective=0.1)
 PLAIN = Settings(
     listeners={"calls": CALLS},
@@ -64,7 +69,7 @@
     """A listening socket whose connections a test answers: an endpoint, or the list service."""
 
     def __init__(self):
-        self.sock = socket.create_server(("127.0.0.1", 0))
+        self.sock = socket.create_server((HOST, 0))
         self.sock.setblocking(False)
         self.port = self.sock.getsockname()[1]
         self.peers = []  # all connections so far
@@ -95,8 +100,8 @@
         document = {"seq": 7, "whole": True, "hosts": records}
         self.config = Config(
             "n0",
-            ("127.0.0.1", 0),
-            ("127.0.0.1", self.list_service.port),
+            (HOST, 0),
+            (HOST, self.list_service.port),
             management,
             seed=5,
             max_sockets=sockets,
@@ -115,7 +120,7 @@
 
     def list_record(self, name, health="active", **more):
         """An endpoint as the list service writes it."""
-        dial = f"127.0.0.1:{self.endpoints[name].port}"
+        dial = f"{HOST}:{self.endpoints[name].port}"
         return {"host": name, "dial": dial, "site": "z", "block": 0, "health": health, "share": 1.0, **more}
 
     def until(self, seen, within=3.0):
@@ -176,7 +181,7 @@
 
     def follow_list_of(self, server):
         """The file names another list service, and SIGHUP comes."""
-        self.config = replace(self.config, discovery=("127.0.0.1", server.port))
+        self.config = replace(self.config, discovery=(HOST, server.port))
         self.proxy.reloader.reload()
 
     def answer_list(self, body, status=b"200 OK", count=1, server=None):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,7 +13,7 @@
 from dataclasses import replace
 
 import pytest
-from peers import CALLS, ScriptedServer
+from peers import CALLS, HOST, ScriptedServer
 
 from onyxhollow.interface import DeduplicationScope, Idempotency
 from onyxhollow.lifecycle.accepting import ClientAcceptor
@@ -33,7 +33,7 @@
     def __init__(self):
         super().__init__()
         self.sock.listen(0)
-        self.filler = socket.create_connection(("127.0.0.1", self.port))
+        self.filler = socket.create_connection((HOST, self.port))
 
     def let_in(self):
         self.sock.listen(64)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 
 import pytest
-from peers import CALLS, ScriptedServer
+from peers import CALLS, HOST, ScriptedServer
 
 from onyxhollow.__main__ import main
 from onyxhollow.counters import Counters
@@ -227,7 +227,7 @@
     client = proxy.client(b"OPEN 9b1f 7f3a c=calls,d=2000,at=a\r\n")
     proxy.run_for(0.4)
     endpoint = proxy.endpoints["a"]
-    endpoint.sock = socket.create_server(("127.0.0.1", port))
+    endpoint.sock = socket.create_server((HOST, port))
     endpoint.sock.setblocking(False)
     server = proxy.until(lambda: endpoint.connection())
     assert server.received == b"OPEN 9b1f 7f3a c=calls,d=2000,at=a\r\n"
@@ -544,7 +544,7 @@
 
 def test_a_server_named_again_under_another_address_is_dialled_there(loopback):
     proxy, elsewhere = loopback(), ScriptedServer()
-    row = {**proxy.list_record("a"), "dial": f"127.0.0.1:{elsewhere.port}"}
+    row = {**proxy.list_record("a"), "dial": f"{HOST}:{elsewhere.port}"}
     proxy.answer_list(json.dumps({"seq": 8, "whole": False, "hosts": [row]}).encode())
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
     client = proxy.open_session()
