--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -134,7 +134,7 @@
 def cost(folder: Path, members: int, seconds: float) -> dict[str, Any]:
     """All are polled at once; one is polled each second while the others are not."""
     with Rig(
-        folder, members=members, zones=("a", "b", "c", "d"), period=1.0 if members > 20 else 0.4, leases=[]
+        folder, members=members, zones=("a", "b", "c", "d"), period=1.0 if members > 20 else 0.4, duties=[]
     ) as rig:
         rig.start()
         rig.wait_members(within=120)
