--- a/onyxhollow/state_snapshot.py
+++ b/onyxhollow/state_snapshot.py
@@ -86,7 +86,8 @@
     return {
         "name": endpoint.name,
         "heard": endpoint.ever_used,
-        "load": balancer.load_of(endpoint),
+        # Carried on by own connections that have ended since the report, the estimate can fall below 0.
+        "load": max(0.0, balancer.load_of(endpoint)),
         "load_age": encode_age(endpoint.load_reported_at, now),
         "distrust": endpoint.outlier_score(now),
         "strained_age": encode_age(endpoint.overloaded_at, now),
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,7 +16,7 @@
 from onyxhollow import loop as loops
 from onyxhollow.__main__ import main
 from onyxhollow.counters import Counters
-from onyxhollow.interface import EndpointListKind, Idempotency
+from onyxhollow.interface import AttemptOutcome, EndpointListKind, Idempotency
 from onyxhollow.lifecycle import draining, replacement, shutdown
 from onyxhollow.lifecycle import handover as handovers
 from onyxhollow.lifecycle.config import ConfigError, decode, needs_restart, read_config
@@ -598,6 +598,20 @@
             decode_state(text, token, now)
 
 
+def test_a_load_estimated_below_zero_does_not_cost_the_successor_all_that_is_known(start, lost):
+    old, new = start(), start()
+    for host in (old, new):
+        host.servers("a", "b", "c")
+    sessions = [old.take() for _ in range(30)]
+    old.loads(a=0.1, b=0.1, c=0.1)
+    for session in sessions:
+        lost(session, AttemptOutcome.OK)
+    assert min(old.balancer.load_of(endpoint) for endpoint in old.balancer.tracked.values()) < 0.0
+    common, records = json.loads(json.dumps(take_snapshot(old.balancer)))
+    assert restore_snapshot(new.balancer, common, records) == 3
+    assert all(endpoint.load == 0.0 for endpoint in new.balancer.tracked.values())
+
+
 def test_a_successor_knows_loads_and_distrust_and_spends_no_cold_budget_twice(start):
     cold = {"instance_count": 1, "slow_start_share": 0.25, "slow_start_time": 10.0, "overload_multiple": 2.0}
     old, new = start(**cold), start(**cold)
