--- a/onyxhollow/lab/fleet/bugs.py
+++ b/onyxhollow/lab/fleet/bugs.py
@@ -22,6 +22,16 @@
     rig.go_on(holder)
 
 
+def hand_to(rig: Rig, holder: str, to: str) -> str:
+    """The holder after a hand-over.
+
+    A member whose clock is fast holds for less than its voters grant, whatever margin it keeps, and fast ones
+    win the races for leases that have run out: only a slow one shows that the margin is missing.
+    """
+    rig.ask(holder, f"/hand-over?name=ledger&to={to}", "POST")
+    return rig.wait_holder(other_than=holder, within=30)
+
+
 def found(name: str, folder: Path) -> str:
     """What the judge says of a fleet with a bug in it; "": nothing."""
     rates = {"n0": 0.9, "n1": 1.1, "n2": 1.1, "n3": 0.9}
@@ -47,6 +57,8 @@
                 rig.play(1.0)
                 rig.mend()
             else:
+                if name == "no-margin" and rates[holder] > 1.0:
+                    holder = hand_to(rig, holder, "n0")
                 rules = rig.cut([holder], None)
                 if name == "forgets":
                     voters = [voter for voter in rig.voters if voter != holder]
