--- a/onyxhollow/lab/baselines.py
+++ b/onyxhollow/lab/baselines.py
@@ -25,7 +25,7 @@
 )
 from onyxhollow.policy.estimators import stable_uniform
 from onyxhollow.policy.slow_start import SlowStartBudget
-from onyxhollow.policy.state import TICK
+from onyxhollow.policy.state import TICK_SECONDS
 
 if TYPE_CHECKING:
     from onyxhollow.lab.world import servers
@@ -106,7 +106,7 @@
         self.counter, self.look_at = 0, 0.0
         self.budget = SlowStartBudget(host.now)
         self.budget.apply_settings(settings)
-        host.set_timer(host.now + TICK)
+        host.set_timer(host.now + TICK_SECONDS)
 
     # the module's door
 
@@ -141,7 +141,7 @@
         load: float | None,
     ) -> Plain.Session:
         sess = Plain.Session(self, token, listener, tenant, self.host.now + time_left)
-        self.budget.arrived(self.host.now)
+        self.budget.record_arrival(self.host.now)
         self.attempt(sess)
         return sess
 
@@ -175,7 +175,7 @@
             waiting, self.waiting = self.waiting, []
             for sess in waiting:
                 self.attempt(sess)
-        self.host.set_timer(now + TICK)
+        self.host.set_timer(now + TICK_SECONDS)
 
     # within
 
@@ -200,7 +200,7 @@
         if first is not None and listener.idempotency is not Idempotency.IDEMPOTENT:
             if (
                 listener.idempotency is Idempotency.NON_IDEMPOTENT
-                or now - sess.ran_since >= listener.deduplication_window - TICK
+                or now - sess.ran_since >= listener.deduplication_window - TICK_SECONDS
             ):
                 return False
             same = {
--- a/onyxhollow/policy/admission.py
+++ b/onyxhollow/policy/admission.py
@@ -42,9 +42,9 @@
     """
     now = state.host.now
     session = Session(state, token, listener, tenant, group, now + time_left, load)
-    state.slow_start.arrived(now)
+    state.slow_start.record_arrival(now)
     if state.group_affinity:
-        state.group_rates.setdefault(group, ArrivalRate(state.slow_start.since)).arrived(now)
+        state.group_rates.setdefault(group, ArrivalRate(state.slow_start.since)).record_arrival(now)
         if len(state.group_rates) > MAX_GROUPS:
             del state.group_rates[next(iter(state.group_rates))]
     state.attempt(session)
@@ -83,7 +83,7 @@
 
 def attempt_timeout(state: PolicyState, session: Session, left: float) -> float:
     """Return the seconds for the attempt that starts now."""
-    usual = state.handshake_time.fresh(state.host.now) or 0.0
+    usual = state.handshake_time.fresh_value(state.host.now) or 0.0
     return retry.attempt_timeout(session, left, usual)
 
 
--- a/onyxhollow/policy/arrivals.py
+++ b/onyxhollow/policy/arrivals.py
@@ -61,7 +61,7 @@
         arrival.credited_at = now
         arrival.credit = arrival.credit or max(1, allowed)
     due = arrival.credit > 0 or (session.was_queued and not cold)  # else refused beside an idle endpoint
-    return due and state.slow_start.refill(endpoint, state.full_connections, now) >= 1
+    return due and state.slow_start.refill(endpoint, state.connections_at_capacity, now) >= 1
 
 
 def count_placement(state: PolicyState, endpoint: TrackedEndpoint) -> None:
@@ -69,4 +69,4 @@
     if endpoint.arrival:
         endpoint.arrival.credit = max(0, endpoint.arrival.credit - 1)
         endpoint.arrival.moved += 1
-        state.slow_start.spend(endpoint, state.full_connections, state.host.now)
+        state.slow_start.spend(endpoint, state.connections_at_capacity, state.host.now)
--- a/onyxhollow/policy/balancer.py
+++ b/onyxhollow/policy/balancer.py
@@ -23,7 +23,7 @@
     subset,
 )
 from onyxhollow.policy.session import Session
-from onyxhollow.policy.state import TICK, PolicyState
+from onyxhollow.policy.state import TICK_SECONDS, PolicyState
 
 
 class Balancer(PolicyState):
@@ -65,7 +65,7 @@
         self.apply_settings(settings)
         self.poll_at = host.now + first_poll * min(self.poll_spread, self.max_poll_interval / 2)
         self.rebalance_subset()
-        host.set_timer(host.now + TICK)
+        host.set_timer(host.now + TICK_SECONDS)
 
     def apply_settings(self, settings: Settings) -> None:
         """Take over settings, at the start or later."""
@@ -103,7 +103,7 @@
         while self.timers and self.timers[0][0] <= now:
             heapq.heappop(self.timers)[2]()
         self.serve_queue()
-        self.host.set_timer(now + TICK)
+        self.host.set_timer(now + TICK_SECONDS)
 
     def adopt(
         self,
--- a/onyxhollow/policy/estimators.py
+++ b/onyxhollow/policy/estimators.py
@@ -23,34 +23,42 @@
     """Exponentially weighted moving average that expires when no sample renews it."""
 
     value = 0.0
-    at = -math.inf  # when the newest sample came
+    updated_at = -math.inf  # when the newest sample came
 
     def add(self, value: float, now: float) -> None:
         """Add a sample; after an expiry it replaces the average."""
-        self.value += (value - self.value) * (EWMA_WEIGHT if now - self.at < EWMA_EXPIRY else 1.0)
-        self.at = now
+        self.value += (value - self.value) * (EWMA_WEIGHT if now - self.updated_at < EWMA_EXPIRY else 1.0)
+        self.updated_at = now
 
-    def fresh(self, now: float) -> float | None:
+    def fresh_value(self, now: float) -> float | None:
         """Return the average, or None if it has expired."""
-        return self.value if now - self.at < EWMA_EXPIRY else None
+        return self.value if now - self.updated_at < EWMA_EXPIRY else None
 
 
 class ArrivalRate:
-    """Arrivals a second, averaged over `MEMORY` seconds with exponential decay."""
+    """Arrivals a second, averaged over `TIME_CONSTANT_SECONDS` seconds with exponential decay."""
 
-    MEMORY = 20.0  # seconds
+    TIME_CONSTANT_SECONDS = 20.0  # seconds
 
     def __init__(self, since: float) -> None:
         self.since = since
-        self.at = since
-        self.seen = 0.0
+        self.updated_at = since
+        self.decayed_count = 0.0
 
-    def arrived(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """Count one arrival."""
-        self.seen = self.seen * math.exp((self.at - now) / self.MEMORY) + 1.0
-        self.at = now
+        self.decayed_count = (
+            self.decayed_count * math.exp((self.updated_at - now) / self.TIME_CONSTANT_SECONDS) + 1.0
+        )
+        self.updated_at = now
 
     def rate(self, now: float, less: float = 0.0) -> float:
         """Return arrivals a second, `less` arrivals left out."""
-        span = max(1.0, min(now - self.since, self.MEMORY))
-        return max(0.0, self.seen * math.exp((self.at - now) / self.MEMORY) - less) / span
+        span = max(1.0, min(now - self.since, self.TIME_CONSTANT_SECONDS))
+        return (
+            max(
+                0.0,
+                self.decayed_count * math.exp((self.updated_at - now) / self.TIME_CONSTANT_SECONDS) - less,
+            )
+            / span
+        )
--- a/onyxhollow/policy/handoff.py
+++ b/onyxhollow/policy/handoff.py
@@ -60,7 +60,7 @@
     )
     overfull = all_go and state.load_of(source) >= SHED_LOAD
     source_latency = math.inf if overfull else migration.latency
-    source_latency = source.message_delay.fresh(state.host.now) or source_latency
+    source_latency = source.message_delay.fresh_value(state.host.now) or source_latency
     allowed = migration.allowance(source_latency, mean_latency(state, receivers))
     movable = [s for s in source.connections if s.established and (s.placed_here or all_go)]
     movable.sort(key=migration_order)
--- a/onyxhollow/policy/health_checks.py
+++ b/onyxhollow/policy/health_checks.py
@@ -10,7 +10,7 @@
 from onyxhollow.policy.load_reports import FULL_LOAD, REPORT_LIFETIME
 from onyxhollow.policy.outlier_detection import FAILED_ATTEMPT_SCORE
 from onyxhollow.policy.session import Session
-from onyxhollow.policy.state import TICK, PolicyState
+from onyxhollow.policy.state import TICK_SECONDS, PolicyState
 from onyxhollow.policy.tracked import TrackedEndpoint
 
 REPORT_AGE = 1.0  # seconds: the oldest report that is good enough to place by
@@ -41,7 +41,7 @@
         endpoint = max(state.subset, key=lambda s: (now - s.checked_at) * (1.0 + s.outlier_score(now)))
         endpoint.checked_at = now
         state.host.check_health(endpoint.name)
-    state.schedule(1.0 / min(1.0 / TICK, max(rate, MIN_CHECK_RATE)), state.health_check_round)
+    state.schedule(1.0 / min(1.0 / TICK_SECONDS, max(rate, MIN_CHECK_RATE)), state.health_check_round)
 
 
 def check_guessed_full(state: PolicyState) -> None:
@@ -78,7 +78,7 @@
 
 def wins_capacity(state: PolicyState, session: Session, endpoint: TrackedEndpoint, now: float) -> bool:
     """Return by chance whether this instance takes part of the capacity that all others see as well."""
-    capacity = (FULL_LOAD - state.load_of(endpoint)) * state.full_connections * endpoint.size
+    capacity = (FULL_LOAD - state.load_of(endpoint)) * state.connections_at_capacity * endpoint.size
     takers = max(1.0, state.eligible_share * len(state.endpoints))
     crowd = state.slow_start.rate(now) * REPORT_AGE / takers
     if session.group in state.group_rates:  # those of a group all go to one endpoint
--- a/onyxhollow/policy/load_reports.py
+++ b/onyxhollow/policy/load_reports.py
@@ -27,7 +27,7 @@
             added = (endpoint.shared_connections - shared) * calibration[1] / calibration[0]
             return max(0.0, load + added)
     own = len(endpoint.connections)
-    full = state.full_connections * endpoint.size
+    full = state.connections_at_capacity * endpoint.size
     if not known:  # guessed by the own part of what it bears
         return own / full if state.loads_unknown and full >= 1.0 else 0.0
     return endpoint.load + (0 if state.few_connections else own - endpoint.connections_at_report) / full
--- a/onyxhollow/policy/outlier_detection.py
+++ b/onyxhollow/policy/outlier_detection.py
@@ -8,7 +8,7 @@
 
 from onyxhollow.interface import AttemptOutcome
 from onyxhollow.policy.session import Session
-from onyxhollow.policy.state import EJECTION_SCORE, TICK, PolicyState
+from onyxhollow.policy.state import EJECTION_SCORE, TICK_SECONDS, PolicyState
 from onyxhollow.policy.tracked import TrackedEndpoint
 
 CERTAIN_SCORE = 3.0  # it sent a client away, or nobody listens there: once is enough
@@ -49,7 +49,7 @@
             state.handshake_time.add(took, state.host.now)
     if outcome is AttemptOutcome.OVERLOADED or (session.established and outcome is AttemptOutcome.RESET):
         endpoint.overloaded_at = state.host.now  # it sheds: refilled at once it would drop them again
-    nobody_listens = outcome is AttemptOutcome.CONNECT_FAILED and took < TICK
+    nobody_listens = outcome is AttemptOutcome.CONNECT_FAILED and took < TICK_SECONDS
     if sent_away or nobody_listens:
         amount = CERTAIN_SCORE
     elif session.established:
--- a/onyxhollow/policy/retry.py
+++ b/onyxhollow/policy/retry.py
@@ -13,7 +13,7 @@
 from onyxhollow.policy.tracked import TrackedEndpoint
 
 WRITE_DELAY_MARGIN = 0.15  # seconds that may pass between reading the clock and a write
-MIN_TIME_LEFT = 0.05  # seconds left to a client under which nothing is sent: it would come too late
+MIN_SECONDS_LEFT = 0.05  # seconds left to a client under which nothing is sent: it would come too late
 HANDSHAKE_STRETCH = 3.0  # times the usual handshake that an early attempt gets at least
 
 
@@ -57,7 +57,7 @@
         endpoint is not None
         and endpoint.state is EndpointState.IN_SERVICE
         and not session.answered
-        and session.deadline - now > MIN_TIME_LEFT
+        and session.deadline - now > MIN_SECONDS_LEFT
         and may_attempt_at(session, endpoint, now)
     )
 
@@ -65,7 +65,7 @@
 def attempts_spent(session: Attempt, endpoints: list[TrackedEndpoint], now: float) -> bool:
     """Return whether nothing more may be attempted: no time, no attempt or no allowed endpoint is left."""
     return (
-        session.deadline - now <= MIN_TIME_LEFT
+        session.deadline - now <= MIN_SECONDS_LEFT
         or len(session.attempted) >= session.max_attempts
         or (
             len(session.attempted) > 0
--- a/onyxhollow/policy/selection.py
+++ b/onyxhollow/policy/selection.py
@@ -46,7 +46,7 @@
 ) -> float:
     """Return own connections per size, a group new there counted in, raised by the outlier score."""
     now = state.host.now
-    full = state.full_connections
+    full = state.connections_at_capacity
     arrival = endpoint.arrival
     if endpoint.ever_used or (arrival and arrival.moved < arrival.count):
         own: float = len(endpoint.connections)
--- a/onyxhollow/policy/slow_start.py
+++ b/onyxhollow/policy/slow_start.py
@@ -42,7 +42,7 @@
         """Return whether the endpoint started within the warm-up time."""
         return endpoint.started_at is not None and now - endpoint.started_at < self.warm_up_time
 
-    def refill(self, endpoint: TrackedEndpoint, full_connections: float, now: float) -> float:
+    def refill(self, endpoint: TrackedEndpoint, connections_at_capacity: float, now: float) -> float:
         """Refill the endpoint's bucket and return its level: 1 or more lets a session go there now."""
         if not self.warming_up(endpoint, now):
             return 1.0
@@ -50,7 +50,11 @@
         age = max(0.0, now - (endpoint.started_at or 0.0))
         warmth = self.initial_share + (1.0 - self.initial_share) * age / self.warm_up_time
         budget = (
-            full_connections * endpoint.size / self.warm_up_time * min(1.0, warmth) * self.overload_multiple
+            connections_at_capacity
+            * endpoint.size
+            / self.warm_up_time
+            * min(1.0, warmth)
+            * self.overload_multiple
         )
         if budget * self.overload_window >= 1.0:  # turns come faster than they expire
             level = min(1.0, level + (now - at) * SAFETY_FACTOR * budget)
@@ -59,9 +63,9 @@
         self.tokens[endpoint] = (level, now)
         return level
 
-    def spend(self, endpoint: TrackedEndpoint, full_connections: float, now: float) -> None:
+    def spend(self, endpoint: TrackedEndpoint, connections_at_capacity: float, now: float) -> None:
         """Take one token for a session that goes there."""
-        self.tokens[endpoint] = (self.refill(endpoint, full_connections, now) - 1.0, now)
+        self.tokens[endpoint] = (self.refill(endpoint, connections_at_capacity, now) - 1.0, now)
 
     def expire(self, level: float, span: float, budget: float) -> float:
         """Return the level after `span` seconds where turns come seldom, so that one left unused expires.
--- a/onyxhollow/policy/state.py
+++ b/onyxhollow/policy/state.py
@@ -18,7 +18,7 @@
 from onyxhollow.policy.slow_start import SlowStartBudget
 from onyxhollow.policy.tracked import TrackedEndpoint
 
-TICK = 0.05  # seconds of the one timer
+TICK_SECONDS = 0.05  # seconds of the one timer
 POLLS_PER_SECOND = 8.0  # that the endpoint list answers, of all instances together
 HEALTH_CHECK_BUDGET = 0.002  # of the result, spent on health checks in calm times
 MIN_CHECK_PRICE = 1e-4  # of a health check, for prices of nothing
@@ -48,7 +48,7 @@
         # Estimates, renewed with the subset.
         self.total_size = 1.0  # of warm endpoints
         self.mean_connections = 0.0  # own, per size
-        self.full_connections = 1.0  # own ones that fill a size of 1
+        self.connections_at_capacity = 1.0  # own ones that fill a size of 1
         self.few_connections = False  # own ones are so few that their differences are chance
         self.loads_unknown = False  # no endpoint reports its load
         self.prefer_local = False  # the load is low enough for affinity within the own zone
--- a/onyxhollow/policy/subset.py
+++ b/onyxhollow/policy/subset.py
@@ -69,4 +69,4 @@
     state.loads_unknown = state.own_quota > 0 and not reported
     # Few own connections are chance: then the own part of what tenants may hold says what fills the fleet.
     by_quota = (state.few_connections or state.loads_unknown) and state.own_quota
-    state.full_connections = max(by_quota or full, 1.0) / state.total_size
+    state.connections_at_capacity = max(by_quota or full, 1.0) / state.total_size
--- a/onyxhollow/policy/tracked.py
+++ b/onyxhollow/policy/tracked.py
@@ -85,8 +85,8 @@
 
     def latency(self, now: float) -> float | None:
         """Return the message delay in seconds, else the handshake time, else None."""
-        delay = self.message_delay.fresh(now)
-        return self.handshake_time.fresh(now) if delay is None else delay
+        delay = self.message_delay.fresh_value(now)
+        return self.handshake_time.fresh_value(now) if delay is None else delay
 
     def outlier_score(self, now: float) -> float:
         """Return the score of its failures, which decays with `SCORE_DECAY`."""
--- a/onyxhollow/state_snapshot.py
+++ b/onyxhollow/state_snapshot.py
@@ -94,7 +94,7 @@
         "set_up": encode_ewma(endpoint.handshake_time, now),
         "delay": encode_ewma(endpoint.message_delay, now),
         "arrival": [arrival.count, arrival.moved] if arrival else None,
-        "tokens": budget.refill(endpoint, balancer.full_connections, now) if warming_up else None,
+        "tokens": budget.refill(endpoint, balancer.connections_at_capacity, now) if warming_up else None,
     }
 
 
@@ -105,7 +105,7 @@
 
 def encode_ewma(average: Ewma, now: float) -> list[float] | None:
     """Return an average and its age in seconds, None if it has expired."""
-    return [average.value, now - average.at] if average.fresh(now) is not None else None
+    return [average.value, now - average.updated_at] if average.fresh_value(now) is not None else None
 
 
 def decode_number(value: Any) -> float:
@@ -178,8 +178,8 @@
         rate, over = taken
         budget = balancer.slow_start
         budget.since = now - over
-        budget.at = now
-        budget.seen += rate * max(1.0, min(over, budget.MEMORY))
+        budget.updated_at = now
+        budget.decayed_count += rate * max(1.0, min(over, budget.TIME_CONSTANT_SECONDS))
     restore_ewma(balancer.handshake_time, handshake_time, now)
     for endpoint, record in found:
         restore_endpoint(endpoint, record, now)
@@ -206,9 +206,9 @@
 
 def restore_ewma(average: Ewma, sample: Sample | None, now: float) -> None:
     """Take over an average if it is newer than what is known."""
-    if sample and now - sample.age > average.at:
+    if sample and now - sample.age > average.updated_at:
         average.value = sample.value
-        average.at = now - sample.age
+        average.updated_at = now - sample.age
 
 
 def restore_slow_start(
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,7 +15,7 @@
 def test_while_all_endpoints_are_cold_sessions_are_queued_and_rejected_at_half_time(host):
     host.servers("a")
     host.servers("a", kind=EndpointListKind.DELTA, started_at=host.now)
-    host.balancer.slow_start.seen = 0.0
+    host.balancer.slow_start.decayed_count = 0.0
     sess = host.take()
     host.wait(0.9)
     assert not host.asked("start_attempt") and not host.asked("reject")
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -2,7 +2,7 @@
 
 from bisect import bisect
 
-from decision_setups import FEW_CONNECTIONS, without_reports
+from decision_setups import FEW_CONNECTIONS_SETTINGS, start_without_reports
 
 from onyxhollow.interface import (
     EndpointListKind,
@@ -17,13 +17,13 @@
     for seed in (1, 2, 3):
         host = start(seed, group_affinity=True)
         host.servers(*"abcdef", weight=4.0)
-        host.balancer.full_connections = 5.0
+        host.balancer.connections_at_capacity = 5.0
         meeting_points |= {host.take(group="g7").endpoint.name for _ in range(3)}
     assert len(meeting_points) == 1
 
 
 def test_a_group_whose_endpoints_are_full_waits_and_is_not_strewn(start):
-    host = start(group_affinity=True, **FEW_CONNECTIONS)
+    host = start(group_affinity=True, **FEW_CONNECTIONS_SETTINGS)
     servers = host.servers(*(f"s{n}" for n in range(60)))
     host.loads(**{s.name: 0.1 for s in servers})
     stretch = set()
@@ -109,14 +109,14 @@
     for others in (2, 0):
         placed.append(0)
         for seed in range(200):
-            host = start(seed, group_affinity=True, **FEW_CONNECTIONS)
+            host = start(seed, group_affinity=True, **FEW_CONNECTIONS_SETTINGS)
             host.servers(*(f"s{n}" for n in range(16)))
             host.loads(**{f"s{n}": 0.6 for n in range(16)})
             host.balancer.refresh_health()
-            host.balancer.slow_start.seen, host.balancer.full_connections = 1.0, 2.0
+            host.balancer.slow_start.decayed_count, host.balancer.connections_at_capacity = 1.0, 2.0
             host.balancer.group_rates["one"] = ArrivalRate(host.now)
             for _ in range(others):
-                host.balancer.group_rates["one"].arrived(host.now)
+                host.balancer.group_rates["one"].record_arrival(host.now)
             host.take(group="one")
             placed[-1] += len(host.asked("start_attempt"))
     assert 0 < placed[0] < placed[1] / 2
@@ -125,7 +125,7 @@
 def test_without_load_reports_a_group_has_one_endpoint_for_all_zones_and_a_shedding_one_rests_longer(start):
     meeting_points = set()
     for zone in ("north", "south"):
-        host, _ = without_reports(start, group_affinity=True, zone=zone, cross_zone_price=0.1)
+        host, _ = start_without_reports(start, group_affinity=True, zone=zone, cross_zone_price=0.1)
         for name in "abcd":
             host.servers(
                 name, kind=EndpointListKind.DELTA, zone="north" if name in "ab" else "south", weight=4.0
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -123,7 +123,9 @@
 def server_told(s, proxy):
     """What the decisions know of one server."""
     b, now = proxy.decisions.balancer, proxy.loop.now
-    figures = [(f.value, now - f.at) if f.value else None for f in (s.handshake_time, s.message_delay)]
+    figures = [
+        (f.value, now - f.updated_at) if f.value else None for f in (s.handshake_time, s.message_delay)
+    ]
     tokens = b.slow_start.tokens[s][0] if s in b.slow_start.tokens else None
     return (
         (s.state.value, s.zone, s.cell, s.machine_type, s.size, s.started_at, proxy.addresses.find(s.name)),
@@ -138,7 +140,7 @@
     """What all decisions know."""
     b, now = proxy.decisions.balancer, proxy.loop.now
     return {
-        "setting_up": (b.handshake_time.value, now - b.handshake_time.at),
+        "setting_up": (b.handshake_time.value, now - b.handshake_time.updated_at),
         "taken": (b.slow_start.rate(now), now - b.slow_start.since),
         "seq": proxy.discovery.version,
         "servers": {name: server_told(s, proxy) for name, s in b.tracked.items()},
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -176,7 +176,7 @@
 
 def test_a_request_with_hardly_any_time_left_as_its_connection_comes_up_is_refused_unsent(late, monkeypatch):
     # Held up for a moment the line would go out after the client's end.
-    monkeypatch.setattr("onyxhollow.policy.retry.MIN_TIME_LEFT", 1.0)  # the connection takes a second
+    monkeypatch.setattr("onyxhollow.policy.retry.MIN_SECONDS_LEFT", 1.0)  # the connection takes a second
     proxy = late("a")
     client = proxy.open_session(wait=1900)
     connecting(proxy).endpoints["a"].let_in()
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -1,6 +1,6 @@
 """When endpoints are asked for their load."""
 
-from decision_setups import FEW_CONNECTIONS
+from decision_setups import FEW_CONNECTIONS_SETTINGS
 
 
 def test_endpoints_are_checked_often_only_while_one_is_overloaded(start):
@@ -23,7 +23,7 @@
 def test_with_few_own_connections_an_endpoint_is_checked_before_an_attempt_and_a_silent_one_passed_over(
     start,
 ):
-    host = start(seed=4, **FEW_CONNECTIONS)  # whose chance for the room at the second is good
+    host = start(seed=4, **FEW_CONNECTIONS_SETTINGS)  # whose chance for the room at the second is good
     a, b = host.servers("a", "b")
     sess = host.take()
     asked = host.asked("check_health")[0][0]
@@ -44,11 +44,11 @@
     def attempts(count):
         placed = 0
         for seed in range(count):
-            host = start(seed, **FEW_CONNECTIONS)
+            host = start(seed, **FEW_CONNECTIONS_SETTINGS)
             host.servers("a", *(f"s{n}" for n in range(15)))
             host.loads(a=0.6, **{f"s{n}": 0.9 for n in range(15)})
             host.balancer.refresh_health()
-            host.balancer.slow_start.seen, host.balancer.full_connections = 1.0, 2.0
+            host.balancer.slow_start.decayed_count, host.balancer.connections_at_capacity = 1.0, 2.0
             host.take()
             placed += len(host.asked("start_attempt"))
         return placed
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from decision_setups import FEW_CONNECTIONS, placements, without_reports
+from decision_setups import FEW_CONNECTIONS_SETTINGS, count_placements, start_without_reports
 
 from onyxhollow.interface import (
     Tenant,
@@ -14,11 +14,11 @@
     quotas = {"tenants": {"acme": Tenant("acme", 1.0, 600.0)}}
     placed = []
     for seed in range(20):
-        host = start(seed, group_affinity=True, **FEW_CONNECTIONS, **quotas)
+        host = start(seed, group_affinity=True, **FEW_CONNECTIONS_SETTINGS, **quotas)
         host.servers(*(f"s{n}" for n in range(12)), weight=4.0)
         host.loads(**{f"s{n}": 0.5 for n in range(12)})
         host.balancer.refresh_health()
-        assert host.balancer.full_connections == pytest.approx(
+        assert host.balancer.connections_at_capacity == pytest.approx(
             600 / 100 / 48
         )  # nothing open here: the fleet's as the quotas say
         host.take(group="g", stands=False)
@@ -27,14 +27,14 @@
 
 
 def test_a_load_beyond_all_measure_bars_its_endpoint_and_all_estimates_stay_finite(start):
-    host = start(**FEW_CONNECTIONS)
+    host = start(**FEW_CONNECTIONS_SETTINGS)
     host.servers("a", "b", weight=4.0)
     for _ in range(20):
         host.loads(a=1e308, b=0.1)
         host.take()
         host.wait(0.5)
     balancer = host.balancer
-    assert set(placements(host)) == {"b"} and 0.0 < balancer.full_connections < math.inf
+    assert set(count_placements(host)) == {"b"} and 0.0 < balancer.connections_at_capacity < math.inf
     host.loads(a=0.1)
     host.wait(2.0)
     assert balancer.eligible(balancer.tracked["a"])
@@ -42,11 +42,11 @@
 
 def test_without_load_reports_the_own_part_of_the_tenants_quotas_bounds_an_endpoint(start):
     """On 200 proxies without reports a group's endpoint was filled until it threw its connections out."""
-    host, servers = without_reports(start, max_retry_after=1.0)
+    host, servers = start_without_reports(start, max_retry_after=1.0)
     for _ in range(200):
         host.take()
         host.balancer.refresh_health()
-    counts = placements(host)
+    counts = count_placements(host)
     assert set(counts.values()) == {13} and len(counts) == 4  # 0.65 of 20 each, and nothing past it
     host.wait(3.0)
     assert len(host.asked("reject")) == 200 - 52
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,7 +1,7 @@
 """Which endpoints are ejected, and which are not."""
 
 import pytest
-from decision_setups import placements
+from decision_setups import count_placements
 
 from onyxhollow.interface import (
     AttemptOutcome,
@@ -17,12 +17,12 @@
         sess.on_message_delay(1.0)
         host.balancer.record_failure(a, 1.0)
         host.balancer.rebalance_subset()
-    before = placements(host)["a"]
+    before = count_placements(host)["a"]
     host.wait(1.2)
     assert {token for (token,) in host.asked("migrate")} <= {s.token for s in mine} and host.asked("migrate")
     for _ in range(10):
         host.take()
-    assert placements(host)["a"] == before
+    assert count_placements(host)["a"] == before
     host.wait(60.0)
     assert a.migration is None
 
@@ -45,14 +45,14 @@
         mine[0].on_message_delay(0.5)
     else:
         lost(mine[0])
-    before = placements(host)["a"]
+    before = count_placements(host)["a"]
     for _ in range(10):
         host.take()
-    assert placements(host)["a"] == before
+    assert count_placements(host)["a"] == before
     host.wait(2.0)
     for _ in range(30):
         host.take()
-    assert placements(host)["a"] > before
+    assert count_placements(host)["a"] > before
 
 
 def test_an_endpoint_that_sends_a_client_away_or_refuses_connections_is_ejected_at_once(host, lost):
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -1,7 +1,7 @@
 """Which of the endpoints drawn a session goes to."""
 
 import pytest
-from decision_setups import FEW_CONNECTIONS, placements
+from decision_setups import FEW_CONNECTIONS_SETTINGS, count_placements
 
 from onyxhollow.interface import (
     EndpointListKind,
@@ -14,7 +14,7 @@
     host.balancer.tracked["d"].arrival = None
     for _ in range(120):
         host.take()
-    counts = placements(host)
+    counts = count_placements(host)
     assert 45 <= counts["d"] <= 75 and all(15 <= counts[n] <= 27 for n in "abc")
 
 
@@ -42,7 +42,7 @@
 
 def test_the_work_for_a_session_does_not_grow_with_the_fleet(start):
     def looks(size):
-        host = start(group_affinity=True, **FEW_CONNECTIONS)
+        host = start(group_affinity=True, **FEW_CONNECTIONS_SETTINGS)
         host.loads(**{s.name: 0.1 for s in host.servers(*(f"s{n}" for n in range(size)))})
         well, seen = host.balancer.eligible, []
         host.balancer.eligible = lambda *what: seen.append(what) or well(*what)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from decision_setups import placements
+from decision_setups import count_placements
 
 from onyxhollow.interface import (
     EndpointListKind,
@@ -28,7 +28,7 @@
     for _ in range(160):
         host.wait(0.25)
         host.take()
-    assert host.balancer.tracked["d"].arrival is None and placements(host)["d"] >= 30
+    assert host.balancer.tracked["d"].arrival is None and count_placements(host)["d"] >= 30
 
 
 def test_queued_sessions_go_to_a_warm_arrival_beyond_its_pace_and_not_to_a_cold_one(start):
