--- a/onyxhollow/counters.py
+++ b/onyxhollow/counters.py
@@ -7,9 +7,9 @@
 
 # What a session's client was answered; names of the metrics page and the logs.
 ACCEPTED = "accepted"
-REFUSED = "refused"
-TORN_DOWN = "torn down"
-ENDS = (ACCEPTED, REFUSED, TORN_DOWN)
+REJECTED = "refused"
+FAILED = "torn down"
+FINAL_ANSWERS = (ACCEPTED, REJECTED, FAILED)
 
 
 class Counters:
@@ -17,22 +17,22 @@
 
     Attributes:
         counts: by name.
-        ends: of sessions, by answer and then by listener.
+        final_answers: of sessions, by answer and then by listener.
     """
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.ends: dict[str, dict[str, int]] = {end: {} for end in ENDS}
+        self.final_answers: dict[str, dict[str, int]] = {answer: {} for answer in FINAL_ANSWERS}
 
-    def open_listeners(self, names: Iterable[str]) -> None:
+    def add_listeners(self, names: Iterable[str]) -> None:
         """Show these listeners from now on, at 0 too; one that is dropped later keeps its counts."""
-        for counts in self.ends.values():
+        for counts in self.final_answers.values():
             for name in names:
                 counts.setdefault(name, 0)
 
-    def ended(self, end: str, listener: str) -> None:
-        """Count a session's answer, one of `ENDS`."""
-        self.ends[end][listener] = self.ends[end].get(listener, 0) + 1
+    def count_final_answer(self, answer: str, listener: str) -> None:
+        """Count a session's answer, one of `FINAL_ANSWERS`."""
+        self.final_answers[answer][listener] = self.final_answers[answer].get(listener, 0) + 1
 
     def add(self, name: str, amount: int = 1) -> None:
         """Add to a named count."""
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -16,7 +16,7 @@
 from onyxhollow.gossip.config import GossipConfig
 from onyxhollow.leases.messages import VOTERS_ROLE
 from onyxhollow.leases.timing import LeaseTiming
-from onyxhollow.leases.voter import MAX_LEASE_DURATION, MAX_ROLES
+from onyxhollow.leases.voter import MAX_LEASE_DURATION_SECONDS, MAX_ROLES
 from onyxhollow.membership.config import ProtocolConfig
 from onyxhollow.membership.datagram_authenticator import KeyFileError, read_keys
 from onyxhollow.membership.messages import MAX_NAME_CHARACTERS, Address
@@ -295,7 +295,7 @@
     _check_range("membership.timeout", membership.timeout, 0.01, membership.period)
     _check_range("membership.sync", membership.sync_interval, 1.0, 300.0)
     leases = file.leases
-    _check_range("leases.lease", leases.duration, 0.2, MAX_LEASE_DURATION)
+    _check_range("leases.lease", leases.duration, 0.2, MAX_LEASE_DURATION_SECONDS)
     _check_range("leases.rate_bound", leases.rate_bound, 0.0001, 0.2)
     _check_range("leases.steady", leases.stability_period, 0.0, 3600.0)
     _check_range("leases.patience", leases.progress_timeout, 0.5, 3600.0)
--- a/onyxhollow/fleet/leader_tasks.py
+++ b/onyxhollow/fleet/leader_tasks.py
@@ -40,7 +40,7 @@
         """The lease has ended, or is about to: no act follows."""
 
 
-class CallingTask:
+class HttpRequestTask:
     """The base of tasks that call one address over one connection.
 
     Attributes:
@@ -73,7 +73,7 @@
             self.task.wake()
 
 
-class WebhookTask(CallingTask):
+class WebhookTask(HttpRequestTask):
     """Calls an address over and over: POST PATH?duty=..&member=..&term=..&number=...
 
     200: progress. 409: it has seen a newer term, and this holder gives up. Anything else, and silence: no
--- a/onyxhollow/fleet/lease_messenger.py
+++ b/onyxhollow/fleet/lease_messenger.py
@@ -16,13 +16,13 @@
     """Sends election messages.
 
     Attributes:
-        local: Messages of this process to itself, with the name of their sender; taken by the owner.
+        local_messages: Messages of this process to itself, with the name of their sender; taken by the owner.
         has_own_voter: This process has a voter's records open, and messages to its own name stay here.
     """
 
     def __init__(self, context: MemberContext) -> None:
         self.context = context
-        self.local: deque[tuple[str, Message]] = deque()
+        self.local_messages: deque[tuple[str, Message]] = deque()
         self.has_own_voter = False
 
     def send_all(self, messages: Iterable[VoterMessage]) -> None:
@@ -33,7 +33,7 @@
     def send_to_voter(self, name: str, message: Message) -> None:
         """To the process of that name that has a voter's records."""
         if name == self.context.name and self.has_own_voter:
-            self.local.append((self.context.name, message))
+            self.local_messages.append((self.context.name, message))
             return
         membership = self.context.membership
         found = [member for member in membership.live_members() if member.name == name]
@@ -44,7 +44,7 @@
     def send_to_process(self, process_id: str, message: Message) -> None:
         """To one process, this one included; dropped if it is not known."""
         if process_id == self.context.process_id:
-            self.local.append((self.context.name, message))
+            self.local_messages.append((self.context.name, message))
             return
         member = self.context.find_member(process_id)
         if member:
--- a/onyxhollow/fleet/lease_router.py
+++ b/onyxhollow/fleet/lease_router.py
@@ -65,8 +65,8 @@
 
     def route_local(self, now: float) -> None:
         """Takes the messages of this process to itself, and those that they lead to."""
-        while self.messenger.local:
-            name, message = self.messenger.local.popleft()
+        while self.messenger.local_messages:
+            name, message = self.messenger.local_messages.popleft()
             self._route(self.context.process_id, name, message, now)
 
     def _route(self, process_id: str, name: str, message: Message, now: float) -> None:
--- a/onyxhollow/fleet/lease_service.py
+++ b/onyxhollow/fleet/lease_service.py
@@ -173,14 +173,14 @@
         for runner in self.runners.values():
             self._hand_over(runner, cause, self._successor(runner))
 
-    def order(self, runner: LeaseRunner) -> list[str]:
+    def candidate_order(self, runner: LeaseRunner) -> list[str]:
         """Process ids of the candidates for a role, the preferred first."""
-        return self.ranking.order(runner.candidate.role, runner.zone)
+        return self.ranking.candidate_order(runner.candidate.role, runner.zone)
 
     def _priority(self, runner: LeaseRunner, now: float) -> int | None:
         if not self.may_hold_roles() or now < runner.quiet_until:
             return None
-        order = self.order(runner)
+        order = self.candidate_order(runner)
         process_id = self.context.process_id
         return order.index(process_id) if process_id in order else None
 
@@ -205,7 +205,7 @@
     def _return_to_preferred(self, runner: LeaseRunner, now: float) -> None:
         """Hands over to the preferred member once it and the fleet have been stable for long enough."""
         stability_period = self.context.fleet.file.leases.stability_period
-        order = self.order(runner)
+        order = self.candidate_order(runner)
         if not order or order[0] == self.context.process_id:
             return
         if min(now - self.last_fault_at, now - runner.leading_since) < stability_period:
@@ -221,7 +221,9 @@
 
     def _obey(self, runner: LeaseRunner, target: str, now: float) -> None:
         """Carries out an operator's command; `target` is a member's name, or ""."""
-        found = [process for process in self.order(runner) if target and member_name(process) == target]
+        found = [
+            process for process in self.candidate_order(runner) if target and member_name(process) == target
+        ]
         if target and not found:
             candidate = runner.candidate
             self.context.log_event(
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -222,7 +222,7 @@
     def _something_waits(self) -> bool:
         membership = self.membership
         return bool(
-            self.leasing.messenger.local
+            self.leasing.messenger.local_messages
             or membership.changes
             or membership.received_payloads
             or membership.received_broadcasts
--- a/onyxhollow/fleet/role_ranking.py
+++ b/onyxhollow/fleet/role_ranking.py
@@ -57,7 +57,7 @@
         """Members or flags have changed, or time has passed: orders are computed again."""
         self._orders.clear()
 
-    def order(self, role: str, zone: str | None) -> list[str]:
+    def candidate_order(self, role: str, zone: str | None) -> list[str]:
         """Process ids of those that may hold a role, the preferred first.
 
         Args:
@@ -77,7 +77,7 @@
 
     def successor(self, role: str, zone: str | None) -> str:
         """Who is to follow this process: one of its own name, else the first of the others; "" if none."""
-        others = [process for process in self.order(role, zone) if process != self.process_id]
+        others = [process for process in self.candidate_order(role, zone) if process != self.process_id]
         own = [process for process in others if member_name(process) == self.name]
         if own:
             return own[-1]
--- a/onyxhollow/fleet/shared_addresses/announcer_task.py
+++ b/onyxhollow/fleet/shared_addresses/announcer_task.py
@@ -16,7 +16,7 @@
 from onyxhollow.addresses.routes import Preference
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
-from onyxhollow.fleet.leader_tasks import STALE_TERM_STATUS, CallingTask
+from onyxhollow.fleet.leader_tasks import STALE_TERM_STATUS, HttpRequestTask
 from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
 from onyxhollow.wire.discovery_connection import DiscoveryConnection, DiscoveryStatusError
 from onyxhollow.wire.endpoint_list import EndpointListError
@@ -42,7 +42,7 @@
     return GuardedRoute(Preference(int(row["wanted"])), None if installed is None else Preference(installed))
 
 
-class AnnouncerTask(CallingTask):
+class AnnouncerTask(HttpRequestTask):
     """Calls the route guard while this process holds the site's lease.
 
     Attributes:
--- a/onyxhollow/fleet/shared_addresses/local_health.py
+++ b/onyxhollow/fleet/shared_addresses/local_health.py
@@ -7,7 +7,7 @@
 from onyxhollow.addresses.file import AddressesFile, Service
 from onyxhollow.addresses.health import ProbeTarget
 from onyxhollow.addresses.messages import AddressHealth
-from onyxhollow.counters import ACCEPTED, ENDS
+from onyxhollow.counters import ACCEPTED, FINAL_ANSWERS
 from onyxhollow.fleet.context import MemberContext
 
 
@@ -47,7 +47,7 @@
 
     def listeners_of(self, service: Service) -> list[str]:
         """The listeners served under an address; all that have had sessions if the file names none."""
-        return service.listeners or list(self.member.proxy.counters.ends[ACCEPTED])
+        return service.listeners or list(self.member.proxy.counters.final_answers[ACCEPTED])
 
     def count_sessions(self) -> Counter[str]:
         """Open sessions by listener."""
@@ -59,6 +59,6 @@
 
     def count_outcomes(self, listeners: list[str]) -> tuple[int, int]:
         """Sessions accepted, and all that were answered, so far."""
-        ends = self.member.proxy.counters.ends
-        by_end = {end: sum(ends[end].get(listener, 0) for listener in listeners) for end in ENDS}
+        ends = self.member.proxy.counters.final_answers
+        by_end = {end: sum(ends[end].get(listener, 0) for listener in listeners) for end in FINAL_ANSWERS}
         return by_end[ACCEPTED], sum(by_end.values())
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -175,7 +175,7 @@
         candidate = runner.candidate
         known = self.leases.known_holders.get(role, KnownTerm(0, ""))
         left = round(max(0.0, candidate.expires_at - now), 3) if candidate.holds(now) else None
-        order = self.leases.order(runner)[:SHOWN_CANDIDATES]
+        order = self.leases.candidate_order(runner)[:SHOWN_CANDIDATES]
         return {
             "duty": role,
             "term": known.term,
--- a/onyxhollow/lab/fleet/explore.py
+++ b/onyxhollow/lab/fleet/explore.py
@@ -116,7 +116,11 @@
                 tuple(sorted(voter.slots.items(), key=lambda row: row[0])),
                 voter.recovering,
                 voter.recovering
-                and (voter.silent_until, tuple(sorted(voter.peer_recovering.items())), voter.next_query_at),
+                and (
+                    voter.no_grants_before,
+                    tuple(sorted(voter.peer_recovering.items())),
+                    voter.next_query_at,
+                ),
             )
             for voter in self.voters
         )
--- a/onyxhollow/leases/messages.py
+++ b/onyxhollow/leases/messages.py
@@ -280,11 +280,11 @@
     pending: PendingVoterSet
 
 
-class MemoryRecovered(Message, frozen=True, tag=24):
+class RecoveryCompleted(Message, frozen=True, tag=24):
     """From here on the records hold all that this voter has to know."""
 
 
-VoterRecord = LeaseGrant | LeaseReleased | VoterSetChanged | ProposalAccepted | MemoryRecovered
+VoterRecord = LeaseGrant | LeaseReleased | VoterSetChanged | ProposalAccepted | RecoveryCompleted
 
 MESSAGE_DECODER = msgspec.msgpack.Decoder(LeaseMessage)
 RECORD_DECODER = msgspec.msgpack.Decoder(VoterRecord)
--- a/onyxhollow/leases/voter.py
+++ b/onyxhollow/leases/voter.py
@@ -28,12 +28,12 @@
     KnownTerm,
     LeaseGrant,
     LeaseReleased,
-    MemoryRecovered,
     Message,
     PendingVoterSet,
     ProposalAccepted,
     ReconfigurationRequest,
     ReconfigurationResponse,
+    RecoveryCompleted,
     Refusal,
     ReleaseNotice,
     StateQuery,
@@ -47,7 +47,7 @@
 from onyxhollow.leases.voter_slot import VoterSlot, decide_vote
 
 MAX_ROLES = 256  # that one voter grants leases of
-MAX_LEASE_DURATION = 60.0  # seconds
+MAX_LEASE_DURATION_SECONDS = 60.0  # seconds
 STATE_QUERY_INTERVAL = 0.25  # seconds between the queries of a recovering voter
 
 
@@ -94,7 +94,7 @@
         slots: By role.
         pending: The voter set that it has accepted; None once a newer one is in force.
         recovering: It has lost its memory, or never had one.
-        silent_until: A recovering voter grants nothing before this.
+        no_grants_before: A recovering voter grants nothing before this.
         peer_recovering: By name of the voters that have answered the state query: whether they recover too.
     """
 
@@ -105,7 +105,7 @@
         self.slots: dict[str, VoterSlot] = {}
         self.pending: PendingVoterSet | None = None
         self.recovering = True
-        self.silent_until = now + lease_duration
+        self.no_grants_before = now + lease_duration
         self.peer_recovering: dict[str, bool] = {}
         self.query_round = 0
         self.next_query_at = now
@@ -127,7 +127,7 @@
                 self._adopt(record.voter_set, now)
             elif isinstance(record, ProposalAccepted):
                 self.pending = record.pending
-            elif isinstance(record, MemoryRecovered):
+            elif isinstance(record, RecoveryCompleted):
                 self.recovering = False
 
     def records(self) -> list[Message]:
@@ -139,7 +139,7 @@
             records.append(LeaseGrant(role, slot.term, slot.holder, duration))
         if self.pending:
             records.append(ProposalAccepted(self.pending))
-        return records if self.recovering else [*records, MemoryRecovered()]
+        return records if self.recovering else [*records, RecoveryCompleted()]
 
     def undo(self) -> None:
         """The latest message's records could not be stored: nothing is answered, and nothing holds."""
@@ -168,7 +168,7 @@
         # peers have lost their memory too, nobody has more to report than that.
         remembering = sum(1 for name in self.peers if self.peer_recovering.get(name) is False)
         all_answered = all(name in self.peer_recovering for name in self.peers)
-        if now >= self.silent_until and (remembering >= self.voter_set.majority or all_answered):
+        if now >= self.no_grants_before and (remembering >= self.voter_set.majority or all_answered):
             self.recovering = False
             return RecoveryOutput([], self.records())
         if now < self.next_query_at:
@@ -246,7 +246,7 @@
     def _refuse(self, now: float, request: VoteRequest, slot: VoterSlot, refusal: Refusal) -> VoteResponse:
         remaining = slot.remaining(now)
         if refusal is Refusal.RECOVERING:
-            remaining = self.silent_until - now
+            remaining = self.no_grants_before - now
         return VoteResponse(
             request.role,
             request.term,
@@ -307,7 +307,7 @@
         if self.name in voter_set.names and self.name not in self.voter_set.names:
             # A newcomer knows nothing of what was granted meanwhile.
             self.recovering = True
-            self.silent_until = now + self.lease_duration
+            self.no_grants_before = now + self.lease_duration
             self.peer_recovering = {}
         self.voter_set = voter_set
         if self.pending and self.pending.voter_set.version <= voter_set.version:
--- a/onyxhollow/lifecycle/operator_pages.py
+++ b/onyxhollow/lifecycle/operator_pages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxhollow.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
+from onyxhollow.counters import ACCEPTED, FAILED, REJECTED, Counters
 from onyxhollow.decision_adapter import DecisionAdapter
 from onyxhollow.management import metrics
 from onyxhollow.management.api import PLAIN, Answer
@@ -44,10 +44,10 @@
             ("reconfig_ok_total", counts["reloads"] - refused),
             ("reconfig_failed_total", refused),
         )
-        ends = self.counters.ends
+        ends = self.counters.final_answers
         by_tier = (
             ("success_total", ends[ACCEPTED]),
-            ("busy_total", ends[REFUSED]),
-            ("failure_total", ends[TORN_DOWN]),
+            ("busy_total", ends[REJECTED]),
+            ("failure_total", ends[FAILED]),
         )
         return 200, metrics.render(by_tier, values), metrics.TEXT
--- a/onyxhollow/wire/session_core.py
+++ b/onyxhollow/wire/session_core.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from onyxhollow.counters import REFUSED, TORN_DOWN
+from onyxhollow.counters import FAILED, REJECTED
 from onyxhollow.decision_adapter import SessionHandle
 from onyxhollow.loop import Task
 from onyxhollow.wire.channel import Channel
@@ -83,7 +83,7 @@
         """Answers what can't be read or used with ERR, at once, whatever else waits on that connection."""
         self.registry.report_malformed(why, line)
         self.end(ConnectionEvent.MALFORMED, "malformed")
-        self.count_outcome(TORN_DOWN)
+        self.count_outcome(FAILED)
         self.client.write(b"ERR\r\n")
         self.client.finish(ERROR_READ_TIMEOUT)
 
@@ -91,7 +91,7 @@
         """Counts what a client was told: the one place, once for each session taken."""
         if self.request is not None and not self.outcome_counted:
             self.outcome_counted = True
-            self.counters.ended(outcome, self.request.listener)
+            self.counters.count_final_answer(outcome, self.request.listener)
 
     def conclude(self, handle: SessionHandle, rejected: bool) -> None:
         """Ends a session for which nothing more is tried: the client has left, or the proxy stops."""
@@ -115,7 +115,7 @@
     def answer(self, rejected: bool, retry_after: float = 0.0) -> None:
         """The one final answer of a session: rejected (BUSY, nothing ran) or torn down (ERR)."""
         self.counters.add("sessions refused" if rejected else "sessions torn down")
-        self.count_outcome(REFUSED if rejected else TORN_DOWN)
+        self.count_outcome(REJECTED if rejected else FAILED)
         self.end(ConnectionEvent.ANSWERED, "refused" if rejected else "torn down")
         self.write_answer(rejected, retry_after)
 
--- a/onyxhollow/wire/session_registry.py
+++ b/onyxhollow/wire/session_registry.py
@@ -92,7 +92,7 @@
         self.active_count = 0  # sessions taken and not ended
         self.connection_limit = DEFAULT_CONNECTION_LIMIT  # descriptors past which room is made
         self.adoption_deadline = self.loop.now + ADOPTION_PERIOD
-        self.counters.open_listeners(settings.listeners)
+        self.counters.add_listeners(settings.listeners)
 
     def apply_settings(self, settings: SessionSettings) -> None:
         """Sets the terms of sessions that come from now on; earlier ones keep their listener's terms.
@@ -106,7 +106,7 @@
                 served[name] = (listener, now + DROPPED_LISTENER_GRACE)
         self.dropped_listeners = served
         self.settings = settings
-        self.counters.open_listeners(settings.listeners)
+        self.counters.add_listeners(settings.listeners)
         self.attempts.apply_settings(settings.load_field, settings.connect_timeout)
 
     def find_listener(self, name: str) -> Listener | None:
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -83,7 +83,7 @@
     leasing.LeaseReleased(role="call-out", term=52),
     leasing.LeaseGrant(role="known", term=9, holder="", lease_duration=0.0),
     leasing.ProposalAccepted(pending=PENDING),
-    leasing.MemoryRecovered(),
+    leasing.RecoveryCompleted(),
 ]
 ORDER = addressing.Override(
     id="1f-2", number=21, verb="drain", address="address-a", site="east",
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -59,9 +59,9 @@
         patch.setattr("os.fsync", MagicMock(side_effect=OSError(errno.EIO, "no")))
         request(1)
         request(1)
-    assert not messenger.local and not service.voter.slots and service.disk_failing
+    assert not messenger.local_messages and not service.voter.slots and service.disk_failing
     assert events[1:] == [("voter disk", "no")] and context.counts["voter: disk failures"] == 2
     request(1)
-    assert [message.granted for _, message in messenger.local] == [True] and not service.disk_failing
+    assert [message.granted for _, message in messenger.local_messages] == [True] and not service.disk_failing
     assert events[2:] == [("voter disk", "")]
     service.close()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,9 +16,9 @@
     ConfigurationCommitted,
     KnownTerm,
     LeaseGrant,
-    MemoryRecovered,
     ReconfigurationRequest,
     ReconfigurationResponse,
+    RecoveryCompleted,
     Refusal,
     ReleaseNotice,
     ReplaceVoterCommand,
@@ -115,7 +115,7 @@
     newcomer = Voter("z", VOTER_SET, LEASE, 0.0)
     newcomer.recovering = False
     newcomer.on_message(9.1, "y", ConfigurationCommitted(after))
-    assert newcomer.recovering and newcomer.silent_until == 13.1
+    assert newcomer.recovering and newcomer.no_grants_before == 13.1
 
 
 def test_a_lease_counts_from_before_its_request_and_is_shorter_by_the_bound_on_clock_rates():
@@ -180,7 +180,7 @@
         self.disks = {name: [] for name in "abcdefg"}
         for name in "abcde":
             self.voters[name].recovering = False
-            self.disks[name] = [MemoryRecovered()]
+            self.disks[name] = [RecoveryCompleted()]
         roles = ("d", VOTERS_ROLE)
         self.candidates = {
             (process, role): Candidate(role, process, LeaseTiming(LEASE, 0.01), voter_set, Random(1), 0.0)
--- a/tests/test_role_ranking.py
+++ b/tests/test_role_ranking.py
@@ -17,7 +17,7 @@
         member.flags = MAY_HOLD_ROLES
 
     def order():
-        return RoleRanking(membership, "m0", "m0~1", lambda: True).order("d", None)
+        return RoleRanking(membership, "m0", "m0~1", lambda: True).candidate_order("d", None)
 
     first = next(process for process in order() if process != "m0~1")
     for _ in range(4):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -175,9 +175,9 @@
 
 def test_names_of_any_kind_are_read_back_from_the_figures():
     counters, odd = Counters(), 'a "quoted"\\\nname'
-    counters.open_listeners([odd])
-    counters.ended("accepted", odd)
-    text = metrics.render([("success_total", counters.ends["accepted"])], []).decode()
+    counters.add_listeners([odd])
+    counters.count_final_answer("accepted", odd)
+    text = metrics.render([("success_total", counters.final_answers["accepted"])], []).decode()
     assert read_figures(text)["lb_success_total", odd] == 1
 
 
