--- a/onyxhollow/addresses/controller.py
+++ b/onyxhollow/addresses/controller.py
@@ -220,14 +220,14 @@
         health = self.health.assess(route.site, route.address, now)
         route.load = health.load
         route.arrival_rate = health.arrival_rate
-        answers = self.has_answered_lately(route.site, now)
+        answers = self.has_answered_recently(route.site, now)
         has_daemon = self.guard_ready.get(route.site, False)
         route.reachable = answers and has_daemon and route.key in self.reported_routes
         route.observe(health.health, health.reason, self.policy, now)
         if answers and not route.reachable:
             route.health_reason = f"its gate has no speaker; {route.health_reason}"
 
-    def has_answered_lately(self, site: str, now: float) -> bool:
+    def has_answered_recently(self, site: str, now: float) -> bool:
         """Whether a site's announcer has reported under this term, and not long ago."""
         return now - self.answered_at.get(site, -math.inf) <= self.policy.max_evidence_age
 
@@ -261,7 +261,7 @@
 
     def is_last(self, route: RouteState, now: float) -> bool:
         """Whether the route's site must not withdraw it by itself."""
-        obstacle = DecisionRound(self.policy, self.routes.values(), {}, now).obstacle(route)
+        obstacle = DecisionRound(self.policy, self.routes.values(), {}, now).find_obstacle(route)
         return obstacle is not None and obstacle.rule is SuppressionRule.LAST_SITE
 
     # what is sent
@@ -272,7 +272,7 @@
         A site that has not answered lately gets no rows: its state has to be reported first.
         """
         rows = []
-        if self.has_answered_lately(site, now):
+        if self.has_answered_recently(site, now):
             rows = [self.status(route, now) for route in self.routes.values() if route.site == site]
         for page in paginate(rows) if rows else [rows]:
             self.last_number += 1
--- a/onyxhollow/addresses/file.py
+++ b/onyxhollow/addresses/file.py
@@ -94,7 +94,7 @@
     )  # seconds between own sessions; 0: none
 
 
-def read_address(text: str, key: str) -> tuple[str, int]:
+def parse_host_port(text: str, key: str) -> tuple[str, int]:
     """Host and port of `HOST:PORT`.
 
     Raises:
@@ -157,7 +157,7 @@
 
 def check_site(index: int, site: Site) -> None:
     """A site's route guard and next hop are addresses."""
-    read_address(site.route_guard, f"site[{index}].gate")
+    parse_host_port(site.route_guard, f"site[{index}].gate")
     if site.next_hop == "self":
         return
     try:
--- a/onyxhollow/addresses/health.py
+++ b/onyxhollow/addresses/health.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class ProbeTarget:
+class HealthTracker:
     """What one member sees of one address at its own listener."""
 
     outcomes: deque[OutcomeCount] = field(default_factory=deque)
--- a/onyxhollow/addresses/rules.py
+++ b/onyxhollow/addresses/rules.py
@@ -99,7 +99,7 @@
             moved = self.moved_load.get(other.site, 0.0)
             self.moved_load[other.site] = moved + route.load / len(receivers)
 
-    def obstacle(self, route: RouteState, share: float = 1.0) -> Obstacle | None:
+    def find_obstacle(self, route: RouteState, share: float = 1.0) -> Obstacle | None:
         """Rule 3: whether the last sites, or capacity elsewhere, forbid that `share` of its sessions move."""
         others = self.other_advertisers(route)
         usable = self.usable_advertisers(route)
@@ -186,7 +186,7 @@
             self.step_aside(route)
             return
         reason = f"health {route.health:.2f} for {self.now - route.unhealthy_since:.1f} s"
-        obstacle = self.obstacle(route)
+        obstacle = self.find_obstacle(route)
         if obstacle is None:
             self.change(route, Preference.WITHDRAWN, Cause.HEALTH, reason)
         elif self.may_be_lowered(route, obstacle):
@@ -202,7 +202,7 @@
         return (
             obstacle.rule is SuppressionRule.NO_CAPACITY
             and route.preference is Preference.ADVERTISED
-            and not self.obstacle(route, PART)
+            and not self.find_obstacle(route, PART)
         )
 
     def step_aside(self, route: RouteState) -> None:
@@ -217,7 +217,7 @@
         reason = f"{withdrawn}, most {policy.max_concurrent_withdrawals}"
         was_unhealthy_before = route.unhealthy_since <= self.first_withdrawn_at
         is_advertised = route.preference is Preference.ADVERTISED
-        if was_unhealthy_before and is_advertised and self.obstacle(route) is None:
+        if was_unhealthy_before and is_advertised and self.find_obstacle(route) is None:
             lasted = self.now - route.unhealthy_since
             reason = f"{reason}; ill before that, for {lasted:.1f} s"
             self.change(route, Preference.LOWERED, Cause.STEPPED_ASIDE, reason)
@@ -230,7 +230,7 @@
         if route.preference is Preference.WITHDRAWN:
             return
         what = f"excluded: {override.exclude}" if override.exclude else f"drain: {override.drain}"
-        obstacle = self.obstacle(route)
+        obstacle = self.find_obstacle(route)
         if obstacle is not None:
             if route.preference is Preference.LOWERED and obstacle.rule is SuppressionRule.LAST_SITE:
                 self.change(route, Preference.ADVERTISED, Cause.NONE, f"{what}; but {obstacle.reason}")
--- a/onyxhollow/fleet/route_guard.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -36,7 +36,7 @@
 import msgspec
 import orjson
 
-from onyxhollow.addresses.file import AddressesError, AddressesFile, Site, read_address
+from onyxhollow.addresses.file import AddressesError, AddressesFile, Site, parse_host_port
 from onyxhollow.addresses.health import HealthAggregator
 from onyxhollow.addresses.messages import AddressHealth, HealthReport
 from onyxhollow.addresses.route_table import RECORDS, GuardRecord, RouteTable, StaleTermError, encode
@@ -90,7 +90,7 @@
         self.member_seen_at = clock.now()  # the last report of any member
         self.management = Management(
             self.loop,
-            read_address(config.listen, "listen"),
+            parse_host_port(config.listen, "listen"),
             self.counters,
             {
                 "/routes": {"GET": lambda _: self.answer_state()},
@@ -101,7 +101,7 @@
             },
         )
         self.daemon = RoutingDaemonClient(
-            self.loop, read_address(config.speaker, "speaker"), self.table, self.log_event, self.counters
+            self.loop, parse_host_port(config.speaker, "speaker"), self.table, self.log_event, self.counters
         )
         self.loop.spawn(self.watch_for_orphans())
         preferences = {name: int(preference) for name, preference in self.table.preferences.items()}
--- a/onyxhollow/fleet/route_guard_config.py
+++ b/onyxhollow/fleet/route_guard_config.py
@@ -11,7 +11,7 @@
     AddressesFile,
     Site,
     one_line_errors,
-    read_address,
+    parse_host_port,
     read_addresses,
 )
 
@@ -48,8 +48,8 @@
 
 def check(config: RouteGuardConfig) -> None:
     """Raises AddressesError for a value that types alone do not forbid."""
-    read_address(config.listen, "listen")
-    read_address(config.speaker, "speaker")
+    parse_host_port(config.listen, "listen")
+    parse_host_port(config.speaker, "speaker")
     if not 0 < config.own_as <= MAX_AS_NUMBER:
         raise AddressesError(f"own_as: expected 1 to {MAX_AS_NUMBER}, got {config.own_as}")
     if not MIN_ORPHANED_AFTER <= config.orphaned_after <= MAX_ORPHANED_AFTER:
--- a/onyxhollow/fleet/shared_addresses/announcer_task.py
+++ b/onyxhollow/fleet/shared_addresses/announcer_task.py
@@ -11,7 +11,7 @@
 import orjson
 
 from onyxhollow.addresses.announcer import Announcer, GuardedRoute, GuardState
-from onyxhollow.addresses.file import AddressesFile, Site, read_address
+from onyxhollow.addresses.file import AddressesFile, Site, parse_host_port
 from onyxhollow.addresses.messages import DrainRequest, RouteAssignment, paginate
 from onyxhollow.addresses.routes import Preference
 from onyxhollow.fleet import clock
@@ -62,7 +62,7 @@
         self.core: Announcer | None = None
         self.last_progress_at = member.loop.now
         self.superseded = False
-        self.address = read_address(site.route_guard, "gate")
+        self.address = parse_host_port(site.route_guard, "gate")
 
     def start(self, term: int, lease_held: Callable[[], bool]) -> None:
         """Begins a term; `lease_held` is called before each call to the guard."""
--- a/onyxhollow/fleet/shared_addresses/controller_task.py
+++ b/onyxhollow/fleet/shared_addresses/controller_task.py
@@ -105,7 +105,7 @@
 
         Who announces may not be known here.
         """
-        if core.has_answered_lately(outgoing.site, clock.now()):
+        if core.has_answered_recently(outgoing.site, clock.now()):
             self.messenger.to_announcer(outgoing.site, outgoing.message)
         else:
             self.messenger.to_zone(outgoing.site, outgoing.message)
--- a/onyxhollow/fleet/shared_addresses/health_probes.py
+++ b/onyxhollow/fleet/shared_addresses/health_probes.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from onyxhollow.addresses.file import AddressesFile, Service, Site, read_address
+from onyxhollow.addresses.file import AddressesFile, Service, Site, parse_host_port
 from onyxhollow.fleet.context import MemberContext
 from onyxhollow.fleet.shared_addresses.local_health import LocalHealth
 from onyxhollow.wire.buffers import BufferPool
@@ -88,7 +88,7 @@
 
     def __init__(self, member: MemberContext, site: Site, health: LocalHealth) -> None:
         self.member = member
-        self.address = read_address(site.route_guard, "gate")
+        self.address = parse_host_port(site.route_guard, "gate")
         self.health = health
         self.pool = BufferPool()
 
--- a/onyxhollow/fleet/shared_addresses/local_health.py
+++ b/onyxhollow/fleet/shared_addresses/local_health.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from onyxhollow.addresses.file import AddressesFile, Service
-from onyxhollow.addresses.health import ProbeTarget
+from onyxhollow.addresses.health import HealthTracker
 from onyxhollow.addresses.messages import AddressHealth
 from onyxhollow.counters import ACCEPTED, ENDS
 from onyxhollow.fleet.context import MemberContext
@@ -22,7 +22,7 @@
     def __init__(self, member: MemberContext, config: AddressesFile) -> None:
         self.member = member
         self.services = config.services
-        self.targets = {service.name: ProbeTarget() for service in config.services}
+        self.targets = {service.name: HealthTracker() for service in config.services}
         self.latest: list[AddressHealth] = []
 
     def measure(self, now: float) -> list[AddressHealth]:
--- a/onyxhollow/lab/fleet/wander.py
+++ b/onyxhollow/lab/fleet/wander.py
@@ -422,13 +422,13 @@
 
 def no_least() -> Any:
     """The last ones go like any other."""
-    true = rules.DecisionRound.obstacle
+    true = rules.DecisionRound.find_obstacle
 
     def hindrance(self: rules.DecisionRound, cell: RouteState, share: float = 1.0) -> rules.Obstacle | None:
         found = true(self, cell, share)
         return None if found and found.rule is SuppressionRule.LAST_SITE else found
 
-    return mock.patch.object(rules.DecisionRound, "obstacle", hindrance)
+    return mock.patch.object(rules.DecisionRound, "find_obstacle", hindrance)
 
 
 def no_budget() -> Any:
--- a/tests/test_address_health.py
+++ b/tests/test_address_health.py
@@ -1,6 +1,6 @@
 """Health of a site from the reports of its members."""
 
-from onyxhollow.addresses.health import HealthAggregator, ProbeTarget
+from onyxhollow.addresses.health import HealthAggregator, HealthTracker
 from onyxhollow.addresses.messages import (
     AddressHealth,
     HealthReport,
@@ -32,7 +32,7 @@
 
 
 def test_a_probe_target_is_as_healthy_as_the_worst_of_its_signs():
-    target = ProbeTarget()
+    target = HealthTracker()
     assert target.assess(True, 4, 4)[0] == 1.0 and target.assess(False, 4, 4) == (0.0, "takes no clients")
     assert [target.assess(True, *endpoints)[0] for endpoints in ((10, 0), (8, 1), (0, 0))] == [0.0, 0.5, 0.0]
     target.record_outcomes(0.0, 0, 0)
