--- a/onyxhollow/lifecycle/accepting.py
+++ b/onyxhollow/lifecycle/accepting.py
@@ -63,7 +63,7 @@
         """Accepts connections that the system has, 64 at most; whether there are no more."""
         for _ in range(MAX_BATCH):
             if self.pool.open_connections >= self.max_connections:
-                self.sessions.make_room()
+                self.sessions.free_descriptors()
             if self.pool.open_connections >= self.max_connections:
                 self.pause("accepts put off for want of room")
                 return False
--- a/onyxhollow/lifecycle/replacement.py
+++ b/onyxhollow/lifecycle/replacement.py
@@ -137,9 +137,11 @@
 
     def open_receiver(self) -> HandoffReceiver | None:
         """Listens for the predecessor's open connections; None where that can't be."""
-        take = partial(accept_handoff, self.sessions)
+        take_over = partial(accept_handoff, self.sessions)
         try:
-            return HandoffReceiver(self.loop, self.handover.handoff_path, take, self.decisions.on_all_adopted)
+            return HandoffReceiver(
+                self.loop, self.handover.handoff_path, take_over, self.decisions.on_all_adopted
+            )
         except OSError as error:  # a path too long, perhaps: its clients are migrated then
             self.log("nothing passed on", why=str(error))
             return None
@@ -202,7 +204,7 @@
         for connection in self.sessions.table.live:
             if slots <= 0:
                 break
-            is_new = connection.handoff_taken is None and connection.handoff_sender is None
+            is_new = connection.handoff_accepted is None and connection.handoff_sender is None
             if connection.is_open and is_new:
                 connection.handoff_sender = sender
                 slots -= 1
--- a/onyxhollow/wire/client_session.py
+++ b/onyxhollow/wire/client_session.py
@@ -23,7 +23,7 @@
 
 def accept_connection(registry: SessionRegistry, sock: socket.socket) -> None:
     """Begins to serve a connection that was accepted; OSError if the loop can't watch it."""
-    registry.make_room()
+    registry.free_descriptors()
     ClientSession(registry, sock)
 
 
--- a/onyxhollow/wire/established_connection.py
+++ b/onyxhollow/wire/established_connection.py
@@ -118,27 +118,27 @@
         handoff = None if unusable else self.describe()
         if handoff is None:
             session.handoff_sender = None
-            session.handoff_taken = False
+            session.handoff_accepted = False
             return False
         for channel in (self.client, self.server):
             self.loop.watch(channel.fd, 0, None)
         if sender.send(handoff.encode(), [self.client.fd, self.server.fd], self.on_answer):
             session.advance(ConnectionEvent.HANDOFF_SENT)
-            while session.handoff_taken is None:
+            while session.handoff_accepted is None:
                 yield math.inf
-            if session.handoff_taken:
+            if session.handoff_accepted:
                 self.end_handed_off()
                 return True
             session.advance(ConnectionEvent.HANDOFF_REFUSED)
         session.handoff_sender = None
-        session.handoff_taken = False
+        session.handoff_accepted = False
         for channel in (self.client, self.server):
             channel.update_interest()
         return False
 
     def on_answer(self, taken: bool) -> None:
         """The successor has answered, or is gone."""
-        self.session.handoff_taken = taken
+        self.session.handoff_accepted = taken
         self.session.wake()
 
     def describe(self) -> ConnectionHandoff | None:
--- a/onyxhollow/wire/first_line.py
+++ b/onyxhollow/wire/first_line.py
@@ -10,8 +10,8 @@
 from onyxhollow.wire.session_core import SessionCore
 from onyxhollow.wire.session_registry import BUSY
 
-FIRST_LINE_TIMEOUT = 2.5  # seconds in which a connection says what it wants; the protocol allows 3 s
-FRONT_LINE_TIMEOUT = 30.0  # the same after a PING: the connection is the front's, which may send more
+FIRST_LINE_TIMEOUT_SECONDS = 2.5  # seconds in which a connection says what it wants; the protocol allows 3 s
+AFTER_PING_TIMEOUT_SECONDS = 30.0  # the same after a PING: the connection is the front's, which may send more
 STARTED_LINE_TIMEOUT = 0.3  # seconds for the rest of a line that came as its connection was to be ended
 MAX_PINGS_PER_SECOND = 32  # from one connection; a front sends fewer
 PONG = b"PONG\r\n"
@@ -26,7 +26,7 @@
         self.loop = session.loop
         self.client = session.client
         self.registry = session.registry
-        self.until = session.loop.now + FIRST_LINE_TIMEOUT
+        self.until = session.loop.now + FIRST_LINE_TIMEOUT_SECONDS
         self.extended = False  # the rest of a line that had begun to come was waited for
         self.pings = 0  # in the second that began at pings_since
         self.pings_since = 0.0
@@ -55,7 +55,7 @@
                 self.registry.table.mark_idle(self.session)
                 self.client.set_paused(False)
                 if len(self.client.inbox):
-                    self.until = min(self.until, self.loop.now + FIRST_LINE_TIMEOUT)
+                    self.until = min(self.until, self.loop.now + FIRST_LINE_TIMEOUT_SECONDS)
                 yield self.until
 
     def answer_ping(self) -> bool:
@@ -70,7 +70,7 @@
             raise MalformedError("too many PINGs")
         service = self.registry.service
         self.client.write(PONG if service.answers_pings else NOT_IN_SERVICE)
-        self.until = self.loop.now + FRONT_LINE_TIMEOUT
+        self.until = self.loop.now + AFTER_PING_TIMEOUT_SECONDS
         if service.is_any(ServicePhase.HANDING_OVER) and not len(self.client.inbox):
             # Its next call goes to the successor. Ended after an answer, none is on its way here.
             self.registry.table.mark_active(session)
--- a/onyxhollow/wire/handoff_channel.py
+++ b/onyxhollow/wire/handoff_channel.py
@@ -93,21 +93,21 @@
 class HandoffReceiver:
     """The successor's end; OSError from the constructor if nothing can be listened for at the path.
 
-    `take` gets a record and the two sockets, and returns whether it has them now; `done` is called once the
-    sender has ended.
+    `take_over` receives a record and the two sockets, and returns whether it has accepted them.
+    `on_closed` is called when the sender has closed its end.
     """
 
     def __init__(
         self,
         loop: Loop,
         path: str,
-        take: Callable[[dict[str, Any], socket.socket, socket.socket], bool],
-        done: Callable[[], None],
+        take_over: Callable[[dict[str, Any], socket.socket, socket.socket], bool],
+        on_closed: Callable[[], None],
     ) -> None:
         self.loop = loop
         self.path = path
-        self.take = take
-        self.done = done
+        self.take_over = take_over
+        self.on_closed = on_closed
         self.sender: socket.socket | None = None
         self.listener = open_unix_socket()
         try:
@@ -145,11 +145,11 @@
             if not message:
                 self.close()
                 return
-            answer = self.answer_for(message, fds)
+            answer = self.process_message(message, fds)
             with contextlib.suppress(OSError):  # it has died: what it handed off is served all the same
                 sender.send(answer)
 
-    def answer_for(self, message: bytes, fds: list[int]) -> bytes:
+    def process_message(self, message: bytes, fds: list[int]) -> bytes:
         """Takes the connection of a message, or closes its descriptors; returns the answer for the sender."""
         socks: list[socket.socket] = []
         number = 0
@@ -158,7 +158,7 @@
             record = orjson.loads(message)
             number = int(record["number"])
             usable = record["version"] == VERSION and len(socks) == DESCRIPTORS_PER_MESSAGE
-            if usable and self.take(record, *socks):
+            if usable and self.take_over(record, *socks):
                 return b"%d taken" % number
         except Exception as error:  # noqa: BLE001 -- whatever it was, the sender keeps the connection
             self.loop.report_failure("passing", error)
@@ -182,4 +182,4 @@
             self.loop.watch(self.sender.fileno(), 0, None)
             self.sender.close()
             self.sender = None
-            self.done()
+            self.on_closed()
--- a/onyxhollow/wire/placement.py
+++ b/onyxhollow/wire/placement.py
@@ -48,7 +48,7 @@
         if self.request.open_at is not None:
             return (yield from self.adopt(self.request.open_at, listener, tenant))
         self.registry.adoption_deadline = -math.inf  # the run has begun: all from before it are up
-        if not self.registry.make_room():
+        if not self.registry.free_descriptors():
             # An attempt without a descriptor would fail here and be held against the endpoint.
             self.counters.add("sessions refused for want of descriptors")
             self.session.answer(True)
--- a/onyxhollow/wire/session_core.py
+++ b/onyxhollow/wire/session_core.py
@@ -40,7 +40,7 @@
         self.endpoint = ""  # the one that the newest attempt was made at
         self.end_reason = ""
         self.handoff_sender: HandoffSender | None = None  # the connection is to be handed off there
-        self.handoff_taken: bool | None = None  # the successor's answer
+        self.handoff_accepted: bool | None = None  # the successor's answer
 
     @property
     def is_open(self) -> bool:
--- a/onyxhollow/wire/session_registry.py
+++ b/onyxhollow/wire/session_registry.py
@@ -16,10 +16,12 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_table import SessionTable
 
-NEW_CONNECTION_GRACE = (
+NEW_CONNECTION_GRACE_SECONDS = (
     0.3  # seconds for which a new connection is not closed for room: its line may be on the way
 )
-CLOSING_GRACE = 0.1  # seconds for which one that only ends in order is left alone where there is no room
+CLOSING_GRACE_SECONDS = (
+    0.1  # seconds for which one that only ends in order is left alone where there is no room
+)
 DROPPED_LISTENER_GRACE = (
     2.0  # seconds for which sessions of a listener dropped by a reload may still be on their way
 )
@@ -36,7 +38,7 @@
     accepted_at: float  # seconds of the loop's clock
     stopping: bool
     handoff_sender: HandoffSender | None
-    handoff_taken: bool | None
+    handoff_accepted: bool | None
 
     @property
     def is_open(self) -> bool:
@@ -130,7 +132,7 @@
         """Whether room is to be made: the last descriptors are for attempts, health checks and the list."""
         return self.pool.open_connections >= self.connection_limit
 
-    def make_room(self) -> bool:
+    def free_descriptors(self) -> bool:
         """Closes connections that ask for nothing, so that they don't take the place of those that do.
 
         Returns whether there is room now.
@@ -139,7 +141,7 @@
             self._close_ending_connections()
         while self.is_crowded:
             longest = self.table.longest_idle()
-            if longest is None or self.loop.now - longest.accepted_at < NEW_CONNECTION_GRACE:
+            if longest is None or self.loop.now - longest.accepted_at < NEW_CONNECTION_GRACE_SECONDS:
                 break  # its line may be on the way
             self._evict(longest)
         return not self.is_crowded
@@ -147,7 +149,7 @@
     def _close_ending_connections(self) -> None:
         now = self.loop.now
         for closing in list(self.pool.closing.values()):
-            if not self.is_crowded or now - closing.since < CLOSING_GRACE:
+            if not self.is_crowded or now - closing.since < CLOSING_GRACE_SECONDS:
                 break
             if not closing.has_unsent():  # else its final answer would go with it
                 closing.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -207,8 +207,8 @@
 @pytest.mark.parametrize("said", [b"", b"PING\r\n"])
 def test_a_request_that_crosses_the_end_of_a_resting_connection_finds_its_answer(loopback, monkeypatch, said):
     # Read after the end of sending it could not be answered any more, and the connection was closed.
-    monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT", 0.2)
-    monkeypatch.setattr(first_line, "FRONT_LINE_TIMEOUT", 0.2)
+    monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT_SECONDS", 0.2)
+    monkeypatch.setattr(first_line, "AFTER_PING_TIMEOUT_SECONDS", 0.2)
     proxy = loopback()
     client = proxy.client(said)
     ends = Channel.finish
@@ -224,7 +224,7 @@
 
 
 def test_a_request_that_comes_as_its_resting_connection_is_to_be_ended_is_served(loopback, monkeypatch):
-    monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT", 0.2)
+    monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT_SECONDS", 0.2)
     proxy = loopback()
     client = proxy.client()
     proxy.until(lambda: proxy.proxy.sessions.table.live)
@@ -253,7 +253,7 @@
 
 
 def test_a_request_that_crosses_an_eviction_for_room_finds_its_answer(loopback, monkeypatch):
-    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE_SECONDS", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 10)
     first = proxy.client(b"PING\r\n")
     proxy.until(lambda: first.read() == b"PONG\r\n")
@@ -273,7 +273,7 @@
 
 
 def test_a_last_answer_that_its_client_reads_slowly_is_not_given_up_for_room(loopback, monkeypatch):
-    monkeypatch.setattr(session_registry, "CLOSING_GRACE", 0.0)
+    monkeypatch.setattr(session_registry, "CLOSING_GRACE_SECONDS", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 16)
     client, server = proxy.established()
     (live,) = proxy.proxy.sessions.table.live
@@ -287,7 +287,7 @@
             proxy.run_for(0.01)
     live.handle.decisions.migrate(live.handle)
     proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.closing)
-    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE_SECONDS", 0.0)
     others = [proxy.client(b"PING\r\n") for _ in range(40)]
     proxy.until(lambda: sum(bool(peer.read() and peer.end) for peer in others) > 20)
     proxy.until(lambda: client.read().endswith(b"MOVE\r\n") and client.end == "closed")
@@ -313,7 +313,7 @@
 
 
 def test_a_queue_that_no_descriptor_is_left_for_is_answered_by_the_end_of_the_stop(loopback, monkeypatch):
-    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE_SECONDS", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 100, known=False)
     clients, ends = [], ClientAcceptor.stop_listening
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -387,7 +387,7 @@
     young = [proxy.client() for _ in range(6)]
     proxy.run_for(0.05)
     assert not any(peer.read() or peer.end for peer in young)
-    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE_SECONDS", 0.0)
     others = [proxy.client() for _ in range(6)]
     proxy.run_for(0.05)
     half.send(b"d=2000\r\n")
@@ -410,7 +410,7 @@
 
 
 def test_the_front_is_answered_and_idle_connections_make_room_for_sessions(loopback, monkeypatch):
-    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
+    monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE_SECONDS", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 10)
     idle = []
     for _ in range(12):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -572,14 +572,17 @@
     record = orjson.loads(orjson.dumps({"version": 1, "number": 7, **sent[0]}))
     record["line"] = record["line"].replace("OPEN 9b1f1", "OPEN 9b1f2")
     receiver = HandoffReceiver.__new__(HandoffReceiver)
-    receiver.loop, receiver.take = proxy.proxy.loop, partial(accept_handoff, proxy.proxy.sessions)
+    receiver.loop, receiver.take_over = proxy.proxy.loop, partial(accept_handoff, proxy.proxy.sessions)
     text = json.dumps({**record, **change}).encode()
     for message in (text, json.dumps(record).encode()[:-9], b""):
         ends = socket.socketpair()
-        assert receiver.answer_for(message, [end.detach() for end in ends]).endswith(b" refused")
+        assert receiver.process_message(message, [end.detach() for end in ends]).endswith(b" refused")
     assert len(proxy.proxy.sessions.table) == 1 and not client.end
     ends = socket.socketpair(), socket.socketpair()
-    assert receiver.answer_for(json.dumps(record).encode(), [pair[0].detach() for pair in ends]) == b"7 taken"
+    assert (
+        receiver.process_message(json.dumps(record).encode(), [pair[0].detach() for pair in ends])
+        == b"7 taken"
+    )
 
 
 def test_a_hand_over_file_is_used_whole_or_not_at_all():
