--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -130,7 +130,7 @@
 
     def _join_proxy(self, authenticator: DatagramAuthenticator) -> None:
         proxy = self.proxy
-        proxy.parts.append(self)
+        proxy.extensions.append(self)
         status = StatusApi(
             self,
             self.leasing,
--- a/onyxhollow/fleet/route_guard.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -48,7 +48,7 @@
 from onyxhollow.fleet.routing_daemon import RoutingDaemonClient
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.loop import Loop
-from onyxhollow.management.api import PLAIN, Answer, Management
+from onyxhollow.management.api import PLAIN_TEXT, Answer, Management
 from onyxhollow.wire.listening import ListenError
 
 CHECK_INTERVAL = 0.2  # seconds between checks whether an announcer still calls
@@ -148,7 +148,7 @@
         """Stores what a call has changed, then answers; without the disk nothing of the call counts."""
         if records and not self.store(records):
             self.table.revert(before)
-            return 503, b"the disk fails\n", PLAIN
+            return 503, b"the disk fails\n", PLAIN_TEXT
         if records:
             self.daemon.wake()
         return self.answer_state()
@@ -173,7 +173,7 @@
         term = read_number(parameters, "term")
         member = read_text(parameters, "member")
         if term < 1 or not member:
-            return 400, b"claim: expected term and member\n", PLAIN
+            return 400, b"claim: expected term and member\n", PLAIN_TEXT
         before = self.table.copy()
         try:
             records = self.table.claim(term, member, clock.now())
@@ -193,7 +193,7 @@
         name = read_text(parameters, "name")
         known = preference in (0, 1, 2) and name in self.table.preferences
         if min(term, number) < 1 or controller_term < 0 or not known:
-            return 400, b"set: expected term, number, keeper, a known name, as from 0 to 2\n", PLAIN
+            return 400, b"set: expected term, number, keeper, a known name, as from 0 to 2\n", PLAIN_TEXT
         before = self.table.copy()
         try:
             records = self.table.set_preference(
@@ -227,7 +227,7 @@
                 if name in self.table.preferences:
                     rows.append(AddressHealth(name, float(text), "", 0.0, 0.0))
         if not member or not rows:
-            return 400, b"seen: expected member, and addresses with their health\n", PLAIN
+            return 400, b"seen: expected member, and addresses with their health\n", PLAIN_TEXT
         self.member_seen_at = clock.now()
         self.health.record(member, HealthReport(self.config.site, rows), self.member_seen_at)
         return self.answer_state()
--- a/onyxhollow/fleet/shared_addresses/override_api.py
+++ b/onyxhollow/fleet/shared_addresses/override_api.py
@@ -21,7 +21,7 @@
 from onyxhollow.addresses.overrides import MAX_REASON_BYTES, VERBS, OverrideLog
 from onyxhollow.fleet.context import MemberContext
 from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
-from onyxhollow.management.api import PLAIN, Answer
+from onyxhollow.management.api import PLAIN_TEXT, Answer
 
 MAX_PENDING = 64  # overrides on their way to the voters
 DONE_REMEMBERED = 256  # overrides that are stored, for operators who ask
@@ -149,9 +149,9 @@
         try:
             override = self.reader.read(query)
         except InvalidOverrideError as error:
-            return 400, f"{error}\n".encode(), PLAIN
+            return 400, f"{error}\n".encode(), PLAIN_TEXT
         if len(self.pending) >= MAX_PENDING:
-            return 503, b"too many orders are on their way\n", PLAIN
+            return 503, b"too many orders are on their way\n", PLAIN_TEXT
         pending = PendingOverride(override)
         self.pending[override.id] = pending
         self.send(pending)
@@ -164,7 +164,7 @@
         pending = self.pending.get(override_id)
         needed = self.member.voters.majority
         if pending is None and override_id not in self.done:
-            return 404, b"id: no such order here\n", PLAIN
+            return 404, b"id: no such order here\n", PLAIN_TEXT
         stored = needed if pending is None else len(pending.stored_by)
         state = {"id": override_id, "kept": stored, "needed": needed, "done": pending is None}
         return 200, orjson.dumps(state), JSON
--- a/onyxhollow/fleet/shared_addresses/query_api.py
+++ b/onyxhollow/fleet/shared_addresses/query_api.py
@@ -28,7 +28,7 @@
 from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
 from onyxhollow.fleet.shared_addresses.override_api import InvalidOverrideError, OverrideReader, RequestIds
 from onyxhollow.fleet.shared_addresses.override_store import VoterStore
-from onyxhollow.management.api import PLAIN, Answer
+from onyxhollow.management.api import PLAIN_TEXT, Answer
 
 PART_BYTES = 800  # of an answer in one message
 MAX_PARTS = 256
@@ -81,7 +81,7 @@
             try:
                 override = msgspec.structs.replace(self.reader.read(query), number=PLANNED_NUMBER)
             except InvalidOverrideError as error:
-                return 400, f"{error}\n".encode(), PLAIN
+                return 400, f"{error}\n".encode(), PLAIN_TEXT
         return self.start_query(kind, override)
 
     def show_answer(self, query_id: str) -> Answer:
@@ -90,7 +90,7 @@
             return 200, self.answers[query_id], JSON
         if query_id in self.waiting:
             return 202, orjson.dumps({"id": query_id}), JSON
-        return 404, b"id: no such question here\n", PLAIN
+        return 404, b"id: no such question here\n", PLAIN_TEXT
 
     def start_query(self, kind: QueryKind, override: Override | None) -> Answer:
         """Sends a query to who can answer it; answers with its id."""
@@ -98,7 +98,7 @@
         process_id = self.find_voter() if kind is QueryKind.HISTORY else self.messenger.controller.process_id
         if not process_id:
             text = b"no voter is there\n" if kind is QueryKind.HISTORY else b"no keeper is known\n"
-            return 503, text, PLAIN
+            return 503, text, PLAIN_TEXT
         self.waiting[query_id] = {}
         while len(self.waiting) > MAX_WAITING:
             self.waiting.popitem(last=False)
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -18,7 +18,7 @@
 from onyxhollow.fleet.leasing import Leasing
 from onyxhollow.fleet.list_replication import ListReplication
 from onyxhollow.leases.messages import VOTERS_ROLE, HandOverCommand, KnownTerm, ReplaceVoterCommand
-from onyxhollow.management.api import PLAIN, Answer
+from onyxhollow.management.api import PLAIN_TEXT, Answer
 from onyxhollow.membership.member_table import Member
 from onyxhollow.policy.tracked import TrackedEndpoint
 
@@ -116,12 +116,12 @@
         role = words.get("name", "")
         target = words.get("to", "")
         if role not in self.leases.runners and role not in self.leases.known_holders:
-            return 404, f"name: expected a duty, got {role[:QUOTED]!r}\n".encode(), PLAIN
+            return 404, f"name: expected a duty, got {role[:QUOTED]!r}\n".encode(), PLAIN_TEXT
         if target and not self._is_live(target):
-            return 404, f"to: expected a member that is there, got {target[:QUOTED]!r}\n".encode(), PLAIN
+            return 404, f"to: expected a member that is there, got {target[:QUOTED]!r}\n".encode(), PLAIN_TEXT
         holder = self.leases.holder(role)
         if not holder:
-            return 409, f"{role}: no holder is known\n".encode(), PLAIN
+            return 409, f"{role}: no holder is known\n".encode(), PLAIN_TEXT
         return self._send(holder, HandOverCommand(role, target))
 
     def replace_voter(self, query: str) -> Answer:
@@ -132,19 +132,19 @@
         names = self.context.voters.names
         if remove not in names:
             expected = ", ".join(names)
-            return 404, f"remove: expected one of {expected}, got {remove[:QUOTED]!r}\n".encode(), PLAIN
+            return 404, f"remove: expected one of {expected}, got {remove[:QUOTED]!r}\n".encode(), PLAIN_TEXT
         if add in names or not self._is_live(add):
             expected = "a member that is there and no voter"
-            return 404, f"add: expected {expected}, got {add[:QUOTED]!r}\n".encode(), PLAIN
+            return 404, f"add: expected {expected}, got {add[:QUOTED]!r}\n".encode(), PLAIN_TEXT
         holder = self.leases.holder(VOTERS_ROLE)
         if not holder:
-            return 409, b"no holder of the duty of changing voters is known\n", PLAIN
+            return 409, b"no holder of the duty of changing voters is known\n", PLAIN_TEXT
         return self._send(holder, ReplaceVoterCommand(remove, add))
 
     def _send(self, holder: str, command: HandOverCommand | ReplaceVoterCommand) -> Answer:
         self.messenger.send_to_process(holder, command)
         self.context.task.wake()
-        return 200, f"told {holder}\n".encode(), PLAIN
+        return 200, f"told {holder}\n".encode(), PLAIN_TEXT
 
     def _is_live(self, name: str) -> bool:
         live = self.context.membership.live_members()
--- a/onyxhollow/lifecycle/draining.py
+++ b/onyxhollow/lifecycle/draining.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable, Generator
 
-from onyxhollow.management.api import PLAIN, Answer
+from onyxhollow.management.api import PLAIN_TEXT, Answer
 from onyxhollow.service_state import ServicePhase, ServiceState
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_registry import SessionRegistry
@@ -67,16 +67,16 @@
             self.service.phase = ServicePhase.DRAINING
             self.log("out of service", live=self.sessions.active_count, within=DRAIN_TIME)
             self.loop.spawn(self.drain(self.drain_count))
-        return 200, b"out of service\n", PLAIN
+        return 200, b"out of service\n", PLAIN_TEXT
 
     def in_service(self, _: str) -> Answer:
         """Calls a drain off, or ends its effect."""
         if self.service.stopping:
-            return 503, b"stopping\n", PLAIN
+            return 503, b"stopping\n", PLAIN_TEXT
         if self.service.is_any(ServicePhase.DRAINING, ServicePhase.OUT_OF_SERVICE):
             self.service.phase = ServicePhase.IN_SERVICE
             self.log("in service", live=self.sessions.active_count)
-        return 200, b"in service\n", PLAIN
+        return 200, b"in service\n", PLAIN_TEXT
 
     def drain(self, number: int) -> Generator[float, None, None]:
         """Migrates clients away until an operator calls that off.
--- a/onyxhollow/lifecycle/handover.py
+++ b/onyxhollow/lifecycle/handover.py
@@ -33,7 +33,7 @@
 CLOCK_TOLERANCE = 1.0  # seconds by which what was written may seem to be of the future
 
 
-def given_socket(text: str) -> socket.socket:
+def open_inherited_socket(text: str) -> socket.socket:
     """The clients' listening socket that the platform keeps open; ListenError if the descriptor is none.
 
     Two processes share it, and its settings.
--- a/onyxhollow/lifecycle/limits.py
+++ b/onyxhollow/lifecycle/limits.py
@@ -13,7 +13,7 @@
 OWN_DESCRIPTORS = 12  # that are no connections: the loop's, the listener, standard ones, signals, the file
 MAX_STOP_TIME = 3.0  # seconds from SIGTERM to SIGKILL, as far as the longest attempt timeout counts ...
 STOP_TIME_MORE = 0.7  # ... and these more
-STOP_MARGIN = 0.6  # seconds before SIGKILL by which all clients have been sent MOVE
+STOP_MARGIN_SECONDS = 0.6  # seconds before SIGKILL by which all clients have been sent MOVE
 MANAGEMENT_CONNECTIONS = (8, 64)  # at least and at most: a sixteenth of the descriptors
 MANAGEMENT_DESCRIPTORS = 2  # of the management address besides: its listener and its poll
 MAX_HEALTH_CHECK_CONNECTIONS = 64
@@ -47,7 +47,7 @@
         descriptors -= management + MANAGEMENT_DESCRIPTORS
     least, most = HIGH_WATER_MARK
     return Limits(
-        stop_time=min(MAX_STOP_TIME, longest) + STOP_TIME_MORE - STOP_MARGIN,
+        stop_time=min(MAX_STOP_TIME, longest) + STOP_TIME_MORE - STOP_MARGIN_SECONDS,
         accepted_connections=descriptors - descriptors // 16,
         client_connections=descriptors - descriptors // 8,
         management_connections=management,
--- a/onyxhollow/lifecycle/operator_pages.py
+++ b/onyxhollow/lifecycle/operator_pages.py
@@ -5,7 +5,7 @@
 from onyxhollow.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
 from onyxhollow.decision_adapter import DecisionAdapter
 from onyxhollow.management import metrics
-from onyxhollow.management.api import PLAIN, Answer
+from onyxhollow.management.api import PLAIN_TEXT, Answer
 from onyxhollow.service_state import ServiceState
 from onyxhollow.wire.session_registry import SessionRegistry
 
@@ -28,8 +28,8 @@
     def ready(self, _: str) -> Answer:
         """200 while this process takes clients, else 503 with its phase."""
         if not self.service.ready:
-            return 503, f"{self.service.phase.value}\n".encode(), PLAIN
-        return 200, b"ready\n", PLAIN
+            return 503, f"{self.service.phase.value}\n".encode(), PLAIN_TEXT
+        return 200, b"ready\n", PLAIN_TEXT
 
     def metrics(self, _: str) -> Answer:
         """All metrics in the Prometheus text format."""
@@ -50,4 +50,4 @@
             ("busy_total", ends[REFUSED]),
             ("failure_total", ends[TORN_DOWN]),
         )
-        return 200, metrics.render(by_tier, values), metrics.TEXT
+        return 200, metrics.render(by_tier, values), metrics.CONTENT_TYPE
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -42,7 +42,7 @@
 Routes = dict[str, Mapping[str, Callable[[str], Answer]]]  # by path and method
 
 
-class Part(Protocol):
+class ProxyExtension(Protocol):
     """Something beside the sessions that this process carries: notified of what it may need to know."""
 
     def on_endpoint_list(self, kind: EndpointListKind, endpoints: list[Endpoint]) -> None:
@@ -69,7 +69,7 @@
         self.log = Log(log_descriptor, config.name)
         self.loop = Loop(self.report_failure)
         self.handover = handover
-        self.parts: list[Part] = []
+        self.extensions: list[ProxyExtension] = []
         self.first_list = FirstList()
         settings = config.settings
         follows = handover is not None and handover.follows
@@ -116,7 +116,7 @@
             self.acceptor,
             migrator,
             self.replacement,
-            self.close_parts,
+            self.close_extensions,
         )
         self.reloader = ConfigReloader(
             context,
@@ -194,8 +194,8 @@
         self.first_list.on_update(kind)
         try:
             self.decisions.report_list(kind, endpoints)
-            for part in self.parts:
-                part.on_endpoint_list(kind, endpoints)
+            for extension in self.extensions:
+                extension.on_endpoint_list(kind, endpoints)
         except Exception as error:  # noqa: BLE001 -- the list must go on being followed
             self.report_failure("list", error)
 
@@ -259,7 +259,7 @@
         }
         self.log.event("counters", **self.counters.snapshot(), **gauges)
 
-    def close_parts(self) -> None:
+    def close_extensions(self) -> None:
         """Ends the further parts, at the end of a stop."""
-        for part in self.parts:
-            part.close()
+        for extension in self.extensions:
+            extension.close()
--- a/onyxhollow/lifecycle/replacement.py
+++ b/onyxhollow/lifecycle/replacement.py
@@ -20,8 +20,8 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_registry import SessionRegistry
 
-LIST_TIMEOUT = 2.0  # seconds for which a successor waits for the list before it takes clients without
-STATE_TIMEOUT = 0.5  # seconds for which it waits for what the one before it knows
+LIST_TIMEOUT_SECONDS = 2.0  # seconds for which a successor waits for the list before it takes clients without
+STATE_TIMEOUT_SECONDS = 0.5  # seconds for which it waits for what the one before it knows
 STATE_POLL_INTERVAL = 0.02  # seconds between checks whether that is there
 POLL_INTERVAL = 0.1  # seconds between checks what the other process of this proxy does
 HANDOFF_STEP = 0.005  # seconds from one group of connections handed off to the next
@@ -80,9 +80,9 @@
     ) -> Generator[float, None, None]:
         """Restores the predecessor's state if there is any, and waits for the list."""
         self.discovery.poll()
-        yield from self.restore_state(configured_discovery, started_at + STATE_TIMEOUT)
-        while not self.first_list.received and self.loop.now < started_at + LIST_TIMEOUT:
-            yield started_at + LIST_TIMEOUT
+        yield from self.restore_state(configured_discovery, started_at + STATE_TIMEOUT_SECONDS)
+        while not self.first_list.received and self.loop.now < started_at + LIST_TIMEOUT_SECONDS:
+            yield started_at + LIST_TIMEOUT_SECONDS
 
     def take_clients(self, started_at: float) -> Generator[float, None, None]:
         """Takes new clients from now on, and open connections until the predecessor has ended."""
--- a/onyxhollow/lifecycle/serve.py
+++ b/onyxhollow/lifecycle/serve.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from onyxhollow.lifecycle.config import Config, read_config
-from onyxhollow.lifecycle.handover import Handover, given_socket
+from onyxhollow.lifecycle.handover import Handover, open_inherited_socket
 from onyxhollow.lifecycle.limits import raise_descriptor_limit
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.lifecycle.signals import SignalQueue
@@ -37,7 +37,7 @@
     try:
         descriptor = os.environ.get("LB_LISTEN_FD")
         if descriptor:
-            given = given_socket(descriptor)
+            given = open_inherited_socket(descriptor)
             with contextlib.suppress(OSError):  # no such folder: nothing is handed over
                 handover = Handover(os.environ.get("TMPDIR", ""))
         proxy = Proxy(
--- a/onyxhollow/lifecycle/shutdown.py
+++ b/onyxhollow/lifecycle/shutdown.py
@@ -6,7 +6,7 @@
 
 from onyxhollow.lifecycle.accepting import ClientAcceptor
 from onyxhollow.lifecycle.draining import STEP, ClientMigrator
-from onyxhollow.lifecycle.limits import STOP_MARGIN
+from onyxhollow.lifecycle.limits import STOP_MARGIN_SECONDS
 from onyxhollow.lifecycle.replacement import Replacement
 from onyxhollow.service_state import ServicePhase, ServiceState
 from onyxhollow.wire.network_context import NetworkContext
@@ -27,7 +27,7 @@
         acceptor: ClientAcceptor,
         migrator: ClientMigrator,
         replacement: Replacement | None,
-        close_parts: Callable[[], None],
+        close_extensions: Callable[[], None],
     ) -> None:
         self.loop = context.loop
         self.pool = context.pool
@@ -37,7 +37,7 @@
         self.acceptor = acceptor
         self.migrator = migrator
         self.replacement = replacement
-        self.close_parts = close_parts
+        self.close_extensions = close_extensions
         self.stop_time = 0.0  # seconds; from the configuration's limits
         self.begun = False
 
@@ -57,7 +57,9 @@
         last = started_at + self.stop_time
         self.log("stop", live=len(self.sessions.table), within=round(self.stop_time, 2))
         yield from self.end_accepting(last)
-        yield from self.migrator.migrate(last - STOP_MARGIN / 2, lambda: bool(self.sessions.table.live))
+        yield from self.migrator.migrate(
+            last - STOP_MARGIN_SECONDS / 2, lambda: bool(self.sessions.table.live)
+        )
         if self.sessions.table.live:
             yield from self.loop.sleep(last - self.loop.now)
         for connection in list(self.sessions.table.live):
@@ -65,7 +67,7 @@
         until = self.loop.now + LAST_LINES_TIMEOUT
         while self.loop.now < until and (self.sessions.table.live or self.pool.closing):
             yield from self.loop.sleep(STEP)
-        self.close_parts()
+        self.close_extensions()
         self.log("stopped", live=len(self.sessions.table), took=round(self.loop.now - started_at, 2))
         self.loop.running = False
 
@@ -77,7 +79,9 @@
         if replacement is not None and self.service.replaced:  # nothing new comes here
             self.service.phase = ServicePhase.HANDING_OVER
             if replacement.handoff_path:
-                yield from replacement.hand_off_connections(replacement.handoff_path, last - STOP_MARGIN)
+                yield from replacement.hand_off_connections(
+                    replacement.handoff_path, last - STOP_MARGIN_SECONDS
+                )
         else:
             self.service.phase = ServicePhase.STOPPING
             self.acceptor.update()  # those too that were waiting for it to start
--- a/onyxhollow/management/api.py
+++ b/onyxhollow/management/api.py
@@ -21,7 +21,7 @@
 MAX_BODY_SIZE = 64 * 1024  # bytes of a call's body, which is read and not used
 MAX_BATCH = 16  # callers accepted in one go
 DEFAULT_MAX_CONNECTIONS = 16  # until the configuration's limits are applied
-PLAIN = "text/plain; charset=utf-8"
+PLAIN_TEXT = "text/plain; charset=utf-8"
 Answer = tuple[int, bytes, str]  # status, body, content type
 Routes = Mapping[str, Mapping[str, Callable[[str], Answer]]]  # by path and method; called with the query
 
@@ -93,16 +93,16 @@
             path = "/" + path.split("/", 3)[3] if path.count("/") >= 3 else "/"
         methods = self.routes.get(path)
         if methods is None:
-            return (404, b"no such path\n", PLAIN), ""
+            return (404, b"no such path\n", PLAIN_TEXT), ""
         call = methods.get("GET" if method == "HEAD" else method)
         if call is None:
             allowed = "GET, HEAD" if "GET" in methods else ", ".join(methods)
-            return (405, b"not this method\n", PLAIN), allowed
+            return (405, b"not this method\n", PLAIN_TEXT), allowed
         try:
             return call(query), ""
         except Exception as error:  # noqa: BLE001 -- an operator is owed an answer all the same
             self.loop.report_failure("management", error)
-            return (500, b"failed\n", PLAIN), ""
+            return (500, b"failed\n", PLAIN_TEXT), ""
 
 
 class ManagementConnection:
@@ -131,7 +131,7 @@
         try:
             answered = self.read_call()
         except h11.RemoteProtocolError as error:
-            self.respond((error.error_status_hint, b"not a call that can be read\n", PLAIN))
+            self.respond((error.error_status_hint, b"not a call that can be read\n", PLAIN_TEXT))
             return
         if not answered and self.channel.ended:
             self.close()  # half a call, and then the end
@@ -151,7 +151,7 @@
             elif isinstance(event, h11.Data):
                 self.body_size += len(event.data)
                 if self.body_size > MAX_BODY_SIZE:
-                    self.respond((413, b"body too long\n", PLAIN))
+                    self.respond((413, b"body too long\n", PLAIN_TEXT))
                     return True
             elif isinstance(event, h11.EndOfMessage) and self.request is not None:
                 method = self.request.method.decode()
--- a/onyxhollow/management/metrics.py
+++ b/onyxhollow/management/metrics.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 
 PREFIX = "lb_"
-TEXT = "text/plain; version=0.0.4; charset=utf-8"  # the content type
+CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"  # the content type
 GAUGES = ("inflight", "hosts_listed", "hosts_down")  # all else counts up
 
 
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -24,8 +24,8 @@
 from onyxhollow.interface import Idempotency
 from onyxhollow.lifecycle import replacement
 from onyxhollow.lifecycle.config import read_config
-from onyxhollow.lifecycle.handover import Handover, decode_state, encode_state, given_socket
-from onyxhollow.lifecycle.limits import STOP_MARGIN
+from onyxhollow.lifecycle.handover import Handover, decode_state, encode_state, open_inherited_socket
+from onyxhollow.lifecycle.limits import STOP_MARGIN_SECONDS
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.topology import logs, snapshot_file
 from onyxhollow.wire.connection_handoff import ConnectionHandoff
@@ -168,7 +168,7 @@
     def __init__(self, folder, clock):
         self.folder, self.clock = folder, clock
         self.old = Handover(str(folder))
-        listener = given_socket(str(os.dup(socket.create_server(("127.0.0.1", 0)).detach())))
+        listener = open_inherited_socket(str(os.dup(socket.create_server(("127.0.0.1", 0)).detach())))
         self.proxy = make_proxy(read_recorded_config(), listener, Handover(str(folder)))
 
     def until(self, seen, within=3.0):
@@ -215,7 +215,7 @@
         return (self.folder / "onyxhollow-state").read_bytes()
 
     def pass_on(self, path):
-        until = self.proxy.loop.now + 5.0 - STOP_MARGIN
+        until = self.proxy.loop.now + 5.0 - STOP_MARGIN_SECONDS
         self.proxy.loop.spawn(self.proxy.replacement.hand_off_connections(path, until))
 
     def close(self):
@@ -248,8 +248,8 @@
     monkeypatch.setattr(time, "monotonic", clock)
     monkeypatch.setattr(time, "monotonic_ns", lambda: int(TOKEN.partition("-")[2]))
     monkeypatch.setattr(os, "getpid", lambda: int(TOKEN.partition("-")[0]))
-    monkeypatch.setattr(replacement, "LIST_TIMEOUT", 0.2)  # nobody tells the list here
-    monkeypatch.setattr(replacement, "STATE_TIMEOUT", 2.0)
+    monkeypatch.setattr(replacement, "LIST_TIMEOUT_SECONDS", 0.2)  # nobody tells the list here
+    monkeypatch.setattr(replacement, "STATE_TIMEOUT_SECONDS", 2.0)
     for name in [name for name in os.environ if name.startswith("LB_")]:
         monkeypatch.delenv(name)
     made = Successor(tmp_path, clock)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,7 +20,13 @@
 from onyxhollow.lifecycle import draining, replacement, shutdown
 from onyxhollow.lifecycle import handover as handovers
 from onyxhollow.lifecycle.config import ConfigError, decode, needs_restart, read_config
-from onyxhollow.lifecycle.handover import Handover, StateError, decode_state, encode_state, given_socket
+from onyxhollow.lifecycle.handover import (
+    Handover,
+    StateError,
+    decode_state,
+    encode_state,
+    open_inherited_socket,
+)
 from onyxhollow.management import metrics
 from onyxhollow.state_snapshot import count_avoided, restore_snapshot, take_snapshot
 from onyxhollow.wire.client_session import accept_handoff
@@ -373,7 +379,7 @@
         self.running = []
 
     def start(self, **changes):
-        given = given_socket(str(os.dup(self.socket.fileno())))
+        given = open_inherited_socket(str(os.dup(self.socket.fileno())))
         proxy = self.served("a", given=given, handover=Handover(self.folder), **changes)
         self.running.append(proxy)
         return proxy
@@ -483,7 +489,7 @@
     plain, file = socket.socket(), open(tmp_path / "file", "w")  # noqa: SIM115
     for told in (str(plain.fileno()), str(file.fileno()), "999", "-1", "x"):
         with pytest.raises(ListenError, match=r"LB_LISTEN_FD: expected a listening socket"):
-            given_socket(told)
+            open_inherited_socket(told)
     file.close()
 
 
@@ -540,7 +546,7 @@
     elif fails == "dies":
         new.proxy.loop.running = False
         overlap.running.remove(new)  # never turned again: it has the messages, and answers none
-        monkeypatch.setattr(shutdown, "STOP_MARGIN", 2.6)
+        monkeypatch.setattr(shutdown, "STOP_MARGIN_SECONDS", 2.6)
     else:
         monkeypatch.setattr(
             Handover, "successor_announcement", lambda _: {"state": "taking", "path": "/nowhere"}
@@ -644,7 +650,7 @@
 
 
 def test_a_successor_that_hears_no_list_goes_on_from_the_old_ones_and_takes_clients(overlap, monkeypatch):
-    monkeypatch.setattr(replacement, "LIST_TIMEOUT", 0.4)
+    monkeypatch.setattr(replacement, "LIST_TIMEOUT_SECONDS", 0.4)
     old = overlap.start()
     rows = [old.list_record("a"), old.list_record("a", "leaving") | {"host": "b"}]
     whole = {"seq": 41, "whole": True, "hosts": rows}
