--- a/onyxhollow/policy/__init__.py
+++ b/onyxhollow/policy/__init__.py
@@ -1,8 +1,8 @@
-"""All decisions of onyxhollow, from `balancer.py`, which a host calls, down to `estimators.py`.
+"""The decisions of onyxhollow, from `balancer.py`, which a host calls, down to `estimators.py`.
 
-A host (`onyxhollow.interface.Host`) makes one `Balancer` an instance and hands it the endpoint list
+A host (`onyxhollow.interface.Host`) creates one `Balancer` per instance and passes it the endpoint list
 (`on_endpoint_list`), sessions (`admit`, `adopt`), load reports (`on_health_check`) and its timer (`tick`).
-What happens to a session later is a call on the `Session` that it was given. docs/design.md has the reasons.
+Later events of a session are calls on the `Session` object that it was given. docs/design.md has the reasons.
 """
 
 from onyxhollow.policy.balancer import Balancer
--- a/onyxhollow/policy/arrivals.py
+++ b/onyxhollow/policy/arrivals.py
@@ -1,7 +1,7 @@
-"""Arrivals: how an endpoint that starts or comes back is brought to its fair share.
+"""Arrivals: how an endpoint that starts or returns to service is brought to its fair share.
 
-Decides from its age, the mean of own connections, latencies, and the slow-start budget. Guards against a rush
-on a cold endpoint, and against a warm one that stands idle while sessions are refused beside it.
+Inputs are its age, the mean number of own connections, latencies, and the slow-start budget. A cold endpoint
+is not overloaded by new sessions, and a warm one is not left idle while sessions are rejected.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 
 def start_arrival(state: PolicyState, endpoint: TrackedEndpoint) -> None:
-    """Begin to ease in an endpoint; of many instances as many place one early as the fair share says."""
+    """Start paced placements on an endpoint, up to this instance's fair share.
+
+    The share is rounded at random, so that the placements of many instances add up to the fair share.
+    """
     now = state.host.now
     share = state.mean_connections * endpoint.size
     endpoint.migration = None
@@ -24,28 +27,34 @@
     phase = (state.slow_start.phase + stable_uniform(endpoint.name)) % 1.0
     state.slow_start.tokens[endpoint] = (phase, now)
     endpoint.arrival = StagedMigration(int(share + state.rng.random()))
-    why = "cold" if state.slow_start.warming_up(endpoint, now) else "back"
-    state.host.log(f"arrival {endpoint.name}: {why}, size {endpoint.size:g}, share {share:.1f}")
+    reason = "cold" if state.slow_start.warming_up(endpoint, now) else "back"
+    state.host.log(f"arrival {endpoint.name}: {reason}, size {endpoint.size:g}, share {share:.1f}")
+    # The endpoint joins as many instances' subsets as the other endpoints.
     if state.rng.random() * len(state.endpoints) < len(state.subset) and endpoint not in state.subset:
-        state.subset[state.rng.randrange(len(state.subset))] = endpoint  # in as many subsets as others are
+        state.subset[state.rng.randrange(len(state.subset))] = endpoint
+
 
+def is_arrival(
+    state: PolicyState, entry: Endpoint, tracked: TrackedEndpoint | None, is_first_list: bool
+) -> bool:
+    """Return whether an entry in service is an arrival.
 
-def is_new(state: PolicyState, entry: Endpoint, known: TrackedEndpoint | None, first: bool) -> bool:
-    """Return whether an entry in service is an arrival: not in service before, or started again and cold."""
-    if known is None:
-        joined = not first
+    It is one if it was not in service before, or if it has restarted and is cold.
+    """
+    if tracked is None:
+        newly_in_service = not is_first_list
         started_before = None
     else:
-        joined = known.state is not entry.state
-        started_before = known.started_at
-    if joined or entry.started_at == started_before:
-        return joined
+        newly_in_service = tracked.state is not entry.state
+        started_before = tracked.started_at
+    if newly_in_service or entry.started_at == started_before:
+        return newly_in_service
     age = state.host.now - entry.started_at if entry.started_at is not None else None
     return age is not None and age < state.slow_start.warm_up_time
 
 
 def within_slow_start(state: PolicyState, endpoint: TrackedEndpoint, session: Session) -> bool:
-    """Return whether an arriving endpoint may get one more: by the staged pace and the slow-start budget."""
+    """Return whether staged pace and slow-start budget allow one more session on the endpoint."""
     arrival = endpoint.arrival
     if arrival is None:
         return True
@@ -60,12 +69,13 @@
         allowed = arrival.allowance(mean_latency(state, others), endpoint.latency(now))
         arrival.credited_at = now
         arrival.credit = arrival.credit or max(1, allowed)
-    due = arrival.credit > 0 or (session.was_queued and not cold)  # else refused beside an idle endpoint
-    return due and state.slow_start.refill(endpoint, state.connections_at_capacity, now) >= 1
+    # Queued sessions may exceed the pace of a warm endpoint; they would be rejected while it is idle.
+    within_pace = arrival.credit > 0 or (session.was_queued and not cold)
+    return within_pace and state.slow_start.refill(endpoint, state.connections_at_capacity, now) >= 1
 
 
 def count_placement(state: PolicyState, endpoint: TrackedEndpoint) -> None:
-    """Charge one session to an arriving endpoint's pace and budget."""
+    """Charge one session to an arriving endpoint's pace and slow-start budget."""
     if endpoint.arrival:
         endpoint.arrival.credit = max(0, endpoint.arrival.credit - 1)
         endpoint.arrival.moved += 1
--- a/onyxhollow/policy/balancer.py
+++ b/onyxhollow/policy/balancer.py
@@ -1,7 +1,7 @@
-"""The instance: its calls from the host, its one timer, and the binding of the decisions to its state.
+"""The balancer of one instance: the host's calls, the timer, and the binding of decisions to the state.
 
-Decides little itself: each call goes to the module named for it. Guards against what was learnt under other
-settings being read under new ones.
+Each call is delegated to the module of its decision. A change of settings discards the estimates that are not
+valid under the new ones.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 
 
 class Balancer(PolicyState):
-    """The decisions of one proxy, made for the host that carries it.
+    """The decisions of one proxy, on behalf of its host.
 
-    The host hands over the endpoint list (`on_endpoint_list`), sessions (`admit`, `adopt`), load reports
-    (`on_health_check`) and its one timer (`tick`). What happens to a session is a call on the session.
+    The host passes the endpoint list (`on_endpoint_list`), sessions (`admit`, `adopt`), load reports
+    (`on_health_check`) and its timer (`tick`). Later events of a session are calls on the `Session`.
     """
 
-    # Bound, not wrapped: one selection makes dozens of these calls, and a wrapper would add one to each.
+    # Bound without wrapper methods, which would add a call to each of the dozens of calls per selection.
     load_of = load_reports.load_of
     record_load = load_reports.record_load
     record_failure = outlier_detection.record_failure
@@ -60,23 +60,23 @@
 
     def __init__(self, host: Host, settings: Settings, seed: int) -> None:
         super().__init__(host, seed)
-        first_poll = self.rng.random()
+        poll_phase = self.rng.random()
         self.poll_needed = settings.list_is_polled
         self.apply_settings(settings)
-        self.poll_at = host.now + first_poll * min(self.poll_spread, self.max_poll_interval / 2)
+        self.next_poll_at = host.now + poll_phase * min(self.poll_spread, self.max_poll_interval / 2)
         self.rebalance_subset()
         host.set_timer(host.now + TICK_SECONDS)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over settings, at the start or later."""
-        self.read_settings(settings)
-        health_checks.start_rounds(self)
+        """Apply settings, at the start or at a reload."""
+        self.copy_settings(settings)
+        health_checks.start_health_checks(self)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Take over other settings in a running instance.
+        """Apply new settings to a running instance.
 
-        What was learnt under another meaning of the weight or of groups is dropped; the list must be told
-        complete again, and gives sizes by the new one.
+        Estimates are discarded if the meaning of weights or groups changes. The host must then report the
+        complete list again, which sets the sizes.
         """
         if settings.live_weights != self.live_weights:
             self.largest_weights.clear()
@@ -97,7 +97,7 @@
         self.redraw_subset()
 
     def tick(self) -> None:
-        """Do what has fallen due, serve the queue, and set the timer again."""
+        """Run due callbacks, serve the queue, and set the timer again."""
         now = self.host.now
         endpoints.poll_if_due(self)
         while self.timers and self.timers[0][0] <= now:
@@ -114,9 +114,9 @@
         load: float | None,
         name: str,
     ) -> Session | None:
-        """Count a connection that was open at an endpoint before this instance started.
+        """Register a connection that was open before this instance started, and return its session.
 
-        It is not moved off a drain. None if the endpoint is not in the list.
+        A drain does not migrate it. None is returned if the endpoint is not in the list.
         """
         endpoint = self.tracked.get(name)
         if endpoint is None:
@@ -126,5 +126,5 @@
         session.attempt_in_flight = True
         session.established = True
         session.answered = True
-        session.occupy(endpoint)
+        session.count_on_endpoint(endpoint)
         return session
--- a/onyxhollow/policy/estimators.py
+++ b/onyxhollow/policy/estimators.py
@@ -1,6 +1,6 @@
-"""Estimates over time: a smoothed value that expires, an arrival rate, and a number all instances agree on.
+"""Estimates over time: an average that expires, an arrival rate, and a number equal at all instances.
 
-Guards against acting on measurements that are no longer true: a value nobody has renewed is none at all.
+Values expire so that no decision is based on an outdated measurement.
 """
 
 from __future__ import annotations
@@ -9,36 +9,38 @@
 from collections.abc import Hashable
 from hashlib import blake2b
 
-EWMA_EXPIRY = 5.0  # seconds after which a value that was not renewed counts as unknown
-EWMA_WEIGHT = 0.3  # weight of the newest sample
+EWMA_EXPIRY_SECONDS = 5.0  # an average without a new sample for this long counts as unknown
+NEWEST_SAMPLE_WEIGHT = 0.3
 
 
 def stable_uniform(*names: Hashable) -> float:
-    """Return the same number between 0 and 1 for the same names, in every process."""
+    """Return a number between 0 and 1 that is the same for the same names in every process."""
     digest = blake2b(" ".join(map(str, names)).encode(), digest_size=6).digest()
     return (int.from_bytes(digest, "big") + 0.5) / 2.0**48
 
 
 class Ewma:
-    """Exponentially weighted moving average that expires when no sample renews it."""
+    """Exponentially weighted moving average that expires when no new sample is added."""
 
     value = 0.0
-    updated_at = -math.inf  # when the newest sample came
+    updated_at = -math.inf  # time of the newest sample
 
     def add(self, value: float, now: float) -> None:
-        """Add a sample; after an expiry it replaces the average."""
-        self.value += (value - self.value) * (EWMA_WEIGHT if now - self.updated_at < EWMA_EXPIRY else 1.0)
+        """Add a sample, which replaces an expired average."""
+        self.value += (value - self.value) * (
+            NEWEST_SAMPLE_WEIGHT if now - self.updated_at < EWMA_EXPIRY_SECONDS else 1.0
+        )
         self.updated_at = now
 
     def fresh_value(self, now: float) -> float | None:
         """Return the average, or None if it has expired."""
-        return self.value if now - self.updated_at < EWMA_EXPIRY else None
+        return self.value if now - self.updated_at < EWMA_EXPIRY_SECONDS else None
 
 
 class ArrivalRate:
-    """Arrivals a second, averaged over `TIME_CONSTANT_SECONDS` seconds with exponential decay."""
+    """Arrivals per second, averaged with exponential decay."""
 
-    TIME_CONSTANT_SECONDS = 20.0  # seconds
+    TIME_CONSTANT_SECONDS = 20.0  # of the decay
 
     def __init__(self, since: float) -> None:
         self.since = since
@@ -52,13 +54,14 @@
         )
         self.updated_at = now
 
-    def rate(self, now: float, less: float = 0.0) -> float:
-        """Return arrivals a second, `less` arrivals left out."""
+    def rate(self, now: float, excluded: float = 0.0) -> float:
+        """Return the arrivals per second, not counting `excluded` arrivals."""
         span = max(1.0, min(now - self.since, self.TIME_CONSTANT_SECONDS))
         return (
             max(
                 0.0,
-                self.decayed_count * math.exp((self.updated_at - now) / self.TIME_CONSTANT_SECONDS) - less,
+                self.decayed_count * math.exp((self.updated_at - now) / self.TIME_CONSTANT_SECONDS)
+                - excluded,
             )
             / span
         )
--- a/onyxhollow/policy/migration.py
+++ b/onyxhollow/policy/migration.py
@@ -1,37 +1,43 @@
 """The staged, latency-paced migration of the paper (section 3.2): how many connections move each second.
 
-Decides from the share already moved and from the latency of receiver against source. Guards against a target
-that is filled faster than it can serve, and against a slow source that keeps its clients too long.
+The rate depends on the share already moved and on the receiver's latency against the source's. It slows down
+for a receiver that cannot serve more, and speeds up for a slow source, whose clients should leave sooner.
 """
 
 from __future__ import annotations
 
 import math
 
-STAGE_RATES = (0.05, 0.10, 0.15, 0.20)  # of the connections a second, in stages of a quarter each
+STAGE_RATES = (0.05, 0.10, 0.15, 0.20)  # share of the connections per second, by stage
 
 
 class StagedMigration:
-    """One migration in four stages, which end at 25, 50, 75 and 100 percent moved.
+    """A migration in four stages, which end at 25, 50, 75 and 100 percent moved.
 
     Attributes:
-        count: connections to move.
-        moved: those moved so far; natural ends count too.
+        count: number of connections to move.
+        moved: number moved so far, including connections that ended by themselves.
+        carry: fraction of a connection carried over to the next second.
         credit: placements still allowed in this second (arrivals only).
-        credited_at: when credit was last given out.
-        latency: the source's before its drain notice, seconds; None if unknown.
+        credited_at: when `credit` was last renewed.
+        latency: the source's latency in seconds before its drain notice; None if unknown.
     """
 
     def __init__(self, count: int, latency: float | None = None) -> None:
         self.count = count
         self.moved = 0
-        self.carry = 0.0  # fractions go over to the next second
+        self.carry = 0.0
         self.credit = 0
         self.credited_at = -math.inf
         self.latency = latency
 
     def allowance(self, source: float | None, receiver: float | None) -> int:
-        """Return how many may move this second; latencies in seconds, without both the base rate holds."""
+        """Return how many connections may move this second.
+
+        Args:
+            source: the source's latency in seconds; None if unknown.
+            receiver: the receiver's latency in seconds. Unless both are known the stage's rate applies.
+        """
         stage = min(3, 4 * self.moved // max(1, self.count))
         rate = float(math.ceil(STAGE_RATES[stage] * self.count))
         if source is not None and receiver is not None:
--- a/onyxhollow/policy/retry.py
+++ b/onyxhollow/policy/retry.py
@@ -1,8 +1,8 @@
-"""What may be attempted again, where, and in what time.
+"""Retries: whether a session may be attempted again, at which endpoints, and with which timeout.
 
-Decides from the listener's idempotency, the endpoint on which a session may first have run, and the
-time left. Guards against running a request twice, against a write that comes too late for its client, and
-against a slow store that fails each early attempt.
+Inputs are the listener's idempotency, the endpoint on which a session may have run first, and the time left.
+The rules keep a request from running twice or being sent too late for its client. Timeouts grow with the
+average handshake, so that a slow backing store does not make every early attempt time out.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from onyxhollow.interface import DeduplicationScope, EndpointState, Idempotency, Listener
 from onyxhollow.policy.tracked import TrackedEndpoint
 
-WRITE_DELAY_MARGIN = 0.15  # seconds that may pass between reading the clock and a write
-MIN_SECONDS_LEFT = 0.05  # seconds left to a client under which nothing is sent: it would come too late
-HANDSHAKE_STRETCH = 3.0  # times the usual handshake that an early attempt gets at least
+MAX_WRITE_DELAY_SECONDS = 0.15  # between reading the clock and the write
+MIN_SECONDS_LEFT = 0.05  # with less until the deadline nothing is sent, as the answer would be too late
+HANDSHAKE_MULTIPLE = 3.0  # lower bound of an early attempt's timeout, in average handshake times
 
 
-class Attempt(Protocol):
-    """What is read of a session to decide on its attempts."""
+class RetryState(Protocol):
+    """The part of a session that decisions on its attempts use."""
 
     listener: Listener
     deadline: float
@@ -30,13 +30,13 @@
     may_have_run_since: float
 
 
-def may_attempt_at(session: Attempt, endpoint: TrackedEndpoint, now: float) -> bool:
-    """Return whether an attempt at this endpoint can not make anything run twice (rule 2)."""
+def may_attempt_at(session: RetryState, endpoint: TrackedEndpoint, now: float) -> bool:
+    """Return whether an attempt at this endpoint cannot run the request twice (rule 2)."""
     first = session.may_have_run_on
     listener = session.listener
     if first is None or listener.idempotency is Idempotency.IDEMPOTENT:
         return True
-    window = listener.deduplication_window - WRITE_DELAY_MARGIN
+    window = listener.deduplication_window - MAX_WRITE_DELAY_SECONDS
     if listener.idempotency is Idempotency.NON_IDEMPOTENT or now - session.may_have_run_since >= window:
         return False
     if listener.deduplication_scope is DeduplicationScope.ALL:
@@ -46,11 +46,11 @@
     return endpoint.cell == first.cell
 
 
-def may_send(session: Attempt, now: float) -> bool:
+def may_send(session: RetryState, now: float) -> bool:
     """Return whether the attempt in flight may still be written, checked just before the write.
 
-    While it was connecting its endpoint may have begun to drain, or its client's time or the deduplication
-    window may have passed.
+    While the attempt was connecting, the endpoint may have begun to drain, or the client's deadline or the
+    deduplication window may have passed.
     """
     endpoint = session.endpoint
     return (
@@ -62,8 +62,8 @@
     )
 
 
-def attempts_spent(session: Attempt, endpoints: list[TrackedEndpoint], now: float) -> bool:
-    """Return whether nothing more may be attempted: no time, no attempt or no allowed endpoint is left."""
+def is_exhausted(session: RetryState, endpoints: list[TrackedEndpoint], now: float) -> bool:
+    """Return whether no time, no attempt or no allowed endpoint is left for the session."""
     return (
         session.deadline - now <= MIN_SECONDS_LEFT
         or len(session.attempted) >= session.max_attempts
@@ -74,18 +74,18 @@
     )
 
 
-def attempt_timeout(session: Attempt, left: float, usual_handshake: float) -> float:
-    """Return the seconds for an attempt; `left` is the session's time, which the last attempt gets whole."""
-    last = len(session.attempted) >= session.max_attempts
-    if last or session.listener.idempotency is Idempotency.NON_IDEMPOTENT:
-        return left
-    return min(left, max(session.listener.handshake_objective, HANDSHAKE_STRETCH * usual_handshake))
+def attempt_timeout(session: RetryState, time_left: float, average_handshake: float) -> float:
+    """Return an attempt's timeout in seconds; the last attempt gets all of the `time_left`."""
+    is_last = len(session.attempted) >= session.max_attempts
+    if is_last or session.listener.idempotency is Idempotency.NON_IDEMPOTENT:
+        return time_left
+    return min(time_left, max(session.listener.handshake_objective, HANDSHAKE_MULTIPLE * average_handshake))
 
 
-def may_reject(session: Attempt) -> bool:
-    """Return whether the client may be told to come again: nothing could run twice by that (rule 2)."""
+def may_reject(session: RetryState) -> bool:
+    """Return whether the client may be told to retry without running a request twice (rule 2)."""
     listener = session.listener
-    everywhere = (
+    deduplicated = (
         listener.idempotency is Idempotency.KEYED and listener.deduplication_scope is DeduplicationScope.ALL
     )
-    return session.may_have_run_on is None or listener.idempotency is Idempotency.IDEMPOTENT or everywhere
+    return session.may_have_run_on is None or listener.idempotency is Idempotency.IDEMPOTENT or deduplicated
--- a/onyxhollow/policy/session.py
+++ b/onyxhollow/policy/session.py
@@ -1,7 +1,7 @@
 """One client session, from its admission to the end of its connection.
 
-Holds what was attempted and answered, and passes each event on to the instance that decides. Guards against
-a second answer, against an attempt after the client has left, and against counting a connection twice.
+A session stores its attempts and answer, and forwards each event to the instance that decides. It prevents a
+second answer, an attempt after the client has left, and counting a connection twice.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from onyxhollow.policy.estimators import Ewma
 from onyxhollow.policy.tracked import TrackedEndpoint
 
-OVERLOAD_MEMORY = 1.5  # seconds for which a sign of overload bars an endpoint
-LATE_MESSAGE_SCORE = 0.3  # outlier score of one late message
-ACCEPTED_RELIEF = 0.7  # part of an outlier score that is left after an accepted session
+OVERLOAD_BLOCK_SECONDS = 1.5  # no new sessions for this long after a sign of overload
+LATE_MESSAGE_SCORE = 0.3  # added to the outlier score per late message
+ACCEPTED_SCORE_FACTOR = 0.7  # applied to the outlier score for each accepted session
 
 
 class SessionOwner(Protocol):
-    """What a session asks of the instance that decides for it."""
+    """The part of an instance that its sessions use."""
 
     host: Host
     max_attempts: int
@@ -37,33 +37,34 @@
         """Raise an endpoint's outlier score."""
 
     def record_load(self, endpoint: TrackedEndpoint, load: float) -> None:
-        """Take in a load report."""
+        """Record a load report."""
 
     def record_outcome(
         self, session: Session, endpoint: TrackedEndpoint, outcome: AttemptOutcome, took: float
     ) -> None:
-        """Learn from how an attempt or a connection ended."""
+        """Update scores after an attempt or a connection ended."""
 
     def start_migration(self, source: TrackedEndpoint, reason: str) -> None:
-        """Begin to hand off an endpoint's connections."""
+        """Start to migrate an endpoint's connections."""
 
 
 class Session:
-    """The handle of one session: all that happens to it after its admission is a call here.
+    """A client session; the host reports events after its admission by calls on this object.
 
     Attributes:
-        deadline: when its client gives up, on the host's clock; infinite for an adopted connection.
-        load: its own load, as core seconds a second; None if unknown.
-        endpoint: that of the attempt in flight or the connection.
+        deadline: when the client gives up, on the host's clock; infinite for an adopted connection.
+        load: the session's own load in core seconds per second; None if unknown.
+        endpoint: endpoint of the attempt in flight or of the connection.
         attempted: endpoints of all attempts so far.
-        sampled: endpoints drawn for the next attempt.
-        load_requests: endpoints that were asked for their load on its behalf.
-        attempt_in_flight: whether an attempt or a connection is out.
-        established: whether its connection is open.
-        answered: whether its client has its answer, or needs none.
-        placed_here: whether this instance chose the endpoint.
-        queue_until: when it is answered if no endpoint may take it.
-        may_have_run_on: the first endpoint on which it may have run; may_have_run_since: when that was sent.
+        sampled: endpoints drawn at random for the next attempt.
+        load_requests: number of health checks requested for this session.
+        attempt_in_flight: whether an attempt has started and neither it nor its connection has ended.
+        established: whether the connection is open.
+        answered: whether the client has its final answer, or needs none.
+        placed_here: whether this instance selected the endpoint.
+        queue_deadline: when the session is answered if no endpoint is eligible.
+        may_have_run_on: the first endpoint on which the request may have run.
+        may_have_run_since: when the first attempt that may have run was sent.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
         self.placed_here = False
         self.was_queued = False
         self.client_left = False
-        self.queue_until = (balancer.host.now + deadline) / 2
+        self.queue_deadline = (balancer.host.now + deadline) / 2
         self.may_have_run_on: TrackedEndpoint | None = None
         self.may_have_run_since = 0.0
 
@@ -106,14 +107,14 @@
         """Return whether the attempt in flight may still be written to its endpoint."""
         return retry.may_send(self, self.balancer.host.now)
 
-    def occupy(self, endpoint: TrackedEndpoint) -> None:
-        """Count the session among the endpoint's connections and its tenant's."""
+    def count_on_endpoint(self, endpoint: TrackedEndpoint) -> None:
+        """Add the session to the endpoint's connections and to its tenant's count."""
         endpoint.connections[self] = None
         endpoint.ever_used = True
         self.balancer.own_connections[self.tenant_name] += 1
 
     def release(self) -> None:
-        """Stop counting the session; an end during a migration counts as moved."""
+        """Remove the session from its endpoint and its tenant's count; a migration counts it as moved."""
         endpoint = self.endpoint
         if endpoint is not None and self in endpoint.connections:
             del endpoint.connections[self]
@@ -122,7 +123,7 @@
                 endpoint.migration.moved += 1
 
     def on_established(self, took: float) -> None:
-        """Take in that the endpoint accepted the session after `took` seconds."""
+        """Record that the endpoint accepted the session after `took` seconds."""
         endpoint = self.endpoint
         now = self.balancer.host.now
         if endpoint is None or self.answered:
@@ -131,29 +132,32 @@
         self.answered = True
         endpoint.handshake_time.add(took, now)
         self.balancer.handshake_time.add(took, now)
-        endpoint.recorded_score *= ACCEPTED_RELIEF
+        endpoint.recorded_score *= ACCEPTED_SCORE_FACTOR
 
     def on_load(self, load: float) -> None:
-        """Take in the session's own load, core seconds a second."""
+        """Record the session's own load in core seconds per second."""
         self.load = load
         self.load_reported_at = self.balancer.host.now
 
     def on_message_delay(self, delay: float) -> None:
-        """Take in how long a message took, seconds; late ones twice in a row start a migration."""
+        """Record the delay of a message in seconds.
+
+        A late message within `OVERLOAD_BLOCK_SECONDS` after another sign of overload starts a migration.
+        """
         endpoint = self.endpoint
         if endpoint is None:
             return
         now = self.balancer.host.now
         endpoint.message_delay.add(delay, now)
         if 0 < self.listener.message_objective < delay:
-            before = endpoint.overloaded_at
+            last_overload_at = endpoint.overloaded_at
             endpoint.overloaded_at = now
             self.balancer.record_failure(endpoint, LATE_MESSAGE_SCORE)
-            if now - before < OVERLOAD_MEMORY:
+            if now - last_overload_at < OVERLOAD_BLOCK_SECONDS:
                 self.balancer.start_migration(endpoint, f"messages take {delay:.2f} s")
 
     def on_client_gone(self) -> None:
-        """Take in that the client left: nothing is owed, an attempt in flight is cancelled where allowed."""
+        """Record that the client left and needs no answer; cancel an attempt in flight where allowed."""
         self.answered = True
         self.client_left = True
         if self.attempt_in_flight and not self.established and self.balancer.cancellation:
@@ -162,13 +166,13 @@
     def on_attempt_ended(
         self, outcome: AttemptOutcome, final: bool, took: float, load: float | None = None
     ) -> None:
-        """Take in how an attempt, or the connection it led to, ended after `took` seconds.
+        """Process the end of an attempt, or of the connection it led to, and attempt again if needed.
 
         Args:
             outcome: how it ended.
-            final: whether the client has its answer by that.
-            took: seconds since it was sent.
-            load: the endpoint's load over capacity if the answer reported it.
+            final: whether the client has its final answer.
+            took: seconds from the start of the attempt to its end.
+            load: the endpoint's load over capacity, if its answer contained a load report.
         """
         endpoint = self.endpoint
         if not self.attempt_in_flight or endpoint is None:
--- a/onyxhollow/policy/state.py
+++ b/onyxhollow/policy/state.py
@@ -1,8 +1,8 @@
-"""What one instance knows, and the calls that its decisions make on one another.
+"""The state of one instance, and the interface through which its decision modules call one another.
 
-The modules of this package are functions that take this state; `Balancer` binds them to it. The calls listed
-at the end are those that lead from one module to another, and that the lab replaces to show what each is for.
-Decides nothing. Guards against circles: every module knows this one, none knows the balancer.
+The modules of this package define functions that take this state; `Balancer` binds them as methods. The
+methods declared at the end are called across modules. The lab replaces single ones to measure their effect.
+The declarations avoid import cycles: every module imports this one, and none imports the balancer.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from onyxhollow.policy.slow_start import SlowStartBudget
 from onyxhollow.policy.tracked import TrackedEndpoint
 
-TICK_SECONDS = 0.05  # seconds of the one timer
-POLLS_PER_SECOND = 8.0  # that the endpoint list answers, of all instances together
-HEALTH_CHECK_BUDGET = 0.002  # of the result, spent on health checks in calm times
-MIN_CHECK_PRICE = 1e-4  # of a health check, for prices of nothing
-EJECTION_SCORE = 2.0  # outlier score that bars an endpoint, at the least
+TICK_SECONDS = 0.05  # interval of the instance's only timer
+LIST_POLLS_PER_SECOND = 8.0  # capacity of the endpoint list, shared by all instances
+HEALTH_CHECK_BUDGET = 0.002  # share of a session's result spent on checks while nothing is overloaded
+MIN_CHECK_PRICE = 1e-4  # replaces a health check price of 0
+EJECTION_SCORE = 2.0  # lower bound of the outlier score that ejects an endpoint
 
 
 class PolicyState:
@@ -32,39 +32,40 @@
         self.host = host
         self.rng = Random(seed)
         # Endpoints.
-        self.tracked: dict[str, TrackedEndpoint] = {}  # all of the list by name, in any state
-        self.endpoints = list[TrackedEndpoint]()  # those in service
-        self.subset = list[TrackedEndpoint]()  # those worked with
-        self.local = list[TrackedEndpoint]()  # of the own zone, where own connections are few
-        self.ring = list[tuple[float, int]]()  # position, place in endpoints
-        self.affinity = dict[Hashable, TrackedEndpoint]()  # the remembered best, by group; None: of all
+        self.tracked: dict[str, TrackedEndpoint] = {}  # by name, in any state
+        self.endpoints = list[TrackedEndpoint]()  # in service
+        self.subset = list[TrackedEndpoint]()  # the endpoints that this instance selects from
+        self.local_endpoints = list[TrackedEndpoint]()  # warm, of the own zone; empty unless few_connections
+        self.ring = list[tuple[float, int]]()  # position, index in endpoints
+        self.affinity = dict[Hashable, TrackedEndpoint]()  # last placement by group; None: of any session
         self.largest_weights = dict[str, float]()  # by machine type
         # Sessions.
-        self.queue = list[Session]()  # waiting for an endpoint that may take them
+        self.queue = list[Session]()  # waiting for an eligible endpoint
         self.own_connections = Counter[str]()  # by tenant
-        self.group_rates = dict[Hashable, ArrivalRate]()  # sessions taken, by group
+        self.group_rates = dict[Hashable, ArrivalRate]()  # of sessions, by group
         self.slow_start = SlowStartBudget(host.now)
-        self.handshake_time = Ewma()  # seconds, of all endpoints
-        # Estimates, renewed with the subset.
-        self.total_size = 1.0  # of warm endpoints
-        self.mean_connections = 0.0  # own, per size
-        self.connections_at_capacity = 1.0  # own ones that fill a size of 1
-        self.few_connections = False  # own ones are so few that their differences are chance
-        self.loads_unknown = False  # no endpoint reports its load
+        self.handshake_time = Ewma()  # seconds, over all endpoints
+        # Estimates, updated with the subset.
+        self.total_size = 1.0  # sum over warm endpoints
+        self.mean_connections = 0.0  # own connections per size
+        self.connections_at_capacity = 1.0  # own connections that fill an endpoint of size 1
+        self.few_connections = False  # so few own connections that differences are chance
+        self.loads_unknown = False  # no endpoint reports load
         self.prefer_local = False  # the load is low enough for affinity within the own zone
-        self.eligible_share = 0.0  # of the subset
+        self.eligible_share = 0.0  # of the subset, from 0 to 1
         self.ejection_threshold = EJECTION_SCORE
-        self.load_calibration = dict[str, tuple[float, float]]()  # by type: shared connections, load; sums
+        # By machine type: decayed sums of shared connections and of load.
+        self.load_calibration = dict[str, tuple[float, float]]()
         # The endpoint list and the timers.
-        self.list_failures = 0  # in a row
+        self.list_failures = 0  # consecutive
         self.poll_needed = False
-        self.poll_at = host.now
+        self.next_poll_at = host.now
         self.checks_running = False
         self.timers = list[tuple[float, int, Callable[[], None]]]()
         self.timer_count = 0
 
-    def read_settings(self, settings: Settings) -> None:
-        """Take over the values of the settings; sessions, migrations and timers go on."""
+    def copy_settings(self, settings: Settings) -> None:
+        """Copy the values of the settings; sessions, migrations and timers are not affected."""
         self.zone = settings.zone
         self.cross_zone_price = settings.cross_zone_price
         self.instance_count = settings.instance_count
@@ -76,18 +77,19 @@
         self.live_weights = settings.live_weights
         self.max_poll_interval = settings.max_poll_interval
         self.slow_start.apply_settings(settings)
-        self.poll_spread = max(1.0, settings.instance_count / POLLS_PER_SECOND)  # seconds for polls of all
+        # Seconds in which every instance can poll the list once.
+        self.poll_spread = max(1.0, settings.instance_count / LIST_POLLS_PER_SECOND)
         quotas = sum(tenant.connection_quota for tenant in settings.tenants.values())
-        self.own_quota = quotas / settings.instance_count  # own part of what tenants may hold
+        self.own_quota = quotas / settings.instance_count  # this instance's share of all connection quotas
         price = max(MIN_CHECK_PRICE, settings.health_check_price)
         self.checks_per_session = HEALTH_CHECK_BUDGET / price if settings.health_checks else 0.0
 
-    def schedule(self, wait: float, call: Callable[[], None]) -> None:
-        """Run a call after `wait` seconds, at a tick."""
+    def schedule(self, delay: float, callback: Callable[[], None]) -> None:
+        """Run a callback at the first tick after `delay` seconds."""
         self.timer_count += 1
-        heapq.heappush(self.timers, (self.host.now + wait, self.timer_count, call))
+        heapq.heappush(self.timers, (self.host.now + delay, self.timer_count, callback))
 
-    # Calls from module to module. Balancer provides them.
+    # Calls across modules, implemented by Balancer.
 
     def load_of(self, endpoint: TrackedEndpoint) -> float:
         """See `load_reports.load_of`."""
@@ -155,7 +157,7 @@
         """See `admission.attempt`."""
         raise NotImplementedError
 
-    def attempt_timeout(self, session: Session, left: float) -> float:
+    def attempt_timeout(self, session: Session, time_left: float) -> float:
         """See `admission.attempt_timeout`."""
         raise NotImplementedError
 
--- a/onyxhollow/policy/subset.py
+++ b/onyxhollow/policy/subset.py
@@ -1,52 +1,61 @@
-"""The subset: which endpoints of a large fleet this instance works with, and what it estimates from them.
+"""The subset: the endpoints of a large fleet that this instance selects from, and estimates based on them.
 
-Decides from own connections, the health checks that the price allows, and the endpoints' health. Guards
-against spreading so thin that nothing is known of any endpoint, and against subsets that stay the same.
+Inputs are own connections, the affordable rate of health checks, and the endpoints' health. The subset is
+small enough to have recent data on each endpoint, and changes over time.
 """
 
 from __future__ import annotations
 
 import math
 
-from onyxhollow.policy.load_reports import REPORT_LIFETIME
+from onyxhollow.policy.load_reports import REPORT_LIFETIME_SECONDS
 from onyxhollow.policy.outlier_detection import ejection_threshold
 from onyxhollow.policy.state import PolicyState
 
-MIN_SUBSET = 16  # endpoints; a fleet up to that is worked with whole
+MIN_SUBSET = 16  # endpoints; smaller fleets are used whole
 MAX_SUBSET = 64  # endpoints
-REVIEW_INTERVAL = 0.5  # seconds between reviews of the subset
-EXCHANGE_INTERVAL = 10.0  # seconds on average until the oldest member makes room
-CONNECTIONS_PER_MEMBER = 4  # own connections for each endpoint of the subset
-FEW_PER_ENDPOINT = 3.0  # own connections an endpoint that are mostly chance
-LOCAL_LOAD_PER_PRICE = 10.0  # fleet's load per price of a zone crossing, under which affinity is local
-MIN_KNOWN_LOAD = 0.25  # under which a reported load says too little of what fills an endpoint
+REBALANCE_SECONDS = 0.5  # between updates of the subset
+REPLACEMENT_SECONDS = 10.0  # mean time until the oldest endpoint of the subset is replaced
+CONNECTIONS_PER_ENDPOINT = 4  # own connections needed to add an endpoint to the subset
+FEW_CONNECTIONS_PER_ENDPOINT = 3.0  # up to this mean, differences in own connections are mostly chance
+LOCAL_LOAD_PER_PRICE = 10.0  # times the cross-zone price: the fleet's load below which affinity is local
+MIN_USABLE_LOAD = 0.25  # lower reported loads do not allow an estimate of the capacity
 
 
 def rebalance_subset(state: PolicyState) -> None:
-    """Renew the subset, twice a second; no connection is moved by that."""
-    if state.rng.random() < REVIEW_INTERVAL / EXCHANGE_INTERVAL and len(state.subset) < len(state.endpoints):
+    """Update the subset and schedule the next update; no connection is migrated by this."""
+    if state.rng.random() < REBALANCE_SECONDS / REPLACEMENT_SECONDS and len(state.subset) < len(
+        state.endpoints
+    ):
         state.subset.pop(0)
     state.redraw_subset()
-    state.schedule(REVIEW_INTERVAL, lambda: rebalance_subset(state))
+    state.schedule(REBALANCE_SECONDS, lambda: rebalance_subset(state))
 
 
 def redraw_subset(state: PolicyState) -> None:
-    """Replace members that are gone, ejected or full by others drawn at random; refresh the estimates."""
-    warm = [s for s in state.endpoints if not s.arrival]  # the rest would swell the slow-start budget
-    own = sum(len(s.connections) for s in warm)
+    """Replace ineligible endpoints of the subset by others drawn at random, and update the estimates."""
+    # Arriving endpoints are left out: they would inflate the slow-start budget.
+    warm = [s for s in state.endpoints if not s.arrival]
+    own_count = sum(len(s.connections) for s in warm)
     state.total_size = sum(s.size for s in warm or state.endpoints) or 1.0
-    # On a small fleet few own ones mean a fresh start, unless the list tells those of all instances.
-    many = max(state.instance_count, len(state.endpoints)) > MIN_SUBSET or state.live_weights
-    state.mean_connections = own / state.total_size
-    state.few_connections = many and own <= FEW_PER_ENDPOINT * len(state.endpoints)
-    checked = REPORT_LIFETIME * state.checks_per_session * state.slow_start.rate(state.host.now)
-    breadth = min(MAX_SUBSET, max(MIN_SUBSET, math.ceil(checked), own // CONNECTIONS_PER_MEMBER))
-    state.local = [s for s in warm if s.zone == state.zone] if state.few_connections else []
-    if breadth >= len(state.endpoints):
+    # In a small fleet few own connections only mean that the instance has just started, unless the list
+    # reports the connections of all instances.
+    is_large_fleet = max(state.instance_count, len(state.endpoints)) > MIN_SUBSET or state.live_weights
+    state.mean_connections = own_count / state.total_size
+    state.few_connections = is_large_fleet and own_count <= FEW_CONNECTIONS_PER_ENDPOINT * len(
+        state.endpoints
+    )
+    checkable = REPORT_LIFETIME_SECONDS * state.checks_per_session * state.slow_start.rate(state.host.now)
+    subset_size = min(
+        MAX_SUBSET,
+        max(MIN_SUBSET, math.ceil(checkable), own_count // CONNECTIONS_PER_ENDPOINT),
+    )
+    state.local_endpoints = [s for s in warm if s.zone == state.zone] if state.few_connections else []
+    if subset_size >= len(state.endpoints):
         state.subset = list(state.endpoints)
     else:
         state.subset = [s for s in state.subset if state.eligible(s)]
-        while len(state.subset) < breadth:
+        while len(state.subset) < subset_size:
             endpoint = state.rng.choice(state.endpoints)
             if endpoint not in state.subset:
                 state.subset.append(endpoint)
@@ -54,19 +63,19 @@
 
 
 def refresh_health(state: PolicyState) -> None:
-    """Compute again, of the subset, the ejection threshold, the eligible share and what fills an endpoint."""
+    """Update the ejection threshold, the eligible share and the capacity estimate from the subset."""
     now = state.host.now
     subset = state.subset
     state.ejection_threshold = ejection_threshold([s.outlier_score(now) for s in subset])
     local_load = LOCAL_LOAD_PER_PRICE * state.cross_zone_price
     state.prefer_local = sum(s.size * (local_load - state.load_of(s)) for s in subset) > 0.0
     state.eligible_share = sum(map(state.eligible, subset)) / max(1, len(subset))
-    known = [s for s in subset if not s.arrival and now - s.load_reported_at < REPORT_LIFETIME]
-    load = sum(s.size * s.load for s in known) / sum(s.size for s in known) if known else 1.0
-    full = state.total_size * state.mean_connections / max(MIN_KNOWN_LOAD, load)
-    full = full or state.slow_start.rate(now) * state.slow_start.warm_up_time
-    reported = state.checks_per_session or state.live_weights or known
-    state.loads_unknown = state.own_quota > 0 and not reported
-    # Few own connections are chance: then the own part of what tenants may hold says what fills the fleet.
-    by_quota = (state.few_connections or state.loads_unknown) and state.own_quota
-    state.connections_at_capacity = max(by_quota or full, 1.0) / state.total_size
+    reporting = [s for s in subset if not s.arrival and now - s.load_reported_at < REPORT_LIFETIME_SECONDS]
+    load = sum(s.size * s.load for s in reporting) / sum(s.size for s in reporting) if reporting else 1.0
+    capacity = state.total_size * state.mean_connections / max(MIN_USABLE_LOAD, load)
+    capacity = capacity or state.slow_start.rate(now) * state.slow_start.warm_up_time
+    is_load_reported = state.checks_per_session or state.live_weights or reporting
+    state.loads_unknown = state.own_quota > 0 and not is_load_reported
+    # With few own connections the estimate above is mostly chance, so the own quota gives the capacity.
+    capacity_by_quota = (state.few_connections or state.loads_unknown) and state.own_quota
+    state.connections_at_capacity = max(capacity_by_quota or capacity, 1.0) / state.total_size
--- a/onyxhollow/policy/tracked.py
+++ b/onyxhollow/policy/tracked.py
@@ -1,6 +1,6 @@
-"""What one instance knows of one endpoint: its list entry, own connections, load reports and failures.
+"""The state that one instance keeps per endpoint: list entry, own connections, load reports and failures.
 
-Decides nothing; the scores and latencies read off here expire by themselves.
+Contains no decisions. Latencies expire and outlier scores decay with time.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from onyxhollow.policy.estimators import Ewma, stable_uniform
 from onyxhollow.policy.migration import StagedMigration
 
-SCORE_DECAY = 7.0  # seconds until a third of an outlier score is left
-MAX_RING_POSITIONS = 32  # of one endpoint
+SCORE_DECAY_SECONDS = 7.0  # time constant of the outlier score
+MAX_RING_POSITIONS = 32  # per endpoint
 
 
 class OpenSession(Protocol):
-    """What the decisions read of a session that has an attempt or a connection at an endpoint."""
+    """The part of a session with an attempt or a connection at an endpoint that decisions use."""
 
     token: Hashable
     group: Hashable
@@ -28,22 +28,24 @@
     placed_here: bool
 
     def release(self) -> None:
-        """Stop counting the session among its endpoint's connections."""
+        """Remove the session from its endpoint's connections."""
 
 
 class TrackedEndpoint:
     """One endpoint of the list, in any state.
 
     Attributes:
-        size: as registered, or the largest weight of its machine type where weights are live.
-        ring_positions: numbers from 0 to 1 at which it stands on the ring of affinity.
-        shared_connections: connections per size of all instances, as list or gossip tell them.
-        connections: own attempts in flight and connections open, in order of placing.
-        ever_used: whether it has had a connection from here.
-        load: load over capacity as last reported.
-        overloaded_at: when it last shed a session, was full, or was late with messages.
-        arrival: new placements at the staged pace, to a fair share, while it warms up or is back.
-        migration: the hand-off of its connections, while one is under way.
+        size: registered weight, or the largest weight of its machine type if weights are live.
+        ring_positions: its positions on the affinity ring, numbers from 0 to 1.
+        shared_connections: connections of all instances per size, from the endpoint list or gossip.
+        connections: this instance's attempts in flight and open connections, in order of placement.
+        ever_used: whether this instance has ever placed a session on it.
+        recorded_score: outlier score at `recorded_score_at`, before decay.
+        load: last reported load over capacity.
+        checked_at: when this instance last requested a health check.
+        overloaded_at: time of the last sign of overload: a shed session, no capacity or a late message.
+        arrival: the paced placements up to a fair share, while it warms up or returns to service.
+        migration: the migration of its connections, while one is in progress.
     """
 
     def __init__(self, endpoint: Endpoint) -> None:
@@ -68,7 +70,7 @@
         self.migration: StagedMigration | None = None
 
     def update_from(self, endpoint: Endpoint) -> None:
-        """Take over the list's entry of an endpoint in service."""
+        """Copy the list entry of an endpoint in service."""
         self.name = endpoint.name
         self.state = EndpointState.IN_SERVICE
         self.started_at = endpoint.started_at
@@ -77,19 +79,19 @@
         self.machine_type = endpoint.machine_type
 
     def set_size(self, size: float, unit: float) -> None:
-        """Set the size, and two ring positions for each `unit` of it."""
+        """Set the size, and two ring positions per `unit` of size."""
         self.size = size
         count = min(MAX_RING_POSITIONS, math.ceil(2 * size / unit))
         if len(self.ring_positions) != count:
             self.ring_positions = [stable_uniform(self.name, n) for n in range(count)]
 
     def latency(self, now: float) -> float | None:
-        """Return the message delay in seconds, else the handshake time, else None."""
+        """Return the message delay in seconds, else the handshake time, or None if both are unknown."""
         delay = self.message_delay.fresh_value(now)
         return self.handshake_time.fresh_value(now) if delay is None else delay
 
     def outlier_score(self, now: float) -> float:
-        """Return the score of its failures, which decays with `SCORE_DECAY`."""
+        """Return the outlier score, which decays exponentially."""
         return self.recorded_score and self.recorded_score * math.exp(
-            (self.recorded_score_at - now) / SCORE_DECAY
+            (self.recorded_score_at - now) / SCORE_DECAY_SECONDS
         )
