--- a/tests/decision_setups.py
+++ b/tests/decision_setups.py
@@ -1,4 +1,4 @@
-"""What the tests of the decisions share: listeners, fleets and counts of placements."""
+"""Listeners, fleets and helpers shared by the tests of the policy."""
 
 from collections import Counter
 from dataclasses import replace
@@ -21,15 +21,19 @@
 
 
 def count_placements(host):
-    """Attempts by endpoint."""
-    return Counter(server for _, server, _ in host.asked("start_attempt"))
+    """Return the number of attempts by endpoint."""
+    return Counter(endpoint for _, endpoint, _ in host.asked("start_attempt"))
 
 
+# So many instances that each one has few own connections.
 FEW_CONNECTIONS_SETTINGS = {"health_checks": True, "health_check_price": 0.001, "instance_count": 100}
 
 
 def start_without_reports(start, **changes):
-    """Four balancers, four servers of size 4; customers may hold 320 connections: own 20 fill a server."""
+    """Start one of four instances, with four endpoints of size 4 that report no load.
+
+    By the tenants' quota of 320 connections, 20 connections of this instance fill an endpoint.
+    """
     quotas = {"tenants": {"acme": Tenant("acme", 1.0, 320.0)}, "instance_count": 4}
     host = start(**(quotas | changes))
     return host, host.servers(*"abcd", weight=4.0)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who is attempted, queued or rejected while no endpoint may take more."""
+"""Attempts, queueing and rejections while no endpoint is eligible."""
 
 from dataclasses import replace
 
@@ -16,16 +16,16 @@
     host.servers("a")
     host.servers("a", kind=EndpointListKind.DELTA, started_at=host.now)
     host.balancer.slow_start.decayed_count = 0.0
-    sess = host.take()
+    session = host.take()
     host.wait(0.9)
     assert not host.asked("start_attempt") and not host.asked("reject")
     host.wait(0.3)
-    assert host.asked("reject")[0][0] == sess.token
+    assert host.asked("reject")[0][0] == session.token
     host.wait(5.0)
     assert len(host.asked("reject")) == 1 and not host.asked("start_attempt")
 
 
-def test_an_endpoint_is_not_filled_past_its_load_and_own_placements_count_at_once(host):
+def test_a_full_endpoint_gets_no_sessions_and_placements_count_before_the_next_report(host):
     a, b = host.servers("a", "b")
     for _ in range(20):
         host.take()
@@ -46,11 +46,11 @@
     host.servers("a", "b")
     for _ in range(6):
         host.take(tenant=over)
-    low, high = replace(CALLS, utility=2.0), replace(CALLS, utility=5.0)
+    low_utility, high_utility = replace(CALLS, utility=2.0), replace(CALLS, utility=5.0)
     host.wait(1.0)
     host.loads(a=0.9, b=0.9)
-    order = [(low, within), (high, over), (high, within)]
-    waiting = [host.take(listener, tenant=who) for listener, who in order]
+    order = [(low_utility, within), (high_utility, over), (high_utility, within)]
+    waiting = [host.take(listener, tenant=tenant) for listener, tenant in order]
     host.loads(a=0.1, b=0.1)
     host.wait(0.1)
     assert [token for token, *_ in host.asked("start_attempt")[-3:]] == [waiting[n].token for n in (2, 0, 1)]
@@ -58,22 +58,22 @@
 
 def test_a_long_queue_keeps_no_session_past_its_attempt_timeout(host):
     (a,) = host.servers("a")
-    low, high = replace(CALLS, utility=1.0), replace(CALLS, utility=5.0)
+    low_utility, high_utility = replace(CALLS, utility=1.0), replace(CALLS, utility=5.0)
     for step in range(40):
         a.overloaded_at = host.now
-        host.take(low if step < 10 else high, stands=False)
+        host.take(low_utility if step < 10 else high_utility, stands=False)
         host.wait(0.1)
     assert [token for token, _ in host.asked("reject")][:18] == [10001 + n for n in range(18)]
 
 
-@pytest.mark.parametrize("span", [5.0, 600.0])
-def test_a_clock_that_jumps_ahead_answers_queued_sessions_once_and_goes_on(host, span):
+@pytest.mark.parametrize("jump_seconds", [5.0, 600.0])
+def test_after_a_clock_jump_queued_sessions_are_answered_once_and_new_ones_are_placed(host, jump_seconds):
     host.servers("a", "b", state=EndpointState.DRAINING)
     waiting = [host.take(stands=False) for _ in range(5)]
     host.wake.clear()
-    host.now += span
+    host.now += jump_seconds
     host.balancer.tick()
-    assert all(sess.answered for sess in waiting) and len(host.asked("reject")) == 5
+    assert all(session.answered for session in waiting) and len(host.asked("reject")) == 5
     host.servers("a", "b")
     host.wait(1.0)
     assert host.take().established and len(host.asked("reject")) == 5
--- a/tests/test_affinity.py
+++ b/tests/test_affinity.py
@@ -1,4 +1,4 @@
-"""Where the sessions of a group meet."""
+"""Affinity: on which endpoint the sessions of a group are placed."""
 
 from bisect import bisect
 
@@ -12,101 +12,109 @@
 from onyxhollow.policy.estimators import ArrivalRate, stable_uniform
 
 
-def test_sessions_of_a_group_meet_on_one_endpoint_at_all_instances(start):
-    meeting_points = set()
+def test_all_instances_place_a_group_on_the_same_endpoint(start):
+    group_endpoints = set()
     for seed in (1, 2, 3):
         host = start(seed, group_affinity=True)
         host.servers(*"abcdef", weight=4.0)
         host.balancer.connections_at_capacity = 5.0
-        meeting_points |= {host.take(group="g7").endpoint.name for _ in range(3)}
-    assert len(meeting_points) == 1
+        group_endpoints |= {host.take(group="g7").endpoint.name for _ in range(3)}
+    assert len(group_endpoints) == 1
 
 
-def test_a_group_whose_endpoints_are_full_waits_and_is_not_strewn(start):
+def test_a_group_waits_while_its_endpoints_are_overloaded(start):
     host = start(group_affinity=True, **FEW_CONNECTIONS_SETTINGS)
     servers = host.servers(*(f"s{n}" for n in range(60)))
     host.loads(**{s.name: 0.1 for s in servers})
-    stretch = set()
+    endpoints_tried = set()
     for _ in range(17):
         affinity = host.balancer.affinity_endpoint(host.take(group="g", stands=False))
         if affinity is not None:
             affinity.overloaded_at = host.now
-            stretch.add(affinity)
+            endpoints_tried.add(affinity)
     before = len(host.asked("start_attempt"))
     host.balancer.awaits_load_report = lambda *_: False
-    sess = host.take(group="g", stands=False)
-    assert 4 <= len(stretch) <= 16 and sess.endpoint is None and len(host.asked("start_attempt")) == before
+    session = host.take(group="g", stands=False)
+    assert (
+        4 <= len(endpoints_tried) <= 16
+        and session.endpoint is None
+        and len(host.asked("start_attempt")) == before
+    )
 
 
-def test_a_cold_endpoint_takes_its_groups_as_far_as_its_budget_goes(start):
+def test_a_cold_endpoint_gets_its_groups_within_its_slow_start_budget(start):
     host = start(group_affinity=True)
-    old = host.servers(*"abc", weight=4.0)
+    warm = host.servers(*"abc", weight=4.0)
     cold = host.servers("x", weight=4.0, kind=EndpointListKind.DELTA, started_at=host.now)[0]
     balancer = host.balancer
 
-    def first(group):
+    def first_on_ring(group):
         return balancer.endpoints[
             balancer.ring[bisect(balancer.ring, (stable_uniform(group), 0)) % len(balancer.ring)][1]
         ]
 
-    sess = host.take(group=next(f"g{n}" for n in range(1000) if first(f"g{n}") is cold), stands=False)
+    session = host.take(
+        group=next(f"g{n}" for n in range(1000) if first_on_ring(f"g{n}") is cold), stands=False
+    )
     balancer.affinity.clear()
     balancer.slow_start.tokens[cold], cold.arrival.credit = (1.0, host.now), 1
-    assert balancer.affinity_endpoint(sess) is cold
+    assert balancer.affinity_endpoint(session) is cold
     balancer.slow_start.tokens[cold] = (0.0, host.now)
-    assert balancer.affinity_endpoint(sess) in old  # it does not wait for more: it meets at the next one
+    # Without a token the group uses the next endpoint on the ring.
+    assert balancer.affinity_endpoint(session) in warm
 
 
-def test_a_group_is_not_strewn_over_arriving_endpoints_that_happen_to_have_a_turn(start):
-    # Another one had a turn at each balancer and moment: the group's work was paid for at eight servers.
-    meeting_points, tenants = set(), {"acme": Tenant("acme", connection_quota=4000.0)}
+def test_a_group_is_not_spread_over_the_arriving_endpoints_that_have_a_slow_start_token(start):
+    # Each instance had a token for a different arriving endpoint, so the group's work was repeated on eight.
+    group_endpoints, tenants = set(), {"acme": Tenant("acme", connection_quota=4000.0)}
     for n in range(100):
         host = start(n, instance_count=200, instance_index=n, group_affinity=True, tenants=tenants)
-        old = [f"s{n}" for n in range(12)]
-        host.servers(*old)
+        warm = [f"s{n}" for n in range(12)]
+        host.servers(*warm)
         host.wait(1.0)
         host.servers(*(f"c{n}" for n in range(12)), kind=EndpointListKind.DELTA, started_at=host.now)
-        host.servers(*old, kind=EndpointListKind.DELTA, state=EndpointState.REMOVED)
+        host.servers(*warm, kind=EndpointListKind.DELTA, state=EndpointState.REMOVED)
         host.wait(3.0 + n / 50)
-        sess = host.take(stands=False)
-        sess.group = "g"
-        if (affinity := host.balancer.affinity_endpoint(sess)) is not None:
-            meeting_points.add(affinity.name)
-    assert 1 <= len(meeting_points) <= 2
+        session = host.take(stands=False)
+        session.group = "g"
+        if (affinity := host.balancer.affinity_endpoint(session)) is not None:
+            group_endpoints.add(affinity.name)
+    assert 1 <= len(group_endpoints) <= 2
 
 
-def test_an_instance_that_starts_among_loaded_endpoints_places_groups_where_others_do(start):
-    early, late = (
+def test_an_instance_started_later_places_groups_on_the_same_endpoints_despite_live_weights(start):
+    early_host, late_host = (
         start(1, live_weights=True, group_affinity=True),
         start(2, live_weights=True, group_affinity=True),
     )
-    early.servers("a", "b", "c", weight=4.0, machine_type="m")
-    late.servers("a", "b", "c", weight=0.5, machine_type="m")
-    assert [s.ring_positions for s in early.balancer.endpoints] == [
-        s.ring_positions for s in late.balancer.endpoints
+    early_host.servers("a", "b", "c", weight=4.0, machine_type="m")
+    late_host.servers("a", "b", "c", weight=0.5, machine_type="m")
+    assert [s.ring_positions for s in early_host.balancer.endpoints] == [
+        s.ring_positions for s in late_host.balancer.endpoints
     ]
 
 
-def test_affinity_is_local_only_while_the_fleet_is_empty_by_a_zone_crossings_price(start):
-    # Two in three attempts crossed zones for three points; strewn over zones a full fleet pays groups thrice.
-    for price, load, near in ((0.03, 0.2, True), (0.03, 0.4, False), (0.01, 0.2, False)):
+def test_affinity_is_local_only_while_the_load_is_low_relative_to_the_cross_zone_price(start):
+    # Without local affinity two of three attempts crossed zones, at a cost of three points. In a full fleet,
+    # local affinity would repeat the work of each group in all three zones.
+    for price, load, is_local in ((0.03, 0.2, True), (0.03, 0.4, False), (0.01, 0.2, False)):
         host = start(group_affinity=True, zone="here", cross_zone_price=price)
         host.servers(*(f"far{n}" for n in range(30)), zone="there")
         host.servers(*(f"near{n}" for n in range(30)), kind=EndpointListKind.DELTA, zone="here")
-        for server in host.balancer.endpoints:
-            server.arrival = None
+        for endpoint in host.balancer.endpoints:
+            endpoint.arrival = None
         host.loads(**{s.name: load for s in host.balancer.endpoints})
         host.balancer.rebalance_subset()
-        meeting_points = [
+        group_endpoints = [
             host.balancer.affinity_endpoint(host.take(group=f"g{n}", stands=False)) for n in range(20)
         ]
-        assert (sum(s.zone == "here" for s in meeting_points) >= 16) is near
+        assert (sum(s.zone == "here" for s in group_endpoints) >= 16) is is_local
 
 
-def test_sessions_of_one_group_are_the_crowd_at_its_endpoint(start):
-    # Shared out as if over the fleet, the capacity at a meeting point went to all its sessions at once.
+def test_the_arrival_rate_of_a_group_limits_claims_of_capacity_on_its_endpoint(start):
+    # With the rate averaged over the fleet, all sessions of a group claimed its endpoint's capacity at once.
     placed = []
-    for others in (2, 0):
+    for other_sessions in (2, 0):
         placed.append(0)
         for seed in range(200):
             host = start(seed, group_affinity=True, **FEW_CONNECTIONS_SETTINGS)
@@ -115,15 +123,15 @@
             host.balancer.refresh_health()
             host.balancer.slow_start.decayed_count, host.balancer.connections_at_capacity = 1.0, 2.0
             host.balancer.group_rates["one"] = ArrivalRate(host.now)
-            for _ in range(others):
+            for _ in range(other_sessions):
                 host.balancer.group_rates["one"].record_arrival(host.now)
             host.take(group="one")
             placed[-1] += len(host.asked("start_attempt"))
     assert 0 < placed[0] < placed[1] / 2
 
 
-def test_without_load_reports_a_group_has_one_endpoint_for_all_zones_and_a_shedding_one_rests_longer(start):
-    meeting_points = set()
+def test_without_load_reports_affinity_ignores_zones_and_an_overloaded_endpoint_is_blocked_for_longer(start):
+    group_endpoints = set()
     for zone in ("north", "south"):
         host, _ = start_without_reports(start, group_affinity=True, zone=zone, cross_zone_price=0.1)
         for name in "abcd":
@@ -131,11 +139,11 @@
                 name, kind=EndpointListKind.DELTA, zone="north" if name in "ab" else "south", weight=4.0
             )
         host.balancer.refresh_health()
-        meeting_points.add(host.take(group="g7").endpoint.name)
-    assert len(meeting_points) == 1
-    server = host.balancer.tracked[meeting_points.pop()]
-    server.overloaded_at = host.now
+        group_endpoints.add(host.take(group="g7").endpoint.name)
+    assert len(group_endpoints) == 1
+    endpoint = host.balancer.tracked[group_endpoints.pop()]
+    endpoint.overloaded_at = host.now
     host.wait(4.0)
-    assert not host.balancer.eligible(server)
+    assert not host.balancer.eligible(endpoint)
     host.wait(1.0)
-    assert host.balancer.eligible(server)
+    assert host.balancer.eligible(endpoint)
--- a/tests/test_gossip_estimates.py
+++ b/tests/test_gossip_estimates.py
@@ -1,4 +1,4 @@
-"""The balancing decisions with what load gossip estimates."""
+"""Balancing decisions based on the estimates of load gossip."""
 
 from dataclasses import replace
 
@@ -10,55 +10,59 @@
 from onyxhollow.gossip.evidence_table import EndpointEstimate
 from onyxhollow.interface import AttemptOutcome, Endpoint, EndpointListKind, EndpointState
 
-FEW = {"health_checks": True, "health_check_price": 0.001, "instance_count": 100, "zone": "a"}
+FEW_CONNECTIONS_SETTINGS = {
+    "health_checks": True,
+    "health_check_price": 0.001,
+    "instance_count": 100,
+    "zone": "a",
+}
 
 
-def zoned(host, **names):
+def report_zones(host, **names):
     entries = [Endpoint(name, EndpointState.IN_SERVICE, zone=zone) for name, zone in names.items()]
     host.balancer.on_endpoint_list(EndpointListKind.SNAPSHOT, entries)
     return [host.balancer.tracked[name] for name in names]
 
 
-def test_with_few_own_connections_near_servers_come_first_unless_they_are_much_fuller(start):
-    host = start(seed=3, **FEW)
-    servers = zoned(host, **{f"s{n}": "a" if n < 5 else "b" for n in range(20)})
+def test_with_few_own_connections_local_endpoints_are_preferred_unless_their_load_is_much_higher(start):
+    host = start(seed=3, **FEW_CONNECTIONS_SETTINGS)
+    servers = report_zones(host, **{f"s{n}": "a" if n < 5 else "b" for n in range(20)})
     host.balancer.awaits_load_report = lambda *_: False
     counts = {"a": 0, "b": 0}
     for _ in range(40):
         host.loads(**{s.name: 0.3 for s in servers})
-        sess = host.take()
-        counts[sess.endpoint.zone] += 1
-        sess.on_attempt_ended(AttemptOutcome.OK, True, 0.0)
+        session = host.take()
+        counts[session.endpoint.zone] += 1
+        session.on_attempt_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["a"] >= 35
-    for server in servers:  # by the estimates the near ones have far more
-        load, connections = (0.6, 60) if server.zone == "a" else (0.2, 20)
-        report_shared(host.balancer, EndpointEstimate(server.name, load, 0.0, connections, 0.0, 0.0))
+    for endpoint in servers:  # the estimates of the local endpoints are far higher
+        load, connections = (0.6, 60) if endpoint.zone == "a" else (0.2, 20)
+        report_shared(host.balancer, EndpointEstimate(endpoint.name, load, 0.0, connections, 0.0, 0.0))
     for _ in range(40):
-        counts[(sess := host.take()).endpoint.zone] += 1
-        sess.on_attempt_ended(AttemptOutcome.OK, True, 0.0)
+        counts[(session := host.take()).endpoint.zone] += 1
+        session.on_attempt_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["b"] >= 25
 
 
-def test_estimates_replace_load_reports_and_health_checks_return_without_them(start):
-    host = start(**FEW)
-    a, b = zoned(host, a="a", b="a")
+def test_estimates_replace_load_reports_and_health_checks_resume_when_they_expire(start):
+    host = start(**FEW_CONNECTIONS_SETTINGS)
+    a, b = report_zones(host, a="a", b="a")
     for name, load in (("a", 0.5), ("b", 0.1)):
         report_shared(host.balancer, EndpointEstimate(name, load, 1.0, round(load * 100), 0.5, 0.0))
-    host.balancer.slow_start.since -= 20.0  # so few come that the room is hardly ever shared out
+    host.balancer.slow_start.since -= 20.0  # a low arrival rate, so that capacity is hardly ever denied
     assert host.take().endpoint is b and not host.asked("check_health")
-    report_shared(
-        host.balancer, EndpointEstimate("b", None, 3.0, 40, 0.0, 0.0)
-    )  # many have come since that report
+    # Many connections were opened since that report.
+    report_shared(host.balancer, EndpointEstimate("b", None, 3.0, 40, 0.0, 0.0))
     assert host.balancer.load_of(b) == pytest.approx(0.4, abs=0.01)
-    host.wait(9.0)  # nobody tells any more
+    host.wait(9.0)  # the estimates have expired
     before = len(host.asked("check_health"))
     host.take(stands=False)
     assert len(host.asked("check_health")) > before
 
 
-def test_failures_seen_by_others_divert_traffic_but_do_not_eject_by_themselves(start):
-    host = start(**FEW)
-    a, *_ = zoned(host, a="a", b="a", c="a")
+def test_failures_seen_by_others_raise_the_outlier_score_but_do_not_eject_alone(start):
+    host = start(**FEW_CONNECTIONS_SETTINGS)
+    a, *_ = report_zones(host, a="a", b="a", c="a")
     for _ in range(5):
         report_shared(host.balancer, EndpointEstimate("a", 0.1, 0.0, 10, 0.0, 1.5))
     assert a.outlier_score(host.now) == pytest.approx(1.5) and host.balancer.eligible(a)
@@ -66,8 +70,8 @@
     assert not host.balancer.eligible(a)
 
 
-def test_a_server_skipped_at_random_has_room_for_a_sites_health_and_a_full_one_has_not():
-    settings = replace(PLAIN, **FEW)
+def test_an_endpoint_skipped_at_random_counts_as_having_capacity_and_a_full_one_does_not():
+    settings = replace(PLAIN, **FEW_CONNECTIONS_SETTINGS)
     decisions = DecisionAdapter(
         lambda: 100.0, settings, 1, Counters(), lambda line: None, lambda name: None, lambda: None
     )
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -1,4 +1,4 @@
-"""What fills an endpoint where little or nothing is reported."""
+"""Capacity estimates with few load reports or none."""
 
 import math
 
@@ -18,15 +18,14 @@
         host.servers(*(f"s{n}" for n in range(12)), weight=4.0)
         host.loads(**{f"s{n}": 0.5 for n in range(12)})
         host.balancer.refresh_health()
-        assert host.balancer.connections_at_capacity == pytest.approx(
-            600 / 100 / 48
-        )  # nothing open here: the fleet's as the quotas say
+        # Without own connections the quotas give the capacity.
+        assert host.balancer.connections_at_capacity == pytest.approx(600 / 100 / 48)
         host.take(group="g", stands=False)
         placed.append(len(host.asked("start_attempt")))
-    assert sum(placed) > 12  # by own connections alone, none, it would be a few
+    assert sum(placed) > 12  # an estimate from own connections would allow only a few
 
 
-def test_a_load_beyond_all_measure_bars_its_endpoint_and_all_estimates_stay_finite(start):
+def test_an_absurdly_high_load_blocks_its_endpoint_and_all_estimates_stay_finite(start):
     host = start(**FEW_CONNECTIONS_SETTINGS)
     host.servers("a", "b", weight=4.0)
     for _ in range(20):
@@ -40,16 +39,16 @@
     assert balancer.eligible(balancer.tracked["a"])
 
 
-def test_without_load_reports_the_own_part_of_the_tenants_quotas_bounds_an_endpoint(start):
-    """On 200 proxies without reports a group's endpoint was filled until it threw its connections out."""
+def test_without_load_reports_this_instances_share_of_the_quotas_limits_an_endpoint(start):
+    # With 200 proxies and no reports, a group's endpoint was filled until it dropped its connections.
     host, servers = start_without_reports(start, max_retry_after=1.0)
     for _ in range(200):
         host.take()
         host.balancer.refresh_health()
     counts = count_placements(host)
-    assert set(counts.values()) == {13} and len(counts) == 4  # 0.65 of 20 each, and nothing past it
+    assert set(counts.values()) == {13} and len(counts) == 4  # 0.65 of 20 each
     host.wait(3.0)
     assert len(host.asked("reject")) == 200 - 52
-    host.loads(a=0.1)  # the first report that comes ends the estimate
+    host.loads(a=0.1)  # the first report replaces the estimate
     host.balancer.refresh_health()
     assert not host.balancer.loads_unknown and host.balancer.eligible(servers[0])
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -1,4 +1,4 @@
-"""How connections are handed off: the stages, who goes first, when it ends."""
+"""Migration: the rate of each stage, the order of connections, and the end."""
 
 from peers import CALLS
 
@@ -10,13 +10,13 @@
 from onyxhollow.policy.migration import StagedMigration
 
 
-def test_the_rate_of_each_stage_and_its_throttles():
+def test_the_rate_of_each_stage_depends_on_both_latencies():
     def rate(moved, source=None, receiver=None):
-        pace = StagedMigration(40)
-        pace.moved = moved
-        return sum(pace.allowance(source, receiver) for _ in range(4)) / 4
+        migration = StagedMigration(40)
+        migration.moved = moved
+        return sum(migration.allowance(source, receiver) for _ in range(4)) / 4
 
-    assert [rate(m) for m in (0, 10, 20, 30)] == [2, 4, 6, 8]
+    assert [rate(count) for count in (0, 10, 20, 30)] == [2, 4, 6, 8]
     assert [rate(0, 1.0, r) for r in (1.9, 2.0, 3.0)] == [2, 1, 0.5]
     assert [rate(30, 1.0, r) for r in (2.0, 3.0)] == [8, 8]  # no throttle in the last stage
     assert rate(0, 1.1, 1.0) == 4 and rate(30, 1.1, 1.0) == 16
@@ -25,8 +25,8 @@
 def test_a_drain_migrates_own_connections_idle_first_and_counts_natural_ends(host):
     (a,) = host.servers("a")
     sessions = [host.take() for _ in range(40)]
-    for load, sess in enumerate(sessions):
-        sess.on_load(float(40 - load))
+    for load, session in enumerate(sessions):
+        session.on_load(float(40 - load))
     host.balancer.adopt(7, CALLS, None, None, 0.0, "a")
     host.servers("b", kind=EndpointListKind.DELTA)
     host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
@@ -38,20 +38,20 @@
     assert a.migration.moved == len(moved) + 1
 
 
-def test_a_receiver_slower_than_before_the_notice_halves_the_migration(host):
+def test_a_receiver_slower_than_the_source_before_the_drain_halves_the_rate(host):
     a, b = host.servers("a", "b")
     for _ in range(80):
         host.take(took=0.01)
     host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
-    first = len(host.asked("migrate"))
+    first_step = len(host.asked("migrate"))
     b.handshake_time.add(0.1, host.now)
     host.wait(2.2)
-    assert first and len(host.asked("migrate")) - first <= first
+    assert first_step and len(host.asked("migrate")) - first_step <= first_step
 
 
-def test_an_overfull_endpoint_migrates_adopted_connections_too_while_most_others_have_capacity(start):
-    # Nearly all of its connections were of that kind: it stayed overfull until it shed or broke.
-    for loads, gone in (({"b": 0.3, "c": 0.3}, True), ({"b": 0.8, "c": 0.8}, False), (None, False)):
+def test_an_overloaded_endpoint_migrates_adopted_connections_while_most_others_have_capacity(start):
+    # With nearly all connections adopted, an endpoint stayed overloaded until it shed them or failed.
+    for loads, is_migrated in (({"b": 0.3, "c": 0.3}, True), ({"b": 0.8, "c": 0.8}, False), (None, False)):
         host = start()
         host.servers("a", "b", "c")
         for token in range(20):
@@ -61,21 +61,23 @@
         if loads:
             host.loads(a=1.3)
         else:
-            host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)  # as in the design
+            # A drain does not migrate adopted connections.
+            host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
         host.wait(1.5)
-        assert bool(host.asked("migrate")) is gone
+        assert bool(host.asked("migrate")) is is_migrated
 
 
-def test_an_overfull_source_counts_as_slow_where_no_message_delay_is_reported(start):
-    # Paced by set-ups from before, which a far receiver always loses, two in four seconds left a sick server.
+def test_an_overloaded_source_counts_as_slow_if_no_message_delay_is_reported(start):
+    # By earlier handshake times a distant receiver was slower than the source, so that only two connections
+    # left an overloaded endpoint in four seconds.
     moved = []
     for load in (1.3, 0.9):
         host = start()
         a, *others = host.servers("a", "b", "c")
         for _ in range(60):
             host.take()
-        for server in others:
-            server.handshake_time.add(0.2, host.now)  # far away: twenty times the source's
+        for endpoint in others:
+            endpoint.handshake_time.add(0.2, host.now)  # distant: twenty times the source's
         host.loads(b=0.3, c=0.3)
         host.wait(0.6)
         a.load, a.load_reported_at, a.connections_at_report = load, host.now, len(a.connections)
@@ -84,7 +86,7 @@
     assert moved == [2, 0] and len(a.connections) >= 18
 
 
-def test_an_overfull_endpoint_migrates_until_its_load_is_under_its_capacity(host):
+def test_an_overloaded_endpoint_migrates_until_its_load_is_below_capacity(host):
     a, _ = host.servers("a", "b")
     for _ in range(60):
         host.take()
@@ -94,14 +96,14 @@
     assert 4 <= moved < 30 and a.migration is None
 
 
-def test_messages_late_for_over_a_second_start_a_migration_until_they_are_not(host):
+def test_messages_late_for_over_a_second_start_a_migration_that_ends_with_the_delay(host):
     a, *_ = host.servers(*"abcde")
-    mine = next(sess for sess in [host.take() for _ in range(50)] if sess.endpoint is a)
-    mine.on_message_delay(1.0)
+    late_session = next(session for session in [host.take() for _ in range(50)] if session.endpoint is a)
+    late_session.on_message_delay(1.0)
     host.wait(0.5)
     assert not host.asked("migrate")
     host.wait(0.5)
-    mine.on_message_delay(1.0)
+    late_session.on_message_delay(1.0)
     host.wait(0.1)
     assert host.asked("migrate")
     host.wait(5.0)
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which endpoints are ejected, and which are not."""
+"""Outlier detection: which endpoints are ejected."""
 
 import pytest
 from decision_setups import count_placements
@@ -8,18 +8,18 @@
 )
 
 
-def test_an_outlier_that_nobody_drains_gets_nothing_and_is_migrated(host, lost):
+def test_an_outlier_gets_no_sessions_and_its_connections_are_migrated(host, lost):
     a, *_ = host.servers(*"abcde")
     for _ in range(50):
         host.take()
-    mine = [s for s in a.connections if s.placed_here]
-    for sess in mine[:6]:
-        sess.on_message_delay(1.0)
+    own = [s for s in a.connections if s.placed_here]
+    for session in own[:6]:
+        session.on_message_delay(1.0)
         host.balancer.record_failure(a, 1.0)
         host.balancer.rebalance_subset()
     before = count_placements(host)["a"]
     host.wait(1.2)
-    assert {token for (token,) in host.asked("migrate")} <= {s.token for s in mine} and host.asked("migrate")
+    assert {token for (token,) in host.asked("migrate")} <= {s.token for s in own} and host.asked("migrate")
     for _ in range(10):
         host.take()
     assert count_placements(host)["a"] == before
@@ -27,24 +27,24 @@
     assert a.migration is None
 
 
-def test_a_store_that_is_slow_for_all_ejects_no_endpoint(host, lost):
+def test_a_backing_store_that_is_slow_for_all_endpoints_ejects_none(host, lost):
     servers = host.servers(*"abcd")
     for _ in range(6):
-        for server in servers:
-            host.balancer.record_failure(server, 1.0)
+        for endpoint in servers:
+            host.balancer.record_failure(endpoint, 1.0)
         host.wait(0.1)
     assert host.take().endpoint in servers and not any(s.migration for s in servers)
 
 
-@pytest.mark.parametrize("late", [False, True])
-def test_an_endpoint_that_sheds_or_is_late_is_not_refilled_at_once(host, lost, late):
+@pytest.mark.parametrize("is_late", [False, True])
+def test_an_endpoint_that_resets_a_connection_or_is_late_gets_no_sessions_for_a_while(host, lost, is_late):
     a, _ = host.servers("a", "b")
     sessions = [host.take() for _ in range(10)]
-    mine = [s for s in sessions if s.endpoint is a]
-    if late:
-        mine[0].on_message_delay(0.5)
+    placed = [s for s in sessions if s.endpoint is a]
+    if is_late:
+        placed[0].on_message_delay(0.5)
     else:
-        lost(mine[0])
+        lost(placed[0])
     before = count_placements(host)["a"]
     for _ in range(10):
         host.take()
@@ -55,32 +55,32 @@
     assert count_placements(host)["a"] > before
 
 
-def test_an_endpoint_that_sends_a_client_away_or_refuses_connections_is_ejected_at_once(host, lost):
-    """The list was late: clients went from one draining server to the next, and to ports that were shut."""
+def test_an_endpoint_that_closes_a_connection_or_refuses_one_is_ejected_at_once(host, lost):
+    # With an outdated list, clients were sent to one draining endpoint after another, and to closed ports.
     servers = host.servers("a", "b", "c")
-    sess = host.take()
-    away = sess.endpoint
-    sess.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
-    assert not host.balancer.eligible(away)
-    assert {host.take().endpoint for _ in range(20)} == {*servers} - {away}
-    host.wait(4.0)  # no verdict for good
-    assert host.balancer.eligible(away)
+    session = host.take()
+    closing = session.endpoint
+    session.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
+    assert not host.balancer.eligible(closing)
+    assert {host.take().endpoint for _ in range(20)} == {*servers} - {closing}
+    host.wait(4.0)  # the ejection ends as the score decays
+    assert host.balancer.eligible(closing)
     host.wait(40.0)
-    lost(host.take(stands=False), AttemptOutcome.CONNECT_FAILED)  # 0.1 s: it may only be slow
-    assert all(host.balancer.eligible(server) for server in servers)
-    sess = host.take(stands=False)
-    shut = sess.endpoint
-    sess.on_attempt_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
-    assert not host.balancer.eligible(shut) and sess.endpoint is not shut
+    lost(host.take(stands=False), AttemptOutcome.CONNECT_FAILED)  # after 0.1 s the endpoint may only be slow
+    assert all(host.balancer.eligible(endpoint) for endpoint in servers)
+    session = host.take(stands=False)
+    refusing = session.endpoint
+    session.on_attempt_ended(AttemptOutcome.CONNECT_FAILED, False, 0.001)
+    assert not host.balancer.eligible(refusing) and session.endpoint is not refusing
 
 
 def test_a_client_that_leaves_or_is_migrated_is_no_evidence_against_its_endpoint(host):
     host.servers("a")
-    left, moved = host.take(), host.take()
-    left.on_client_gone()
-    left.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
-    moved.endpoint.overloaded_at = host.now
-    host.balancer.start_migration(moved.endpoint, "for a test")
+    client_left, migrated = host.take(), host.take()
+    client_left.on_client_gone()
+    client_left.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
+    migrated.endpoint.overloaded_at = host.now
+    host.balancer.start_migration(migrated.endpoint, "for a test")
     assert host.asked("migrate")
-    moved.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
-    assert moved.endpoint.outlier_score(host.now) == 0.0
+    migrated.on_attempt_ended(AttemptOutcome.CANCELLED, True, 20.0)
+    assert migrated.endpoint.outlier_score(host.now) == 0.0
--- a/tests/test_selection.py
+++ b/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Which of the endpoints drawn a session goes to."""
+"""Selection among the drawn endpoints and the affinity endpoint."""
 
 import pytest
 from decision_setups import FEW_CONNECTIONS_SETTINGS, count_placements
@@ -8,7 +8,7 @@
 )
 
 
-def test_own_connections_even_out_per_registered_size(host):
+def test_own_connections_are_balanced_by_registered_size(host):
     host.servers("a", "b", "c", weight=1.0)
     host.servers("d", kind=EndpointListKind.DELTA, weight=3.0)
     host.balancer.tracked["d"].arrival = None
@@ -18,36 +18,36 @@
     assert 45 <= counts["d"] <= 75 and all(15 <= counts[n] <= 27 for n in "abc")
 
 
-def test_the_remembered_best_is_compared_with_the_two_drawn(host):
+def test_the_affinity_endpoint_is_compared_with_the_two_drawn(host):
     servers = host.servers(*"abcdefghij")
-    for server in servers[1:]:
+    for endpoint in servers[1:]:
         host.take().endpoint.ever_used = True
-        server.ever_used = True
-        host.balancer.record_failure(server, 1.0)
+        endpoint.ever_used = True
+        host.balancer.record_failure(endpoint, 1.0)
     host.balancer.affinity[None] = servers[0]
     servers[0].connections.clear()
     assert host.take().endpoint is servers[0]
 
 
-def test_an_endpoint_never_used_starts_at_the_mean(host):
-    old = host.servers("a", "b")
+def test_an_endpoint_that_was_never_used_has_the_mean_cost(host):
+    used = host.servers("a", "b")
     for _ in range(20):
         host.take()
     host.balancer.rebalance_subset()
     host.servers("c", kind=EndpointListKind.DELTA)
     host.balancer.tracked["c"].arrival = None
-    weigh = [host.balancer.cost(s, None, None) for s in (*old, host.balancer.tracked["c"])]
-    assert weigh[2] == pytest.approx(sum(weigh[:2]) / 2)
+    costs = [host.balancer.cost(s, None, None) for s in (*used, host.balancer.tracked["c"])]
+    assert costs[2] == pytest.approx(sum(costs[:2]) / 2)
 
 
-def test_the_work_for_a_session_does_not_grow_with_the_fleet(start):
-    def looks(size):
+def test_eligibility_checks_per_session_do_not_grow_with_the_fleet(start):
+    def count_checks(size):
         host = start(group_affinity=True, **FEW_CONNECTIONS_SETTINGS)
         host.loads(**{s.name: 0.1 for s in host.servers(*(f"s{n}" for n in range(size)))})
-        well, seen = host.balancer.eligible, []
-        host.balancer.eligible = lambda *what: seen.append(what) or well(*what)
+        eligible, checks = host.balancer.eligible, []
+        host.balancer.eligible = lambda *arguments: checks.append(arguments) or eligible(*arguments)
         for n in range(50):
             host.take(group=f"g{n}")
-        return len(seen)
+        return len(checks)
 
-    assert looks(1000) <= 1.5 * looks(30)
+    assert count_checks(1000) <= 1.5 * count_checks(30)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What a warming endpoint gets from one instance and from all together."""
+"""Slow start: sessions on a warming endpoint from one instance and from all instances."""
 
 import math
 
@@ -24,16 +24,19 @@
         host.wait(0.25)
         host.take()
     cold = [s for _, s, _ in host.asked("start_attempt")[before:]].count("d")
-    assert cold <= 2  # a warm server takes 1 a second from this balancer; a quarter of that, twice, for 2 s
+    # A warm endpoint takes one session per second from this instance, a cold one a quarter of that. It bears
+    # twice that for 2 s.
+    assert cold <= 2
     for _ in range(160):
         host.wait(0.25)
         host.take()
     assert host.balancer.tracked["d"].arrival is None and count_placements(host)["d"] >= 30
 
 
-def test_queued_sessions_go_to_a_warm_arrival_beyond_its_pace_and_not_to_a_cold_one(start):
-    # Deploys whose successors were warm: sessions waited a second and were refused beside idle servers.
-    for started, least, most in ((None, 12, 12), (999.9, 0, 3)):
+def test_queued_sessions_may_exceed_the_pace_of_a_warm_arrival_but_not_of_a_cold_one(start):
+    # After a deploy with warm replacements, sessions were queued for a second and then rejected while these
+    # endpoints were idle.
+    for start_time, min_placed, max_placed in ((None, 12, 12), (999.9, 0, 3)):
         host = start()
         host.servers("a")
         for _ in range(40):
@@ -42,9 +45,9 @@
         host.loads(a=0.7)
         waiting = [host.take(stands=False) for _ in range(12)]
         host.wait(0.1)
-        host.servers("b", kind=EndpointListKind.DELTA, started_at=started)
+        host.servers("b", kind=EndpointListKind.DELTA, started_at=start_time)
         host.wait(0.2)
-        assert least <= sum(sess.attempt_in_flight for sess in waiting) <= most
+        assert min_placed <= sum(session.attempt_in_flight for session in waiting) <= max_placed
 
 
 def test_an_endpoint_cold_in_the_first_list_starts_slowly(host):
@@ -57,7 +60,7 @@
     )
 
 
-def test_many_instances_together_keep_a_cold_endpoints_budget_and_use_it(start):
+def test_many_instances_together_use_a_cold_endpoints_budget_and_stay_within_it(start):
     hosts = [start(seed, instance_count=100, instance_index=seed) for seed in range(100)]
     for host in hosts:
         host.servers(*(f"s{n}" for n in range(20)))
@@ -68,7 +71,7 @@
             host.loads(**{f"s{n}": 0.5 for n in range(20)})
         host.wait(1.0)
         host.servers("c", "d", kind=EndpointListKind.DELTA, started_at=host.now)
-    # 50 connections stand on a warm server at half load: 100 fill it over 10 s, a cold one takes a quarter.
+    # A warm endpoint has 50 connections at half load, so 100 fill it over 10 s. A cold one bears a quarter.
     before = [len(host.asked("start_attempt")) for host in hosts]
     for second in range(1, 11):
         for host in hosts:
@@ -84,34 +87,34 @@
 
 
 @pytest.mark.parametrize("count", [1, 3, 30, 200])
-def test_a_burst_after_a_quiet_time_stays_within_what_a_cold_endpoint_bears_from_all_together(start, count):
-    # Each balancer kept its turn to send until there was something: after a quiet while 200 sent at once.
-    customers = {"acme": Tenant("acme", connection_quota=4000.0)}
-    hosts = [start(n, instance_count=count, instance_index=n, tenants=customers) for n in range(count)]
+def test_a_burst_from_all_instances_after_an_idle_period_does_not_overload_a_cold_endpoint(start, count):
+    # Unused tokens did not expire: after an idle period 200 instances used theirs at once.
+    tenants = {"acme": Tenant("acme", connection_quota=4000.0)}
+    hosts = [start(n, instance_count=count, instance_index=n, tenants=tenants) for n in range(count)]
     for host in hosts:
         warm = host.servers(*(f"s{n}" for n in range(20)))
         host.wait(1.0)
         host.servers("c", kind=EndpointListKind.DELTA, started_at=host.now)
         host.wait(5.0)
-        for server in warm:
-            server.overloaded_at = math.inf  # nothing else is open: all that comes wants the cold one
-    began = hosts[0].now - 5.0
+        for endpoint in warm:
+            endpoint.overloaded_at = math.inf  # so that only the cold endpoint is eligible
+    started_at = hosts[0].now - 5.0
     for step in range(20):
         for host in hosts:
             for _ in range(max(1, 200 // count) if step % 3 == 0 else 0):
                 host.take(stands=False)
             host.wait(0.1)
-    sent = sum(server == "c" for host in hosts for _, server, _ in host.asked("start_attempt"))
-    # 200 connections fill it over 10 s, a quarter at first; twice that for 2 s.
-    allowed = 2.0 * 2.0 * 20.0 * (0.25 + 0.75 * (hosts[0].now - began) / 10.0)
+    sent = sum(endpoint == "c" for host in hosts for _, endpoint, _ in host.asked("start_attempt"))
+    # 200 connections fill it over 10 s, at first a quarter of that rate. It bears twice that for 2 s.
+    allowed = 2.0 * 2.0 * 20.0 * (0.25 + 0.75 * (hosts[0].now - started_at) / 10.0)
     assert 0 < sent <= allowed + 2.0 * math.sqrt(allowed) + 2.0
 
 
-def test_a_rolling_deploy_does_not_swell_the_slow_start_budget(host):
+def test_a_rolling_deploy_does_not_increase_the_slow_start_budget(host):
     host.servers("a", "b", "c", "d")
     for _ in range(80):
         host.take()
     host.balancer.rebalance_subset()
-    usual = host.balancer.mean_connections
+    mean_before = host.balancer.mean_connections
     host.servers("a", "b", "c", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
-    assert host.balancer.mean_connections <= 1.2 * usual
+    assert host.balancer.mean_connections <= 1.2 * mean_before
