--- a/onyxhollow/append_log.py
+++ b/onyxhollow/append_log.py
@@ -1,10 +1,12 @@
-"""A durable log of checksummed records: one file, appended to by one process.
+"""Durable append log of checksummed records, kept in one file and written by one process.
 
-The file is a header of 8 bytes (`OXREC001`) and then records, each of them a head of 12 bytes, big-endian
-(4: length of the body; 8: XXH3-64 of number and body, the number being the record's place from 0, 8 bytes),
-and its body. A record counts once `append` has returned: its bytes and the file's length are on the disk by
-then. What a crash has left half-written at the end is described (`torn_tail`) and written over; it never
-counted.
+The file starts with an 8-byte file header (`OXREC001`), followed by records. Each record is a 12-byte header
+and a body. The record header is big-endian: the length of the body (4 bytes) and the XXH3-64 checksum of
+number and body (8 bytes). The number is the index of the record, starting at 0, encoded in 8 bytes.
+
+A record is committed when `append` returns: its bytes and the file's length are on the disk then. A crash may
+leave an incomplete record at the end, which was never committed. Opening the log truncates such a record and
+describes it in `torn_tail`.
 """
 
 from __future__ import annotations
@@ -20,33 +22,33 @@
 import xxhash
 
 MAGIC = b"OXREC001"
-RECORD_HEAD = struct.Struct(">IQ")
-MAX_RECORD_SIZE = 64 * 1024  # bytes of one body
-MAX_RECORDS = 4096  # records in a file; the log rewrites itself rather than append more
+RECORD_HEADER = struct.Struct(">IQ")  # length of the body, checksum
+MAX_RECORD_BYTES = 64 * 1024  # of one body
+MAX_RECORDS = 4096  # per file; the log rewrites the file instead of appending more
 FILE_MODE = 0o600
 
 
 class AppendLogError(Exception):
-    """The log can't be opened; the text says which file, what was expected and what was found."""
+    """The log cannot be opened; the message names the file, the expected state and the actual one."""
 
 
 class AppendLogLockedError(AppendLogError):
     """Another process has the log open."""
 
     def __init__(self, path: str) -> None:
-        super().__init__(f"{path}: held by another process")
+        super().__init__(f"{path}: expected an unlocked log, got one that another process has open")
 
 
 class AppendLogFormatError(AppendLogError):
     """The file is not an append log."""
 
-    def __init__(self, path: str, found: bytes) -> None:
+    def __init__(self, path: str, contents: bytes) -> None:
         expected = f"expected records that begin with {MAGIC.decode()}"
-        super().__init__(f"{path}: {expected}, got {found[:8]!r}")
+        super().__init__(f"{path}: {expected}, got {contents[:8]!r}")
 
 
 class AppendLogUnavailableError(AppendLogError):
-    """The system refuses to create, open, read or write the file."""
+    """The operating system reports an error on creating, opening, reading or writing the file."""
 
     def __init__(self, path: str, error: OSError) -> None:
         super().__init__(f"{path}: {error.strerror}")
@@ -54,12 +56,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LogContents:
-    """What the bytes of a file hold.
+    """Decoded contents of a file.
 
     Attributes:
-        bodies: The records that count.
-        size: Bytes of header and records; 0 without a complete header.
-        torn_tail: What follows them and does not count; "" if nothing does.
+        bodies: Bodies of the committed records.
+        size: Bytes of the file header and these records; 0 if the file header is incomplete.
+        torn_tail: Description of the invalid bytes after the records; "" if there are none.
     """
 
     bodies: list[bytes]
@@ -68,56 +70,59 @@
 
 
 def record_checksum(number: int, body: bytes) -> int:
-    """XXH3-64 of a record's number and body, so that a record at a wrong place does not count."""
+    """Return the XXH3-64 checksum of a record's number and body.
+
+    The number makes the checksum fail for a record at a wrong position in the file.
+    """
     return xxhash.xxh3_64_intdigest(number.to_bytes(8, "big") + body)
 
 
 def pack_records(bodies: Iterable[bytes], first: int = 0) -> bytes:
-    """The records' bytes, the first of them at place `first`."""
+    """Return the encoded records, numbered from `first`."""
     return b"".join(
-        RECORD_HEAD.pack(len(body), record_checksum(number, body)) + body
+        RECORD_HEADER.pack(len(body), record_checksum(number, body)) + body
         for number, body in enumerate(bodies, first)
     )
 
 
 def read_contents(path: str, data: bytes) -> LogContents:
-    """Reads the bytes of a file.
+    """Decode the bytes of a file.
 
     Raises:
-        AppendLogFormatError: They do not begin as an append log does.
+        AppendLogFormatError: The bytes do not start with the file header of an append log.
     """
     if not data:
         return LogContents([], 0, "")
     if data[: len(MAGIC)] != MAGIC[: len(data)]:
         raise AppendLogFormatError(path, data)
     if len(data) < len(MAGIC):
-        return LogContents([], 0, f"{len(data)} bytes of a header")
+        return LogContents([], 0, f"{len(data)} bytes of an incomplete file header")
     bodies: list[bytes] = []
-    at = len(MAGIC)
-    while at < len(data):
-        body, fault = _read_record(data, at, len(bodies))
+    offset = len(MAGIC)
+    while offset < len(data):
+        body, fault = _read_record(data, offset, len(bodies))
         if fault:
-            return LogContents(bodies, at, f"{len(data) - at} bytes at {at}: {fault}")
+            return LogContents(bodies, offset, f"{len(data) - offset} bytes at {offset}: {fault}")
         bodies.append(body)
-        at += RECORD_HEAD.size + len(body)
-    return LogContents(bodies, at, "")
-
-
-def _read_record(data: bytes, at: int, number: int) -> tuple[bytes, str]:
-    """The body of the record at byte `at`, and what is wrong with it ("": nothing)."""
-    if len(data) - at < RECORD_HEAD.size:
-        return b"", "half a head"
-    length, expected = RECORD_HEAD.unpack_from(data, at)
-    body = data[at + RECORD_HEAD.size : at + RECORD_HEAD.size + length]
-    if length > MAX_RECORD_SIZE or len(body) < length:
-        return b"", "half a record"
+        offset += RECORD_HEADER.size + len(body)
+    return LogContents(bodies, offset, "")
+
+
+def _read_record(data: bytes, offset: int, number: int) -> tuple[bytes, str]:
+    """Return the body of the record at `offset` and the fault found in the record ("" for none)."""
+    if len(data) - offset < RECORD_HEADER.size:
+        return b"", "incomplete record header"
+    length, expected = RECORD_HEADER.unpack_from(data, offset)
+    body = data[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + length]
+    if length > MAX_RECORD_BYTES or len(body) < length:
+        return b"", "incomplete record body"
     if record_checksum(number, body) != expected:
         return b"", "wrong checksum"
     return body, ""
 
 
 def _write_all(descriptor: int, data: bytes, offset: int) -> None:
-    """Writes and syncs; OSError if the system takes less than all."""
+    """Write all the data and sync the file; raise OSError if only a part could be written."""
     written = os.pwrite(descriptor, data, offset)
     if written != len(data):
         raise OSError(errno.ENOSPC, f"{written} of {len(data)} bytes written")
@@ -125,26 +130,26 @@
 
 
 class AppendLog:
-    """One file of records, locked for as long as this process has it open.
+    """Log of records in one file, which stays locked while this process has it open.
 
-    The log owns two descriptors, of the file and of the lock beside it; `close` closes both. `append` and
-    `rewrite` raise OSError: then nothing of their records counts, and the file is rewritten before the next
-    record, since after a failed fsync nobody knows what the disk holds.
+    The log owns two descriptors, for the file and for the lock file next to it; `close` closes both. If
+    `append` or `rewrite` raises OSError, none of its records is committed. The file is then rewritten before
+    the next record, because the contents of the disk are undefined after a failed fsync.
 
     Attributes:
-        path: Of the file.
-        bodies: The records that count, in order.
-        torn_tail: What a crash had left at the end when the log was opened; "" if nothing.
-        is_new: No record was found when the log was opened.
+        path: Path of the file.
+        bodies: Bodies of the committed records, in order.
+        torn_tail: Description of the invalid bytes found at the end when the log was opened; "" for none.
+        is_new: Whether the file had no records when the log was opened.
     """
 
     def __init__(self, folder: str, name: str) -> None:
-        """Opens `folder`/`name`, creating both as needed.
+        """Open the log `name` in `folder`; create the folder and the file if they do not exist.
 
         Raises:
-            AppendLogLockedError: Another process has it open.
-            AppendLogFormatError: The file is something else.
-            AppendLogUnavailableError: The system refuses.
+            AppendLogLockedError: Another process has the log open.
+            AppendLogFormatError: The file is not an append log.
+            AppendLogUnavailableError: The operating system reports an error.
         """
         self.folder = folder
         self.path = os.path.join(folder, name)
@@ -152,17 +157,17 @@
         self._must_rewrite = False
         try:
             os.makedirs(folder, exist_ok=True)
-            self._lock_descriptor = self._take_lock()
+            self._lock_descriptor = self._acquire_lock()
             self._descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
             self._load()
         except OSError as error:
             raise AppendLogUnavailableError(self.path, error) from None
 
     def append(self, *bodies: bytes) -> None:
-        """Adds records; they are on the disk when it returns.
+        """Append records; they are on the disk when the call returns.
 
         Raises:
-            OSError: They are not, and none of them counts.
+            OSError: None of the records is committed.
         """
         if self._must_rewrite or len(self.bodies) + len(bodies) > MAX_RECORDS:
             self.rewrite([*self.bodies, *bodies])
@@ -177,23 +182,25 @@
         self._size += len(data)
 
     def rewrite(self, bodies: list[bytes]) -> None:
-        """Replaces all records: a file beside is written, synced and renamed, and the folder synced.
+        """Replace all records.
+
+        Writes and syncs a new file, renames it over the old one and syncs the folder.
 
         Raises:
-            OSError: The records are as they were.
+            OSError: The records are unchanged.
         """
-        beside = f"{self.path}.new"
+        new_path = f"{self.path}.new"
         data = MAGIC + pack_records(bodies)
-        descriptor = os.open(beside, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
+        descriptor = os.open(new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, FILE_MODE)
         try:
             _write_all(descriptor, data, 0)
-            self._must_rewrite = True  # from here on either file may be the one that is found
-            os.rename(beside, self.path)
+            self._must_rewrite = True  # until the folder is synced, a crash may leave either file
+            os.rename(new_path, self.path)
             self.sync_folder()
         except OSError:
             os.close(descriptor)
             with contextlib.suppress(OSError):
-                os.unlink(beside)
+                os.unlink(new_path)
             raise
         os.close(self._descriptor)
         self._descriptor = descriptor
@@ -202,7 +209,7 @@
         self._must_rewrite = False
 
     def sync_folder(self) -> None:
-        """Puts the folder's entries on the disk; OSError if that fails."""
+        """Sync the entries of the folder to the disk; raise OSError on failure."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -210,12 +217,12 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        """Closes the file and returns the lock."""
+        """Close the file and release the lock."""
         for descriptor in (self._descriptor, self._lock_descriptor):
             with contextlib.suppress(OSError):
                 os.close(descriptor)
 
-    def _take_lock(self) -> int:
+    def _acquire_lock(self) -> int:
         descriptor = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -225,7 +232,7 @@
         return descriptor
 
     def _load(self) -> None:
-        """Reads the file, and cuts off what a crash has left half-written."""
+        """Read the file and truncate an incomplete record at its end."""
         with open(self.path, "rb") as file:
             data = file.read()
         contents = read_contents(self.path, data)
--- a/onyxhollow/counters.py
+++ b/onyxhollow/counters.py
@@ -1,11 +1,11 @@
-"""Counts of what the proxy takes in, sends and answers, and the one check of what must hold."""
+"""Counters of one process, and the check of its invariants."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterable
 
-# What a session's client was answered; names of the metrics page and the logs.
+# Final answers to clients; the values appear in metrics and logs.
 ACCEPTED = "accepted"
 REJECTED = "refused"
 FAILED = "torn down"
@@ -13,11 +13,11 @@
 
 
 class Counters:
-    """Named counts of one process.
+    """Named counters of one process.
 
     Attributes:
-        counts: by name.
-        final_answers: of sessions, by answer and then by listener.
+        counts: Values of the counters by name.
+        final_answers: Number of sessions by final answer and then by listener.
     """
 
     def __init__(self) -> None:
@@ -25,37 +25,37 @@
         self.final_answers: dict[str, dict[str, int]] = {answer: {} for answer in FINAL_ANSWERS}
 
     def add_listeners(self, names: Iterable[str]) -> None:
-        """Show these listeners from now on, at 0 too; one that is dropped later keeps its counts."""
+        """Add listeners with counts of 0; existing ones keep their counts, and none is ever removed."""
         for counts in self.final_answers.values():
             for name in names:
                 counts.setdefault(name, 0)
 
     def count_final_answer(self, answer: str, listener: str) -> None:
-        """Count a session's answer, one of `FINAL_ANSWERS`."""
+        """Count the final answer of a session, one of `FINAL_ANSWERS`."""
         self.final_answers[answer][listener] = self.final_answers[answer].get(listener, 0) + 1
 
     def add(self, name: str, amount: int = 1) -> None:
-        """Add to a named count."""
+        """Increase a counter by `amount`."""
         self.counts[name] += amount
 
-    def must(self, holds: bool, what: str) -> bool:
-        """Check what must hold: asserted in debug builds, counted in release builds (python -O).
+    def must(self, holds: bool, rule: str) -> bool:
+        """Check an invariant: assert it in debug mode, count violations in optimized mode (python -O).
 
         Args:
-            holds: whether it does.
-            what: the rule, in words.
+            holds: Whether the invariant holds.
+            rule: Description of the invariant; part of the name of the violation counter.
 
         Returns:
-            Whether it holds.
+            Whether the invariant holds.
 
         Raises:
-            AssertionError: it does not, in a debug build.
+            AssertionError: The invariant does not hold and Python runs in debug mode.
         """
-        assert holds, what
+        assert holds, rule
         if not holds:
-            self.counts[f"broken: {what}"] += 1
+            self.counts[f"broken: {rule}"] += 1
         return holds
 
     def snapshot(self) -> dict[str, int]:
-        """Return the named counts, in order of their names."""
+        """Return the counters, sorted by name."""
         return dict(sorted(self.counts.items()))
--- a/onyxhollow/fleet/lease_service.py
+++ b/onyxhollow/fleet/lease_service.py
@@ -281,7 +281,7 @@
             change="held",
             term=term,
             cause=transition.cause,
-            gap=round(transition.waited, 4),
+            gap=round(transition.vacant_seconds, 4),
             left=round(left, 4),
         )
         self.on_announcement(candidate.role, term, self.context.process_id)
--- a/onyxhollow/leases/__init__.py
+++ b/onyxhollow/leases/__init__.py
@@ -1,5 +1,6 @@
 """Leases with a fencing term for named roles, granted by a majority of voters.
 
-Pure cores: they are given the time, messages and a generator, and return what to send and what to store.
-docs/leases.md says why at most one process holds a role, and on which assumptions that rests.
+These modules do no I/O: callers pass in the time, received messages and a random number generator, and get
+back the messages to send and the records to store. docs/leases.md explains why at most one process holds a
+role, and under which assumptions.
 """
--- a/onyxhollow/leases/candidate.py
+++ b/onyxhollow/leases/candidate.py
@@ -1,7 +1,7 @@
-"""A candidate for the lease of one role: pre-vote, vote requests, holding, renewal, hand-over. Pure.
+"""Candidate for the lease of one role: pre-vote, vote requests, holding, renewal and hand-over.
 
-Whoever acts for a role calls `holds` just before each act, and every act carries the term; `timing` says how
-long a lease lasts.
+Code that acts for a role must call `holds` immediately before each action and send the term with it as a
+fencing token. `timing` defines the duration of a lease. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 )
 from onyxhollow.leases.timing import LeaseTiming
 
-MAX_OPEN_ROUNDS = 4  # rounds of vote requests whose responses still count
-STANDBY_CANDIDATES = 3  # candidates that watch for the end of a lease, the first by priority
+MAX_OPEN_ROUNDS = 4  # responses to older rounds of vote requests are ignored
+STANDBY_CANDIDATES = 3  # number of highest-priority candidates that start a pre-vote when a lease may be free
 MAX_BACKOFF_EXPONENT = 4
-SLOT_DIVISOR = 20  # the lease's duration by this: the step between candidates, and the first backoff
+RETRY_SLOTS_PER_LEASE = 20  # a slot separates the retries of candidates and is the base of their backoff
 
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """A lease that began or ended, for the log and the leader task.
+    """Start or end of a lease, for the log and the leader task.
 
     Attributes:
-        began: Whether the lease began; else it ended.
-        term: The lease's term.
-        cause: Why, as it is logged.
-        waited: Seconds since the role was first seen free; 0 at the end of a lease.
+        began: True at the start of the lease, False at its end.
+        term: Term of the lease.
+        cause: Reason, as logged.
+        vacant_seconds: Seconds since this candidate first found the role free; 0 at the end of a lease.
     """
 
     began: bool
     term: int
     cause: str
-    waited: float = 0.0
+    vacant_seconds: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,8 +51,8 @@
     """One round of vote requests.
 
     Attributes:
-        sent_at: When it was first sent, on this process's clock; its lease counts from there.
-        granted_by: The voters that have granted it.
+        sent_at: Time of the first transmission on this process's clock; the lease is counted from it.
+        granted_by: Voters that granted the request.
     """
 
     sent_at: float
@@ -60,26 +60,26 @@
 
 
 class Candidate:
-    """One process's candidacy for one role.
+    """Candidacy of one process for one role.
 
-    Times are seconds on this process's own clock. Each method that takes part in the election returns the
-    messages to send; what has become of the lease is appended to `transitions`.
+    All times are seconds on this process's clock. Methods of the election return the messages to send. The
+    start and end of each lease is appended to `transitions`.
 
     Attributes:
-        state: Changes by `NEXT_STATE` alone.
-        term: Of the latest request; while holding, that of the lease.
-        highest_term: The highest term of the role known of.
-        expires_at: End of the own lease; -inf if none is running.
-        rounds: Rounds of requests whose responses still count, by number.
-        refusals: The latest refusal of each voter, since the latest request began.
-        retransmit_at: When requests are sent again to those that have not answered.
-        next_at: When the present state is over: next renewal, timeout, or next attempt.
-        failed_attempts: Attempts in a row that found no holder and no majority.
-        priority: This member's place among the candidates, as last given to `tick`.
-        free_since: When the role was first seen free; inf if it is not.
-        holder: Process id of the holder, as far as known; "" if it is not.
-        pending: The latest accepted voter set that a voter reported; only for VOTERS_ROLE.
-        transitions: Taken and cleared by the owner.
+        state: Current state; changes only as defined by `NEXT_STATE`.
+        term: Term of the latest request; in state HOLDING, the term of the lease.
+        highest_term: Highest known term of the role.
+        expires_at: Expiry of this candidate's lease; -inf without a lease.
+        rounds: Rounds of requests whose responses are still accepted, by number.
+        refusals: Latest refusal of each voter since the current attempt or renewal began.
+        retransmit_at: Time at which to resend requests to voters that have not responded.
+        next_at: Time of the next renewal, timeout or attempt, depending on the state.
+        failed_attempts: Consecutive attempts that found neither a holder nor a majority.
+        priority: Rank of this member among the candidates at the latest attempt; 0 is the preferred one.
+        free_since: Time at which the role was first found free; inf if it is not free.
+        holder: Process id of the last known holder; "" if unknown.
+        pending: Newest accepted voter set that a voter reported; VOTERS_ROLE only.
+        transitions: Starts and ends of leases that the owner has not processed; the owner clears the list.
     """
 
     def __init__(
@@ -113,29 +113,32 @@
         self.transitions: list[Transition] = []
 
     def holds(self, now: float) -> bool:
-        """Whether the lease is running at `now`, which has to be read just before the act."""
+        """Return whether the lease is valid at `now`.
+
+        The caller must read the clock immediately before the action that the lease protects.
+        """
         return self.state is CandidateState.HOLDING and now < self.expires_at
 
     def next_due(self) -> float:
-        """When `tick` has something to do."""
+        """Return the time at which `tick` must be called next."""
         if self.state is CandidateState.IDLE:
             return self.next_at
         expires_at = self.expires_at if self.state is CandidateState.HOLDING else math.inf
         return min(self.next_at, self.retransmit_at, expires_at)
 
     def tick(self, now: float, priority: int | None) -> list[VoterMessage]:
-        """Does what is due.
+        """Run the timers that have expired.
 
         Args:
-            now: The time.
-            priority: This member's place among the candidates, 0 the preferred one; None if it must not
+            now: Current time.
+            priority: Rank of this member among the candidates, 0 for the preferred one; None if it must not
                 hold the role.
         """
         if self.state is CandidateState.HOLDING:
             return self._tick_holding(now)
         if self.state is not CandidateState.IDLE:
             if now >= self.next_at:
-                return self.fall_back(now)
+                return self.abandon_attempt(now)
             return self.retransmit(now) if now >= self.retransmit_at else []
         if now < self.next_at:
             return []
@@ -146,15 +149,18 @@
         return self.start_pre_vote(now)
 
     def start_pre_vote(self, now: float) -> list[VoterMessage]:
-        """Starts without effect: a candidate that requests at once and loses costs the holder a voter."""
+        """Start an attempt with a pre-vote, which leaves the voters unchanged.
+
+        A candidate that sent vote requests immediately and lost would keep a voter that the holder needs.
+        """
         return self._begin_attempt(now, CandidateEvent.PRE_VOTE_STARTED)
 
     def start_request(self, now: float) -> list[VoterMessage]:
-        """Requests the lease at once: it was offered, or the pre-vote has a majority."""
+        """Request the lease after an offer of the previous holder or a successful pre-vote."""
         return self._begin_attempt(now, CandidateEvent.REQUEST_STARTED)
 
     def on_offer(self, now: float, term: int) -> list[VoterMessage]:
-        """The holder of `term` has released the lease and names this process to follow."""
+        """Process a lease offer: the holder of `term` has released the lease and chose this process."""
         self.highest_term = max(self.highest_term, term)
         if self.state is CandidateState.HOLDING:
             return []
@@ -163,7 +169,7 @@
         return self.start_request(now)
 
     def on_response(self, now: float, voter: str, response: VoteResponse) -> list[VoterMessage]:
-        """A voter's response, to whichever request."""
+        """Process a voter's response to a pre-vote, a request or a renewal."""
         self.highest_term = max(self.highest_term, response.highest_term)
         if response.pending and (self.pending is None or response.pending.term > self.pending.term):
             self.pending = response.pending
@@ -171,48 +177,50 @@
             return self._adopt_voter_set(now, response.voter_set)
         if response.refusal is Refusal.VOTER_BEHIND:
             return [VoterMessage(voter, ConfigurationCommitted(self.voter_set))]
-        answered = self.rounds.get(response.round)
-        if answered is None or voter not in self.voter_set.names or response.term != self.term:
+        request_round = self.rounds.get(response.round)
+        if request_round is None or voter not in self.voter_set.names or response.term != self.term:
             return []
         if not response.granted:
             return self._on_refusal(now, voter, response)
-        answered = RequestRound(answered.sent_at, answered.granted_by | {voter})
-        self.rounds[response.round] = answered
-        if len(answered.granted_by) < self.voter_set.majority:
+        request_round = RequestRound(request_round.sent_at, request_round.granted_by | {voter})
+        self.rounds[response.round] = request_round
+        if len(request_round.granted_by) < self.voter_set.majority:
             return []
-        return self._on_majority(now, answered)
+        return self._on_majority(now, request_round)
 
-    def fall_back(self, now: float, retry_at_once: bool = False) -> list[VoterMessage]:
-        """Gives up an attempt: returns the votes, and waits until the role may be free."""
+    def abandon_attempt(self, now: float, retry_immediately: bool = False) -> list[VoterMessage]:
+        """Abandon an attempt, release its votes and schedule the next one for when the role may be free."""
         messages = self.release_notices() if self.state is CandidateState.REQUESTING else []
-        self._move(CandidateEvent.FELL_BACK)
+        self._change_state(CandidateEvent.ATTEMPT_ABANDONED)
         remaining = self._remaining_until_majority()
         self.holder = next((refusal.holder for refusal in self.refusals.values() if refusal.holder), "")
         if remaining > 0.0:
             self.free_since = math.inf
             self.failed_attempts = 0
             self.next_at = (
-                now + remaining + (self.priority + self.rng.random()) * self.timing.duration / SLOT_DIVISOR
+                now
+                + remaining
+                + (self.priority + self.rng.random()) * self.timing.duration / RETRY_SLOTS_PER_LEASE
             )
-        elif retry_at_once:
+        elif retry_immediately:
             self.next_at = now
         else:
             self.failed_attempts = min(self.failed_attempts + 1, MAX_BACKOFF_EXPONENT)
-            backoff = self.rng.uniform(0.1, 1.0) * self.timing.duration / SLOT_DIVISOR
+            backoff = self.rng.uniform(0.1, 1.0) * self.timing.duration / RETRY_SLOTS_PER_LEASE
             self.next_at = now + backoff * 2**self.failed_attempts
         return messages
 
     def end(self, now: float, cause: str, pause: float = 0.0) -> list[VoterMessage]:
-        """Ends the own lease: this process acts under its term no more, and the voters are notified.
+        """End this candidate's lease and notify the voters; no action may follow under its term.
 
         Args:
-            now: The time.
-            cause: Why, for the log.
-            pause: Seconds for which the role is not requested again, half a lease at least.
+            now: Current time.
+            cause: Reason, for the log.
+            pause: Seconds until the role may be requested again; at least half a lease is used.
         """
         if self.state is not CandidateState.HOLDING:
             return []
-        self._move(CandidateEvent.LEASE_ENDED)
+        self._change_state(CandidateEvent.LEASE_ENDED)
         self.expires_at = -math.inf
         self.holder = ""
         self.transitions.append(Transition(False, self.term, cause))
@@ -220,9 +228,9 @@
         return self.release_notices()
 
     def retransmit(self, now: float) -> list[VoterMessage]:
-        """Sends the latest round again to voters that have not answered, since datagrams get lost.
+        """Resend the latest round to voters that have not responded, because datagrams may be lost.
 
-        It is the same round: its lease counts from when it was first sent.
+        The round number stays the same: its lease is counted from the first transmission.
         """
         current = self.rounds.get(self.round)
         granted_by = current.granted_by if current else frozenset()
@@ -238,18 +246,18 @@
         ]
 
     def release_notices(self) -> list[VoterMessage]:
-        """Notifies every voter that the votes for this term are returned."""
+        """Return a notice to every voter that its vote for this term is released."""
         notice = ReleaseNotice(self.role, self.term, self.process_id)
         return [VoterMessage(voter, notice) for voter in self.voter_set.names]
 
-    def _move(self, event: CandidateEvent) -> None:
-        following = NEXT_STATE.get((self.state, event))
-        if following is None:
+    def _change_state(self, event: CandidateEvent) -> None:
+        next_state = NEXT_STATE.get((self.state, event))
+        if next_state is None:
             raise CandidateStateError(self.role, self.state, event)
-        self.state = following
+        self.state = next_state
 
     def _begin_attempt(self, now: float, event: CandidateEvent) -> list[VoterMessage]:
-        self._move(event)
+        self._change_state(event)
         self.refusals = {}
         self.rounds = {}
         self.term = self.highest_term + 1
@@ -288,7 +296,7 @@
     def _adopt_voter_set(self, now: float, voter_set: VoterSet) -> list[VoterMessage]:
         self.voter_set = voter_set
         if self.state is not CandidateState.HOLDING:
-            return self.fall_back(now, retry_at_once=True)
+            return self.abandon_attempt(now, retry_immediately=True)
         self.next_at = now
         return []
 
@@ -297,33 +305,33 @@
         if self.state is CandidateState.HOLDING:
             return []
         if len(self.voter_set.names) - len(self.refusals) < self.voter_set.majority:
-            return self.fall_back(now)
+            return self.abandon_attempt(now)
         return []
 
-    def _on_majority(self, now: float, answered: RequestRound) -> list[VoterMessage]:
+    def _on_majority(self, now: float, request_round: RequestRound) -> list[VoterMessage]:
         if self.state is CandidateState.PRE_VOTE:
             self.free_since = min(self.free_since, now)
             return self.start_request(now)
-        expires_at = answered.sent_at + self.timing.holder_span
+        expires_at = request_round.sent_at + self.timing.holder_span
         if self.state is CandidateState.REQUESTING:
-            if now >= expires_at:  # the responses were too long on their way
-                return self.fall_back(now)
-            self._begin_lease(now, answered)
+            if now >= expires_at:  # the responses arrived after the lease had expired
+                return self.abandon_attempt(now)
+            self._begin_lease(now, request_round)
         if self.state is CandidateState.HOLDING:
             self.expires_at = max(self.expires_at, expires_at)
         return []
 
-    def _begin_lease(self, now: float, answered: RequestRound) -> None:
-        self._move(CandidateEvent.MAJORITY_GRANTED)
+    def _begin_lease(self, now: float, request_round: RequestRound) -> None:
+        self._change_state(CandidateEvent.MAJORITY_GRANTED)
         self.holder = self.process_id
         self.failed_attempts = 0
-        waited = now - min(self.free_since, now)
-        self.transitions.append(Transition(True, self.term, "granted", waited))
+        vacant_seconds = now - min(self.free_since, now)
+        self.transitions.append(Transition(True, self.term, "granted", vacant_seconds))
         self.free_since = math.inf
-        self.next_at = answered.sent_at + self.timing.renewal_interval
+        self.next_at = request_round.sent_at + self.timing.renewal_interval
 
     def _remaining_until_majority(self) -> float:
-        """Seconds until so many refusing voters are free that a majority can grant; 0 if unknown."""
+        """Return the seconds until enough leases at refusing voters expire for a majority; 0 if unknown."""
         remaining = sorted(refusal.remaining for refusal in self.refusals.values())
-        spare = len(self.voter_set.names) - self.voter_set.majority  # voters that may go on refusing
-        return remaining[-1 - spare] if len(remaining) > spare else 0.0
+        tolerated_refusals = len(self.voter_set.names) - self.voter_set.majority
+        return remaining[-1 - tolerated_refusals] if len(remaining) > tolerated_refusals else 0.0
--- a/onyxhollow/leases/messages.py
+++ b/onyxhollow/leases/messages.py
@@ -1,7 +1,8 @@
 """Messages between candidates and voters, and the records that a voter stores.
 
-All are msgpack arrays with a numeric tag: the tag, the order of the fields and the values of `Refusal` are
-the encoding and stay, whatever a field is called here. `tests/test_compatibility_fleet.py` holds that.
+Each message and record is encoded as a msgpack array with a numeric tag. Tags, the order of fields and the
+values of `Refusal` define the encoding and must not change; field names are not encoded and may.
+`tests/test_compatibility_fleet.py` compares the encoding with recorded bytes.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 
 import msgspec
 
-VOTERS_ROLE = "voters"  # the role of changing the voter set; its term is the number of the proposal
+VOTERS_ROLE = "voters"  # its holder may change the voter set; its term is the ballot number of proposals
 
 
 class VoterSet(msgspec.Struct, array_like=True, frozen=True):
-    """The voters, by member name.
+    """Set of voters, identified by member name.
 
     Attributes:
-        version: Rises by one with each reconfiguration.
+        version: Number that increases by one with each reconfiguration.
         names: Three, five or seven member names.
     """
 
@@ -27,15 +28,15 @@
 
     @property
     def majority(self) -> int:
-        """How many voters make a majority."""
+        """Number of voters that form a majority."""
         return len(self.names) // 2 + 1
 
 
 class PendingVoterSet(msgspec.Struct, array_like=True, frozen=True):
-    """A voter set that a voter has accepted and that may not be committed yet.
+    """Voter set that a voter has accepted and that may not be committed yet.
 
     Attributes:
-        term: Term of the lease of VOTERS_ROLE under which it was proposed.
+        term: Term of the VOTERS_ROLE lease under which it was proposed.
         voter_set: The proposed voters.
     """
 
@@ -44,18 +45,18 @@
 
 
 class Refusal(Enum):
-    """Why a voter refuses a vote."""
+    """Reason for refusing a vote."""
 
-    NONE = ""  # it does not: the vote is granted
-    HELD = "held"  # another process's lease is running
-    STALE_TERM = "term"  # the term is not higher than all before
-    STALE_VOTER_SET = "council"  # the candidate knows an older voter set than this voter
-    VOTER_BEHIND = "behind"  # the candidate knows a newer voter set than this voter
+    NONE = ""  # the vote is granted
+    HELD = "held"  # another process holds an unexpired lease
+    STALE_TERM = "term"  # the term is not higher than every earlier term
+    STALE_VOTER_SET = "council"  # the candidate uses an older voter set than this voter
+    VOTER_BEHIND = "behind"  # the candidate uses a newer voter set than this voter
     NOT_A_VOTER = "no voter"
-    RECOVERING = "no memory yet"  # the voter has lost its memory and has not recovered it
-    RECONFIGURING = "voters change"  # the voter has accepted another voter set
-    OUT_OF_BOUNDS = "bounds"  # too many roles, or a lease duration outside (0, the voter's own]
-    OTHER = "other"  # sent by a version that knows more reasons than this one
+    RECOVERING = "no memory yet"  # the voter has no records and has not recovered them from its peers yet
+    RECONFIGURING = "voters change"  # the voter has accepted a voter set that is not committed yet
+    OUT_OF_BOUNDS = "bounds"  # too many roles, or lease duration not in (0, the voter's own duration]
+    OTHER = "other"  # reason that this version does not define
 
     @classmethod
     def _missing_(cls, value: object) -> Refusal | None:
@@ -63,34 +64,34 @@
 
 
 class KnownTerm(NamedTuple):
-    """The highest term of a role that a voter knows of, and the process that has or had it."""
+    """Highest known term of a role, and the process that holds or held it."""
 
     term: int
     holder: str
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """One message, or one stored record."""
+    """Base of all messages and stored records."""
 
 
 class VoterMessage(NamedTuple):
-    """A message and the name of the voter that it goes to."""
+    """Message and the name of the voter to send it to."""
 
     voter: str
     message: Message
 
 
 class VoteRequest(Message, frozen=True, tag=1):
-    """A candidate requests a lease that begins when the voter receives this.
+    """Request of a candidate for a lease that begins when the voter receives the request.
 
     Attributes:
         role: Name of the role.
-        term: The candidate's term; a renewal has that of the running lease.
+        term: Term that the candidate requests; for a renewal, the term of the current lease.
         candidate: Process id of the candidate.
-        round: Returned with the response, so that it can be matched to this request.
-        lease_duration: Seconds.
-        voter_set_version: Version of the voter set that the candidate knows.
-        pre_vote: Only answer whether the vote would be granted; changes nothing at the voter.
+        round: Number that the response repeats, used to match it to this request.
+        lease_duration: Requested duration in seconds.
+        voter_set_version: Version of the voter set that the candidate uses.
+        pre_vote: If true, the voter reports whether it would grant the vote and leaves its state unchanged.
     """
 
     role: str
@@ -103,19 +104,19 @@
 
 
 class VoteResponse(Message, frozen=True, tag=2):
-    """A voter's answer to a VoteRequest.
+    """Response of a voter to a VoteRequest.
 
     Attributes:
-        role: As requested.
-        term: As requested.
-        round: As requested.
-        granted: Whether the vote is granted, or would be if it is a pre-vote.
-        highest_term: The highest term of the role that the voter knew of before.
-        holder: Process id of the holder of the lease that is running at this voter; "" if none is.
-        remaining: Seconds until that lease ends, or until a recovering voter may grant again.
-        refusal: Why the vote is refused.
-        voter_set: A newer one than the candidate's.
-        pending: For VOTERS_ROLE alone: what this voter has accepted, perhaps not a majority of them.
+        role: Copied from the request.
+        term: Copied from the request.
+        round: Copied from the request.
+        granted: Whether the vote is granted; for a pre-vote, whether it would be.
+        highest_term: Highest term of the role at this voter before the request.
+        holder: Process id of the holder of the lease active at this voter; "" if none is.
+        remaining: Seconds until that lease expires, or until a recovering voter may grant votes.
+        refusal: Reason for refusing the vote.
+        voter_set: The voter's voter set if it is newer than the candidate's; None otherwise.
+        pending: For VOTERS_ROLE only: voter set that this voter has accepted, possibly without a majority.
     """
 
     role: str
@@ -131,7 +132,7 @@
 
 
 class ReleaseNotice(Message, frozen=True, tag=3):
-    """The holder has ended its lease and never acts under this term again."""
+    """Notice that the holder has ended its lease and will not act under this term again."""
 
     role: str
     term: int
@@ -139,26 +140,26 @@
 
 
 class LeaseOffer(Message, frozen=True, tag=4):
-    """To the process that is to follow: the lease is free now, request it at once."""
+    """Notice to the chosen successor that the lease is free and should be requested immediately."""
 
     role: str
     term: int
 
 
 class StateQuery(Message, frozen=True, tag=5):
-    """A recovering voter queries the other voters for the terms that they know of."""
+    """Query of a recovering voter to the other voters for their known terms."""
 
     round: int
 
 
 class StateResponse(Message, frozen=True, tag=6):
-    """A voter's answer to a StateQuery.
+    """Response of a voter to a StateQuery.
 
     Attributes:
-        round: As queried.
-        recovering: The answering voter has lost its memory as well.
-        known_terms: By role.
-        voter_set: The one that the answering voter knows.
+        round: Copied from the query.
+        recovering: Whether the responding voter is itself recovering.
+        known_terms: Highest terms at the responding voter, by role.
+        voter_set: Voter set of the responding voter.
     """
 
     round: int
@@ -168,7 +169,7 @@
 
 
 class ReconfigurationRequest(Message, frozen=True, tag=7):
-    """The holder of VOTERS_ROLE proposes a voter set under the term of its lease."""
+    """Proposal of a voter set by the holder of VOTERS_ROLE, under the term of its lease."""
 
     term: int
     round: int
@@ -176,12 +177,12 @@
 
 
 class ReconfigurationResponse(Message, frozen=True, tag=8):
-    """A voter's answer to a ReconfigurationRequest.
+    """Response of a voter to a ReconfigurationRequest.
 
     Attributes:
-        round: As requested.
+        round: Copied from the request.
         accepted: Whether the voter has accepted and stored the proposal.
-        highest_term: The highest term of VOTERS_ROLE that the voter knows of.
+        highest_term: Highest term of VOTERS_ROLE at this voter.
         voter_set_version: Version of the voter set that is in force at this voter.
     """
 
@@ -192,18 +193,18 @@
 
 
 class ConfigurationCommitted(Message, frozen=True, tag=9):
-    """A voter set that a majority of the one before has accepted: it is in force."""
+    """Voter set that is in force because a majority of the previous one accepted it."""
 
     voter_set: VoterSet
 
 
 class HandOverCommand(Message, frozen=True, tag=10):
-    """An operator's command to the holder of a role.
+    """Command of an operator to the holder of a role to hand over its lease.
 
     Attributes:
         role: Name of the role.
-        target: Member that is to follow; "": whichever is first in the ranking.
-        forwarded: Passed on by a process that was taken for the holder; not passed on again.
+        target: Member that should hold the role next; "" for the first candidate in the ranking.
+        forwarded: Whether a process that is not the holder forwarded the command; it is forwarded only once.
     """
 
     role: str
@@ -212,7 +213,7 @@
 
 
 class LeaderAnnouncement(Message, frozen=True, tag=11):
-    """Broadcast to all members: which process holds a role, and under which term."""
+    """Broadcast to all members of the process that holds a role and its term."""
 
     role: str
     term: int
@@ -220,7 +221,7 @@
 
 
 class ReplaceVoterCommand(Message, frozen=True, tag=12):
-    """An operator's command to the holder of VOTERS_ROLE: one voter for another member."""
+    """Command of an operator to the holder of VOTERS_ROLE to replace a voter by another member."""
 
     remove: str
     add: str
@@ -242,17 +243,17 @@
 )
 
 
-# Records of a voter, stored before it answers.
+# Records that a voter stores before it responds.
 
 
 class LeaseGrant(Message, frozen=True, tag=20):
-    """A vote that was granted, or a term that the voter learnt of.
+    """Granted vote, or a term received from another voter.
 
     Attributes:
         role: Name of the role.
-        term: The term that is used up from here on.
-        holder: Process id; "" if unknown.
-        lease_duration: Seconds; 0 if the lease was not granted by this voter or has been released.
+        term: Term that may not be granted to any other candidate from this record on.
+        holder: Process id of the holder; "" if unknown.
+        lease_duration: Seconds; 0 if this voter did not grant the lease or the lease was released.
     """
 
     role: str
@@ -262,26 +263,26 @@
 
 
 class LeaseReleased(Message, frozen=True, tag=21):
-    """The holder has returned the lease; its term stays used up."""
+    """Released lease; its term may not be granted again."""
 
     role: str
     term: int
 
 
 class VoterSetChanged(Message, frozen=True, tag=22):
-    """The voter set in force from here on."""
+    """Voter set in force from this record on."""
 
     voter_set: VoterSet
 
 
 class ProposalAccepted(Message, frozen=True, tag=23):
-    """A proposed voter set that this voter has accepted."""
+    """Proposed voter set that this voter has accepted."""
 
     pending: PendingVoterSet
 
 
 class RecoveryCompleted(Message, frozen=True, tag=24):
-    """From here on the records hold all that this voter has to know."""
+    """Marks the records as complete: a voter restored from them does not have to recover."""
 
 
 VoterRecord = LeaseGrant | LeaseReleased | VoterSetChanged | ProposalAccepted | RecoveryCompleted
--- a/onyxhollow/leases/reconfiguration.py
+++ b/onyxhollow/leases/reconfiguration.py
@@ -1,9 +1,9 @@
-"""Replacing a voter: what the holder of VOTERS_ROLE does. Pure.
+"""Replacement of a voter by the holder of VOTERS_ROLE.
 
-The term of its lease is the ballot number of a single-decree Paxos (Lamport 1998) for the next version of the
-voter set. The votes for that lease were the first phase and reported what voters had accepted before; that is
-proposed first, since a majority may have accepted it already. What a majority of the *present* voters accepts
-is in force from then on.
+The next version of the voter set is chosen by single-decree Paxos (Lamport 1998). The term of the holder's
+lease is the ballot number. The votes for that lease were phase one and reported any voter set accepted
+earlier. Such a voter set is proposed first, because a majority may already have accepted it. A proposal takes
+effect as soon as a majority of the *current* voters has accepted it. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class Reconfiguration:
-    """The proposer of one member.
+    """Proposer of voter sets at one member.
 
     Attributes:
-        command: The operator's command that is being executed; None if there is none.
-        round: Number of the latest round of requests.
-        proposed: The voter set of that round; None if nothing is proposed.
-        accepted_by: The voters that have accepted it in that round.
+        command: Operator's command in progress; None if there is none.
+        round: Number of the latest round of reconfiguration requests.
+        proposed: Voter set proposed in that round; None if no proposal is open.
+        accepted_by: Voters that accepted the proposal in that round.
     """
 
     def __init__(self) -> None:
@@ -36,11 +36,14 @@
 
     @property
     def in_progress(self) -> bool:
-        """Whether a command waits or a proposal is open."""
+        """Whether a command is pending or a proposal is open."""
         return self.command is not None or self.proposed is not None
 
     def next_voter_set(self, candidate: Candidate, voter_set: VoterSet) -> VoterSet | None:
-        """The voter set to propose: one already accepted somewhere, else the operator's; None if neither."""
+        """Return the voter set to propose, or None if there is none.
+
+        A voter set that some voter has already accepted takes precedence over the operator's command.
+        """
         version = voter_set.version + 1
         if candidate.pending and candidate.pending.voter_set.version == version:
             return candidate.pending.voter_set
@@ -51,9 +54,10 @@
         return None
 
     def propose(self, now: float, candidate: Candidate, voter_set: VoterSet) -> list[VoterMessage]:
-        """Opens a round of requests; called again while no majority has accepted.
+        """Open a round of requests.
 
-        Drops command and proposal without the lease of VOTERS_ROLE, or if there is nothing to propose.
+        The caller repeats the call until a majority has accepted. Without the lease of VOTERS_ROLE, or if
+        there is nothing to propose, the command and the proposal are discarded.
         """
         proposed = self.next_voter_set(candidate, voter_set) if candidate.holds(now) else None
         if proposed is None:
@@ -74,11 +78,11 @@
         voter: str,
         response: ReconfigurationResponse,
     ) -> VoterSet | None:
-        """Counts a voter's response.
+        """Count a voter's response.
 
         Returns:
-            The voter set in force from now on, once a majority of the present one has accepted it in this
-            round; else None.
+            The committed voter set if this response completes a majority of the current voters in this round;
+            None otherwise.
         """
         proposed = self.proposed
         if proposed is None or response.round != self.round or not response.accepted:
--- a/onyxhollow/leases/timing.py
+++ b/onyxhollow/leases/timing.py
@@ -1,9 +1,10 @@
-"""How long a lease lasts for its holder, and the intervals that follow from it.
+"""Duration of a lease at its holder, and the protocol intervals derived from it.
 
-The lease is counted from before the requests were sent, on the holder's own clock, and lasts
-`LeaseTiming.holder_span` seconds: the lease's duration less the stated bound on clock rates. With rates
-within 1 - bound and 1 + bound of true time, a voter's grant lasts at least duration / (1 + bound), and the
-holder's span ends at the latest after span / (1 - bound): the same.
+The holder measures its lease on its own clock, starting before it sends the requests. The lease lasts
+`LeaseTiming.holder_span` seconds there: the duration reduced by the configured bound on clock rates. If every
+clock runs between 1 - bound and 1 + bound times true time, a voter's grant lasts at least duration / (1 +
+bound) of true time, and the holder's span ends after at most span / (1 - bound). The two values are equal, so
+the holder never outlasts the grant.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """How long a lease lasts, and the intervals that follow from it.
+    """Duration of a lease and the intervals derived from it.
 
     Attributes:
-        duration: Seconds for which a voter grants a lease, on the voter's clock.
-        rate_bound: Fraction by which any clock's rate may be off from true time.
+        duration: Seconds for which a voter grants a lease, measured on the voter's clock.
+        rate_bound: Maximum deviation of any clock's rate from true time, as a fraction.
     """
 
     duration: float = 3.0
@@ -25,20 +26,20 @@
 
     @property
     def holder_span(self) -> float:
-        """Seconds for which the holder takes a lease to last, from before it sent the requests."""
+        """Seconds for which the holder may use a lease, counted from just before it sent the requests."""
         return self.duration * (1.0 - self.rate_bound) / (1.0 + self.rate_bound)
 
     @property
     def renewal_interval(self) -> float:
-        """Seconds from one renewal to the next."""
+        """Seconds between renewals."""
         return self.duration / 3.0
 
     @property
     def retransmit_interval(self) -> float:
-        """Seconds after which a request is sent again to the voters that have not answered."""
+        """Seconds until a request is sent again to voters that have not responded."""
         return self.duration / 16.0
 
     @property
     def response_timeout(self) -> float:
-        """Seconds for which a candidate that holds nothing waits for responses."""
+        """Seconds that a candidate without a lease waits for responses."""
         return self.duration / 4.0
--- a/onyxhollow/leases/voter.py
+++ b/onyxhollow/leases/voter.py
@@ -1,18 +1,20 @@
-"""A voter: grants the lease of a role to one process at a time, under a term that only rises.
-
-Pure: given the time (seconds on its own clock, which no step of the wall clock moves) and a message, it
-returns what to answer and what has to be stored before the answer is sent. What its safety rests on:
-
-- A grant runs out on the voter's own clock, the lease's duration after the request came in. The candidate
-  counts from before it sent the request and stops earlier by the stated bound on clock rates, so no bound
-  on message delays is needed.
-- A term is given to one candidate, once, and only if it is higher than all before. Two majorities share a
-  voter, which orders their terms; so terms rise from holder to holder.
-- Grants outlive the process. A voter that starts with its records takes each lease as granted just now. One
-  without them has forgotten which terms are used up: it is *recovering*, waits out the longest lease and
-  queries the other voters; until enough of them have answered, it grants nothing.
-- Changing the voter set is a proposal under the term of VOTERS_ROLE (single-decree Paxos with that term as
-  the ballot number). A voter that has accepted one grants nothing more under the old voter set.
+"""Voter: grants the lease of a role to one process at a time, under strictly increasing terms.
+
+The voter does no I/O. It is given the time (seconds on a monotonic clock) and a message, and returns the
+responses and the records that must be stored before the responses are sent. Its safety depends on these
+rules:
+
+- A grant expires on the voter's clock, one lease duration after the request arrived. The candidate counts
+  from before it sent the request and stops earlier by the configured bound on clock rates. No bound on
+  message delay is needed.
+- A term is granted to a single candidate, and only if it is higher than every earlier term. Any two
+  majorities have a voter in common, which orders their terms, so terms increase from holder to holder.
+- Grants survive a restart. A voter that restarts with its records treats each lease as granted at the
+  restart. A voter without records does not have the terms that were granted. It is *recovering*: it waits for
+  the longest lease to expire and queries the other voters, and grants nothing until enough of them have
+  responded.
+- A change of the voter set is a proposal under the term of VOTERS_ROLE (single-decree Paxos with that term as
+  the ballot number). A voter that has accepted a proposal grants no more leases under the old voter set.
 """
 
 from __future__ import annotations
@@ -46,17 +48,17 @@
 )
 from onyxhollow.leases.voter_slot import VoterSlot, decide_vote
 
-MAX_ROLES = 256  # that one voter grants leases of
-MAX_LEASE_DURATION_SECONDS = 60.0  # seconds
-STATE_QUERY_INTERVAL = 0.25  # seconds between the queries of a recovering voter
+MAX_ROLES = 256  # per voter
+MAX_LEASE_DURATION_SECONDS = 60.0
+STATE_QUERY_INTERVAL_SECONDS = 0.25
 
 
 class VoterOutput(NamedTuple):
-    """What a message leads to.
+    """Result of processing a message.
 
     Attributes:
-        responses: Messages to whoever sent it.
-        records: What has to be stored before they are sent.
+        responses: Messages to the sender.
+        records: Records that must be stored before the responses are sent.
     """
 
     responses: list[Message]
@@ -64,11 +66,11 @@
 
 
 class RecoveryOutput(NamedTuple):
-    """What a recovering voter does.
+    """Result of a step of a voter's recovery.
 
     Attributes:
         queries: Messages to other voters.
-        records: What has to be stored, once it has recovered.
+        records: Records that must be stored; empty until the voter has recovered.
     """
 
     queries: list[VoterMessage]
@@ -77,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UndoState:
-    """What the latest message has changed, as it was before."""
+    """State that the latest message changed, as it was before the change."""
 
     role: str
     slot: VoterSlot | None
@@ -85,17 +87,19 @@
 
 
 class Voter:
-    """One member's voter. Times are seconds on its own clock.
+    """Voter of one member.
+
+    All times are seconds on the voter's clock.
 
     Attributes:
-        name: The member's name.
-        voter_set: The newest one known.
-        lease_duration: The longest lease it grants, seconds.
-        slots: By role.
-        pending: The voter set that it has accepted; None once a newer one is in force.
-        recovering: It has lost its memory, or never had one.
-        no_grants_before: A recovering voter grants nothing before this.
-        peer_recovering: By name of the voters that have answered the state query: whether they recover too.
+        name: Name of the member.
+        voter_set: Newest known voter set.
+        lease_duration: Longest lease that this voter grants, in seconds.
+        slots: Voter slots by role.
+        pending: Accepted voter set; None once that version or a newer one is in force.
+        recovering: Whether the voter started without complete records and has not recovered yet.
+        no_grants_before: Earliest time at which a recovering voter may grant a vote.
+        peer_recovering: Whether each peer that responded to a state query is recovering, by peer name.
     """
 
     def __init__(self, name: str, voter_set: VoterSet, lease_duration: float, now: float) -> None:
@@ -111,10 +115,10 @@
         self.next_query_at = now
         self._undo_state: UndoState | None = None
 
-    # The voter's records.
+    # Records.
 
     def restore(self, records: Iterable[Message], now: float) -> None:
-        """Takes in what was stored before this process; each lease is taken as granted just now."""
+        """Restore the state from stored records; every lease is treated as granted at `now`."""
         for record in records:
             if isinstance(record, LeaseGrant):
                 expires_at = now + record.lease_duration if record.lease_duration else -math.inf
@@ -131,7 +135,7 @@
                 self.recovering = False
 
     def records(self) -> list[Message]:
-        """All that has to outlive the process, in as few records as it takes."""
+        """Return the smallest list of records that restores the current state."""
         records: list[Message] = [VoterSetChanged(self.voter_set)]
         for role, slot in sorted(self.slots.items()):
             granted_here = slot.holder and slot.expires_at > -math.inf
@@ -142,7 +146,10 @@
         return records if self.recovering else [*records, RecoveryCompleted()]
 
     def undo(self) -> None:
-        """The latest message's records could not be stored: nothing is answered, and nothing holds."""
+        """Revert the latest message because its records could not be stored.
+
+        The responses to that message must not be sent.
+        """
         before = self._undo_state
         if before is None:
             return
@@ -161,27 +168,27 @@
         return [name for name in self.voter_set.names if name != self.name]
 
     def tick(self, now: float) -> RecoveryOutput:
-        """Does what is due; only a recovering voter has anything to do."""
+        """Send state queries or complete the recovery; has no effect unless the voter is recovering."""
         if not self.recovering or self.name not in self.voter_set.names:
             return RecoveryOutput([], [])
-        # Any majority that this voter was part of has another member among so many of its peers. When all
-        # peers have lost their memory too, nobody has more to report than that.
-        remembering = sum(1 for name in self.peers if self.peer_recovering.get(name) is False)
-        all_answered = all(name in self.peer_recovering for name in self.peers)
-        if now >= self.no_grants_before and (remembering >= self.voter_set.majority or all_answered):
+        # A majority of peers with records includes a member of every majority that this voter was part of.
+        # If all peers have responded, no further information can arrive, even if they are recovering too.
+        peers_with_records = sum(1 for name in self.peers if self.peer_recovering.get(name) is False)
+        all_responded = all(name in self.peer_recovering for name in self.peers)
+        if now >= self.no_grants_before and (peers_with_records >= self.voter_set.majority or all_responded):
             self.recovering = False
             return RecoveryOutput([], self.records())
         if now < self.next_query_at:
             return RecoveryOutput([], [])
-        self.next_query_at = now + STATE_QUERY_INTERVAL
+        self.next_query_at = now + STATE_QUERY_INTERVAL_SECONDS
         self.query_round += 1
         query = StateQuery(self.query_round)
         return RecoveryOutput([VoterMessage(name, query) for name in self.peers], [])
 
     def next_due(self) -> float:
-        """When `tick` has something to do; inf if it has not."""
-        active = self.recovering and self.name in self.voter_set.names
-        return self.next_query_at if active else math.inf
+        """Return the time at which `tick` must be called next; inf if it need not be."""
+        must_query = self.recovering and self.name in self.voter_set.names
+        return self.next_query_at if must_query else math.inf
 
     def _on_state_response(self, name: str, response: StateResponse, now: float) -> None:
         if not self.recovering or name not in self.peers:
@@ -196,7 +203,7 @@
     # Messages.
 
     def on_message(self, now: float, source: str, message: Message) -> VoterOutput:
-        """Takes a message from the member named `source`; a kind that is not for voters is ignored."""
+        """Process a message from the member named `source`; messages not meant for voters are ignored."""
         self._undo_state = None
         if isinstance(message, VoteRequest):
             return self._on_vote_request(now, message)
@@ -219,7 +226,7 @@
 
     def _on_vote_request(self, now: float, request: VoteRequest) -> VoterOutput:
         slot = self.slots.get(request.role, VoterSlot())
-        refusal = self._cannot_vote(request)
+        refusal = self._find_refusal(request)
         if refusal is Refusal.NONE:
             decision = decide_vote(slot, request, now)
             if isinstance(decision, VoterSlot):
@@ -227,8 +234,8 @@
             refusal = decision
         return VoterOutput([self._refuse(now, request, slot, refusal)], [])
 
-    def _cannot_vote(self, request: VoteRequest) -> Refusal:
-        """Why this voter can't vote on the request, whatever the slot; Refusal.NONE if it can."""
+    def _find_refusal(self, request: VoteRequest) -> Refusal:
+        """Return the reason for refusing the request regardless of the slot, or Refusal.NONE."""
         if self.voter_set.version != request.voter_set_version:
             newer_here = self.voter_set.version > request.voter_set_version
             return Refusal.STALE_VOTER_SET if newer_here else Refusal.VOTER_BEHIND
@@ -271,9 +278,9 @@
         )
         if request.pre_vote:
             return VoterOutput([response], [])
-        self._remember_undo(request.role)
+        self._save_undo_state(request.role)
         self.slots[request.role] = after
-        # A renewal is not stored: after a restart each lease is taken as granted just now.
+        # Renewals are not stored: after a restart every lease is treated as granted at the restart.
         same_lease = (before.term, before.holder) == (after.term, after.holder)
         if same_lease and before.expires_at > -math.inf:
             return VoterOutput([response], [])
@@ -297,15 +304,15 @@
         if not (is_next and can_vote) or request.term < slot.term or superseded:
             refusal = ReconfigurationResponse(request.round, False, slot.term, self.voter_set.version)
             return VoterOutput([refusal], [])
-        self._remember_undo(VOTERS_ROLE)
+        self._save_undo_state(VOTERS_ROLE)
         self.pending = PendingVoterSet(request.term, request.voter_set)
         response = ReconfigurationResponse(request.round, True, slot.term, self.voter_set.version)
         return VoterOutput([response], [ProposalAccepted(self.pending)])
 
     def _adopt(self, voter_set: VoterSet, now: float) -> None:
-        """The voter set in force from now on."""
+        """Put a voter set in force."""
         if self.name in voter_set.names and self.name not in self.voter_set.names:
-            # A newcomer knows nothing of what was granted meanwhile.
+            # A newly added voter has no records of earlier grants.
             self.recovering = True
             self.no_grants_before = now + self.lease_duration
             self.peer_recovering = {}
@@ -316,5 +323,5 @@
     def _pending_for(self, role: str) -> PendingVoterSet | None:
         return self.pending if role == VOTERS_ROLE else None
 
-    def _remember_undo(self, role: str) -> None:
+    def _save_undo_state(self, role: str) -> None:
         self._undo_state = UndoState(role, self.slots.get(role), self.pending)
--- a/tests/test_append_log.py
+++ b/tests/test_append_log.py
@@ -1,4 +1,4 @@
-"""The append log: failing I/O, and what a crash leaves behind."""
+"""Tests of the append log: failing I/O and recovery after a crash."""
 
 import errno
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("call", ["pwrite", "fsync", "rename", "fsync folder"])
-def test_a_failing_system_call_leaves_the_records_that_counted_before(tmp_path, monkeypatch, call):
+def test_failing_system_call_keeps_the_committed_records(tmp_path, monkeypatch, call):
     folder = str(tmp_path)
     log = AppendLog(folder, "r")
     log.append(b"one", b"two")
@@ -24,20 +24,20 @@
             patch.setattr(append_log.os, call, fail)
         with pytest.raises(OSError, match="full"):
             log.rewrite([b"three"]) if call in ("rename", "fsync folder") else log.append(b"three")
-    log.append(b"four")  # rewritten, since nobody knows what the disk holds
+    log.append(b"four")  # rewrites the file: its contents are undefined after a failed write
     log.close()
     assert AppendLog(folder, "r").bodies == [b"one", b"two", b"four"]
 
 
-def test_what_a_crash_left_half_written_is_described_and_written_over(tmp_path):
+def test_incomplete_record_after_a_crash_is_described_and_overwritten(tmp_path):
     log = AppendLog(str(tmp_path), "r")
     with pytest.raises(AppendLogLockedError, match="another process"):
         AppendLog(str(tmp_path), "r")
     log.append(b"one", b"two", b"three")
     log.close()
     complete = (tmp_path / "r").read_bytes()
-    for lost, fault in ((1, "half a record"), (len(b"three") + 3, "half a head")):
-        (tmp_path / "r").write_bytes(complete[:-lost])
+    for lost_bytes, fault in ((1, "incomplete record body"), (len(b"three") + 3, "incomplete record header")):
+        (tmp_path / "r").write_bytes(complete[:-lost_bytes])
         reopened = AppendLog(str(tmp_path), "r")
         assert reopened.bodies == [b"one", b"two"] and fault in reopened.torn_tail
         reopened.close()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Voters, candidates and changes of the voter set, in simulated time."""
+"""Tests of voters, candidates and reconfigurations of the voter set, in simulated time."""
 
 from random import Random
 
@@ -47,7 +47,7 @@
 
 
 def respond(voter, now, request):
-    """The voter's one response to a request."""
+    """Return the voter's only response to a request."""
     (response,), _ = voter.on_message(now, request.candidate, request)
     return response
 
@@ -56,42 +56,46 @@
     return respond(voter, now, request).granted
 
 
-def test_a_voter_grants_a_lease_to_one_candidate_at_a_time_and_terms_only_rise():
+def test_voter_grants_one_lease_at_a_time_under_increasing_terms():
     voter = make_voter()
     (response,), records = voter.on_message(0.0, "x", vote_request(1, "x"))
     assert response.granted and records == [LeaseGrant("d", 1, "x", LEASE)]
     (response,), records = voter.on_message(1.0, "y", vote_request(2, "y"))
     assert not response.granted and response.remaining == 3.0 and not records
-    assert voter.on_message(2.0, "x", vote_request(1, "x")).records == []  # a renewal: nothing new to store
+    assert voter.on_message(2.0, "x", vote_request(1, "x")).records == []  # renewals are not stored
     assert not granted(voter, 5.9, vote_request(2, "y"))
-    assert not granted(voter, 6.1, vote_request(1, "y"))  # that term is used up
+    assert not granted(voter, 6.1, vote_request(1, "y"))  # term 1 has already been granted
     assert granted(voter, 6.1, vote_request(2, "y", pre_vote=True))
     assert granted(voter, 6.1, vote_request(2, "y"))
     assert not granted(voter, 6.2, vote_request(1, "x"))
     voter.on_message(6.3, "y", ReleaseNotice("d", 2, "y"))
-    assert not granted(voter, 6.4, vote_request(2, "y"))  # a late request of a term that was released
+    assert not granted(voter, 6.4, vote_request(2, "y"))  # delayed request for a term that was released
     assert granted(voter, 6.4, vote_request(3, "x"))
 
 
-def test_a_restarted_voter_waits_a_lease_with_its_records_and_queries_its_peers_without():
+def test_restarted_voter_waits_one_lease_with_records_and_queries_peers_without_records():
     voter = make_voter()
     _, records = voter.on_message(0.0, "x", vote_request(7, "x"))
     restored = Voter("a", VOTER_SET, LEASE, 50.0)
     restored.restore([*voter.records(), *records], 50.0)
     assert not restored.recovering
     assert not granted(restored, 53.9, vote_request(8, "y")) and granted(restored, 51.0, vote_request(7, "x"))
-    blank = Voter("a", VOTER_SET, LEASE, 50.0)
-    assert not granted(blank, 60.0, vote_request(8, "y"))
-    blank.on_message(60.0, "b", StateResponse(1, False, {"d": KnownTerm(7, "x")}, VOTER_SET))
-    blank.tick(60.0)
-    assert blank.recovering  # any two of three may have granted: one peer's word is not enough
-    blank.on_message(60.0, "c", StateResponse(1, True, {}, VOTER_SET))
-    _, records = blank.tick(60.0)
-    assert not blank.recovering and records
-    assert not granted(blank, 60.0, vote_request(7, "y")) and granted(blank, 60.0, vote_request(7, "x"))
-
-
-def test_a_grant_that_could_not_be_stored_does_not_hold():
+    recovering = Voter("a", VOTER_SET, LEASE, 50.0)
+    assert not granted(recovering, 60.0, vote_request(8, "y"))
+    recovering.on_message(60.0, "b", StateResponse(1, False, {"d": KnownTerm(7, "x")}, VOTER_SET))
+    recovering.tick(60.0)
+    assert (
+        recovering.recovering
+    )  # any two of three voters may have granted: one peer's response is not enough
+    recovering.on_message(60.0, "c", StateResponse(1, True, {}, VOTER_SET))
+    _, records = recovering.tick(60.0)
+    assert not recovering.recovering and records
+    assert not granted(recovering, 60.0, vote_request(7, "y")) and granted(
+        recovering, 60.0, vote_request(7, "x")
+    )
+
+
+def test_undo_reverts_a_grant_that_could_not_be_stored():
     voter = make_voter()
     voter.on_message(0.0, "x", vote_request(1, "x"))
     voter.undo()
@@ -99,26 +103,26 @@
     assert responses[0].granted and records
 
 
-def test_a_voter_that_has_accepted_a_voter_set_grants_nothing_under_the_old_one():
+def test_voter_grants_nothing_under_the_old_voter_set_after_accepting_a_new_one():
     voter = make_voter()
     voter.on_message(0.0, "x", vote_request(3, "x", role="voters"))
-    after = VoterSet(1, ("a", "b", "z"))
-    assert not voter.on_message(0.1, "x", ReconfigurationRequest(2, 1, after))[0][0].accepted
-    assert voter.on_message(0.1, "x", ReconfigurationRequest(3, 1, after))[0][0].accepted
+    proposed = VoterSet(1, ("a", "b", "z"))
+    assert not voter.on_message(0.1, "x", ReconfigurationRequest(2, 1, proposed))[0][0].accepted
+    assert voter.on_message(0.1, "x", ReconfigurationRequest(3, 1, proposed))[0][0].accepted
     assert respond(voter, 0.2, vote_request(1, "x")).refusal is Refusal.RECONFIGURING
     response = respond(voter, 9.0, vote_request(4, "y", role="voters"))
-    # Whoever holds VOTERS_ROLE next has to go on with the proposal.
-    assert response.granted and response.pending.voter_set == after
-    voter.on_message(9.1, "y", ConfigurationCommitted(after))
+    # The next holder of VOTERS_ROLE must complete the accepted proposal.
+    assert response.granted and response.pending.voter_set == proposed
+    voter.on_message(9.1, "y", ConfigurationCommitted(proposed))
     assert respond(voter, 9.2, vote_request(1, "x")).refusal is Refusal.STALE_VOTER_SET
     assert granted(voter, 9.2, vote_request(1, "x", version=1))
     newcomer = Voter("z", VOTER_SET, LEASE, 0.0)
     newcomer.recovering = False
-    newcomer.on_message(9.1, "y", ConfigurationCommitted(after))
+    newcomer.on_message(9.1, "y", ConfigurationCommitted(proposed))
     assert newcomer.recovering and newcomer.no_grants_before == 13.1
 
 
-def test_a_lease_counts_from_before_its_request_and_is_shorter_by_the_bound_on_clock_rates():
+def test_lease_counts_from_its_request_and_is_shortened_by_the_clock_rate_bound():
     candidate = Candidate("d", "x", LeaseTiming(LEASE, 0.1), VOTER_SET, Random(1), 0.0)
     candidate.start_request(10.0)
     for name in ("a", "b"):
@@ -130,32 +134,32 @@
     candidate.start_request(20.0)
     for name in ("a", "b"):
         candidate.on_response(23.5, name, VoteResponse("d", 2, candidate.round, True, 1))
-    assert not candidate.holds(23.5)  # the responses were too long on their way
+    assert not candidate.holds(23.5)  # the responses arrived after the lease had expired
 
 
-def test_an_event_that_the_table_of_transitions_lacks_is_an_error_that_names_it():
+def test_event_missing_from_the_transition_table_raises_an_error_that_names_it():
     candidate = Candidate("d", "x", LeaseTiming(LEASE, 0.1), VOTER_SET, Random(1), 0.0)
     candidate.state = CandidateState.HOLDING
     with pytest.raises(
         CandidateStateError, match="d: expected one of lease ended in state holding, got fell back"
     ):
-        candidate.fall_back(1.0)
+        candidate.abandon_attempt(1.0)
     assert {state for state, _ in NEXT_STATE} == set(CandidateState)
     assert {event for _, event in NEXT_STATE} == set(CandidateEvent)
 
 
-def test_a_refusal_of_a_later_version_is_read_as_another_reason():
+def test_unknown_refusal_reason_of_a_later_version_decodes_as_other():
     response = VoteResponse("d", 1, 1, False, 0, refusal=Refusal.HELD)
     assert MESSAGE_DECODER.decode(encode(response)) == response
     unknown = MESSAGE_DECODER.decode(encode(response).replace(b"\xa4held", b"\xa4hulk"))
     assert unknown.refusal is Refusal.OTHER
 
 
-def test_the_explorer_finds_nothing_with_one_fault_and_each_bug_put_in():
-    told = explore.explore(1, 12)
-    assert told.whole and not told.found and told.states > 1000 and told.ends
-    told = explore.explore(3, 8, only="restarts")
-    assert told.whole and not told.found
+def test_state_explorer_passes_the_protocol_and_finds_each_injected_bug():
+    result = explore.explore(1, 12)
+    assert result.whole and not result.found and result.states > 1000 and result.ends
+    result = explore.explore(3, 8, only="restarts")
+    assert result.whole and not result.found
     for name in broken.BUGS:
         with explore.bug(name):
             only = "restarts" if name == "forgets" else ""
@@ -163,10 +167,10 @@
 
 
 class Election(RuleBasedStateMachine):
-    """Five voters and two to be added, three candidates for a role and for changing the voter set.
+    """Election among five voters, two spare voters and three candidates for a role and for VOTERS_ROLE.
 
-    In any order: loss, repetition and delay of messages, restarts with and without records, hand-overs and
-    reconfigurations.
+    The rules run in random order: message loss, duplication and delay, process stops, network cuts, voter
+    restarts with and without records, hand-overs and reconfigurations.
     """
 
     @initialize()
@@ -205,7 +209,7 @@
 
     @rule(seconds=st.integers(1, 6))
     def run_undisturbed(self, seconds):
-        """Time in which whatever is not cut off arrives at once."""
+        """Advance the time while every message between reachable processes is delivered immediately."""
         for _ in range(4 * seconds):
             self.tick(0.25)
             for name in "abcdefg":
@@ -218,7 +222,7 @@
         self.stopped ^= {process}
 
     @rule(name=st.sampled_from("abcdefgxyz"))
-    def cut_or_mend(self, name):
+    def cut_or_reconnect(self, name):
         self.cut ^= {name}
 
     def deliver(self, source, target, message):
@@ -251,19 +255,21 @@
         fate=st.sampled_from(["delivered", "delivered", "delivered", "delivered twice", "lost"]),
     )
     def transmit(self, data, fate):
-        place = data.draw(st.integers(0, min(5, len(self.in_flight) - 1)))
-        twice = fate == "delivered twice"
-        message = self.in_flight[place] if twice else self.in_flight.pop(place)
+        index = data.draw(st.integers(0, min(5, len(self.in_flight) - 1)))
+        duplicate = fate == "delivered twice"
+        message = self.in_flight[index] if duplicate else self.in_flight.pop(index)
         if fate != "lost":
             self.deliver(*message)
 
-    @rule(name=st.sampled_from("abcdefg"), blank=st.booleans())
-    def restart(self, name, blank):
-        recovering = [each for each, voter in self.voters.items() if voter.recovering]
-        if blank and any(each in self.voters[each].voter_set.names for each in recovering):
-            return  # two without memory at once: terms rest on the others then (docs/leases.md)
+    @rule(name=st.sampled_from("abcdefg"), without_records=st.booleans())
+    def restart(self, name, without_records):
+        recovering = [voter_name for voter_name, voter in self.voters.items() if voter.recovering]
+        if without_records and any(
+            voter_name in self.voters[voter_name].voter_set.names for voter_name in recovering
+        ):
+            return  # two voters without records at once may lose granted terms (docs/leases.md)
         voter = Voter(name, VoterSet(0, tuple("abcde")), LEASE, self.now)
-        if blank:
+        if without_records:
             self.disks[name] = []
         voter.restore(self.disks[name], self.now)
         self.voters[name] = voter
@@ -277,10 +283,12 @@
     def hand_over(self, process, role):
         self.send(process, self.candidates[process, role].end(self.now, "operator"))
 
-    @precondition(lambda self: any(self.candidates[each, VOTERS_ROLE].holds(self.now) for each in "xyz"))
+    @precondition(
+        lambda self: any(self.candidates[process, VOTERS_ROLE].holds(self.now) for process in "xyz")
+    )
     @rule(remove=st.integers(0, 4), add=st.integers(0, 1))
     def replace_voter(self, remove, add):
-        process = next(each for each in "xyz" if self.candidates[each, VOTERS_ROLE].holds(self.now))
+        process = next(name for name in "xyz" if self.candidates[name, VOTERS_ROLE].holds(self.now))
         candidate = self.candidates[process, VOTERS_ROLE]
         reconfiguration = self.reconfigurations[process]
         names = candidate.voter_set.names
@@ -290,11 +298,15 @@
         self.send(process, reconfiguration.propose(self.now, candidate, candidate.voter_set))
 
     @invariant()
-    def one_holder_and_rising_terms(self):
+    def has_one_holder_and_increasing_terms(self):
         if not hasattr(self, "candidates"):
             return
         for role in self.terms:
-            candidates = [candidate for (_, each), candidate in self.candidates.items() if each == role]
+            candidates = [
+                candidate
+                for (_, candidate_role), candidate in self.candidates.items()
+                if candidate_role == role
+            ]
             assert sum(candidate.holds(self.now) for candidate in candidates) <= 1
             for candidate in candidates:
                 for transition in candidate.transitions:
@@ -304,7 +316,7 @@
                 candidate.transitions.clear()
 
     @invariant()
-    def one_voter_set_a_version(self):
+    def has_one_voter_set_per_version(self):
         if hasattr(self, "candidates"):
             known = [candidate.voter_set for candidate in self.candidates.values()]
             known += [voter.voter_set for voter in self.voters.values()]
