--- a/onyxhollow/fleet/leader_tasks.py
+++ b/onyxhollow/fleet/leader_tasks.py
@@ -1,7 +1,7 @@
-"""What the holder of a role does while it holds the lease.
+"""Tasks that the holder of a role runs while it holds the lease.
 
-A task is given its term and a check of the lease, and knows nothing of voters or members. The check reads the
-clock: it is called just before each act, after whatever may have taken time.
+A task receives its term and a function that checks the lease; it is independent of voters and members. The
+check reads the clock. A task must call it immediately before each action, after any operation that may block.
 """
 
 from __future__ import annotations
@@ -18,36 +18,37 @@
 from onyxhollow.wire.discovery_connection import DiscoveryConnection, DiscoveryStatusError
 from onyxhollow.wire.endpoint_list import EndpointListError
 
-CALL_TIMEOUT = 1.0  # seconds for a called address to answer
-STALE_TERM_STATUS = 409  # answer of a called address that has seen a newer term
+CALL_TIMEOUT_SECONDS = 1.0
+STALE_TERM_STATUS = 409  # HTTP status of a server that has received a newer term
 
 
 class LeaderTask(Protocol):
-    """The task of one role at one member.
+    """Task of one role at one member.
 
     Attributes:
-        last_progress_at: When it last got something done, on the loop's clock.
-        superseded: What it acts on has seen a newer term.
+        last_progress_at: Time of the last successful action, on the loop's clock.
+        superseded: Whether the server that the task acts on has received a newer term.
     """
 
     last_progress_at: float
     superseded: bool
 
     def start(self, term: int, holds_lease: Callable[[], bool], /) -> None:
-        """The lease of `term` has begun; `holds_lease` is called just before each act."""
+        """Start acting under `term`; call `holds_lease` immediately before each action."""
 
     def stop(self) -> None:
-        """The lease has ended, or is about to: no act follows."""
+        """Stop acting because the lease has ended or is about to end."""
 
 
 class HttpRequestTask:
-    """The base of tasks that call one address over one connection.
+    """Base of tasks that send HTTP requests to one address over one connection.
 
     Attributes:
-        buffers: For the connection.
-        run_number: Number of the present run; a coroutine of an earlier run ends when it sees another.
-        connection: None while there is none.
-        task: The coroutine of the present run.
+        buffers: Buffers of the connection.
+        run_number: Number of the current run; a coroutine of an earlier run ends when the number differs from
+            its own.
+        connection: The connection; None if there is none.
+        task: Coroutine of the current run.
     """
 
     def __init__(self) -> None:
@@ -57,27 +58,27 @@
         self.task: Task | None = None
 
     def stop(self) -> None:
-        """Ends the present run."""
+        """End the current run."""
         self.run_number += 1
         self.close_connection()
 
     def close_connection(self) -> None:
-        """Closes the connection if there is one."""
+        """Close the connection if there is one."""
         if self.connection:
             self.connection.channel.close()
             self.connection = None
 
     def wake(self) -> None:
-        """Something has arrived on the connection."""
+        """Resume the coroutine after an event on the connection."""
         if self.task:
             self.task.wake()
 
 
 class WebhookTask(HttpRequestTask):
-    """Calls an address over and over: POST PATH?duty=..&member=..&term=..&number=...
+    """Calls an address periodically: POST PATH?duty=..&member=..&term=..&number=...
 
-    200: progress. 409: it has seen a newer term, and this holder gives up. Anything else, and silence: no
-    progress.
+    Status 200 counts as progress. With status 409 the server has received a newer term, and this holder hands
+    over. Any other status and a timeout count as no progress.
     """
 
     def __init__(
@@ -90,16 +91,16 @@
         interval: float,
         count: Callable[[str], None],
     ) -> None:
-        """Makes a task that does nothing until `start`.
+        """Create a task that is inactive until `start`.
 
         Args:
-            loop: The proxy's loop.
-            address: That is called.
-            path: That is called.
-            role: Name of the role, sent along.
-            process_id: Of this process, sent along.
-            interval: Seconds from call to call.
-            count: Adds one to the counter of that name.
+            loop: Event loop of the proxy.
+            address: Address of the server.
+            path: Path of the requests.
+            role: Name of the role, sent with each request.
+            process_id: Id of this process, sent with each request.
+            interval: Seconds between calls.
+            count: Increments the named counter.
         """
         super().__init__()
         self.loop = loop
@@ -111,43 +112,45 @@
         self.superseded = False
 
     def start(self, term: int, holds_lease: Callable[[], bool]) -> None:
-        """Begins a run under a term."""
+        """Start a run under `term`."""
         self.run_number += 1
         self.last_progress_at = self.loop.now
         self.superseded = False
         self.task = self.loop.spawn(self._run(self.run_number, term, holds_lease))
 
     def _run(self, this_run: int, term: int, holds_lease: Callable[[], bool]) -> Generator[float, None, None]:
-        number = 0
+        call_number = 0
         while self.run_number == this_run:
-            due = self.loop.now + self.interval
-            number += 1
+            next_call_at = self.loop.now + self.interval
+            call_number += 1
             try:
-                yield from self._act(this_run, f"{self.target}&term={term}&number={number}", holds_lease)
+                yield from self._send_request(
+                    this_run, f"{self.target}&term={term}&number={call_number}", holds_lease
+                )
             except DiscoveryStatusError as error:
                 self.close_connection()
                 self.superseded = error.status == STALE_TERM_STATUS
             except (EndpointListError, OSError, h11.ProtocolError):
                 if self.run_number == this_run:
                     self.close_connection()
-            while self.run_number == this_run and self.loop.now < due:
-                yield due
+            while self.run_number == this_run and self.loop.now < next_call_at:
+                yield next_call_at
 
-    def _act(
+    def _send_request(
         self, this_run: int, target: str, holds_lease: Callable[[], bool]
     ) -> Generator[float, None, None]:
-        until = self.loop.now + CALL_TIMEOUT
+        deadline = self.loop.now + CALL_TIMEOUT_SECONDS
         if self.connection is None or not self.connection.reusable:
             self.close_connection()
             self.connection = DiscoveryConnection(self.loop, self.address, self.buffers, self.wake)
         connection = self.connection
-        # A request written before the connection is up would go out later, without a check of the lease.
+        # A request written while the connection is pending would be sent later, without a check of the lease.
         while connection.channel.connecting:
-            if self.loop.now >= until or self.run_number != this_run:
-                raise EndpointListError("not up")
-            yield until
-        if not holds_lease():  # the last thing before the act
+            if self.loop.now >= deadline or self.run_number != this_run:
+                raise EndpointListError("webhook: expected an established connection, got a pending one")
+            yield deadline
+        if not holds_lease():  # must be the last check before the request
             self.count("acts not done: the lease had ended")
             return
-        yield from connection.get(target, until, lambda: self.run_number != this_run, "POST")
+        yield from connection.get(target, deadline, lambda: self.run_number != this_run, "POST")
         self.last_progress_at = self.loop.now
--- a/onyxhollow/fleet/lease_messenger.py
+++ b/onyxhollow/fleet/lease_messenger.py
@@ -1,4 +1,4 @@
-"""Carries election messages between members, and from this member to itself."""
+"""Transport of election messages between members and within this process."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 from onyxhollow.fleet.identity import VOTES
 from onyxhollow.leases.messages import Message, VoterMessage, encode
 
-LEASE_PAYLOAD = 1  # kind of a payload or broadcast that holds an election message
+LEASE_PAYLOAD = 1  # kind of payloads and broadcasts that carry an election message
 
 
 class LeaseMessenger:
     """Sends election messages.
 
     Attributes:
-        local_messages: Messages of this process to itself, with the name of their sender; taken by the owner.
-        has_own_voter: This process has a voter's records open, and messages to its own name stay here.
+        local_messages: Messages of this process to itself with the sender's name; the owner removes them.
+        has_own_voter: Whether this process has its voter's log open. Messages to the voter of its own name
+            are then delivered locally.
     """
 
     def __init__(self, context: MemberContext) -> None:
@@ -26,23 +27,26 @@
         self.has_own_voter = False
 
     def send_all(self, messages: Iterable[VoterMessage]) -> None:
-        """Sends each message to its voter."""
+        """Send each message to its voter."""
         for voter, message in messages:
             self.send_to_voter(voter, message)
 
     def send_to_voter(self, name: str, message: Message) -> None:
-        """To the process of that name that has a voter's records."""
+        """Send a message to the voter of the member `name`.
+
+        During a replacement a member has two processes; those that advertise an open voter log are preferred.
+        """
         if name == self.context.name and self.has_own_voter:
             self.local_messages.append((self.context.name, message))
             return
         membership = self.context.membership
-        found = [member for member in membership.live_members() if member.name == name]
-        voting = [member for member in found if member.flags & VOTES]
-        for member in voting or found[:1]:
+        processes = [member for member in membership.live_members() if member.name == name]
+        voting = [member for member in processes if member.flags & VOTES]
+        for member in voting or processes[:1]:
             membership.send_payload(member, LEASE_PAYLOAD, encode(message))
 
     def send_to_process(self, process_id: str, message: Message) -> None:
-        """To one process, this one included; dropped if it is not known."""
+        """Send a message to one process, possibly this one; discard it if the process is unknown."""
         if process_id == self.context.process_id:
             self.local_messages.append((self.context.name, message))
             return
@@ -51,5 +55,5 @@
             self.context.membership.send_payload(member, LEASE_PAYLOAD, encode(message))
 
     def broadcast(self, message: Message) -> None:
-        """To all members; it arrives within some periods and may come late."""
+        """Broadcast a message to all members by gossip, which takes several protocol periods."""
         self.context.membership.broadcast(LEASE_PAYLOAD, encode(message))
--- a/onyxhollow/fleet/lease_router.py
+++ b/onyxhollow/fleet/lease_router.py
@@ -1,4 +1,4 @@
-"""Passes each election message to the part of the member that it concerns."""
+"""Decoding and dispatch of election messages."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 )
 from onyxhollow.membership.member_table import Member
 
-MALFORMED = "duties: rubbish"  # counter, by its name in /control/fleet
+MALFORMED = "duties: rubbish"  # counter shown in /control/fleet
 
 
 class LeaseRouter:
-    """Decodes election messages and calls candidates, the proposer or the voter."""
+    """Decodes election messages and dispatches them to candidates, the proposer or the voter."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self.voter_service = voter_service
 
     def on_payload(self, member: Member, body: bytes, now: float) -> None:
-        """A payload from a member; one that can't be decoded is counted."""
+        """Decode and dispatch a payload from a member; count it if it is malformed."""
         try:
             message = MESSAGE_DECODER.decode(body)
         except (msgspec.DecodeError, RecursionError):
@@ -55,7 +55,7 @@
         self._route(make_process_id(member.name, member.epoch), member.name, message, now)
 
     def on_broadcast(self, body: bytes, now: float) -> None:
-        """A broadcast of any member; one that can't be decoded is ignored."""
+        """Decode and process a broadcast; ignore it if it is malformed."""
         with contextlib.suppress(msgspec.DecodeError):
             message = MESSAGE_DECODER.decode(body)
             if isinstance(message, LeaderAnnouncement):
@@ -64,7 +64,7 @@
                 self.voter_sets.adopt(message.voter_set, now)
 
     def route_local(self, now: float) -> None:
-        """Takes the messages of this process to itself, and those that they lead to."""
+        """Dispatch the messages of this process to itself until none is left."""
         while self.messenger.local_messages:
             name, message = self.messenger.local_messages.popleft()
             self._route(self.context.process_id, name, message, now)
--- a/onyxhollow/fleet/lease_runner.py
+++ b/onyxhollow/fleet/lease_runner.py
@@ -1,4 +1,4 @@
-"""What a member knows of one role: its candidacy and task, and the holders that were announced."""
+"""State of one role at a member, and changes of the role's holder."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 
 @dataclass(slots=True)
 class LeaseRunner:
-    """One role at this member.
+    """State of one role at this member.
 
     Attributes:
-        candidate: This process's candidacy.
-        zone: The zone that the holder has to be of; None: any.
-        task: What the holder does; None: nothing but holding.
-        leading_since: When this process last got the lease, or an operator named its member as the target.
-        quiet_until: Before this the process is no candidate.
-        logged_expiry: The end of the lease that was last logged.
-        failures: Of the task, in a row.
+        candidate: Candidate for the role's lease.
+        zone: Zone to which the holder must belong; None for any zone.
+        task: Leader task that runs while this process holds the lease; None if the role has no task.
+        leading_since: Time at which the lease was acquired, or an operator last named a target member.
+        candidacy_paused_until: Time before which this process is not a candidate.
+        logged_expiry: Lease expiry that was logged last.
+        failures: Consecutive failures of the task.
     """
 
     candidate: Candidate
     zone: str | None
     task: LeaderTask | None
     leading_since: float = 0.0
-    quiet_until: float = 0.0
+    candidacy_paused_until: float = 0.0
     logged_expiry: float = 0.0
     failures: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class HolderChange:
-    """A new holder of a role, as it became known to this process.
+    """New holder of a role.
 
     Attributes:
         role: Name of the role.
-        term: Of the holder's lease.
-        process_id: Of the holder.
-        at: When it became known, seconds on the loop's clock.
+        term: Term of the holder's lease.
+        process_id: Process id of the holder.
+        known_at: Time at which this process received the change, in seconds on the loop's clock.
     """
 
     role: str
     term: int
     process_id: str
-    at: float
+    known_at: float
--- a/onyxhollow/fleet/leasing.py
+++ b/onyxhollow/fleet/leasing.py
@@ -1,4 +1,4 @@
-"""The parts of a member that elect and hold: built together, and driven together by the member's step."""
+"""Construction and scheduling of the lease services of a member."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from onyxhollow.fleet.voter_set_service import VoterSetService
 from onyxhollow.leases.messages import VoterSet
 
-RANKING_INTERVAL = 1.0  # seconds after which the order of members is computed again
+RANKING_INTERVAL_SECONDS = 1.0
 
 
 class Leasing:
-    """Candidates, voter, voter set and their messages, of one member.
+    """Lease services of one member: candidates, voter, voter set and their messages.
 
     Attributes:
-        ranking: The order of candidates of each role.
-        messenger: Election messages out, and from this process to itself.
-        voter_service: This member's voter.
-        leases: This member's candidates and leader tasks.
-        voter_sets: The voter set in force.
-        router: Election messages in.
+        ranking: Order of the candidates of each role.
+        messenger: Sends election messages, including those of this process to itself.
+        voter_service: Voter of this member.
+        leases: Candidates and leader tasks of this member.
+        voter_sets: Owner of the voter set.
+        router: Receives election messages.
     """
 
     def __init__(
@@ -35,13 +35,13 @@
         on_holder: Callable[[str, int, str], None],
         now: float,
     ) -> None:
-        """Builds the parts, without a role yet.
+        """Create the services without any role.
 
         Args:
-            context: The member.
-            may_hold_roles: Whether this process may hold roles now.
-            on_holder: Called with role, term and process id of each new holder that is announced.
-            now: The time.
+            context: State shared by the parts of the member.
+            may_hold_roles: Returns whether this process may hold roles now.
+            on_holder: Called with role, term and process id for each newly announced holder.
+            now: Current time.
         """
         self.ranking = RoleRanking(context.membership, context.name, context.process_id, may_hold_roles)
         self.messenger = LeaseMessenger(context)
@@ -55,30 +55,30 @@
             on_holder,
             now,
         )
-        first_voters = VoterSet(0, tuple(context.fleet.file.voters))
+        initial_voter_set = VoterSet(0, tuple(context.fleet.file.voters))
         self.voter_sets = VoterSetService(
-            context, self.messenger, self.leases, self.voter_service, first_voters
+            context, self.messenger, self.leases, self.voter_service, initial_voter_set
         )
         self.router = LeaseRouter(context, self.messenger, self.leases, self.voter_sets, self.voter_service)
-        self._reorder_at = now
+        self._ranking_due_at = now
 
     def next_due(self) -> float:
-        """When `tick` has something to do."""
+        """Return the time at which `tick` must be called next."""
         voter_due = self.voter_service.next_due()
         candidates_due = self.leases.next_due()
         return candidates_due if voter_due is None else min(candidates_due, voter_due)
 
     def tick(self, now: float) -> None:
-        """Does what is due at the voter and the candidates."""
+        """Run the expired timers of the voter and the candidates."""
         self.voter_service.tick(now)
         self.leases.tick(now)
 
     def check(self, now: float) -> None:
-        """Checks what changes without a message: the voter's log, the ranking, own leases, a proposal."""
+        """Check state that changes without a message: voter log, ranking, held leases and proposals."""
         self.voter_service.check(now)
-        if now >= self._reorder_at:
-            self._reorder_at = now + RANKING_INTERVAL
-            self.ranking.clear()  # a member that was damped may be no longer
+        if now >= self._ranking_due_at:
+            self._ranking_due_at = now + RANKING_INTERVAL_SECONDS
+            self.ranking.clear()  # flap damping of a member may have ended
         self.leases.check(now)
         self.voter_sets.check(now)
 
--- a/onyxhollow/fleet/role_ranking.py
+++ b/onyxhollow/fleet/role_ranking.py
@@ -1,4 +1,4 @@
-"""In which order members are candidates for a role, by rendezvous hashing (Thaler, Ravishankar, 1998)."""
+"""Order of the candidates for a role, by rendezvous hashing (Thaler and Ravishankar, 1998)."""
 
 from __future__ import annotations
 
@@ -13,19 +13,23 @@
 from onyxhollow.membership.messages import MemberState
 from onyxhollow.membership.swim import SwimMembership
 
-CACHED_HASHES = 4096  # pairs of a role and a member
+MAX_CACHED_HASHES = 4096  # pairs of role and member
 
 
-@lru_cache(CACHED_HASHES)
+@lru_cache(MAX_CACHED_HASHES)
 def rendezvous_hash(role: str, member: str) -> int:
-    """A member's place in a role's order; cached, since each change of the members needs all of them."""
+    """Return the hash that orders the members of a role.
+
+    Cached, because every change of the members requires the hashes of all of them.
+    """
     return xxhash.xxh3_64_intdigest(f"{role}\0{member}".encode())
 
 
 class RankedProcess(NamedTuple):
-    """A process that may hold a role.
+    """Process that is eligible for a role.
 
-    Those suspected, and those that come and go, rank last: a role must not wait for them nor lack them.
+    Processes that are suspected or under flap damping rank last. They stay in the order, so that a role has a
+    candidate even if all processes are suspected or damped.
     """
 
     suspected: bool
@@ -35,13 +39,13 @@
 
 
 class RoleRanking:
-    """The order of candidates of each role, as this member sees it; cached until `clear`.
+    """Order of the candidates of each role, based on this member's membership; cached until `clear`.
 
     Args:
-        membership: Live members and their flags.
-        name: Of this member.
-        process_id: Of this process.
-        may_hold_roles: Whether this process may hold roles now.
+        membership: Source of the live members and their flags.
+        name: Name of this member.
+        process_id: Id of this process.
+        may_hold_roles: Returns whether this process may hold roles now.
     """
 
     def __init__(
@@ -54,42 +58,42 @@
         self._orders: dict[str, list[str]] = {}
 
     def clear(self) -> None:
-        """Members or flags have changed, or time has passed: orders are computed again."""
+        """Discard the cached orders; called after changes of members or flags, and periodically."""
         self._orders.clear()
 
     def candidate_order(self, role: str, zone: str | None) -> list[str]:
-        """Process ids of those that may hold a role, the preferred first.
+        """Return the process ids of the eligible processes, starting with the preferred one.
 
         Args:
             role: Name of the role.
-            zone: The zone that its holder has to be of; None: any.
+            zone: Zone to which the holder must belong; None for any zone.
         """
         cached = self._orders.get(role)
         if cached is not None:
             return cached
         ranked = sorted(
-            self._able(zone),
-            key=lambda one: (one.suspected, one.damped, rendezvous_hash(role, one.name)),
+            self._eligible_processes(zone),
+            key=lambda process: (process.suspected, process.damped, rendezvous_hash(role, process.name)),
         )
-        order = [one.process_id for one in ranked]
+        order = [process.process_id for process in ranked]
         self._orders[role] = order
         return order
 
     def successor(self, role: str, zone: str | None) -> str:
-        """Who is to follow this process: one of its own name, else the first of the others; "" if none."""
+        """Return the successor: another process of this member, else the first other candidate, else ""."""
         others = [process for process in self.candidate_order(role, zone) if process != self.process_id]
-        own = [process for process in others if member_name(process) == self.name]
-        if own:
-            return own[-1]
+        same_member = [process for process in others if member_name(process) == self.name]
+        if same_member:
+            return same_member[-1]
         return others[0] if others else ""
 
-    def _able(self, zone: str | None) -> set[RankedProcess]:
+    def _eligible_processes(self, zone: str | None) -> set[RankedProcess]:
         now = clock.now()
-        damped = self.membership.flap_damping.is_damped
-        able = {
+        is_damped = self.membership.flap_damping.is_damped
+        eligible = {
             RankedProcess(
                 member.state is MemberState.SUSPECT,
-                damped(member.name, now),
+                is_damped(member.name, now),
                 member.name,
                 make_process_id(member.name, member.epoch),
             )
@@ -97,5 +101,5 @@
             if member.flags & MAY_HOLD_ROLES and zone in (None, member.zone)
         }
         if self.may_hold_roles():
-            able.add(RankedProcess(False, False, self.name, self.process_id))
-        return able
+            eligible.add(RankedProcess(False, False, self.name, self.process_id))
+        return eligible
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -104,7 +104,7 @@
         """The last changes of holders; `name=ROLE` for one role alone."""
         role = dict(parse_qsl(query)).get("name")
         rows = [
-            {"duty": change.role, "term": change.term, "who": change.process_id, "t": change.at}
+            {"duty": change.role, "term": change.term, "who": change.process_id, "t": change.known_at}
             for change in self.leases.history
             if role in (None, change.role)
         ]
--- a/onyxhollow/fleet/voter_service.py
+++ b/onyxhollow/fleet/voter_service.py
@@ -1,4 +1,4 @@
-"""This member's voter: its append log, its votes, its recovery."""
+"""Voter of this member: its append log, votes and recovery."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 from onyxhollow.leases.voter import Voter
 from onyxhollow.leases.voter_slot import VoterSlot
 
-LOG_NAME = "voter"  # of the append log in the fleet file's folder
-OPEN_RETRY_INTERVAL = 0.5  # seconds until a log is tried again that another process has open
-COMPACT_AT = 512  # records past which the log is rewritten
-DISK_FAILURES = "voter: disk failures"  # counter, by its name in /control/fleet
-LOGGED_REASON = 200  # characters of an error that a log event shows
+LOG_NAME = "voter"  # file name of the append log in the folder given by the fleet file
+OPEN_RETRY_INTERVAL_SECONDS = 0.5
+MAX_LOG_RECORDS = 512  # the log is compacted instead of growing beyond this
+DISK_FAILURES = "voter: disk failures"  # counter shown in /control/fleet
+MAX_LOGGED_REASON_CHARACTERS = 200
 
 
 class VoterService:
-    """Puts a voter on the member's messages and on its disk.
+    """Connects a voter to the member's messages and to its append log.
 
-    Owns the append log; `close` closes it. Nothing is answered before its records are stored.
+    The service owns the log; `close` closes it. Responses are sent only after their records have been stored.
 
     Attributes:
-        voter: None until the log could be opened.
-        log: None until it could be opened.
-        disk_failing: The latest write has failed.
+        voter: The voter; None until the log has been opened.
+        log: The append log; None until it has been opened.
+        disk_failing: Whether the latest write failed.
     """
 
     def __init__(
@@ -45,13 +45,13 @@
         adopt_voter_set: Callable[[VoterSet, float], None],
         now: float,
     ) -> None:
-        """Makes a service whose log is opened by `check`.
+        """Create a service; `check` opens its log.
 
         Args:
-            context: The member.
-            messenger: Carries responses.
-            adopt_voter_set: Called with the voter set of the log when it is opened.
-            now: The time.
+            context: State shared by the parts of the member.
+            messenger: Sends responses and state queries.
+            adopt_voter_set: Called with the restored voter set when the log has been opened.
+            now: Current time.
         """
         self.context = context
         self.messenger = messenger
@@ -63,34 +63,36 @@
         self._open_error = ""
 
     def next_due(self) -> float | None:
-        """When `tick` has something to do; None without a voter."""
+        """Return the time at which `tick` must be called next; None without a voter."""
         return self.voter.next_due() if self.voter else None
 
     def check(self, now: float) -> None:
-        """Opens the log when it is time to, if the fleet file names a folder."""
+        """Try to open the log if the fleet file names a folder and the retry interval has passed."""
         if self.context.fleet.folder and self.voter is None and now >= self._open_at:
             self.open_log(now)
 
     def open_log(self, now: float) -> None:
-        """Opens the log as soon as no other process has it.
+        """Open the log unless another process has it open.
 
-        At a replacement the process before this one may still vote.
+        During a replacement the predecessor may still be voting.
         """
-        self._open_at = now + OPEN_RETRY_INTERVAL
+        self._open_at = now + OPEN_RETRY_INTERVAL_SECONDS
         try:
             log = AppendLog(self.context.fleet.folder, LOG_NAME)
         except AppendLogError as error:
             if str(error) != self._open_error:
                 self._open_error = str(error)
-                self.context.log_event("voter log unavailable", why=self._open_error[:LOGGED_REASON])
+                self.context.log_event(
+                    "voter log unavailable", why=self._open_error[:MAX_LOGGED_REASON_CHARACTERS]
+                )
             return
         duration = self.context.fleet.file.leases.duration
         voter = Voter(self.context.name, self.context.voters, duration, now)
         try:
             voter.restore([RECORD_DECODER.decode(body) for body in log.bodies], now)
         except msgspec.DecodeError as error:
-            reason = f"{log.path}: not a voter's records: {error}"
-            self.context.log_event("voter log unavailable", why=reason[:LOGGED_REASON])
+            reason = f"{log.path}: expected records of a voter, got malformed ones: {error}"
+            self.context.log_event("voter log unavailable", why=reason[:MAX_LOGGED_REASON_CHARACTERS])
             log.close()
             return
         self.log = log
@@ -106,7 +108,7 @@
         )
 
     def tick(self, now: float) -> None:
-        """Does what is due of the recovery of a voter without memory."""
+        """Continue the recovery of a voter without records."""
         if self.voter is None or now < self.voter.next_due():
             return
         queries, records = self.voter.tick(now)
@@ -118,7 +120,7 @@
         self.messenger.send_all(queries)
 
     def on_message(self, process_id: str, name: str, message: Message) -> None:
-        """A message from the process of that id and member name; ignored without a voter."""
+        """Process a message from a process and its member `name`; ignored without a voter."""
         if self.voter is None:
             return
         responses, records = self.voter.on_message(clock.now(), name, message)
@@ -129,34 +131,34 @@
             self.messenger.send_to_process(process_id, response)
 
     def on_voter_set(self, voter_set: VoterSet, now: float) -> None:
-        """A newer voter set is in force."""
+        """Store a newer voter set at the voter."""
         if self.voter and self.voter.voter_set.version < voter_set.version:
             committed = ConfigurationCommitted(voter_set)
             _, records = self.voter.on_message(now, self.context.name, committed)
             self._store(records)
 
     def slot(self, role: str) -> VoterSlot | None:
-        """What the voter knows of a role; None if nothing, or without a voter."""
+        """Return the voter's slot of a role; None if there is no slot or no voter."""
         return self.voter.slots.get(role) if self.voter else None
 
     def close(self) -> None:
-        """Closes the log."""
+        """Close the log if it is open."""
         if self.log:
             self.log.close()
 
     def _store(self, records: list[Message]) -> bool:
-        """Whether the records are on the disk."""
+        """Append records to the log; return False if the write failed."""
         if not records or self.log is None or self.voter is None:
             return True
         try:
-            if len(self.log.bodies) + len(records) > COMPACT_AT:
+            if len(self.log.bodies) + len(records) > MAX_LOG_RECORDS:
                 self.log.rewrite([encode(record) for record in self.voter.records()])
             else:
                 self.log.append(*(encode(record) for record in records))
         except OSError as error:
             self.context.counts[DISK_FAILURES] += 1
             if not self.disk_failing:
-                self.context.log_event("voter disk", why=f"{error.strerror}"[:LOGGED_REASON])
+                self.context.log_event("voter disk", why=f"{error.strerror}"[:MAX_LOGGED_REASON_CHARACTERS])
             self.disk_failing = True
             return False
         if self.disk_failing:
--- a/onyxhollow/fleet/voter_set_service.py
+++ b/onyxhollow/fleet/voter_set_service.py
@@ -1,4 +1,4 @@
-"""The voter set that this member knows, and its replacement of a voter when it holds VOTERS_ROLE."""
+"""The voter set at this member, and the replacement of voters while it holds VOTERS_ROLE."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class VoterSetService:
-    """Owns the newest voter set that this member knows of.
+    """Owns the newest voter set known to this member.
 
     Attributes:
-        voter_set: That voter set.
-        reconfiguration: This member's proposer.
+        voter_set: Newest known voter set.
+        reconfiguration: Proposer of this member.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self.reconfiguration = Reconfiguration()
 
     def adopt(self, voter_set: VoterSet, now: float) -> None:
-        """A voter set that is in force; an older one than known is ignored."""
+        """Put a committed voter set in force; ignored if it is not newer than the current one."""
         if voter_set.version <= self.voter_set.version:
             return
         self.voter_set = voter_set
@@ -50,26 +50,26 @@
         self.messenger.broadcast(ConfigurationCommitted(voter_set))
 
     def check(self, now: float) -> None:
-        """Proposes again what has not been accepted by a majority."""
+        """Repeat a proposal that a majority has not accepted yet."""
         if self.reconfiguration.in_progress or self.leases.runners[VOTERS_ROLE].candidate.pending:
             self._propose(now)
 
     def on_command(self, command: ReplaceVoterCommand, now: float) -> None:
-        """An operator's command; ignored without the lease of VOTERS_ROLE or while another is in progress."""
+        """Start a replacement; ignored without the VOTERS_ROLE lease or while another is in progress."""
         holds = self.leases.runners[VOTERS_ROLE].candidate.holds(now)
         if holds and not self.reconfiguration.in_progress:
             self.reconfiguration.command = command
             self._propose(now)
 
     def on_response(self, name: str, response: ReconfigurationResponse, now: float) -> None:
-        """A voter's response to a proposal."""
-        before = self.voter_set
+        """Process a voter's response to a proposal."""
+        previous = self.voter_set
         candidate = self.leases.runners[VOTERS_ROLE].candidate
-        committed = self.reconfiguration.on_response(now, candidate, before, name, response)
+        committed = self.reconfiguration.on_response(now, candidate, previous, name, response)
         if committed is None:
             return
         self.adopt(committed, now)
-        for voter in {*before.names, *committed.names}:
+        for voter in {*previous.names, *committed.names}:
             self.messenger.send_to_voter(voter, ConfigurationCommitted(committed))
 
     def _propose(self, now: float) -> None:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""Tests that fail for a known fault: listed in KNOWN-RED.txt, passed over and printed.
+"""Pytest plugin for known failing tests, which are listed in KNOWN-RED.txt.
 
-One line each: `test id, cause, issue`, the id as pytest prints it. More than three lines, a line of another
-form, a test that is not there and a listed test that passes fail the run.
+Each line of the file has the form `test id, cause, issue`, with the test id as printed by pytest. A listed
+test may fail and is reported. The run fails if the file has more than three entries or a malformed line, or
+if a listed test does not exist or passes.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 
 
 class KnownRedError(ValueError):
-    """A list that can't be used."""
+    """The list is malformed or too long."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One test that may fail."""
+    """Entry of the list: a test that is expected to fail."""
 
     test: str
     cause: str
@@ -29,7 +30,7 @@
 
 
 def read_known_red(text: str) -> list[KnownRed]:
-    """The tests of a list; KnownRedError if it is no good."""
+    """Parse the list; raise KnownRedError if it is malformed or too long."""
     rows: list[KnownRed] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
@@ -39,12 +40,12 @@
             raise KnownRedError(f"{FILE}:{number}: expected 'test id, cause, issue', got {line!r}")
         rows.append(KnownRed(parts[0], ", ".join(parts[1:-1]), parts[-1]))
     if len(rows) > MOST:
-        raise KnownRedError(f"{FILE}: expected {MOST} tests at the most, got {len(rows)}")
+        raise KnownRedError(f"{FILE}: expected at most {MOST} tests, got {len(rows)}")
     return rows
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Marks the listed tests as expected to fail, strictly."""
+    """Mark the listed tests as strict expected failures."""
     path = Path(config.rootpath) / FILE
     if not path.exists():
         return
@@ -58,11 +59,11 @@
             reason = f"known red: {row.cause} (issue {row.issue})"
             found[row.test].add_marker(pytest.mark.xfail(reason=reason, strict=True))
         elif config.args_source is pytest.Config.ArgsSource.TESTPATHS and not config.option.keyword:
-            raise pytest.UsageError(f"{FILE}: no such test: {row.test}")
+            raise pytest.UsageError(f"{FILE}: expected the id of an existing test, got {row.test}")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Prints what was passed over."""
+    """Print the listed tests that failed."""
     for report in terminalreporter.stats.get("xfailed", []):
         if str(getattr(report, "wasxfail", "")).startswith("known red"):
             terminalreporter.write_line(f"KNOWN RED {report.nodeid}: {report.wasxfail}")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What the list of known failing tests lets pass, and what it does not, in runs of their own."""
+"""Tests of the list of known failing tests, in separate pytest runs."""
 
 import subprocess
 import sys
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def run(tmp_path):
-    """Runs a small suite beside a list; exit status and what was printed."""
+    """Run a small test suite with a list; return the exit status and the output."""
 
     def start(known, tests=TESTS, words=()):
         (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["."]\n')
@@ -56,7 +56,7 @@
 
 def test_an_unknown_test_fails_the_run_but_not_where_only_some_tests_were_asked_for(run):
     status, printed = run(f"{RED}\ntest_some.py::test_gone, cause, 43\n")
-    assert status != 0 and "no such test: test_some.py::test_gone" in printed
+    assert status != 0 and "expected the id of an existing test, got test_some.py::test_gone" in printed
     assert run(f"{RED}\ntest_some.py::test_gone, cause, 43\n", words=("test_some.py",))[0] == 0
 
 
@@ -66,7 +66,7 @@
     rows = [f"test_some.py::{name}, cause, 43\n" for name in names]
     assert run("".join(rows[:3]) + "# the fourth is not listed", tests.replace("test_3", "no_test"))[0] == 0
     status, printed = run("".join(rows), tests)
-    assert status != 0 and "expected 3 tests at the most, got 4" in printed
+    assert status != 0 and "expected at most 3 tests, got 4" in printed
 
 
 @pytest.mark.parametrize("line", ["test_some.py::test_red", "a, b, 43", "test_some.py::test_red, , 43", "x"])
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -80,18 +80,16 @@
     restored.restore([*voter.records(), *records], 50.0)
     assert not restored.recovering
     assert not granted(restored, 53.9, vote_request(8, "y")) and granted(restored, 51.0, vote_request(7, "x"))
-    recovering = Voter("a", VOTER_SET, LEASE, 50.0)
-    assert not granted(recovering, 60.0, vote_request(8, "y"))
-    recovering.on_message(60.0, "b", StateResponse(1, False, {"d": KnownTerm(7, "x")}, VOTER_SET))
-    recovering.tick(60.0)
-    assert (
-        recovering.recovering
-    )  # any two of three voters may have granted: one peer's response is not enough
-    recovering.on_message(60.0, "c", StateResponse(1, True, {}, VOTER_SET))
-    _, records = recovering.tick(60.0)
-    assert not recovering.recovering and records
-    assert not granted(recovering, 60.0, vote_request(7, "y")) and granted(
-        recovering, 60.0, vote_request(7, "x")
+    restarted = Voter("a", VOTER_SET, LEASE, 50.0)
+    assert not granted(restarted, 60.0, vote_request(8, "y"))
+    restarted.on_message(60.0, "b", StateResponse(1, False, {"d": KnownTerm(7, "x")}, VOTER_SET))
+    restarted.tick(60.0)
+    assert restarted.recovering  # any two of three voters may have granted: one response is not enough
+    restarted.on_message(60.0, "c", StateResponse(1, True, {}, VOTER_SET))
+    _, records = restarted.tick(60.0)
+    assert not restarted.recovering and records
+    assert not granted(restarted, 60.0, vote_request(7, "y")) and granted(
+        restarted, 60.0, vote_request(7, "x")
     )
 
 
@@ -267,7 +265,7 @@
         if without_records and any(
             voter_name in self.voters[voter_name].voter_set.names for voter_name in recovering
         ):
-            return  # two voters without records at once may lose granted terms (docs/leases.md)
+            return  # terms are not guaranteed to survive two voters without records (docs/leases.md)
         voter = Voter(name, VoterSet(0, tuple("abcde")), LEASE, self.now)
         if without_records:
             self.disks[name] = []
@@ -298,7 +296,7 @@
         self.send(process, reconfiguration.propose(self.now, candidate, candidate.voter_set))
 
     @invariant()
-    def has_one_holder_and_increasing_terms(self):
+    def check_single_holder_and_increasing_terms(self):
         if not hasattr(self, "candidates"):
             return
         for role in self.terms:
@@ -316,7 +314,7 @@
                 candidate.transitions.clear()
 
     @invariant()
-    def has_one_voter_set_per_version(self):
+    def check_single_voter_set_per_version(self):
         if hasattr(self, "candidates"):
             known = [candidate.voter_set for candidate in self.candidates.values()]
             known += [voter.voter_set for voter in self.voters.values()]
--- a/tests/test_role_ranking.py
+++ b/tests/test_role_ranking.py
@@ -1,4 +1,4 @@
-"""In which order members are candidates for a role."""
+"""Tests of the order of candidates for a role."""
 
 from membership_network import Net
 
@@ -7,8 +7,9 @@
 from onyxhollow.fleet.role_ranking import RoleRanking
 
 
-def test_members_that_come_and_go_rank_last_and_are_not_left_out(monkeypatch):
-    # With all of them left out a role had no candidate, after a hundred faults one after another.
+def test_damped_members_rank_last_but_stay_candidates(monkeypatch):
+    # Guards against a role without any candidate, which happened when damped members were excluded and
+    # a hundred consecutive faults had caused every member to be damped.
     net = Net(5)
     net.run(8.0)
     membership = net.swims["m0~1"]
