--- a/onyxhollow/fleet/role_ranking.py
+++ b/onyxhollow/fleet/role_ranking.py
@@ -28,8 +28,8 @@
 class RankedProcess(NamedTuple):
     """Process that is eligible for a role.
 
-    Processes that are suspected or under flap damping rank last. They stay in the order, so that a role has a
-    candidate even if all processes are suspected or damped.
+    Processes that are suspected or under flap damping rank last, so that a role does not wait for them. They
+    stay in the order, so that a role has a candidate even if all processes are suspected or damped.
     """
 
     suspected: bool
--- a/onyxhollow/leases/messages.py
+++ b/onyxhollow/leases/messages.py
@@ -140,7 +140,7 @@
 
 
 class LeaseOffer(Message, frozen=True, tag=4):
-    """Notice to the chosen successor that the lease is free and should be requested immediately."""
+    """Notice to the successor that the lease is free and should be requested immediately."""
 
     role: str
     term: int
--- a/onyxhollow/leases/reconfiguration.py
+++ b/onyxhollow/leases/reconfiguration.py
@@ -1,6 +1,6 @@
 """Replacement of a voter by the holder of VOTERS_ROLE.
 
-The next version of the voter set is chosen by single-decree Paxos (Lamport 1998). The term of the holder's
+The next version of the voter set is decided by single-decree Paxos (Lamport 1998). The term of the holder's
 lease is the ballot number. The votes for that lease were phase one and reported any voter set accepted
 earlier. Such a voter set is proposed first, because a majority may already have accepted it. A proposal takes
 effect as soon as a majority of the *current* voters has accepted it. This module does no I/O.
--- a/onyxhollow/leases/timing.py
+++ b/onyxhollow/leases/timing.py
@@ -17,7 +17,7 @@
     """Duration of a lease and the intervals derived from it.
 
     Attributes:
-        duration: Seconds for which a voter grants a lease, measured on the voter's clock.
+        duration: Seconds for which a voter grants a lease, on the voter's clock.
         rate_bound: Maximum deviation of any clock's rate from true time, as a fraction.
     """
 
