--- a/onyxhollow/addresses/__init__.py
+++ b/onyxhollow/addresses/__init__.py
@@ -1,4 +1,5 @@
-"""Shared service addresses: decides from which sites each is announced, by health, capacity and overrides.
+"""Shared service addresses: decides which sites announce each address, by health, capacity and overrides.
 
-Pure cores: they take the time and the message, and leave what is to be sent. `onyxhollow.fleet` runs them.
+The classes here do no I/O: time and messages are passed in, and outgoing messages are queued for the caller.
+`onyxhollow.fleet` runs them.
 """
--- a/onyxhollow/addresses/announcer.py
+++ b/onyxhollow/addresses/announcer.py
@@ -1,7 +1,8 @@
-"""A site's announcer: carries the controller's assignments out at the site's route guard. Pure.
+"""A site's announcer: applies the controller's assignments at the site's route guard. No I/O.
 
-It holds its own lease, and its term goes with every call to the guard. It begins with the guard's state: a
-new holder changes nothing that is right. It never newly advertises an address without an assignment.
+It holds its own lease, and every call to the guard carries its term. A new lease holder starts from the
+guard's state, so that it does not change routes that are already correct. Without an assignment it never
+starts to advertise an address.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 
 from onyxhollow.addresses.file import AddressesFile, Site
 from onyxhollow.addresses.messages import RouteAssignment, RouteStatus, SiteReport
-from onyxhollow.addresses.routes import MAX_AGE, Cause, Preference
+from onyxhollow.addresses.routes import MAX_AGE_SECONDS, Cause, Preference
 
 
 @dataclass(frozen=True, slots=True)
 class GuardedRoute:
-    """One address at the route guard."""
+    """The route guard's state of one address."""
 
-    preference: Preference  # that the guard is to install
-    installed: Preference | None  # that the routing daemon has taken; None: not known
+    preference: Preference  # as last set at the guard
+    installed: Preference | None  # as confirmed by the routing daemon; None: unknown
 
 
 UNKNOWN_ROUTE = GuardedRoute(Preference.WITHDRAWN, None)
@@ -28,30 +29,30 @@
 
 @dataclass(frozen=True, slots=True)
 class GuardState:
-    """The route guard's answer to a call."""
+    """The route guard's response to a call."""
 
     routes: Mapping[str, GuardedRoute]  # by address
-    controller_term: int  # the highest that the guard has seen
+    controller_term: int  # the highest that announcers have passed to the guard
     daemon_connected: bool
 
 
 @dataclass(slots=True)
 class AnnouncedRoute:
-    """One address at this site. Times are on the announcer's monotonic clock."""
+    """One address at this site; times are on the announcer's monotonic clock."""
 
     name: str
     desired: Preference
-    guarded: Preference  # as the guard has it
-    installed: Preference | None  # as the routing daemon has taken it; None: not known
+    guarded: Preference  # as last set at the guard
+    installed: Preference | None  # as confirmed by the routing daemon; None: unknown
     cause: str = Cause.NONE
-    since: float = -math.inf  # of the desired preference
+    changed_at: float = -math.inf  # the last change of the desired preference
     flaps: float = 0.0
-    is_last: bool = False  # it must stay, whatever is seen here alone
-    dead_since: float = math.inf  # as this site's own members see it
+    is_last: bool = False  # the site must not withdraw it on its own
+    dead_since: float = math.inf  # according to this site's members
 
 
 class Announcer:
-    """One term of a site's announcer."""
+    """A site's announcer during one term of its lease."""
 
     def __init__(self, config: AddressesFile, site: Site, term: int, now: float) -> None:
         self.config = config
@@ -59,16 +60,16 @@
         self.site = site
         self.term = term
         self.routes: dict[str, AnnouncedRoute] = {}
-        self.synchronized = False  # the guard has answered once
+        self.synchronized = False  # the guard has answered at least once
         self.controller_term = 0  # of the newest assignment
         self.assignment_number = 0
         self.assignment_at = now
-        self.daemon_connected = False  # as the guard says
+        self.daemon_connected = False  # as last reported by the guard
         self.guard_answered_at = -math.inf
-        self.call_number = 0  # of the last call to the guard, which drops overtaken ones
+        self.call_number = 0  # of the last call to the guard, which ignores calls that arrive out of order
 
     def on_guard_state(self, state: GuardState, now: float) -> None:
-        """Takes in the guard's answer."""
+        """Process the guard's response to a call."""
         self.guard_answered_at = now
         self.daemon_connected = state.daemon_connected
         if state.controller_term > self.controller_term:
@@ -79,14 +80,14 @@
             route = self.routes.get(service.name)
             if route is None:
                 preference = guarded.preference
-                route = AnnouncedRoute(service.name, preference, preference, None, since=now)
+                route = AnnouncedRoute(service.name, preference, preference, None, changed_at=now)
                 self.routes[service.name] = route
             route.guarded = guarded.preference
             route.installed = guarded.installed
         self.synchronized = True
 
     def on_assignment(self, assignment: RouteAssignment, now: float) -> None:
-        """Takes in an assignment; one of an earlier controller, or an earlier one of this, is dropped."""
+        """Apply an assignment for this site unless a newer one (by term and number) has been received."""
         newest = self.controller_term, self.assignment_number
         if assignment.site != self.site.name or (assignment.term, assignment.number) <= newest:
             return
@@ -102,18 +103,22 @@
             route.desired = Preference(row.preference)
             route.cause = row.cause
             route.is_last = row.is_last
-            route.since = now - row.age
+            route.changed_at = now - row.age
             route.flaps = row.flaps
 
     def on_local_health(self, address: str, health: float | None, now: float) -> None:
-        """Takes in what this site's own members see; health from 0 to 1, None if unknown."""
+        """Record an address's health as measured by this site's members: 0 to 1, None if unknown."""
         route = self.routes.get(address)
         if route is not None:
             is_dead = health is not None and health < self.policy.dead_below
             route.dead_since = min(route.dead_since, now) if is_dead else math.inf
 
     def tick(self, now: float) -> list[str]:
-        """Withdraws by itself what it must while cut off from the controller (rule 4); one log text each."""
+        """Withdraw routes while cut off from the controller, as rule 4 requires.
+
+        Returns:
+            One text for the log for each route withdrawn.
+        """
         if not self.synchronized:
             return []
         cut_off_for = now - self.assignment_at
@@ -125,27 +130,27 @@
                 continue
             is_dead = now - route.dead_since >= self.policy.dead_for
             if self.site.cut_off == "withdraw" or is_dead:
-                reason = "its service is dead" if is_dead else "its file says so"
-                texts.append(f"{route.name}: withdrawn, no keeper for {cut_off_for:.1f} s and {reason}")
+                reason = "the address is dead at this site" if is_dead else 'cut_off = "withdraw"'
+                texts.append(f"{route.name}: withdrawn, no controller for {cut_off_for:.1f} s and {reason}")
                 route.desired = Preference.WITHDRAWN
                 route.cause = Cause.HEALTH
-                route.since = now
+                route.changed_at = now
         return texts
 
     def next_call_number(self) -> int:
-        """The number of the next call to the guard."""
+        """Return the number of the next call to the guard."""
         self.call_number += 1
         return self.call_number
 
     def pending_routes(self) -> list[AnnouncedRoute]:
-        """Routes that the guard has otherwise than desired; what is newly advertised comes first."""
+        """Return the routes to set at the guard, those with the highest preference first."""
         if not self.synchronized:
             return []
         routes = [route for route in self.routes.values() if route.desired is not route.guarded]
         return sorted(routes, key=lambda route: (-route.desired, route.name))
 
     def drained_addresses(self) -> list[str]:
-        """Addresses that an override has withdrawn, as the routing daemon has taken it."""
+        """Return the addresses that an override has withdrawn and the routing daemon no longer announces."""
         return [
             route.name
             for route in self.routes.values()
@@ -153,7 +158,7 @@
         ]
 
     def report(self, now: float) -> SiteReport | None:
-        """The report to the controller; None before the guard has answered."""
+        """Return the report to the controller, or None if the guard has not answered yet."""
         if not self.synchronized:
             return None
         rows = [
@@ -161,7 +166,7 @@
                 address=route.name,
                 preference=int(route.desired),
                 cause=route.cause,
-                age=max(0.0, min(MAX_AGE, now - route.since)),
+                age=max(0.0, min(MAX_AGE_SECONDS, now - route.changed_at)),
                 flaps=route.flaps,
                 is_last=route.is_last,
                 installed=route.desired is route.installed,
--- a/onyxhollow/addresses/controller.py
+++ b/onyxhollow/addresses/controller.py
@@ -1,9 +1,9 @@
-"""The controller: one process decides for all sites, under the term of its lease. Pure.
+"""The controller: one process that decides for all sites, under the term of its lease. No I/O.
 
-Before it decides anything it has the overrides of a majority of the voters, and each site either has
-answered under this term (from then on it accepts no assignment of an earlier controller) or has had time
-to. A change is sent to a site once a majority of the voters has stored it: no change without its line in
-the history.
+It decides nothing until it has the overrides of a majority of the voters, and until each site has answered
+under this term or a waiting time has passed. A site that has answered rejects assignments of an earlier
+controller. A change is sent to its site only after a majority of the voters has stored it, so that the
+history contains every change.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 )
 from onyxhollow.addresses.overrides import OverrideLog
 from onyxhollow.addresses.routes import (
-    MAX_AGE,
+    MAX_AGE_SECONDS,
     ActiveOverrides,
     Preference,
     RouteChange,
@@ -43,15 +43,16 @@
 )
 from onyxhollow.addresses.rules import DecisionRound, decide
 
-RESEND_AFTER = 2  # ticks without an acknowledgement until a record is sent to a voter again
-MAX_TEXT_BYTES = 220  # of a reason, and of the evidence, in a decision
-MIN_WAIT_FOR_SITES = 2.0  # seconds that a new controller waits for sites that do not answer ...
-WAIT_INTERVALS = 4  # ... or so many intervals, if that is longer
+RESEND_TICKS = 2  # ticks between transmissions of a record to a voter that has not acknowledged it
+MAX_TEXT_BYTES = 220  # limit for the reason and for the evidence of a decision
+# A new controller waits for sites that do not answer until both have passed.
+MIN_SITE_WAIT_SECONDS = 2.0
+MIN_SITE_WAIT_INTERVALS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class ToSite:
-    """A message for a site's announcer."""
+    """An outgoing message for a site's announcer."""
 
     site: str
     message: Message
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ToVoter:
-    """A message for a voter."""
+    """An outgoing message for a voter."""
 
     voter: str
     message: Message
@@ -67,12 +68,12 @@
 
 @dataclass(slots=True)
 class PendingRecord:
-    """A decision that is not yet stored by a majority of the voters."""
+    """A decision that a majority of the voters has not stored yet."""
 
     record: DecisionRecord
     change: RouteChange
     stored_by: set[str] = field(default_factory=set)
-    ticks: int = 0  # since it was first sent
+    ticks: int = 0  # since it was first sent to the voters
 
 
 class Controller:
@@ -80,7 +81,7 @@
 
     Attributes:
         outbox: messages to send; the caller empties it.
-        committed: decisions that a majority has stored, for the log; the caller empties it.
+        committed: decisions to log, stored by a majority; the caller empties it.
         next_due: monotonic time of the next tick.
     """
 
@@ -98,38 +99,38 @@
         self.health = HealthAggregator(config.policy.max_evidence_age)
         self.overrides = OverrideLog()
         self.synchronized_voters: set[str] = set()
-        self.received_ids: dict[str, set[str]] = {}  # by voter: ids of its overrides received so far
-        self.answered_at: dict[str, float] = {}  # by site: its announcer's last answer under this term
-        self.newest_report: dict[str, tuple[int, int]] = {}  # by site: announcer's term, assignment answered
+        self.received_ids: dict[str, set[str]] = {}  # by voter: ids of the overrides received from it
+        self.answered_at: dict[str, float] = {}  # by site: the announcer's last report under this term
+        self.newest_report: dict[str, tuple[int, int]] = {}  # by site: announcer term, assignment number
         self.guard_ready: dict[str, bool] = {}  # by site
-        self.reported_routes: set[tuple[str, str]] = set()  # routes whose state their site has reported
+        self.reported_routes: set[tuple[str, str]] = set()  # routes with a state reported by their site
         self.assigned_in: dict[tuple[str, str], int] = {}  # by route: assignment with its last change
         self.pending: dict[str, PendingRecord] = {}  # by record id
         self.outbox: list[ToSite | ToVoter] = []
         self.committed: list[DecisionRecord] = []
-        self.suppressed: list[SuppressedChange] = []  # of the last round
+        self.suppressed: list[SuppressedChange] = []  # in the last round
         self.counts: Counter[str] = Counter()
-        self.last_number = 0  # of a decision or an assignment
+        self.last_number = 0  # of the last decision or assignment
         self.started_at = now
         self.next_due = now
 
     @property
     def majority(self) -> int:
-        """How many voters must have stored a record."""
+        """Number of voters that must store a record."""
         return len(self.voters) // 2 + 1
 
     def ready(self, now: float) -> bool:
-        """Whether it knows enough to decide."""
+        """Return whether enough voters and sites have answered to make decisions."""
         if len(self.synchronized_voters) < self.majority:
             return False
-        wait = max(MIN_WAIT_FOR_SITES, WAIT_INTERVALS * self.config.interval)
+        wait = max(MIN_SITE_WAIT_SECONDS, MIN_SITE_WAIT_INTERVALS * self.config.interval)
         waited = now - self.started_at >= wait
         return waited or all(site.name in self.answered_at for site in self.config.sites)
 
-    # messages
+    # Received messages
 
     def on_message(self, message: Message, sender: str, now: float, wall: float) -> None:
-        """Takes in a message of the member named `sender`."""
+        """Process a message from the member named `sender`."""
         if isinstance(message, HealthReport):
             if message.site in self.capacity:
                 self.health.record(sender, message, now)
@@ -141,7 +142,7 @@
             self.on_store_acknowledgement(message, now)
 
     def on_override_response(self, message: OverrideResponse, now: float, wall: float) -> None:
-        """Merges a voter's overrides; a voter counts once all of them have come."""
+        """Merge a voter's overrides; the voter is synchronized once all of them have been received."""
         for override in message.overrides:
             self.overrides.add(override, now, wall)
         received = self.received_ids.setdefault(message.voter, set())
@@ -150,23 +151,23 @@
             self.synchronized_voters.add(message.voter)
 
     def on_store_acknowledgement(self, message: StoreAcknowledgement, now: float) -> None:
-        """Counts a voter that has stored records."""
-        for name in message.ids:
-            pending = self.pending.get(name)
+        """Record that a voter has stored decisions, and commit those stored by a majority."""
+        for acknowledged_id in message.ids:
+            pending = self.pending.get(acknowledged_id)
             if pending is None:
                 continue
             pending.stored_by.add(message.voter)
             if len(pending.stored_by) >= self.majority:
-                del self.pending[name]
+                del self.pending[acknowledged_id]
                 self.on_committed(pending, now)
 
     def on_site_report(self, message: SiteReport, now: float) -> None:
-        """Takes over a site's state at its first report under this term; later ones confirm."""
+        """Adopt a site's state from its first report under this term; later reports confirm changes."""
         if message.site not in self.capacity or message.controller_term != self.term:
             return
         version = message.announcer_term, message.assignment_number
         if version < self.newest_report.get(message.site, (0, 0)):
-            return  # overtaken by a later one
+            return  # a later report has been received already
         self.newest_report[message.site] = version
         self.answered_at[message.site] = now
         self.guard_ready[message.site] = message.guard_ready
@@ -176,33 +177,35 @@
                 self.on_route_status(route, row, message.assignment_number, now)
 
     def on_route_status(self, route: RouteState, row: RouteStatus, answered: int, now: float) -> None:
-        """Takes in the state of one route, reported in answer to the assignment numbered `answered`."""
-        # A site that was out of reach may have withdrawn something by itself. But what it reports before it
-        # has received the last decision is old, unless it has not received it for long.
+        """Process the state of one route, reported in reply to the assignment numbered `answered`."""
+        # An unreachable site may have withdrawn routes on its own, so its report is adopted. A report sent
+        # before the site received the last decision is outdated, unless that decision is older than
+        # max_evidence_age.
         is_current = (
-            answered >= self.assigned_in.get(route.key, 0) or now - route.since > self.policy.max_evidence_age
+            answered >= self.assigned_in.get(route.key, 0)
+            or now - route.changed_at > self.policy.max_evidence_age
         )
         if route.key not in self.reported_routes or (not route.reachable and is_current):
             self.reported_routes.add(route.key)
             route.preference = Preference(row.preference)
             route.cause = row.cause
-            route.since = now - row.age
+            route.changed_at = now - row.age
             route.flaps = row.flaps
             route.flaps_at = now
         route.installed = row.installed and row.preference == route.preference
 
     def on_committed(self, pending: PendingRecord, now: float) -> None:
-        """A majority has stored a decision: it is applied and sent to its site."""
+        """Apply a decision that a majority has stored, and send it to its site."""
         self.committed.append(pending.record)
         route = self.routes[pending.change.address, pending.change.site]
         apply_change(self.policy, route, pending.change, now)
         self.assign(route.site, now)
         self.assigned_in[route.key] = self.last_number
 
-    # time
+    # Periodic work
 
     def tick(self, now: float, wall: float) -> None:
-        """Looks at all routes, decides, and queues what is to be sent."""
+        """Update all routes, decide, and queue the messages to send."""
         self.next_due = now + self.config.interval
         self.overrides.compact(now)
         for voter in self.voters:
@@ -216,29 +219,29 @@
         self.send_store_requests()
 
     def observe(self, route: RouteState, now: float) -> None:
-        """Brings a route's health, load and reachability up to date."""
+        """Update a route's health, load and reachability."""
         health = self.health.assess(route.site, route.address, now)
         route.load = health.load
         route.arrival_rate = health.arrival_rate
-        answers = self.has_answered_recently(route.site, now)
+        has_answered = self.has_answered_recently(route.site, now)
         has_daemon = self.guard_ready.get(route.site, False)
-        route.reachable = answers and has_daemon and route.key in self.reported_routes
+        route.reachable = has_answered and has_daemon and route.key in self.reported_routes
         route.observe(health.health, health.reason, self.policy, now)
-        if answers and not route.reachable:
-            route.health_reason = f"its gate has no speaker; {route.health_reason}"
+        if has_answered and not route.reachable:
+            route.health_reason = f"route guard without routing daemon; {route.health_reason}"
 
     def has_answered_recently(self, site: str, now: float) -> bool:
-        """Whether a site's announcer has reported under this term, and not long ago."""
+        """Return whether a site's announcer has reported under this term within `max_evidence_age`."""
         return now - self.answered_at.get(site, -math.inf) <= self.policy.max_evidence_age
 
     def active_overrides(self, now: float) -> dict[tuple[str, str], ActiveOverrides]:
-        """What operators' overrides say of each route."""
+        """Return the overrides in force for each route, by address and site."""
         return self.overrides.active({address for address, _ in self.routes}, self.capacity, now)
 
     def decide(self, now: float, wall: float) -> None:
-        """Decides the next changes, unless earlier ones are still being stored."""
+        """Decide the next changes, unless earlier ones are still being stored."""
         if self.pending:
-            return  # the next are decided knowing that these are made
+            return  # later decisions depend on these changes
         overrides = self.active_overrides(now)
         changes, self.suppressed = decide(self.policy, self.routes.values(), overrides, now)
         for suppressed in self.suppressed:
@@ -260,43 +263,43 @@
             self.pending[record_id(record)] = PendingRecord(record, change)
 
     def is_last(self, route: RouteState, now: float) -> bool:
-        """Whether the route's site must not withdraw it by itself."""
+        """Return whether the route's site must not withdraw it on its own."""
         obstacle = DecisionRound(self.policy, self.routes.values(), {}, now).find_obstacle(route)
         return obstacle is not None and obstacle.rule is SuppressionRule.LAST_SITE
 
-    # what is sent
+    # Sent messages
 
     def assign(self, site: str, now: float) -> None:
-        """Queues a site's assignment.
+        """Queue a site's assignment.
 
-        A site that has not answered lately gets no rows: its state has to be reported first.
+        A site that has not answered recently receives no rows: it has to report its state first.
         """
         rows = []
         if self.has_answered_recently(site, now):
-            rows = [self.status(route, now) for route in self.routes.values() if route.site == site]
+            rows = [self.route_status(route, now) for route in self.routes.values() if route.site == site]
         for page in paginate(rows) if rows else [rows]:
             self.last_number += 1
             assignment = RouteAssignment(self.term, self.last_number, site, page)
             self.outbox.append(ToSite(site, assignment))
 
-    def status(self, route: RouteState, now: float) -> RouteStatus:
-        """A route as its site is to have it."""
+    def route_status(self, route: RouteState, now: float) -> RouteStatus:
+        """Return the state that the site is to adopt for a route."""
         return RouteStatus(
             address=route.address,
             preference=int(route.preference),
             cause=route.cause,
-            age=max(0.0, min(MAX_AGE, now - route.since)),
+            age=max(0.0, min(MAX_AGE_SECONDS, now - route.changed_at)),
             flaps=route.flap_penalty(self.policy, now),
             is_last=self.is_last(route, now),
         )
 
     def send_store_requests(self) -> None:
-        """Queues pending records for the voters that have not acknowledged them."""
+        """Queue pending records for the voters that have not acknowledged them."""
         for voter in self.voters:
             due: list[StoredRecord] = [
                 pending.record
                 for pending in self.pending.values()
-                if voter not in pending.stored_by and pending.ticks % RESEND_AFTER == 0
+                if voter not in pending.stored_by and pending.ticks % RESEND_TICKS == 0
             ]
             for page in paginate(due):
                 self.outbox.append(ToVoter(voter, StoreRequest(page)))
--- a/onyxhollow/addresses/controller_views.py
+++ b/onyxhollow/addresses/controller_views.py
@@ -1,6 +1,6 @@
-"""What operators are shown of the controller: the view of all routes, and the plan of an override. Pure.
+"""JSON responses about the controller: the view of all routes, and the plan of an override. No I/O.
 
-The keys are those of `/control/addresses`; they stay whatever the attributes are called.
+The keys are part of the management API (`/control/addresses`) and independent of the attributes' names.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from onyxhollow.addresses.messages import DecisionRecord, Override
 from onyxhollow.addresses.overrides import OverrideLog
 from onyxhollow.addresses.routes import (
-    MAX_AGE,
+    MAX_AGE_SECONDS,
     NO_OVERRIDES,
     ActiveOverrides,
     Preference,
@@ -22,12 +22,12 @@
 )
 from onyxhollow.addresses.rules import DecisionRound, decide
 
-UNKNOWN = "unknown"  # the site has not reported its state to this controller
+UNKNOWN_PREFERENCE = "unknown"  # the site has not reported its state to this controller
 JsonObject = dict[str, Any]
 
 
 def view(controller: Controller, now: float) -> JsonObject:
-    """All that the controller goes by."""
+    """Return the state of all routes and the inputs of the controller's decisions."""
     suppressed = {(change.address, change.site): change for change in controller.suppressed}
     overrides = controller.active_overrides(now)
     return {
@@ -49,16 +49,16 @@
     overrides: ActiveOverrides,
     now: float,
 ) -> JsonObject:
-    """One route."""
-    # A new controller may never hear from a site whose members are all gone: its preference is not known
-    # then, which is not the same as withdrawn.
+    """Return one route of the view."""
+    # A site without running members never reports to a new controller. The preference of its routes is
+    # then unknown, which differs from withdrawn.
     is_known = route.key in controller.reported_routes
     return {
         "address": route.address,
         "site": route.site,
-        "standing": route.preference.label if is_known else UNKNOWN,
+        "standing": route.preference.label if is_known else UNKNOWN_PREFERENCE,
         "cause": route.cause,
-        "for": round(max(0.0, min(MAX_AGE, now - route.since)), 1),
+        "for": round(max(0.0, min(MAX_AGE_SECONDS, now - route.changed_at)), 1),
         "reached": route.reachable,
         "carried": route.installed,
         "health": None if route.health is None else round(route.health, 3),
@@ -76,26 +76,27 @@
 
 
 def describe_suppressed(change: SuppressedChange) -> str:
-    """The rule and its reason."""
+    """Return the rule that forbids a change, and its reason."""
     return f"{change.rule}: {change.reason}"
 
 
 def plan(controller: Controller, override: Override, now: float, wall: float) -> JsonObject:
-    """What an override would change, and where sessions would move; nothing is changed."""
+    """Return what an override would change and where sessions would move, without applying it."""
     log = OverrideLog()
-    for known in [*controller.overrides.overrides.values(), override]:
-        log.add(known, now, wall)
+    for logged in [*controller.overrides.overrides.values(), override]:
+        log.add(logged, now, wall)
     overrides = log.active({address for address, _ in controller.routes}, controller.capacity, now)
     routes = [replace(route) for route in controller.routes.values()]
     changes, suppressed = decide(controller.policy, routes, overrides, now)
-    without, _ = decide(controller.policy, routes, controller.active_overrides(now), now)
-    expected = {(change.address, change.site): change.preference for change in without}
-    what_if = DecisionRound(controller.policy, routes, overrides, now)
+    changes_without, _ = decide(controller.policy, routes, controller.active_overrides(now), now)
+    expected = {(change.address, change.site): change.preference for change in changes_without}
+    planned_round = DecisionRound(controller.policy, routes, overrides, now)
     return {
         "would": [
-            plan_row(change, controller.routes[change.address, change.site], what_if)
+            plan_row(change, controller.routes[change.address, change.site], planned_round)
             for change in changes
-            if expected.get((change.address, change.site)) is not change.preference  # else it comes anyway
+            if expected.get((change.address, change.site))
+            is not change.preference  # else it is made without the override too
         ],
         "hindered": [
             {"address": change.address, "site": change.site, "why": describe_suppressed(change)}
@@ -106,22 +107,24 @@
     }
 
 
-def plan_row(change: RouteChange, route: RouteState, what_if: DecisionRound) -> JsonObject:
-    """One change of a plan, and the sites that its sessions move to."""
-    receivers = what_if.usable_advertisers(route)
-    moves = change.preference is not Preference.ADVERTISED
+def plan_row(change: RouteChange, route: RouteState, planned_round: DecisionRound) -> JsonObject:
+    """Return one change of a plan, with the sites that its sessions would move to."""
+    receivers = planned_round.usable_advertisers(route)
+    moves_sessions = change.preference is not Preference.ADVERTISED
     return {
         "address": change.address,
         "site": change.site,
         "standing": change.preference.label,
         "why": change.reason,
         "load": route.load,
-        "goes_to": {one.site: round(route.load / len(receivers), 1) for one in receivers} if moves else {},
+        "goes_to": {receiver.site: round(route.load / len(receivers), 1) for receiver in receivers}
+        if moves_sessions
+        else {},
     }
 
 
 def decision_to_json(record: DecisionRecord) -> JsonObject:
-    """A line of the history."""
+    """Return a decision as an entry of the history."""
     return {
         "term": record.term,
         "number": record.number,
@@ -136,7 +139,7 @@
 
 
 def override_to_json(override: Override) -> JsonObject:
-    """An override of the history."""
+    """Return an override as an entry of the history."""
     return {
         "id": override.id,
         "number": override.number,
--- a/onyxhollow/addresses/file.py
+++ b/onyxhollow/addresses/file.py
@@ -1,7 +1,7 @@
 """The addresses file: shared addresses, the sites that advertise them, and the policy.
 
-All members read the same file. It is TOML, decoded by msgspec into frozen structs, then checked as a
-whole. Attributes carry the names of the code; where the operators' key differs, the field names it.
+All members read the same TOML file. It is decoded into frozen structs and then validated as a whole. Where a
+key of the file differs from the attribute, `field(name=...)` gives the key.
 """
 
 from __future__ import annotations
@@ -24,28 +24,28 @@
 
 
 class AddressesError(ValueError):
-    """A file that cannot be used; the text says where, what was expected and what was found."""
+    """An invalid file; the message gives the key, the expected value and the value found."""
 
 
 class TomlTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A table of the file; an unknown key is an error."""
+    """Base class of the file's tables; an unknown key is an error."""
 
 
 class Service(TomlTable, frozen=True):
-    """A shared address and who uses it."""
+    """A shared address and the listeners and tenants that use it."""
 
     name: str
-    prefix: str  # as it is announced, for example 198.51.100.7/32
-    listeners: list[str] = []  # served under this address; empty: all
+    prefix: str  # announced network, for example 198.51.100.7/32
+    listeners: list[str] = []  # listeners served under this address; empty: all
     tenants: list[str] = field(default_factory=list, name="customers")
     owner: str = ""
     note: str = ""
 
 
 class Site(TomlTable, frozen=True):
-    """Where addresses are advertised from: the members of a zone, one route guard, one routing daemon."""
+    """A place that advertises addresses: the members of a zone, a route guard and a routing daemon."""
 
-    name: str  # the zone
+    name: str  # name of the zone
     route_guard: str = field(name="gate")  # HOST:PORT
     next_hop: str = "self"
     capacity: Positive = 1000.0  # open sessions that the site can serve
@@ -56,34 +56,32 @@
 
 
 class Policy(TomlTable, frozen=True):
-    """When routes are withdrawn and restored. Health runs from 0 to 1; times are seconds."""
+    """Thresholds for withdrawing and restoring routes; health is from 0 to 1, times are in seconds."""
 
-    min_sites: Annotated[int, Meta(ge=1)] = field(default=1, name="least")  # that must advertise an address
-    # Sites withdrawn for health within `withdrawal_window`.
+    min_sites: Annotated[int, Meta(ge=1)] = field(default=1, name="least")  # sites that advertise an address
+    # Limit of sites withdrawn for health within `withdrawal_window`.
     max_concurrent_withdrawals: Annotated[int, Meta(ge=1)] = field(default=1, name="most_at_once")
     withdrawal_window: Positive = field(default=30.0, name="window")
     unhealthy_below: Ratio = field(default=0.6, name="ill")
     dead_below: Ratio = field(default=0.1, name="dead")
     healthy_from: Ratio = field(default=0.85, name="well")
-    unhealthy_for: NotNegative = field(default=10.0, name="ill_for")  # before a withdrawal ...
-    dead_for: NotNegative = 2.0  # ... and the same for a dead site
-    healthy_for: NotNegative = field(
-        default=15.0, name="well_for"
-    )  # before a restore; doubles with each flap
+    unhealthy_for: NotNegative = field(default=10.0, name="ill_for")  # before a withdrawal
+    dead_for: NotNegative = 2.0  # before the withdrawal of a dead site
+    healthy_for: NotNegative = field(default=15.0, name="well_for")  # before a restore; each flap doubles it
     max_healthy_for: NotNegative = field(default=600.0, name="well_most")
     flap_half_life: Positive = 300.0
-    recovery_step: NotNegative = field(default=5.0, name="step")  # at the lowered preference on the way back
-    max_utilization: Ratio = field(default=0.9, name="fill")  # of a site's capacity, with moved sessions
-    drain_for: Positive = 60.0  # after which a drain becomes a withdrawal, whatever still arrives
+    recovery_step: NotNegative = field(default=5.0, name="step")  # at the lowered preference during a restore
+    max_utilization: Ratio = field(default=0.9, name="fill")  # of a site's capacity, including moved sessions
+    drain_for: Positive = 60.0  # a drain ends with a withdrawal after this time at the latest
     drained_ratio: Ratio = field(
         default=0.1, name="drained"
-    )  # of the earlier arrival rate: the drain is done
+    )  # share of the arrival rate before the drain at which it is complete
     cut_off_after: Positive = 10.0  # without an assignment from a controller
     max_evidence_age: Positive = field(default=3.0, name="fresh")
 
 
 class AddressesFile(TomlTable, frozen=True):
-    """The whole file."""
+    """The contents of the addresses file."""
 
     services: list[Service] = field(name="service")
     sites: list[Site] = field(name="site")
@@ -91,14 +89,14 @@
     interval: Positive = field(default=0.5, name="every")  # seconds between messages
     probe_interval: NotNegative = field(
         default=2.0, name="synthetic"
-    )  # seconds between own sessions; 0: none
+    )  # seconds between probe sessions; 0: none
 
 
 def parse_host_port(text: str, key: str) -> tuple[str, int]:
-    """Host and port of `HOST:PORT`.
+    """Parse `HOST:PORT`.
 
     Raises:
-        AddressesError: it is something else; the text names `key`.
+        AddressesError: the text has another form; the message names `key`.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
@@ -107,17 +105,17 @@
 
 
 def describe(error: msgspec.ValidationError) -> str:
-    """A validation error as `key: expected ..., got ...`."""
-    what, _, where = str(error).partition(" - at `$")
-    where = where.strip("`").lstrip(".") or "top"
-    return f"{where}: {re.sub(r'^Expected', 'expected', what)}"
+    """Return a validation error in the form `key: expected ..., got ...`."""
+    message, _, key = str(error).partition(" - at `$")
+    key = key.strip("`").lstrip(".") or "top"
+    return f"{key}: {re.sub(r'^Expected', 'expected', message)}"
 
 
 def check(config: AddressesFile) -> None:
-    """Checks what types alone do not say.
+    """Check the constraints that the types do not express.
 
     Raises:
-        AddressesError: the first fault found, by its key in the file.
+        AddressesError: the first error found, with its key in the file.
     """
     check_names("service", config.services)
     check_names("site", config.sites)
@@ -128,20 +126,22 @@
 
 
 def check_names(key: str, rows: Sequence[Service | Site]) -> None:
-    """Names are present, short, printable and distinct."""
+    """Check that there are names, and that they are short, printable and distinct."""
     names = [row.name for row in rows]
     for index, name in enumerate(names):
         size = len(name.encode(errors="replace"))
-        forbidden = any(sign in name for sign in FORBIDDEN_IN_NAMES)
+        forbidden = any(character in name for character in FORBIDDEN_IN_NAMES)
         if not 0 < size <= MAX_NAME_BYTES or not name.isprintable() or forbidden:
-            what = f"expected 1 to {MAX_NAME_BYTES} bytes of printable characters, no space and none of /&=?#"
-            raise AddressesError(f"{key}[{index}].name: {what}, got {name[:80]!r}")
+            expected = (
+                f"expected 1 to {MAX_NAME_BYTES} bytes of printable characters, no space and none of /&=?#"
+            )
+            raise AddressesError(f"{key}[{index}].name: {expected}, got {name[:80]!r}")
     if len(set(names)) != len(names) or not names:
-        raise AddressesError(f"{key}: expected names that differ, got {', '.join(names) or 'none'}")
+        raise AddressesError(f"{key}: expected distinct names, got {', '.join(names) or 'none'}")
 
 
 def check_prefixes(services: Sequence[Service]) -> None:
-    """Each prefix is a network and occurs once."""
+    """Check that each prefix is a network and occurs only once."""
     seen: set[str] = set()
     for index, service in enumerate(services):
         try:
@@ -151,12 +151,12 @@
                 f"service[{index}].prefix: expected a prefix, got {service.prefix[:60]!r}: {error}"
             ) from None
         if prefix in seen:
-            raise AddressesError(f"service[{index}].prefix: expected one that no other has, got {prefix}")
+            raise AddressesError(f"service[{index}].prefix: expected a prefix used only once, got {prefix}")
         seen.add(prefix)
 
 
 def check_site(index: int, site: Site) -> None:
-    """A site's route guard and next hop are addresses."""
+    """Check that a site's route guard and next hop are valid addresses."""
     parse_host_port(site.route_guard, f"site[{index}].gate")
     if site.next_hop == "self":
         return
@@ -164,23 +164,22 @@
         ipaddress.ip_address(site.next_hop)
     except ValueError:
         raise AddressesError(
-            f"site[{index}].next_hop: expected self or an address, got {site.next_hop[:60]!r}"
+            f"site[{index}].next_hop: expected self or an IP address, got {site.next_hop[:60]!r}"
         ) from None
 
 
 def check_policy(config: AddressesFile) -> None:
-    """The policy can be met by the sites, and its thresholds are in order."""
+    """Check that there are enough sites for the policy, and that its thresholds are in order."""
     policy = config.policy
     if policy.min_sites > len(config.sites):
         raise AddressesError(
-            f"policy.least: expected at most {len(config.sites)}, as many as there are sites, "
-            f"got {policy.min_sites}"
+            f"policy.least: expected at most {len(config.sites)}, the number of sites, got {policy.min_sites}"
         )
     keeping = sum(site.cut_off == "keep" for site in config.sites)
     if keeping < policy.min_sites:
         raise AddressesError(
             f'site: expected at least {policy.min_sites} with cut_off = "keep" (policy.least), '
-            f"got {keeping}: without voters every gate would withdraw"
+            f"got {keeping}: without a voter majority all other sites withdraw"
         )
     if not policy.dead_below <= policy.unhealthy_below <= policy.healthy_from:
         raise AddressesError(
@@ -191,7 +190,7 @@
 
 @contextlib.contextmanager
 def one_line_errors(path: str) -> Iterator[None]:
-    """Turns whatever is wrong with a file into one AddressesError of one line that names the file."""
+    """Convert any error of reading a file into an AddressesError with a one-line message naming the file."""
     try:
         yield
     except OSError as error:
@@ -199,16 +198,16 @@
     except msgspec.ValidationError as error:
         raise AddressesError(f"{path}: {describe(error)}") from None
     except msgspec.DecodeError as error:
-        raise AddressesError(f"{path}: expected TOML, got something else: {error}") from None
+        raise AddressesError(f"{path}: expected TOML, got a file that does not parse: {error}") from None
     except AddressesError as error:
         raise AddressesError(str(error) if str(error).startswith(path) else f"{path}: {error}") from None
 
 
 def read_addresses(path: str) -> AddressesFile:
-    """Reads and checks an addresses file.
+    """Read and check an addresses file.
 
     Raises:
-        AddressesError: it cannot be read or used; one line that names the file.
+        AddressesError: the file cannot be read or is invalid; a one-line message that names the file.
     """
     with one_line_errors(os.fspath(path)), open(path, "rb") as file:
         config = msgspec.toml.decode(file.read(), type=AddressesFile, strict=True)
--- a/onyxhollow/addresses/messages.py
+++ b/onyxhollow/addresses/messages.py
@@ -1,6 +1,7 @@
 """Messages about shared addresses between members, and the records that voters store.
 
-MessagePack by msgspec, structs as arrays: tags and the order of fields are fixed by the wire and the disk.
+The encoding is MessagePack with structs as arrays. Tags and the order of fields must not change: other
+versions read them from the network and from disk.
 """
 
 from __future__ import annotations
@@ -10,70 +11,70 @@
 
 import msgspec
 
-PAGE_BYTES = 900  # of rows in one message: a datagram less seal, names and what shares it
+MAX_PAGE_BYTES = 900  # rows in one message; the rest of a datagram is for the seal, names and other messages
 T = TypeVar("T")
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """One message between members."""
+    """Base class of the messages between members."""
 
 
 class RouteStatus(msgspec.Struct, array_like=True, frozen=True):
-    """One address at one site."""
+    """The state of one address at one site."""
 
     address: str
     preference: int
     cause: str
     age: float  # seconds since the preference last changed
     flaps: float
-    is_last: bool = False  # the site must not withdraw it by itself, whatever it sees
-    installed: bool = True  # the routing daemon has taken the preference
+    is_last: bool = False  # the site must not withdraw the route on its own, whatever its health
+    installed: bool = True  # the routing daemon has confirmed the preference
 
 
 class RouteAssignment(Message, frozen=True, tag=1):
-    """From the controller to a site's announcer: its addresses; without rows: only that it lives."""
+    """Sent by the controller to a site's announcer: the site's routes. Without rows it is a heartbeat."""
 
     term: int  # of the controller
-    number: int  # rises within a term
+    number: int  # increases within a term
     site: str
     rows: list[RouteStatus]
 
 
 class SiteReport(Message, frozen=True, tag=2):
-    """From a site's announcer to the controller, in answer to each assignment and by itself."""
+    """Sent by a site's announcer to the controller, in reply to each assignment and periodically."""
 
     site: str
     controller_term: int  # of the newest assignment received
     assignment_number: int
     announcer_term: int
-    guard_ready: bool  # the route guard answers, and has a routing daemon
+    guard_ready: bool  # the route guard responds and is connected to its routing daemon
     rows: list[RouteStatus]
 
 
 class AddressHealth(msgspec.Struct, array_like=True, frozen=True):
-    """How one member sees an address at its site."""
+    """The health of an address at a site, as measured by one member."""
 
     address: str
-    health: float  # 0 to 1: the least of all that the member looks at
+    health: float  # 0 to 1: the lowest of the member's measurements
     reason: str
     load: float  # open sessions
-    arrival_rate: float  # new sessions a second
+    arrival_rate: float  # new sessions per second
 
 
 class HealthReport(Message, frozen=True, tag=3):
-    """From each member to the controller."""
+    """Sent by each member to the controller."""
 
     site: str
     rows: list[AddressHealth]
 
 
 class Override(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """An operator's override; the newest of a kind for an address at a site counts."""
+    """An operator's override; for each kind, address and site only the newest one has an effect."""
 
     id: str
-    number: int  # higher than all that its receiver knew of
+    number: int  # higher than that of every override known to the member that created it
     verb: str  # a key of overrides.VERBS
-    address: str  # "": all
+    address: str  # empty: all addresses
     site: str
     operator: str
     reason: str
@@ -82,7 +83,7 @@
 
 
 class DecisionRecord(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """A line of the history: one change that the controller has decided."""
+    """An entry of the history: one change that the controller has decided."""
 
     term: int
     number: int
@@ -99,50 +100,50 @@
 
 
 class StoreRequest(Message, frozen=True, tag=4):
-    """Asks a voter to store records durably."""
+    """Request to a voter to store records durably."""
 
     rows: list[StoredRecord]
 
 
 class StoreAcknowledgement(Message, frozen=True, tag=5):
-    """The records are on this voter's disk; see `record_id`."""
+    """Confirmation that records are on this voter's disk; `record_id` gives their ids."""
 
     voter: str
     ids: list[str]
 
 
 class OverrideQuery(Message, frozen=True, tag=6):
-    """Asks a voter for its overrides; an equal digest needs none of them."""
+    """Request to a voter for its overrides; if its digest is the same, it sends none."""
 
     digest: int
 
 
 class OverrideResponse(Message, frozen=True, tag=7):
-    """A voter's overrides, or a page of them; none if the digests are equal."""
+    """A voter's overrides or one page of them; empty if the digests are equal."""
 
     voter: str
     digest: int
-    count: int  # of all overrides that the voter has
+    count: int  # of all overrides that the voter stores
     overrides: list[Override]
 
 
 class ControllerAnnouncement(Message, frozen=True, tag=8):
-    """Names the controller, for members that joined after it took over."""
+    """Periodic broadcast of the controller's identity, for members that joined after its election."""
 
     term: int
     process_id: str
 
 
 class QueryRequest(Message, frozen=True, tag=9):
-    """A member asks the controller, or for the history a voter, on behalf of an operator."""
+    """An operator's query, sent by a member to the controller, or to a voter for the history."""
 
     id: str
-    kind: str  # view, plan, history
+    kind: str  # "view", "plan" or "history"
     override: Override | None = None
 
 
 class QueryResponsePart(Message, frozen=True, tag=10):
-    """A part of the answer: compressed JSON, cut into pieces."""
+    """One part of the response: compressed JSON, split to fit into datagrams."""
 
     id: str
     part: int
@@ -151,7 +152,7 @@
 
 
 class DrainRequest(Message, frozen=True, tag=13):
-    """From a site's announcer to its members: move the open connections of what an override has withdrawn."""
+    """Sent by a site's announcer to its members: move connections off addresses that an override withdrew."""
 
     site: str
     addresses: list[str]
@@ -174,10 +175,10 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-def paginate(rows: Iterable[T], page_bytes: int = PAGE_BYTES) -> Iterator[list[T]]:
-    """Rows in pages that fit into a datagram each; a larger message would never be sent.
+def paginate(rows: Iterable[T], page_bytes: int = MAX_PAGE_BYTES) -> Iterator[list[T]]:
+    """Split rows into pages that each fit into a datagram; a larger message would never be sent.
 
-    A single row is bounded where it is made.
+    A single row is not split: the code that creates a row limits its size.
     """
     page: list[T] = []
     size = 0
@@ -194,10 +195,10 @@
 
 
 def truncate_utf8(text: str, max_bytes: int) -> str:
-    """The longest beginning of a text that takes at most `max_bytes` in UTF-8."""
+    """Return the longest prefix of a text that takes at most `max_bytes` bytes in UTF-8."""
     return text.encode()[:max_bytes].decode(errors="ignore")
 
 
 def record_id(record: StoredRecord) -> str:
-    """How a record is named when it is acknowledged."""
+    """Return the id by which a record is acknowledged."""
     return record.id if isinstance(record, Override) else f"{record.term}.{record.number}"
--- a/onyxhollow/addresses/overrides.py
+++ b/onyxhollow/addresses/overrides.py
@@ -1,7 +1,7 @@
-"""Operators' overrides: which are in force, and what voters store of them. Pure.
+"""Operators' overrides: which are in force, and what voters store of them. No I/O.
 
-An override is a record that never changes. Sets of them merge by union, in any order and any number of times,
-so none is applied twice. The newest of a kind (by number, then id) counts.
+Overrides are immutable, and sets of them merge by union: order and repetition make no difference, and none
+is applied twice. The newest of a kind (by number, then id) has an effect.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from onyxhollow.addresses.messages import Override
 from onyxhollow.addresses.routes import ActiveOverrides
 
-MAX_OVERRIDES = 512  # stored at once; the oldest that are replaced or expired make room
+MAX_OVERRIDES = 512  # beyond it the oldest overrides that are replaced or expired are removed
 MAX_REASON_BYTES = 200
 
 
 class Verb(NamedTuple):
-    """What an operator's verb does."""
+    """The effect of an operator's verb."""
 
     kind: str  # field of ActiveOverrides
-    sets: bool  # sets the override, or takes it back
+    sets: bool  # True: sets the override; False: clears it
 
 
 VERBS = {
@@ -35,30 +35,30 @@
 }
 
 
-class Statement(NamedTuple):
-    """What one override says of a route; the greatest by number and id counts."""
+class OverrideEffect(NamedTuple):
+    """The effect of one override on a route; the greatest by number and id applies."""
 
     number: int
     id: str
-    text: str  # who and why; empty: taken back
+    text: str  # operator and reason; empty: the override is cleared
 
 
-NOTHING_SAID = Statement(0, "", "")
+NO_EFFECT = OverrideEffect(0, "", "")
 
 
 class OverrideLog:
-    """The overrides known here, and when each expires on this process's monotonic clock.
+    """The overrides known to this process, and when each expires on its monotonic clock.
 
-    The expiry is computed once from the wall clock: its later steps neither lengthen nor end an override.
+    The expiry is computed from the wall clock once, so that later steps of the wall clock do not change it.
     """
 
     def __init__(self) -> None:
         self.overrides: dict[str, Override] = {}
         self.expires_at: dict[str, float] = {}
-        self.digest = 0  # of the ids, independent of their order
+        self.digest = 0  # XOR of the hashed ids, independent of their order
 
     def add(self, override: Override, now: float, wall: float) -> bool:
-        """Adds an override; whether it was new. `now` is monotonic, `wall` Unix seconds."""
+        """Add an override and return whether it is new; `now` is monotonic time, `wall` is Unix time."""
         if override.id in self.overrides or override.verb not in VERBS:
             return False
         self.overrides[override.id] = override
@@ -68,20 +68,20 @@
         return True
 
     def toggle_in_digest(self, override_id: str) -> None:
-        """Adds an id to the digest, or takes it out."""
+        """Add an id to the digest, or remove it if it is included."""
         self.digest ^= xxhash.xxh3_64_intdigest(override_id.encode())
 
     @property
     def highest_number(self) -> int:
-        """The highest number of an override; 0 if there is none."""
+        """Highest number of any override; 0 if there is none."""
         return max((override.number for override in self.overrides.values()), default=0)
 
     def is_expired(self, override: Override, now: float) -> bool:
-        """Whether its time is over."""
+        """Return whether the override has expired."""
         return override.id in self.expires_at and now >= self.expires_at[override.id]
 
     def compact(self, now: float) -> list[str]:
-        """Past MAX_OVERRIDES, removes the oldest that are replaced or expired; their ids."""
+        """Remove the oldest replaced or expired overrides beyond MAX_OVERRIDES, and return their ids."""
         if len(self.overrides) <= MAX_OVERRIDES:
             return []
         newest = self.newest_active(now)
@@ -96,36 +96,36 @@
         return removed
 
     def newest_active(self, now: float) -> set[Override]:
-        """Of each kind, address and site the newest override that is not expired."""
-        found: dict[tuple[str, str, str], Override] = {}
+        """Return the newest override that has not expired, for each kind, address and site."""
+        newest: dict[tuple[str, str, str], Override] = {}
         for override in self.overrides.values():
             key = VERBS[override.verb].kind, override.address, override.site
-            known = found.get(key)
-            is_newer = known is None or (known.number, known.id) < (override.number, override.id)
+            previous = newest.get(key)
+            is_newer = previous is None or (previous.number, previous.id) < (override.number, override.id)
             if is_newer and not self.is_expired(override, now):
-                found[key] = override
-        return set(found.values())
+                newest[key] = override
+        return set(newest.values())
 
     def active(
         self, addresses: Iterable[str], sites: Iterable[str], now: float
     ) -> dict[tuple[str, str], ActiveOverrides]:
-        """What overrides say of each route, by address and site.
+        """Return the overrides in force for each route, by address and site.
 
-        Of an override for all addresses and one for a single address the newer counts.
+        Of an override for all addresses and one for a single address the newer one applies.
         """
         all_addresses = list(addresses)
         known_sites = set(sites)
-        found: dict[tuple[str, str], dict[str, Statement]] = {}
+        effects_by_route: dict[tuple[str, str], dict[str, OverrideEffect]] = {}
         for override in self.newest_active(now):
             if override.site not in known_sites:
                 continue
             verb = VERBS[override.verb]
             text = f"{override.operator}: {override.reason}" if verb.sets else ""
-            statement = Statement(override.number, override.id, text)
+            effect = OverrideEffect(override.number, override.id, text)
             for address in [override.address] if override.address else all_addresses:
-                statements = found.setdefault((address, override.site), {})
-                statements[verb.kind] = max(statements.get(verb.kind, NOTHING_SAID), statement)
+                effects = effects_by_route.setdefault((address, override.site), {})
+                effects[verb.kind] = max(effects.get(verb.kind, NO_EFFECT), effect)
         return {
-            key: ActiveOverrides(**{kind: statement.text for kind, statement in statements.items()})
-            for key, statements in found.items()
+            key: ActiveOverrides(**{kind: effect.text for kind, effect in effects.items()})
+            for key, effects in effects_by_route.items()
         }
--- a/tests/test_address_health.py
+++ b/tests/test_address_health.py
@@ -33,11 +33,13 @@
 
 def test_a_probe_target_is_as_healthy_as_the_worst_of_its_signs():
     target = HealthTracker()
-    assert target.assess(True, 4, 4)[0] == 1.0 and target.assess(False, 4, 4) == (0.0, "takes no clients")
+    assert target.assess(True, 4, 4)[0] == 1.0 and target.assess(False, 4, 4) == (0.0, "accepts no clients")
     assert [target.assess(True, *endpoints)[0] for endpoints in ((10, 0), (8, 1), (0, 0))] == [0.0, 0.5, 0.0]
     target.record_outcomes(0.0, 0, 0)
     target.record_outcomes(5.0, 5, 20)
-    assert target.assess(True, 4, 4) == (0.25, "25% of sessions were put up") and target.arrival_rate() == 4.0
+    assert (
+        target.assess(True, 4, 4) == (0.25, "25% of sessions were accepted") and target.arrival_rate() == 4.0
+    )
     for succeeded in (True, False, False, False, False):
         target.record_probe(succeeded)
     assert target.assess(True, 4, 4)[0] == 0.2
--- a/tests/test_address_rules.py
+++ b/tests/test_address_rules.py
@@ -20,7 +20,14 @@
     made = []
     for site, (health, load, since) in sites.items():
         route = RouteState(
-            "x", site, ADVERTISED, reachable=True, installed=True, load=load, capacity=100.0, since=now - 500
+            "x",
+            site,
+            ADVERTISED,
+            reachable=True,
+            installed=True,
+            load=load,
+            capacity=100.0,
+            changed_at=now - 500,
         )
         route.observe(health, "told", POLICY, now - since)
         made.append(route)
@@ -120,7 +127,7 @@
 def test_the_healthiest_withdrawn_site_is_restored_at_once_where_none_is_left():
     a, b, c = routes(a=(1.0, 10, 1), b=(0.9, 10, 1), c=(0.0, 10, 99))
     for route in (a, b):
-        route.preference, route.cause, route.since = WITHDRAWN, Cause.HEALTH, 999.0
+        route.preference, route.cause, route.changed_at = WITHDRAWN, Cause.HEALTH, 999.0
     assert decided([a, b, c])[0] == {("a", ADVERTISED)}
 
 
--- a/tests/test_fleet_addresses.py
+++ b/tests/test_fleet_addresses.py
@@ -69,7 +69,7 @@
     sites.wait_standing(a=0, b=2, c=2)
     all_served(sites)
     row = sites.row("addr0", "a")
-    assert row["cause"] == "health" and "0 of 2 servers have room" in row["evidence"]
+    assert row["cause"] == "health" and "0 of 2 usable endpoints have capacity" in row["evidence"]
     fill(sites, "a", 0.1)
     sites.wait_standing(a=2, b=2, c=2)
 
