--- a/tests/address_support.py
+++ b/tests/address_support.py
@@ -9,7 +9,7 @@
 ADVERTISED, LOWERED, WITHDRAWN = Preference.ADVERTISED, Preference.LOWERED, Preference.WITHDRAWN
 
 
-def two_addresses(*listeners):
+def two_site_config(*listeners):
     """A file of two sites, and of one address for each listener."""
     return file.AddressesFile(
         services=[
--- a/tests/test_connection_drain.py
+++ b/tests/test_connection_drain.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from address_support import two_addresses
+from address_support import two_site_config
 
 from onyxhollow.addresses.messages import DrainRequest
 from onyxhollow.fleet.shared_addresses.service import SharedAddresses
@@ -46,7 +46,7 @@
 
     A member that looked in between had a pace for none, and moved none as long as the override stood.
     """
-    member = FakeMember(two_addresses("chat", "chat"))
+    member = FakeMember(two_site_config("chat", "chat"))
     member.open_sessions(100, "chat")
     assert member.count_moved(0, "x0") == 0  # x1 has the same listener, and stays
     assert [member.count_moved(second, "x0", "x1") for second in range(1, 7)] == [5, 5, 5, 5, 5, 10]
@@ -56,7 +56,7 @@
 
 
 def test_connections_that_open_while_an_address_is_withdrawn_move_though_there_were_none():
-    member = FakeMember(two_addresses("chat", "talk"))
+    member = FakeMember(two_site_config("chat", "talk"))
     assert member.count_moved(0, "x0") == 0
     member.open_sessions(12, "chat")
     assert [member.count_moved(second, "x0") for second in range(1, 4)] == [1, 1, 1]
@@ -67,7 +67,7 @@
 
 def test_a_second_address_drains_at_the_pace_of_all_its_connections():
     """One had two connections and the other two hundred: they moved one a second."""
-    member = FakeMember(two_addresses("chat", "talk"))
+    member = FakeMember(two_site_config("chat", "talk"))
     member.open_sessions(2, "chat")
     member.open_sessions(200, "talk")
     assert member.count_moved(0, "x0") == 1
--- a/tests/test_override_api.py
+++ b/tests/test_override_api.py
@@ -5,7 +5,7 @@
 from urllib.parse import urlencode
 
 import pytest
-from address_support import two_addresses
+from address_support import two_site_config
 
 from onyxhollow.addresses.messages import (
     Override,
@@ -53,7 +53,7 @@
 
 
 def reader():
-    return OverrideReader(two_addresses("chat"), RequestIds(7))
+    return OverrideReader(two_site_config("chat"), RequestIds(7))
 
 
 @pytest.mark.parametrize(
