--- a/tests/address_support.py
+++ b/tests/address_support.py
@@ -1,4 +1,4 @@
-"""What the tests of shared addresses have in common."""
+"""Shared helpers of the shared-address tests."""
 
 from onyxhollow.addresses import file
 from onyxhollow.addresses.routes import Preference
@@ -10,11 +10,11 @@
 
 
 def two_site_config(*listeners):
-    """A file of two sites, and of one address for each listener."""
+    """Return a configuration with two sites and one address per listener."""
     return file.AddressesFile(
         services=[
-            file.Service(name=f"x{at}", prefix=f"198.51.100.{at}/32", listeners=[name])
-            for at, name in enumerate(listeners)
+            file.Service(name=f"x{number}", prefix=f"198.51.100.{number}/32", listeners=[listener])
+            for number, listener in enumerate(listeners)
         ],
         sites=[file.Site(name=site, route_guard="127.0.0.1:1") for site in "ab"],
         policy=POLICY,
--- a/tests/test_address_controller.py
+++ b/tests/test_address_controller.py
@@ -1,4 +1,4 @@
-"""The controller's messages and its view."""
+"""Tests of the controller's messages and its view."""
 
 from address_support import ADVERTISED, POLICY, WITHDRAWN
 
@@ -22,21 +22,24 @@
 
 
 def test_every_message_fits_into_a_datagram_however_many_routes_there_are():
-    """Eight decisions in one message were never sent, and a controller waited for them for ever."""
+    """A message with eight decisions exceeded a datagram: it was never sent, and the controller hung."""
     name = "n" * 60
     names = [f"{name}{number:02}" for number in range(24)]
     config = file.AddressesFile(
-        services=[file.Service(name=one, prefix=f"198.51.100.{at}/32") for at, one in enumerate(names)],
+        services=[
+            file.Service(name=address, prefix=f"198.51.100.{number}/32")
+            for number, address in enumerate(names)
+        ],
         sites=[file.Site(name=site, route_guard="127.0.0.1:1") for site in "ab"],
         policy=POLICY,
     )
     controller = Controller(config, ("v0", "v1", "v2"), 1, 0.0)
     for number in range(120):
-        now, out, controller.outbox = number * 0.5, controller.outbox, []
-        for to in out:
-            message = to.message
+        now, outbox, controller.outbox = number * 0.5, controller.outbox, []
+        for outgoing in outbox:
+            message = outgoing.message
             assert len(encode(message)) < 1000
-            voter = to.voter if isinstance(to, ToVoter) else ""
+            voter = outgoing.voter if isinstance(outgoing, ToVoter) else ""
             if isinstance(message, OverrideQuery):
                 controller.on_message(OverrideResponse(voter, message.digest, 0, []), voter, now, now)
             elif isinstance(message, StoreRequest):
@@ -51,10 +54,10 @@
             ]
             for rows in paginate(statuses):
                 controller.on_message(SiteReport(site, 1, number, 1, True, rows), f"{site}0", now, now)
-                controller.tick(now, now)  # between two pages as well: what is not reported is not known
-            rows_of_member = [AddressHealth(one, 1.0, "w" * 200, 1.0, 1.0) for one in names]
+                controller.tick(now, now)  # also between two pages, while some routes are not reported yet
+            health_rows = [AddressHealth(address, 1.0, "w" * 200, 1.0, 1.0) for address in names]
             for member in ("0", "1", "2"):
-                controller.on_message(HealthReport(site, rows_of_member), f"{site}{member}", now, now)
+                controller.on_message(HealthReport(site, health_rows), f"{site}{member}", now, now)
         controller.tick(now, now)
     assert {route.preference for route in controller.routes.values()} == {ADVERTISED}
     assert not controller.pending
@@ -63,7 +66,7 @@
 
 
 def test_a_new_controller_shows_a_route_as_unknown_until_its_site_has_reported():
-    """The members of a site were gone when the controller changed; its addresses were shown as withdrawn."""
+    """A site without running members never reported to a new controller, which showed it as withdrawn."""
     config = file.AddressesFile(
         services=[file.Service(name="x", prefix="198.51.100.1/32")],
         sites=[file.Site(name=site, route_guard="127.0.0.1:1") for site in "ab"],
@@ -73,8 +76,8 @@
     controller.on_message(
         SiteReport("a", 2, 1, 1, True, [RouteStatus("x", int(ADVERTISED), "", 0.0, 0.0)]), "a0", 1.0, 1.0
     )
-    shown = {row["site"]: row["standing"] for row in view(controller, 1.0)["rows"]}
-    assert shown == {"a": "advertised", "b": "unknown"}
+    preferences = {row["site"]: row["standing"] for row in view(controller, 1.0)["rows"]}
+    assert preferences == {"a": "advertised", "b": "unknown"}
     controller.on_message(
         SiteReport("b", 2, 1, 1, True, [RouteStatus("x", int(WITHDRAWN), "health", 0.0, 0.0)]), "b0", 2.0, 2.0
     )
--- a/tests/test_address_health.py
+++ b/tests/test_address_health.py
@@ -1,4 +1,4 @@
-"""Health of a site from the reports of its members."""
+"""Tests of a site's health, computed from the reports of its members."""
 
 from onyxhollow.addresses.health import HealthAggregator, HealthTracker
 from onyxhollow.addresses.messages import (
@@ -11,7 +11,7 @@
     return [AddressHealth("x", health, "", 1.0, 1.0)]
 
 
-def test_one_member_one_link_or_one_bad_report_does_not_decide():
+def test_a_single_member_link_or_wrong_report_does_not_determine_the_health():
     aggregator = HealthAggregator(max_age=3.0)
     for member, health in (("a", 0.0), ("b", 1.0), ("c", 0.9)):
         aggregator.record(member, HealthReport("s", rows(health)), 10.0)
@@ -23,25 +23,26 @@
     pair.record("b", HealthReport("s", rows(1.0)), 10.0)
     assert pair.assess("s", "x", 10.0).health == 1.0
     pair.record("a", HealthReport("s", rows(0.0)), 14.0)
-    assert pair.assess("s", "x", 14.0).health is None  # only one of two has reported
+    assert pair.assess("s", "x", 14.0).health is None  # only one of two members has reported
     pair.record("a", HealthReport("s", rows(0.0)), 25.0)
-    assert pair.assess("s", "x", 25.0).health == 0.0  # the other has been gone for long
+    assert pair.assess("s", "x", 25.0).health == 0.0  # the other member is no longer counted as present
     assert pair.assess("s", "x", 99.0).health is None and pair.assess("nowhere", "x", 1.0).health is None
     pair.record("a", HealthReport("s", [AddressHealth("x", 7.0, "", -1.0, 0.0)]), 100.0)
-    assert pair.assess("s", "x", 100.0).health is None  # absurd
+    assert pair.assess("s", "x", 100.0).health is None  # numbers out of range
 
 
-def test_a_probe_target_is_as_healthy_as_the_worst_of_its_signs():
-    target = HealthTracker()
-    assert target.assess(True, 4, 4)[0] == 1.0 and target.assess(False, 4, 4) == (0.0, "accepts no clients")
-    assert [target.assess(True, *endpoints)[0] for endpoints in ((10, 0), (8, 1), (0, 0))] == [0.0, 0.5, 0.0]
-    target.record_outcomes(0.0, 0, 0)
-    target.record_outcomes(5.0, 5, 20)
+def test_a_tracker_reports_the_worst_of_its_measurements():
+    tracker = HealthTracker()
+    assert tracker.assess(True, 4, 4)[0] == 1.0 and tracker.assess(False, 4, 4) == (0.0, "accepts no clients")
+    assert [tracker.assess(True, *endpoints)[0] for endpoints in ((10, 0), (8, 1), (0, 0))] == [0.0, 0.5, 0.0]
+    tracker.record_outcomes(0.0, 0, 0)
+    tracker.record_outcomes(5.0, 5, 20)
     assert (
-        target.assess(True, 4, 4) == (0.25, "25% of sessions were accepted") and target.arrival_rate() == 4.0
+        tracker.assess(True, 4, 4) == (0.25, "25% of sessions were accepted")
+        and tracker.arrival_rate() == 4.0
     )
     for succeeded in (True, False, False, False, False):
-        target.record_probe(succeeded)
-    assert target.assess(True, 4, 4)[0] == 0.2
-    target.record_outcomes(16.0, 100, 115)  # what was before is forgotten
-    assert target.success_ratio() is None
+        tracker.record_probe(succeeded)
+    assert tracker.assess(True, 4, 4)[0] == 0.2
+    tracker.record_outcomes(16.0, 100, 115)  # older samples are removed
+    assert tracker.success_ratio() is None
--- a/tests/test_address_overrides.py
+++ b/tests/test_address_overrides.py
@@ -1,4 +1,4 @@
-"""Operators' overrides and the voters' store of them."""
+"""Tests of operators' overrides and the voters' store of them."""
 
 import pytest
 
@@ -11,15 +11,15 @@
 from onyxhollow.fleet.shared_addresses.override_store import OverrideStore
 
 
-def override(id, number, verb, site="a", address="", until=0.0):
-    return Override(id, number, verb, address, site, "op", "why", 1000.0, until)
+def override(override_id, number, verb, site="a", address="", expires_at=0.0):
+    return Override(override_id, number, verb, address, site, "op", "why", 1000.0, expires_at)
 
 
-def test_overrides_merge_in_any_order_and_count_once():
+def test_overrides_merge_in_any_order_and_apply_once():
     overrides = [
         override("1", 1, "drain"),
         override("2", 2, "undrain"),
-        override("3", 3, "drain", until=1050.0),
+        override("3", 3, "drain", expires_at=1050.0),
         override("4", 4, "pin", site="b", address="x"),
     ]
     logs = []
@@ -38,12 +38,12 @@
     many.compact(20.0)
     assert len(many.overrides) == 512 and "999" in many.overrides
     assert many.active(["x"], ["a"], 20.0)["x", "a"].drain
-    # It expires 50 s after it was learnt, whatever the wall clock says by then.
+    # It expires 50 s after it was added, regardless of the wall clock.
     assert not logs[0].active(["x"], ["a"], 61.0)["x", "a"].drain
 
 
-@pytest.mark.parametrize("cut", range(0, 60, 7))
-def test_a_store_cut_off_at_any_byte_has_all_acknowledged_records(tmp_path, cut):
+@pytest.mark.parametrize("extra_bytes", range(0, 60, 7))
+def test_a_store_truncated_at_any_byte_keeps_all_acknowledged_records(tmp_path, extra_bytes):
     store = OverrideStore(str(tmp_path))
     first = override("1", 1, "drain")
     second = DecisionRecord(3, 1, 1000.0, "x", "a", 0, "health", "why", "evidence")
@@ -51,10 +51,10 @@
     store.close()
     path = tmp_path / "addresses"
     intact = path.read_bytes()
-    later = OverrideStore(str(tmp_path))
-    later.append([override("5", 5, "pin")])
-    later.close()
-    path.write_bytes(path.read_bytes()[: len(intact) + cut])
+    extended = OverrideStore(str(tmp_path))
+    extended.append([override("5", 5, "pin")])
+    extended.close()
+    path.write_bytes(path.read_bytes()[: len(intact) + extra_bytes])
     reopened = OverrideStore(str(tmp_path))
     assert reopened.overrides()[0] == first and reopened.decisions() == [second]
     assert len(reopened.records) == 2 or len(path.read_bytes()) > len(intact) + 40
--- a/tests/test_address_schedules.py
+++ b/tests/test_address_schedules.py
@@ -1,4 +1,4 @@
-"""Controller, announcers and route guards together, under schedules of faults in made-up time."""
+"""Tests of controller, announcers and route guards together, under schedules of faults in virtual time."""
 
 import pytest
 
@@ -10,17 +10,17 @@
 
 
 @pytest.mark.parametrize("name", sorted(places.COURSES))
-def test_no_fault_at_any_place_of_a_scenario_breaks_an_invariant(name):
-    found = places.explore(name, every=61)  # the benchmark plays them all
-    assert found.runs > 40 and found.broken == []
+def test_no_fault_at_any_point_of_a_scenario_breaks_an_invariant(name):
+    result = places.explore(name, every=61)  # the benchmark runs every point
+    assert result.runs > 40 and result.broken == []
 
 
-def test_an_announcer_stopped_while_its_site_is_restored_leaves_the_last_site():
+def test_an_announcer_stopped_during_a_restore_does_not_cause_the_last_site_to_be_withdrawn():
     assert places.Placed((("stop announcer b", 19),)).course("two excluded, the last ill") == []
 
 
-# A schedule by which each bug shows: the first of wander.found(name, range(400)).
-SHOWS = {
+# By injected bug: the first seed in range(400) whose schedule reveals it, according to wander.found.
+REVEALING_SEEDS = {
     "no least": 24,
     "no budget": 33,
     "old terms": 119,
@@ -32,5 +32,5 @@
 
 @pytest.mark.parametrize("name", sorted(wander.BUGS))
 def test_each_injected_bug_is_found(name):
-    only = range(SHOWS[name], SHOWS[name] + 1)
-    assert wander.found(name, only) and not wander.explore(only)
+    seeds = range(REVEALING_SEEDS[name], REVEALING_SEEDS[name] + 1)
+    assert wander.found(name, seeds) and not wander.explore(seeds)
--- a/tests/test_route_table.py
+++ b/tests/test_route_table.py
@@ -1,4 +1,4 @@
-"""The route table of a route guard."""
+"""Tests of a route guard's route table."""
 
 import msgspec
 import pytest
@@ -13,8 +13,8 @@
     return RouteTable(config.services, config.sites[0], 64512)
 
 
-def test_a_guard_withdraws_sooner_or_everything_when_all_members_are_silent():
-    for cut_off, alone_for, silent_for, withdrawn in (
+def test_orphaned_routes_are_withdrawn_sooner_or_all_of_them_when_no_member_reports():
+    for cut_off, announcer_silent_for, members_silent_for, withdrawn in (
         ("withdraw", 4.0, 4.0, True),
         ("withdraw", 4.0, 2.0, False),
         ("withdraw", 2.0, 4.0, False),
@@ -28,18 +28,18 @@
         table.set_preference(1, 1, 1, "x", ADVERTISED, 0.0)
         table.set_preference(1, 2, 1, "y", ADVERTISED, 0.0)
         table.heartbeat(1, {"y"}, 100.0)
-        rows = table.withdraw_orphaned(15.0, set(), 100.0 + alone_for, silent_for, 3.0)
+        rows = table.withdraw_orphaned(15.0, set(), 100.0 + announcer_silent_for, members_silent_for, 3.0)
         assert [row.name for row in rows] == ["x"] * withdrawn
 
 
-def test_a_route_table_refuses_older_terms_and_drops_overtaken_calls():
+def test_a_route_table_rejects_older_terms_and_ignores_calls_out_of_order():
     table = route_table()
     assert table.claim(5, "n0", 1.0) and table.set_preference(5, 1, 3, "x", ADVERTISED, 1.0)
     with pytest.raises(StaleTermError):
         table.claim(4, "n1", 2.0)
     with pytest.raises(StaleTermError):
         table.set_preference(4, 9, 3, "x", WITHDRAWN, 2.0)
-    with pytest.raises(StaleTermError):  # a higher one claims first
+    with pytest.raises(StaleTermError):  # a higher term must be claimed first
         table.set_preference(6, 1, 3, "x", WITHDRAWN, 2.0)
     assert table.set_preference(5, 3, 3, "x", LOWERED, 2.0)
     assert table.set_preference(5, 2, 3, "x", WITHDRAWN, 3.0) == []
@@ -51,7 +51,7 @@
     assert table.claim(6, "n1", 5.0) and table.set_preference(6, 1, 4, "x", WITHDRAWN, 5.0)
 
 
-def test_daemon_commands_are_those_of_the_published_api():
+def test_daemon_commands_follow_the_documented_text_api():
     table = route_table()
     table.claim(1, "n0", 0.0)
     table.set_preference(1, 1, 1, "x", ADVERTISED, 0.0)
