--- a/onyxhollow/wire/client_session.py
+++ b/onyxhollow/wire/client_session.py
@@ -1,4 +1,4 @@
-"""One client's connection from its first line to its end, and the two ways in which it comes here."""
+"""A client connection from its first line to its end; it is accepted, or received from a predecessor."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def accept_connection(registry: SessionRegistry, sock: socket.socket) -> None:
-    """Begins to serve a connection that was accepted; OSError if the loop can't watch it."""
+    """Serve an accepted connection; raise OSError if the loop can't watch it."""
     registry.free_descriptors()
     ClientSession(registry, sock)
 
@@ -30,12 +30,13 @@
 def accept_handoff(
     registry: SessionRegistry, record: dict[str, Any], client: socket.socket, server: socket.socket
 ) -> bool:
-    """Takes over a connection that the process before this one has open.
+    """Take over an open connection of the predecessor process; return whether it was accepted.
 
-    Returns False if its session id is known here. After that, and after an error, the sender keeps it.
+    A session id that this process has already seen is refused. After a refusal or an error the predecessor
+    keeps the connection.
 
     Raises:
-        MalformedError, KeyError, TypeError, ValueError: The record can't be read.
+        MalformedError, KeyError, TypeError, ValueError: The record is malformed.
         OSError: The loop can't watch one of the sockets.
     """
     handoff = ConnectionHandoff.decode(record)
@@ -48,7 +49,7 @@
 
 
 class ClientSession(SessionCore):
-    """One client's connection; its coroutine goes through the phases one after another."""
+    """One client connection; its coroutine runs the phases one after another."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
         if handoff is not None and server_sock is not None:
             try:
                 self.server = Channel(self.loop, server_sock, registry.pool, self.wake)
-            except OSError:  # the process before this one keeps the connection
+            except OSError:  # the predecessor keeps the connection
                 self.client.close()
                 raise
             self.advance(ConnectionEvent.HANDOFF_RECEIVED)
@@ -69,12 +70,12 @@
         registry.table.add(self)
         self.task = self.loop.spawn(self.run(handoff))
         if handoff is not None and self.server is not None:
-            for place, channel in enumerate((self.client, self.server)):
-                channel.inbox.append(handoff.unread[place])  # before anything newer is read
-                channel.write(handoff.unsent[place])
+            for index, channel in enumerate((self.client, self.server)):
+                channel.inbox.append(handoff.unread[index])  # before newer bytes are read
+                channel.write(handoff.unsent[index])
 
     def run(self, handoff: ConnectionHandoff | None) -> Generator[float, None, None]:
-        """The connection's coroutine: whatever goes wrong in it ends this one connection alone."""
+        """Run the connection's coroutine; an error in it ends only this connection."""
         first_line = b""
         try:
             if handoff is not None and self.server is not None:
@@ -86,22 +87,24 @@
             first_line = bytes(line)
             yield from self.serve(parse_open_request(first_line))
         except (MalformedError, LineTooLongError) as error:
-            self.dismiss(str(error) or "line over 4 KiB", first_line or self.client.inbox.take_rest())
-        except Exception as error:  # noqa: BLE001 -- the decisions or this code failed: the proxy goes on
+            self.answer_malformed(
+                str(error) or "line longer than 4 KiB", first_line or self.client.inbox.take_rest()
+            )
+        except Exception as error:  # noqa: BLE001 -- a bug here or in the decisions must not stop the proxy
             self.loop.report_failure("session", error)
             self.answer_after_failure()
         finally:
             self.close()
 
     def serve(self, request: OpenRequest) -> Generator[float, None, None]:
-        """From the OPEN line to the end of the connection."""
+        """Serve a request from its OPEN line to the end of the connection."""
         handle = yield from Placement(self, request).run()
         if handle is not None and self.server is not None:
             started_at = self.loop.now
             yield from self.forward(handle, self.server, started_at, last_echo_at=started_at)
 
     def resume(self, handoff: ConnectionHandoff, server: Channel) -> Generator[float, None, None]:
-        """Goes on with a connection where the process before this one has left it."""
+        """Continue a connection in the state that the predecessor handed off."""
         request = handoff.request
         self.request = request
         self.registry.active_count += 1
@@ -127,7 +130,7 @@
         last_echo_at: float,
         handoff: ConnectionHandoff | None = None,
     ) -> Generator[float, None, None]:
-        """Forwards lines from now to the end; with the lines in flight that a hand-off brought along."""
+        """Forward lines until the end; a hand-off adds the lines that were in flight at the predecessor."""
         forwarder = LineForwarder(self.registry, self.client, server, handle, self.endpoint, last_echo_at)
         if handoff is not None:
             forwarder.final_word = handoff.final_word
@@ -136,12 +139,12 @@
         yield from EstablishedConnection(self, forwarder, started_at).run()
 
     def answer_after_failure(self) -> None:
-        """The session is still owed an answer, unless it has one or is open."""
+        """Answer the session after an exception, unless it is open or was answered."""
         if not self.is_open and not self.client.closed and self.state is not ConnectionState.ENDED:
             self.answer(False)
 
     def close(self) -> None:
-        """Closes what was not ended in order, forgets the session, and logs it."""
+        """Close the channels that were not shut down, remove the session from the registry and log it."""
         if self.handle is not None:
             self.handle.close()
         self.registry.table.remove(self)
--- a/onyxhollow/wire/established_connection.py
+++ b/onyxhollow/wire/established_connection.py
@@ -165,7 +165,7 @@
         """Closes this process' copies; the decisions here count the connection no more."""
         session = self.session
         session.counters.add("connections passed on")
-        session.end(ConnectionEvent.HANDOFF_TAKEN, "passed on")
+        session.end(ConnectionEvent.HANDOFF_ACCEPTED, "passed on")
         self.client.close()
         self.server.close()
         self.handle.report_client_gone()
--- a/onyxhollow/wire/first_line.py
+++ b/onyxhollow/wire/first_line.py
@@ -1,4 +1,4 @@
-"""The first phase of a client's connection: PINGs, the OPEN line, or an end without a request."""
+"""First phase of a client connection: PINGs, the OPEN line, or an end without a request."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from onyxhollow.wire.session_core import SessionCore
 from onyxhollow.wire.session_registry import BUSY
 
-FIRST_LINE_TIMEOUT_SECONDS = 2.5  # seconds in which a connection says what it wants; the protocol allows 3 s
-AFTER_PING_TIMEOUT_SECONDS = 30.0  # the same after a PING: the connection is the front's, which may send more
-STARTED_LINE_TIMEOUT = 0.3  # seconds for the rest of a line that came as its connection was to be ended
-MAX_PINGS_PER_SECOND = 32  # from one connection; a front sends fewer
+FIRST_LINE_TIMEOUT_SECONDS = 2.5  # the protocol allows 3 s
+AFTER_PING_TIMEOUT_SECONDS = 30.0  # a PING comes from the front end, which may send more on this connection
+PARTIAL_LINE_TIMEOUT_SECONDS = 0.3  # for the rest of a line that began to arrive as the timeout expired
+MAX_PINGS_PER_SECOND = 32  # per connection; the front end sends fewer
 PONG = b"PONG\r\n"
-NOT_IN_SERVICE = BUSY  # to PING while clients are migrated away: any line but PONG is a no
+NOT_IN_SERVICE = BUSY  # answer to PING while clients are migrated away; any line but PONG means not ready
 
 
 class FirstLineReader:
-    """Reads one connection up to the first line that is no PING."""
+    """Reads a connection up to its first line other than PING."""
 
     def __init__(self, session: SessionCore) -> None:
         self.session = session
         self.loop = session.loop
         self.client = session.client
         self.registry = session.registry
-        self.until = session.loop.now + FIRST_LINE_TIMEOUT_SECONDS
-        self.extended = False  # the rest of a line that had begun to come was waited for
-        self.pings = 0  # in the second that began at pings_since
+        self.deadline = session.loop.now + FIRST_LINE_TIMEOUT_SECONDS
+        self.extended = False  # the deadline was extended for a partial line
+        self.pings = 0  # received in the second that began at pings_since
         self.pings_since = 0.0
 
     def read(self) -> Generator[float, None, memoryview | None]:
-        """Waits for the first line; None when the connection was ended without one.
+        """Wait for the first line and return it; return None if the connection was ended without one.
 
         Raises:
-            MalformedError: Half a line, or too many PINGs.
-            LineTooLongError: A line over the 4 KiB that the wire allows.
+            MalformedError: An incomplete line, or too many PINGs.
+            LineTooLongError: A line longer than the 4 KiB that the protocol allows.
         """
         while True:
             line = self.client.line()
@@ -46,8 +46,8 @@
                     return line
                 if self.answer_ping():
                     return None
-            elif self.client.ended or self.loop.now >= self.until or self.session.stopping:
-                if self.must_wait_for_rest():
+            elif self.client.ended or self.loop.now >= self.deadline or self.session.stopping:
+                if self.extend_for_new_bytes():
                     continue
                 self.end_without_request()
                 return None
@@ -55,11 +55,11 @@
                 self.registry.table.mark_idle(self.session)
                 self.client.set_paused(False)
                 if len(self.client.inbox):
-                    self.until = min(self.until, self.loop.now + FIRST_LINE_TIMEOUT_SECONDS)
-                yield self.until
+                    self.deadline = min(self.deadline, self.loop.now + FIRST_LINE_TIMEOUT_SECONDS)
+                yield self.deadline
 
     def answer_ping(self) -> bool:
-        """Answers a PING; whether the connection was ended behind the answer."""
+        """Answer a PING; return whether the connection was ended after the answer."""
         session = self.session
         session.counters.add("pings")
         if self.loop.now >= self.pings_since + 1.0:
@@ -67,20 +67,20 @@
             self.pings_since = self.loop.now
         self.pings += 1
         if self.pings > MAX_PINGS_PER_SECOND:
-            raise MalformedError("too many PINGs")
+            raise MalformedError(f"PING: expected at most {MAX_PINGS_PER_SECOND} a second, got more")
         service = self.registry.service
         self.client.write(PONG if service.answers_pings else NOT_IN_SERVICE)
-        self.until = self.loop.now + AFTER_PING_TIMEOUT_SECONDS
+        self.deadline = self.loop.now + AFTER_PING_TIMEOUT_SECONDS
         if service.is_any(ServicePhase.HANDING_OVER) and not len(self.client.inbox):
-            # Its next call goes to the successor. Ended after an answer, none is on its way here.
+            # The front end's next PING goes to the successor. Right after an answer none is in transit.
             self.registry.table.mark_active(session)
             session.advance(ConnectionEvent.IDLE_CLOSED)
             self.client.finish()
             return True
         return False
 
-    def must_wait_for_rest(self) -> bool:
-        """Whether bytes have come that were not read yet: once, a connection is not ended over them."""
+    def extend_for_new_bytes(self) -> bool:
+        """Return whether unread bytes have arrived; extend the deadline for them, once per connection."""
         if self.extended or self.client.ended:
             return False
         unread = len(self.client.inbox)
@@ -88,18 +88,18 @@
         if len(self.client.inbox) <= unread:
             return False
         self.extended = True
-        self.until = self.loop.now + STARTED_LINE_TIMEOUT
+        self.deadline = self.loop.now + PARTIAL_LINE_TIMEOUT_SECONDS
         return True
 
     def end_without_request(self) -> None:
-        """Ends a connection that has asked for nothing.
+        """End a connection that has sent no request.
 
-        A request that crosses this on its way finds its final answer there: nothing that is read after the
-        end of sending could be answered any more.
+        BUSY is written first. It is the final answer to a request that is already in transit: nothing read
+        after the sending side is shut down can be answered.
         """
         self.registry.table.mark_active(self.session)
         if len(self.client.inbox):
-            raise MalformedError("half a line")
+            raise MalformedError("first line: expected a whole line, got an incomplete one")
         self.session.advance(ConnectionEvent.IDLE_CLOSED)
         if not self.client.ended:
             self.client.write(BUSY)
--- a/onyxhollow/wire/messages.py
+++ b/onyxhollow/wire/messages.py
@@ -1,4 +1,4 @@
-"""The lines of the protocol: how they are read, and how an OPEN line is forwarded."""
+"""Lines of the client protocol: parsing, and the OPEN line that is forwarded to an endpoint."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 Line = bytes | memoryview
 OPEN_LINE = re.compile(rb"OPEN ([0-9A-Za-z._:-]{1,64}) ([!-~]{1,256}) ([!-~]+)\r\n")
 DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,30})?")
-MAX_WAIT = 2.0**32  # milliseconds: what a client without a limit says; at= is near it
-MAX_LOAD = 1e9  # microseconds of work a second: a thousand cores
-MICROSECONDS = 1e6  # in a second
-MILLISECONDS = 1000  # in a second
-MAX_QUOTED = 40  # characters of a bad value that an error repeats
-MAX_WORD = 8  # bytes in which the first word of a line is looked for
+MAX_WAIT_MS = 2.0**32  # clients without a limit send this; at= lines carry values near it
+MAX_LOAD = 1e9  # microseconds of work per second: a thousand cores
+MICROSECONDS_PER_SECOND = 1e6
+MILLISECONDS_PER_SECOND = 1000
+MAX_QUOTED_CHARS = 40  # of an invalid value in an error message
+MAX_FIRST_WORD_BYTES = 8  # only this many bytes of a line are searched for its first word
 
 
 class MalformedError(Exception):
@@ -22,44 +22,44 @@
 
 
 class OpenRequest(NamedTuple):
-    """An OPEN line, taken apart as far as this proxy uses it."""
+    """A parsed OPEN line, with the fields that this proxy uses."""
 
-    line: bytes  # with its line end
+    line: bytes  # including its line end
     session_id: str
     listener: str
     tenant: str
     group: str | None
-    time_left: float  # seconds that the client waits
-    load: float | None  # seconds of work a second
-    open_at: str | None  # the endpoint at which it was open before the run
+    time_left: float  # seconds that the client waits for the answer
+    load: float | None  # seconds of work per second
+    previous_endpoint: str | None  # the at= field: where the session was open before this proxy started
 
     def forwarded_line(self, wait: float) -> bytes:
-        """The line for an endpoint: unchanged but for d, the seconds of wait that are left there."""
+        """Return the line for an endpoint: the client's line, with `wait` seconds in its d field."""
         head, _, tail = self.line[:-2].rpartition(b" ")
-        wait_field = b"d=%d" % max(1, round(wait * MILLISECONDS))
+        wait_field = b"d=%d" % max(1, round(wait * MILLISECONDS_PER_SECOND))
         fields = [wait_field if field.startswith(b"d=") else field for field in tail.split(b",")]
         return head + b" " + b",".join(fields) + b"\r\n"
 
 
 def parse_open_request(line: bytes) -> OpenRequest:
-    """Reads an OPEN line; MalformedError if any of it is wrong.
+    """Parse an OPEN line; raise MalformedError if any part of it is invalid.
 
-    All of the line is checked before any of it is used: an endpoint would answer what it can't read with an
-    error, and be taken to have failed.
+    The whole line is validated before any field is used. An endpoint would answer an invalid line with an
+    error, and that error would count as a failure of the endpoint.
     """
     parts = OPEN_LINE.fullmatch(line)
     if parts is None:
-        raise MalformedError("not OPEN with an id, a key and a list")
+        raise MalformedError("first line: expected OPEN with a session id, a key and a field list")
     session_id, _key, field_list = (part.decode("ascii") for part in parts.groups())
     fields = parse_fields(field_list)
     if not fields.get("c") or ("d" not in fields and "at" not in fields):
-        raise MalformedError("list: c or d is missing")
+        raise MalformedError("field list: expected c, and d or at, got a list without them")
     time_left = math.inf
     if "d" in fields:
-        time_left = parse_decimal(fields["d"], "d", 1.0, MAX_WAIT) / MILLISECONDS
+        time_left = parse_decimal(fields["d"], "d", 1.0, MAX_WAIT_MS) / MILLISECONDS_PER_SECOND
     load = None
     if "h" in fields:
-        load = parse_decimal(fields["h"], "h", 0.0, MAX_LOAD) / MICROSECONDS
+        load = parse_decimal(fields["h"], "h", 0.0, MAX_LOAD) / MICROSECONDS_PER_SECOND
     return OpenRequest(
         line=line,
         session_id=session_id,
@@ -68,34 +68,38 @@
         group=fields.get("g"),
         time_left=time_left,
         load=load,
-        open_at=fields.get("at"),
+        previous_endpoint=fields.get("at"),
     )
 
 
 def parse_fields(text: str) -> dict[str, str]:
-    """Reads name=value,name=value; MalformedError for an entry without a name or value, or a name twice."""
+    """Parse name=value,name=value; raise MalformedError for an incomplete entry or a repeated name."""
     fields: dict[str, str] = {}
     for entry in text.split(","):
         name, is_set, value = entry.partition("=")
         if not is_set or not name or name in fields:
-            raise MalformedError(f"list: impossible entry {entry[:MAX_QUOTED]!r}")
+            raise MalformedError(
+                f"field list: expected name=value with each name once, got {entry[:MAX_QUOTED_CHARS]!r}"
+            )
         fields[name] = value
     return fields
 
 
-def parse_decimal(text: str, name: str, least: float, most: float) -> float:
-    """Reads a plain decimal; MalformedError outside the range or for anything else.
+def parse_decimal(text: str, name: str, minimum: float, maximum: float) -> float:
+    """Parse a plain decimal; raise MalformedError for a value outside the range and for any other text.
 
-    float alone would take 1_0, 1e300, nan and other alphabets' digits.
+    `float` alone would accept 1_0, 1e300, nan and digits of other alphabets.
     """
     value = float(text) if DECIMAL.fullmatch(text) else math.nan
-    if not least <= value <= most:
-        raise MalformedError(f"{name}: impossible value {text[:MAX_QUOTED]!r}")
+    if not minimum <= value <= maximum:
+        raise MalformedError(
+            f"{name}: expected a decimal from {minimum:.0f} to {maximum:.0f}, got {text[:MAX_QUOTED_CHARS]!r}"
+        )
     return value
 
 
 def parse_measurement(text: str) -> float | None:
-    """Reads a number from an endpoint; None if it is none, or is negative or infinite."""
+    """Parse a number sent by an endpoint; return None unless it is finite and not negative."""
     try:
         value = float(text)
     except ValueError:
@@ -104,17 +108,17 @@
 
 
 def first_word(line: Line) -> bytes:
-    """The first word of a line."""
-    return bytes(line[:MAX_WORD]).rstrip(b"\r\n").partition(b" ")[0]
+    """Return the first word of a line."""
+    return bytes(line[:MAX_FIRST_WORD_BYTES]).rstrip(b"\r\n").partition(b" ")[0]
 
 
 def after_first_word(line: Line) -> str:
-    """What stands after the first word."""
+    """Return the text after the first word, without the line end."""
     return bytes(line).rstrip(b"\r\n").partition(b" ")[2].decode("ascii", "replace")
 
 
 def parse_load_report(text: str, field: str) -> float | None:
-    """Reads the named field of a load report such as inflight=7,util=0.61; None if it is not there."""
+    """Parse one field of a load report such as inflight=7,util=0.61; return None if it is missing."""
     if not field:
         return None
     for entry in text.split(","):
--- a/onyxhollow/wire/placement.py
+++ b/onyxhollow/wire/placement.py
@@ -45,8 +45,8 @@
         listener = self.take_request()
         tenant = self.registry.find_tenant(self.request.tenant)
         self.counters.add("sessions taken")
-        if self.request.open_at is not None:
-            return (yield from self.adopt(self.request.open_at, listener, tenant))
+        if self.request.previous_endpoint is not None:
+            return (yield from self.adopt(self.request.previous_endpoint, listener, tenant))
         self.registry.adoption_deadline = -math.inf  # the run has begun: all from before it are up
         if not self.registry.free_descriptors():
             # An attempt without a descriptor would fail here and be held against the endpoint.
@@ -67,8 +67,8 @@
         listener = self.registry.find_listener(request.listener)
         if listener is None:
             raise MalformedError(f"no such listener {request.listener[:40]!r}")
-        if request.open_at is not None and not self.registry.may_adopt(request.open_at):
-            raise MalformedError(f"at: not due at {request.open_at[:40]!r}")
+        if request.previous_endpoint is not None and not self.registry.may_adopt(request.previous_endpoint):
+            raise MalformedError(f"at: not due at {request.previous_endpoint[:40]!r}")
         if not client.ended:
             client.read()  # what was sent behind the line may be there already
         if len(client.inbox):
@@ -76,7 +76,7 @@
         if not self.registry.table.claim_id(request.session_id):
             raise MalformedError("the id of another session")
         self.session.request = request
-        self.session.advance(ConnectionEvent.REQUEST_TAKEN)
+        self.session.advance(ConnectionEvent.REQUEST_RECEIVED)
         self.registry.active_count += 1
         return listener
 
@@ -93,13 +93,13 @@
         while True:
             selection = yield from handle.wait_for_selection(session.is_abandoned)
             if selection is None:
-                session.conclude(handle, handle.give_up().rejected)
+                session.end_without_endpoint(handle, handle.give_up().rejected)
                 return None
             if selection.endpoint is None:
                 session.answer(selection.rejected, selection.retry_after)
                 return None
             if session.is_disconnected():
-                session.conclude(handle, handle.give_up(AttemptOutcome.NOT_SENT).rejected)
+                session.end_without_endpoint(handle, handle.give_up(AttemptOutcome.NOT_SENT).rejected)
                 return None
             started_at = self.loop.now
             session.endpoint = selection.endpoint
@@ -114,7 +114,7 @@
             self.log_failure(selection, result, duration)
             if session.is_abandoned():
                 refused = handle.give_up(result.outcome, duration, result.load).rejected
-                session.conclude(handle, refused)
+                session.end_without_endpoint(handle, refused)
                 return None
             handle.report_ended(self.blameless_outcome(result.outcome), duration, False, result.load)
 
@@ -193,7 +193,7 @@
     def opening_line(self, wait: float) -> bytes:
         """The client's own line with the wait in it; one from before the run is forwarded to the letter."""
         request = self.request
-        return request.line if request.open_at is not None else request.forwarded_line(wait)
+        return request.line if request.previous_endpoint is not None else request.forwarded_line(wait)
 
     def may_send(self) -> bool:
         """Whether the line may still be written.
--- a/onyxhollow/wire/session_core.py
+++ b/onyxhollow/wire/session_core.py
@@ -1,4 +1,4 @@
-"""The state that all phases of a client's connection share, and the ways in which it is answered."""
+"""State shared by all phases of a client connection, and the final answers to its request."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from onyxhollow.wire.messages import OpenRequest
 from onyxhollow.wire.session_registry import BUSY, SessionRegistry
 
-ERROR_READ_TIMEOUT = 3.0  # seconds for an ERR to go out to a client that reads slowly
-LEAST_RETRY_AFTER = 0.001  # seconds; shorter ones are not written
+ERROR_FLUSH_TIMEOUT_SECONDS = 3.0  # for sending ERR to a client that reads slowly
+MIN_RETRY_AFTER_SECONDS = 0.001  # a shorter Retry-After is left out of BUSY
 
 
 class SessionCore:
-    """One client's connection: its channel, its state, and its answers."""
+    """One client connection: its channel, its state and its answers."""
 
-    task: Task  # the connection's coroutine; spawned by the subclass that knows its phases
+    task: Task  # the connection's coroutine; started by the subclass, which defines the phases
 
     def __init__(self, registry: SessionRegistry, sock: socket.socket) -> None:
         self.registry = registry
@@ -35,11 +35,11 @@
         self.forwarder: LineForwarder | None = None
         self.accepted_at = self.loop.now
         self.stopping = False
-        self.outcome_counted = False  # what the client was told of its request has been counted
+        self.outcome_counted = False  # each session's outcome is counted once
         self.attempt_count = 0
-        self.endpoint = ""  # the one that the newest attempt was made at
+        self.endpoint = ""  # of the latest attempt
         self.end_reason = ""
-        self.handoff_sender: HandoffSender | None = None  # the connection is to be handed off there
+        self.handoff_sender: HandoffSender | None = None  # set once the connection is to be handed off
         self.handoff_accepted: bool | None = None  # the successor's answer
 
     @property
@@ -48,7 +48,7 @@
         return self.state in OPEN_STATES
 
     def advance(self, event: ConnectionEvent) -> None:
-        """Changes the state by the table of transitions; an event without a row is counted as a fault."""
+        """Change the state by the transition table; count an event without a row as a fault."""
         next_state = TRANSITIONS.get((self.state, event))
         if next_state is None:
             self.counters.must(False, f"a transition for '{event.value}' in state '{self.state.value}'")
@@ -56,74 +56,77 @@
         self.state = next_state
 
     def end(self, event: ConnectionEvent, reason: str) -> None:
-        """Records how the connection ends; the session's log line gives the reason."""
+        """Record how the connection ends; the session's log entry contains the reason."""
         self.advance(event)
         self.end_reason = reason
 
     def wake(self) -> None:
-        """Lets the connection's coroutine look at what has changed."""
+        """Schedule the connection's coroutine, which then checks for changes."""
         self.task.wake()
 
     def stop(self) -> None:
-        """Ends it: an open connection is migrated; one that waits is answered now."""
+        """End the session: migrate an open connection, answer a request that still waits."""
         self.stopping = True
         self.wake()
 
     def is_disconnected(self) -> bool:
-        """Before UP: whether the client has left, or sent more while it was to wait and is cut off for it."""
+        """Return whether the client of a session without UP has left or was disconnected.
+
+        A client that sends more bytes before UP is disconnected here, with ERR as its answer.
+        """
         if self.state is not ConnectionState.ENDED and len(self.client.inbox):
-            self.dismiss("bytes before UP", self.client.inbox.take_rest())
+            self.answer_malformed("bytes before UP", self.client.inbox.take_rest())
         return self.state is ConnectionState.ENDED or self.client.ended
 
     def is_abandoned(self) -> bool:
-        """Before UP: whether there is nothing to wait for any more."""
+        """Return whether a session without UP needs no endpoint: its client left, or the proxy stops."""
         return self.is_disconnected() or self.stopping
 
-    def dismiss(self, why: str, line: bytes) -> None:
-        """Answers what can't be read or used with ERR, at once, whatever else waits on that connection."""
-        self.registry.report_malformed(why, line)
+    def answer_malformed(self, reason: str, line: bytes) -> None:
+        """Answer invalid input with ERR and end the connection, even if an attempt is in flight."""
+        self.registry.report_malformed(reason, line)
         self.end(ConnectionEvent.MALFORMED, "malformed")
         self.count_outcome(TORN_DOWN)
         self.client.write(b"ERR\r\n")
-        self.client.finish(ERROR_READ_TIMEOUT)
+        self.client.finish(ERROR_FLUSH_TIMEOUT_SECONDS)
 
     def count_outcome(self, outcome: str) -> None:
-        """Counts what a client was told: the one place, once for each session taken."""
+        """Count the outcome of a session, once per session that has a request."""
         if self.request is not None and not self.outcome_counted:
             self.outcome_counted = True
             self.counters.ended(outcome, self.request.listener)
 
-    def conclude(self, handle: SessionHandle, rejected: bool) -> None:
-        """Ends a session for which nothing more is tried: the client has left, or the proxy stops."""
+    def end_without_endpoint(self, handle: SessionHandle, rejected: bool) -> None:
+        """End a session that gets no further attempt because its client has left or the proxy stops."""
         if self.is_disconnected():
             self.end_disconnected(handle, rejected)
         else:
             self.answer(rejected)
 
     def end_disconnected(self, handle: SessionHandle, rejected: bool) -> None:
-        """Ends a session whose client has gone before it was answered.
+        """End a session whose client disconnected before it was answered.
 
-        One that has only ended its sending still reads: it gets its final answer all the same, which is lost
-        on the way to one that is not there.
+        The final answer is written all the same: a client that has only shut down its sending side still
+        reads it.
         """
         handle.report_client_gone()
         if self.state is not ConnectionState.ENDED:
             self.counters.add("clients gone before an answer")
-            self.end(ConnectionEvent.CLIENT_GONE, "client gone")
+            self.end(ConnectionEvent.CLIENT_DISCONNECTED, "client gone")
             self.write_answer(rejected)
 
     def answer(self, rejected: bool, retry_after: float = 0.0) -> None:
-        """The one final answer of a session: rejected (BUSY, nothing ran) or torn down (ERR)."""
+        """Give the session its one final answer: rejected (BUSY, nothing ran) or torn down (ERR)."""
         self.counters.add("sessions refused" if rejected else "sessions torn down")
         self.count_outcome(REFUSED if rejected else TORN_DOWN)
         self.end(ConnectionEvent.ANSWERED, "refused" if rejected else "torn down")
         self.write_answer(rejected, retry_after)
 
     def write_answer(self, rejected: bool, retry_after: float = 0.0) -> None:
-        """Writes the final answer, and ends the connection behind it."""
+        """Write the final answer, and end the connection after it."""
         if not rejected:
             self.client.write(b"ERR\r\n")
-        elif retry_after >= LEAST_RETRY_AFTER:
+        elif retry_after >= MIN_RETRY_AFTER_SECONDS:
             self.client.write(b"BUSY %d\r\n" % round(retry_after * 1000))
         else:
             self.client.write(BUSY)
--- a/tests/test_connection_states.py
+++ b/tests/test_connection_states.py
@@ -27,7 +27,7 @@
 
 
 def test_only_an_open_connection_is_migrated_or_handed_off():
-    for event in (ConnectionEvent.MIGRATED, ConnectionEvent.HANDOFF_SENT, ConnectionEvent.HANDOFF_TAKEN):
+    for event in (ConnectionEvent.MIGRATED, ConnectionEvent.HANDOFF_SENT, ConnectionEvent.HANDOFF_ACCEPTED):
         assert {state for state, its in TRANSITIONS if its is event} <= OPEN_STATES
 
 
