--- a/onyxhollow/wire/client_session.py
+++ b/onyxhollow/wire/client_session.py
@@ -11,7 +11,7 @@
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.connection_handoff import ConnectionHandoff
 from onyxhollow.wire.connection_states import ConnectionEvent, ConnectionState
-from onyxhollow.wire.echo_timing import SentAt
+from onyxhollow.wire.echo_timing import SentLine
 from onyxhollow.wire.established_connection import EstablishedConnection
 from onyxhollow.wire.first_line import FirstLineReader
 from onyxhollow.wire.line_forwarding import LineForwarder
@@ -134,7 +134,7 @@
         forwarder = LineForwarder(self.registry, self.client, server, handle, self.endpoint, last_echo_at)
         if handoff is not None:
             forwarder.final_word = handoff.final_word
-            forwarder.in_flight.extend(SentAt(at, self.loop.stalled) for at in handoff.in_flight)
+            forwarder.in_flight.extend(SentLine(sent_at, self.loop.stalled) for sent_at in handoff.in_flight)
         self.forwarder = forwarder
         yield from EstablishedConnection(self, forwarder, started_at).run()
 
--- a/onyxhollow/wire/established_connection.py
+++ b/onyxhollow/wire/established_connection.py
@@ -1,4 +1,4 @@
-"""The third phase of a client's connection: from UP to its end, migration or hand-off to a successor."""
+"""Third phase of a client connection: from UP to its end, migration or hand-off to a successor."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EstablishedConnection:
-    """Forwards lines both ways until one side ends, or the client is migrated or handed off."""
+    """Forwards lines in both directions until a side ends, or the client is migrated or handed off."""
 
     __slots__ = ("client", "forwarder", "handle", "loop", "server", "session", "started_at")
 
@@ -27,10 +27,10 @@
         self.client: Channel = forwarder.client
         self.server: Channel = forwarder.server
         self.handle: SessionHandle = forwarder.handle
-        self.started_at = started_at  # seconds of the loop's clock; UP was forwarded then
+        self.started_at = started_at  # loop time at which UP was forwarded, in seconds
 
     def run(self) -> Generator[float, None, None]:
-        """Serves the connection to its end."""
+        """Serve the connection to its end."""
         session = self.session
         forwarder = self.forwarder
         client = self.client
@@ -61,23 +61,23 @@
             return
 
     def duration(self) -> float:
-        """Seconds since the connection was established."""
+        """Return the seconds since the connection was established."""
         return self.loop.now - self.started_at
 
-    def migrate(self, why: str, outcome: AttemptOutcome) -> None:
-        """Writes MOVE between two lines, and ends both sides in order."""
+    def migrate(self, reason: str, outcome: AttemptOutcome) -> None:
+        """Write MOVE after the last whole line, and shut down both sides after their pending bytes."""
         session = self.session
-        session.counters.add(f"clients {why}")
+        session.counters.add(f"clients {reason}")
         self.client.write(b"MOVE\r\n")
         self.client.finish()
         self.server.finish()
-        session.end(ConnectionEvent.MIGRATED, why)
+        session.end(ConnectionEvent.MIGRATED, reason)
         if outcome is AttemptOutcome.CANCELLED:
-            self.handle.report_client_gone()  # ended by this proxy: it says nothing of its endpoint
+            self.handle.report_client_gone()  # this proxy ended it: no evidence about the endpoint
         self.handle.report_ended(outcome, self.duration(), True)
 
     def end_with_endpoint(self, outcome: AttemptOutcome) -> None:
-        """The endpoint has ended it: the client's side ends the same way, after the last bytes."""
+        """End the client's side as the endpoint has ended its own, after the last bytes."""
         session = self.session
         session.counters.add(f"connections {outcome.value}")
         session.end(ConnectionEvent.ENDPOINT_ENDED, outcome.value)
@@ -89,14 +89,14 @@
         self.handle.report_ended(outcome, self.duration(), True)
 
     def end_with_client(self) -> None:
-        """The client has ended it: the endpoint's side ends the same way, after the last bytes."""
+        """End the endpoint's side as the client has ended its own, after the last bytes."""
         session = self.session
         session.counters.add("connections ended by the client")
         session.end(ConnectionEvent.CLIENT_ENDED, "client left")
-        half = self.client.inbox.take_rest()
-        if half:
-            session.registry.report_malformed(f"half a line of {len(half)} bytes")
-        self.server.write(half)
+        partial_line = self.client.inbox.take_rest()
+        if partial_line:
+            session.registry.report_malformed(f"incomplete line of {len(partial_line)} bytes")
+        self.server.write(partial_line)
         if self.client.broken:
             self.server.reset()
         else:
@@ -105,17 +105,17 @@
         self.handle.report_client_gone()
         self.handle.report_ended(AttemptOutcome.CANCELLED, self.duration(), True)
 
-    # to the successor of this process
+    # Hand-off to the successor process.
 
     def hand_off(self, sender: HandoffSender) -> Generator[float, None, bool]:
-        """Offers the connection to the successor; whether it serves the connection now.
+        """Offer the connection to the successor; return whether it serves the connection now.
 
-        While the successor may have it, nothing is read here. The copies of this process are only closed:
-        shut down, the connections would end for the successor too.
+        Nothing is read here while the successor may have it. After the hand-off this process only closes
+        its descriptors: a shutdown would end the connections for the successor too.
         """
         session = self.session
         unusable = session.stopping or self.client.broken or self.server.broken
-        handoff = None if unusable else self.describe()
+        handoff = None if unusable else self.build_handoff()
         if handoff is None:
             session.handoff_sender = None
             session.handoff_accepted = False
@@ -136,33 +136,33 @@
             channel.update_interest()
         return False
 
-    def on_answer(self, taken: bool) -> None:
-        """The successor has answered, or is gone."""
-        self.session.handoff_accepted = taken
+    def on_answer(self, accepted: bool) -> None:
+        """Handle the successor's answer, or False if it has disconnected."""
+        self.session.handoff_accepted = accepted
         self.session.wake()
 
-    def describe(self) -> ConnectionHandoff | None:
-        """All that the successor needs; None once the decisions have forgotten the session."""
-        decided = self.handle.session
+    def build_handoff(self) -> ConnectionHandoff | None:
+        """Return the state that the successor needs; None if the decisions no longer track the session."""
+        tracked = self.handle.session
         request = self.session.request
-        if decided is None or request is None:
+        if tracked is None or request is None:
             return None
         forwarder = self.forwarder
         return ConnectionHandoff(
             request=request,
-            listener=decided.listener,
+            listener=tracked.listener,
             endpoint=forwarder.endpoint,
             started_at=self.started_at,
             last_echo_at=forwarder.last_echo_at,
-            in_flight=[sent.at for sent in forwarder.in_flight],
-            load=decided.load,
+            in_flight=[line.sent_at for line in forwarder.in_flight],
+            load=tracked.load,
             final_word=forwarder.final_word,
             unread=(self.client.inbox.unread(), self.server.inbox.unread()),
             unsent=(bytes(self.client.outgoing), bytes(self.server.outgoing)),
         )
 
     def end_handed_off(self) -> None:
-        """Closes this process' copies; the decisions here count the connection no more."""
+        """Close this process's descriptors, and remove the connection from the decisions here."""
         session = self.session
         session.counters.add("connections passed on")
         session.end(ConnectionEvent.HANDOFF_ACCEPTED, "passed on")
--- a/onyxhollow/wire/line_forwarding.py
+++ b/onyxhollow/wire/line_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards whole lines between a client and its endpoint, and measures how long the echoes take."""
+"""Forwarding of whole lines between a client and its endpoint, and measurement of the echo delays."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from onyxhollow.interface import AttemptOutcome
 from onyxhollow.wire.buffers import LineTooLongError
 from onyxhollow.wire.channel import Channel
-from onyxhollow.wire.echo_timing import REPORT_INTERVAL, SentAt
+from onyxhollow.wire.echo_timing import REPORT_INTERVAL_SECONDS, SentLine
 from onyxhollow.wire.messages import after_first_word, first_word, parse_measurement
 from onyxhollow.wire.session_registry import SessionRegistry
 
-MAX_IN_FLIGHT = 1024  # lines that an endpoint has not sent back past which its client is not read
-SILENCE_TIMEOUT = 3.0  # seconds without an echo after which an endpoint counts as gone
-MAX_STALL_ALLOWANCE = 2.0  # seconds by which this process' own pauses put that off
-MISSING_AFTER = 0.5  # seconds after which an echo that has not come is reported as late
-# The endpoint's last words, and what each says of how the connection ended.
+MAX_LINES_IN_FLIGHT = 1024  # lines without an echo; a client with more is not read
+SILENCE_TIMEOUT_SECONDS = 3.0  # without an echo; the endpoint then counts as failed
+MAX_STALL_ALLOWANCE_SECONDS = 2.0  # by which stalls of this process extend that timeout
+LATE_ECHO_SECONDS = 0.5  # after which a missing echo is reported as late
+# Outcome of a connection by the word that the endpoint sends before it ends the connection.
 FINAL_WORDS = {
     b"BYE": AttemptOutcome.OK,
     b"MOVE": AttemptOutcome.CANCELLED,
@@ -26,7 +26,7 @@
 
 
 class LineForwarder:
-    """The lines of one established connection. Only whole lines are put into the client's buffer."""
+    """Forwards the lines of one established connection; the client's buffer gets only whole lines."""
 
     __slots__ = (
         "client",
@@ -61,14 +61,14 @@
         self.server = server
         self.handle = handle
         self.endpoint = endpoint
-        self.in_flight: deque[SentAt] = deque()  # lines sent to the endpoint that it has not sent back
+        self.in_flight: deque[SentLine] = deque()  # lines sent to the endpoint, without an echo yet
         self.last_echo_at = last_echo_at
         self.slowest_echo = 0.0  # seconds
         self.echo_count = 0
-        self.final_word = b""  # the endpoint's word before its end, once it has sent one
+        self.final_word = b""  # the word by which the endpoint ends the connection, once received
 
     def forward_to_client(self) -> bool:
-        """Forwards what the endpoint has sent; False if that includes a line that is too long."""
+        """Forward the endpoint's lines to the client; return False for a line that is too long."""
         server = self.server
         try:
             while (line := server.line()) is not None:
@@ -82,64 +82,64 @@
                     now = self.loop.now
                     self.last_echo_at = now
                     self.echo_count += 1
-                    self.slowest_echo = max(self.slowest_echo, now - sent.at)
+                    self.slowest_echo = max(self.slowest_echo, now - sent.sent_at)
                     self.echo_monitor.report(self.handle, self.endpoint, sent, now)
                 self.counters.add("lines to clients")
                 self.client.write(line)
         except LineTooLongError:
-            self.registry.report_malformed("line over 4 KiB from a server")
+            self.registry.report_malformed("line longer than 4 KiB from a server")
             return False
-        if server.ended and (half := server.inbox.take_rest()):
-            self.registry.report_malformed(f"half a line of {len(half)} bytes from a server")
-            self.client.write(half)
+        if server.ended and (partial_line := server.inbox.take_rest()):
+            self.registry.report_malformed(f"incomplete line of {len(partial_line)} bytes from a server")
+            self.client.write(partial_line)
         return True
 
     def report_load(self, line: memoryview) -> None:
-        """Passes on the load that a LOAD line carries, in microseconds of work a second."""
+        """Report the load in a LOAD line, given in microseconds of work per second."""
         load = parse_measurement(after_first_word(line))
         if load is None:
-            self.registry.report_malformed("LOAD without a figure", bytes(line))
+            self.registry.report_malformed("LOAD: expected a number that is not negative", bytes(line))
         else:
             self.handle.report_load(load / 1e6)
 
     def forward_to_server(self) -> bool:
-        """Forwards what the client has sent; False if that includes a line that is too long."""
+        """Forward the client's lines to the endpoint; return False for a line that is too long."""
         server = self.server
         in_flight = self.in_flight
         try:
-            while not server.is_full and len(in_flight) < MAX_IN_FLIGHT:
+            while not server.is_full and len(in_flight) < MAX_LINES_IN_FLIGHT:
                 line = self.client.line()
                 if line is None:
                     break
                 self.counters.add("lines to servers")
-                in_flight.append(SentAt(self.loop.now, self.loop.stalled))
+                in_flight.append(SentLine(self.loop.now, self.loop.stalled))
                 server.write(line)
         except LineTooLongError:
-            self.registry.report_malformed("line over 4 KiB")
+            self.registry.report_malformed("line longer than 4 KiB")
             return False
         return True
 
     @property
     def client_must_wait(self) -> bool:
-        """Whether the client is not read on until its endpoint has taken or sent back more."""
-        return self.server.is_full or len(self.in_flight) >= MAX_IN_FLIGHT
+        """Whether the client is not read until its endpoint has received or echoed more."""
+        return self.server.is_full or len(self.in_flight) >= MAX_LINES_IN_FLIGHT
 
     def check_echoes(self) -> float:
-        """Reports an echo that is missing; returns when to check again, or now if the endpoint is silent.
+        """Report a missing echo; return when to check again, which is now if the endpoint is silent.
 
-        The silence counts from the last echo or the oldest line in flight, whichever is later. A machine that
-        vanished says nothing, and TCP keep-alive does not notice in time.
+        Silence is measured from the last echo or the oldest line in flight, whichever is later. A machine
+        that has failed sends no reset, and TCP keep-alive would detect that too late.
         """
         if not self.in_flight:
             return math.inf
         now = self.loop.now
         oldest = self.in_flight[0]
-        # A core so busy that every timer is late must not put the end off for ever.
-        stalled = min(MAX_STALL_ALLOWANCE, self.loop.stalled - oldest.stalled)
-        silent_at = max(oldest.at, self.last_echo_at) + SILENCE_TIMEOUT + stalled
+        # The limit keeps a core that is so busy that every timer is late from extending this without end.
+        stalled = min(MAX_STALL_ALLOWANCE_SECONDS, self.loop.stalled - oldest.stalled)
+        silent_at = max(oldest.sent_at, self.last_echo_at) + SILENCE_TIMEOUT_SECONDS + stalled
         if now >= silent_at:
             return now
-        if now < oldest.at + MISSING_AFTER:
-            return oldest.at + MISSING_AFTER
+        if now < oldest.sent_at + LATE_ECHO_SECONDS:
+            return oldest.sent_at + LATE_ECHO_SECONDS
         self.echo_monitor.report(self.handle, self.endpoint, oldest, now)
-        return min(silent_at, now + REPORT_INTERVAL)
+        return min(silent_at, now + REPORT_INTERVAL_SECONDS)
--- a/onyxhollow/wire/placement.py
+++ b/onyxhollow/wire/placement.py
@@ -1,4 +1,4 @@
-"""The second phase of a client's connection: attempts at endpoints, until one is up or all is over."""
+"""Second phase of a client connection: attempts at endpoints until one accepts or no more are made."""
 
 from __future__ import annotations
 
@@ -13,18 +13,26 @@
 from onyxhollow.wire.connection_states import ConnectionEvent
 from onyxhollow.wire.messages import MalformedError, OpenRequest
 from onyxhollow.wire.session_core import SessionCore
-from onyxhollow.wire.session_registry import ADOPTION_PERIOD
+from onyxhollow.wire.session_registry import ADOPTION_PERIOD_SECONDS
 
-ANSWER_MARGIN = (
-    0.03  # seconds of the client's wait, a tenth at most, for the answer's own way and a busy core
-)
-ADOPTION_RETRY_INTERVAL = 0.25  # seconds between attempts for a connection that was open before the run
+# Part of the client's wait, at most a tenth of it, kept for sending the answer and for delays of a busy core.
+ANSWER_MARGIN_SECONDS = 0.03
+ADOPTION_RETRY_INTERVAL_SECONDS = 0.25  # between attempts for a connection that was open before the start
 
 
 class Placement:
-    """Finds an endpoint for one request. It is the `AttemptOwner` of the attempts that it makes."""
-
-    __slots__ = ("counters", "error_answers", "loop", "registry", "request", "session", "taken_at", "wake")
+    """Finds an endpoint for one request; it is the `AttemptOwner` of its attempts."""
+
+    __slots__ = (
+        "counters",
+        "error_answers",
+        "loop",
+        "registry",
+        "request",
+        "requested_at",
+        "session",
+        "wake",
+    )
 
     def __init__(self, session: SessionCore, request: OpenRequest) -> None:
         self.session = session
@@ -33,62 +41,66 @@
         self.loop = session.loop
         self.counters = session.counters
         self.wake = session.wake
-        self.taken_at = self.loop.now
+        self.requested_at = self.loop.now
         self.error_answers = 0  # endpoints that answered an attempt with ERR
 
     def run(self) -> Generator[float, None, SessionHandle | None]:
-        """Places the request; None when the connection was answered or ended instead.
+        """Place the request and return its handle; return None if it was answered or ended instead.
 
         Raises:
-            MalformedError: The request can't be taken.
+            MalformedError: The request is not valid here.
         """
-        listener = self.take_request()
+        listener = self.register_request()
         tenant = self.registry.find_tenant(self.request.tenant)
         self.counters.add("sessions taken")
         if self.request.previous_endpoint is not None:
             return (yield from self.adopt(self.request.previous_endpoint, listener, tenant))
-        self.registry.adoption_deadline = -math.inf  # the run has begun: all from before it are up
+        self.registry.adoption_deadline = (
+            -math.inf
+        )  # the first new request means that all earlier sessions have reconnected
         if not self.registry.free_descriptors():
-            # An attempt without a descriptor would fail here and be held against the endpoint.
+            # An attempt without a free descriptor would fail and count as evidence against the endpoint.
             self.counters.add("sessions refused for want of descriptors")
             self.session.answer(True)
             return None
-        self.taken_at = self.loop.now
+        self.requested_at = self.loop.now
         handle = self.registry.decisions.admit(
             self.wake, listener, tenant, self.request.group, self.time_for_decisions(), self.request.load
         )
         self.session.handle = handle
         return (yield from self.attempt_until_up(handle))
 
-    def take_request(self) -> Listener:
-        """Checks the request against what this process knows, and takes it."""
+    def register_request(self) -> Listener:
+        """Validate the request against the settings and seen session ids, then register it."""
         request = self.request
         client = self.session.client
         listener = self.registry.find_listener(request.listener)
         if listener is None:
-            raise MalformedError(f"no such listener {request.listener[:40]!r}")
+            raise MalformedError(f"c: expected the name of a listener, got {request.listener[:40]!r}")
         if request.previous_endpoint is not None and not self.registry.may_adopt(request.previous_endpoint):
-            raise MalformedError(f"at: not due at {request.previous_endpoint[:40]!r}")
+            raise MalformedError(
+                f"at: expected a listed endpoint soon after the start, got {request.previous_endpoint[:40]!r}"
+            )
         if not client.ended:
-            client.read()  # what was sent behind the line may be there already
+            client.read()  # bytes sent after the line may have arrived already
         if len(client.inbox):
             raise MalformedError("bytes before UP")
         if not self.registry.table.claim_id(request.session_id):
-            raise MalformedError("the id of another session")
+            raise MalformedError("session id: expected a new one, got that of another session")
         self.session.request = request
         self.session.advance(ConnectionEvent.REQUEST_RECEIVED)
         self.registry.active_count += 1
         return listener
 
     def time_for_decisions(self) -> float:
-        """Seconds that the decisions have; none where the process is out of service: they reject it."""
+        """Return the seconds left for placement; -inf if out of service, so that the request is rejected."""
         if self.registry.service.is_any(ServicePhase.OUT_OF_SERVICE):
             return -math.inf
         time_left = self.request.time_left
-        return time_left - min(ANSWER_MARGIN, time_left / 10)
+        return time_left - min(ANSWER_MARGIN_SECONDS, time_left / 10)
 
     def attempt_until_up(self, handle: SessionHandle) -> Generator[float, None, SessionHandle | None]:
-        """Makes the attempts that the decisions choose; None when the session was answered instead."""
+        """Make the attempts that the decisions select; return None if the session was answered instead."""
         session = self.session
         while True:
             selection = yield from handle.wait_for_selection(session.is_abandoned)
@@ -113,13 +125,13 @@
                 return handle
             self.log_failure(selection, result, duration)
             if session.is_abandoned():
-                refused = handle.give_up(result.outcome, duration, result.load).rejected
-                session.end_without_endpoint(handle, refused)
+                rejected = handle.give_up(result.outcome, duration, result.load).rejected
+                session.end_without_endpoint(handle, rejected)
                 return None
-            handle.report_ended(self.blameless_outcome(result.outcome), duration, False, result.load)
+            handle.report_ended(self.outcome_to_report(result.outcome), duration, False, result.load)
 
     def log_failure(self, selection: Selection, result: AttemptResult, duration: float) -> None:
-        """Counts and logs an attempt that did not come up."""
+        """Count and log a failed attempt."""
         outcome = result.outcome.value
         self.counters.add(f"dials {outcome}")
         self.registry.log(
@@ -129,14 +141,14 @@
             end=outcome,
             took=round(duration, 4),
             given=round(selection.timeout, 3),
-            since=round(self.loop.now - self.taken_at, 4),
+            since=round(self.loop.now - self.requested_at, 4),
         )
 
-    def blameless_outcome(self, outcome: AttemptOutcome) -> AttemptOutcome:
-        """The outcome, but CANCELLED for the second endpoint that answers with ERR.
+    def outcome_to_report(self, outcome: AttemptOutcome) -> AttemptOutcome:
+        """Return the outcome to report: CANCELLED in place of ERROR from the second ERR answer on.
 
-        Two endpoints that both fail it: what this client sent is at fault (the id of a session open at
-        another proxy, say), which says nothing of them. It may have run all the same.
+        If two endpoints answer a request with ERR, the request is at fault, for example because its session
+        id is open at another proxy. That is no evidence against the endpoints. The request may have run.
         """
         if outcome is not AttemptOutcome.ERROR:
             return outcome
@@ -144,7 +156,7 @@
         return AttemptOutcome.CANCELLED if self.error_answers > 1 else outcome
 
     def attempt(self, endpoint: str, wait: float) -> Generator[float, None, AttemptResult]:
-        """Makes one attempt, and forwards the endpoint's UP if the client is still there."""
+        """Make one attempt, and forward the endpoint's UP unless the client has left."""
         session = self.session
         session.advance(ConnectionEvent.ATTEMPT_STARTED)
         result = yield from self.registry.attempts.run(endpoint, wait, self)
@@ -164,19 +176,19 @@
     def adopt(
         self, endpoint: str, listener: Listener, tenant: Tenant | None
     ) -> Generator[float, None, SessionHandle | None]:
-        """A connection that was open before the run: to that endpoint and no other, until it is up."""
+        """Reconnect a session that was open before the start, with attempts at its previous endpoint only."""
         session = self.session
-        until = self.loop.now + ADOPTION_PERIOD
+        deadline = self.loop.now + ADOPTION_PERIOD_SECONDS
         session.endpoint = endpoint
         while True:
-            yield from self.attempt(endpoint, until - self.loop.now)
+            yield from self.attempt(endpoint, deadline - self.loop.now)
             if session.is_open:
                 break
-            deadline = min(until, self.registry.adoption_deadline)
-            if session.is_abandoned() or self.loop.now >= deadline:
+            current_deadline = min(deadline, self.registry.adoption_deadline)
+            if session.is_abandoned() or self.loop.now >= current_deadline:
                 self.end_adoption()
                 return None
-            yield from self.loop.sleep(ADOPTION_RETRY_INTERVAL)
+            yield from self.loop.sleep(ADOPTION_RETRY_INTERVAL_SECONDS)
         self.counters.add("sessions adopted")
         session.handle = self.registry.decisions.adopt(
             self.wake, listener, tenant, self.request.group, self.request.load, endpoint
@@ -184,21 +196,21 @@
         return session.handle
 
     def end_adoption(self) -> None:
-        """Tears down a connection from before the run that did not come up."""
+        """Tear down a session from before the start whose endpoint did not accept it."""
         if not self.session.end_reason:
             self.session.answer(False)
 
-    # what its attempts need to know
+    # Methods of AttemptOwner.
 
     def opening_line(self, wait: float) -> bytes:
-        """The client's own line with the wait in it; one from before the run is forwarded to the letter."""
+        """Return the OPEN line with the wait in it; that of a reconnected session is forwarded unchanged."""
         request = self.request
         return request.line if request.previous_endpoint is not None else request.forwarded_line(wait)
 
     def may_send(self) -> bool:
-        """Whether the line may still be written.
+        """Return whether the OPEN line may still be written.
 
-        The client's connection is read first: its end may not have been served in this turn yet.
+        The client's connection is read first, because the loop may not have processed its end in this turn.
         """
         session = self.session
         if not session.client.ended:
@@ -208,12 +220,12 @@
         return session.handle is None or session.handle.may_send()
 
     def abort_outcome(self) -> AttemptOutcome | None:
-        """Whether the attempt in flight is to end now, and as what."""
+        """Return the outcome with which the attempt in flight must end now, or None if it continues."""
         handle = self.session.handle
         if handle is None:
             cancelled = self.session.is_disconnected()
         else:
             if self.session.is_disconnected() and not handle.answered:
-                handle.report_client_gone()  # where it is allowed, the decisions call the attempt back
+                handle.report_client_gone()  # the decisions cancel the attempt if that is allowed
             cancelled = handle.cancel_requested
         return AttemptOutcome.CANCELLED if cancelled or self.session.stopping else None
--- a/onyxhollow/wire/session_registry.py
+++ b/onyxhollow/wire/session_registry.py
@@ -25,7 +25,7 @@
 DROPPED_LISTENER_GRACE = (
     2.0  # seconds for which sessions of a listener dropped by a reload may still be on their way
 )
-ADOPTION_PERIOD = 39.0  # seconds for a connection that was open before the run to be up again
+ADOPTION_PERIOD_SECONDS = 39.0  # seconds for a connection that was open before the run to be up again
 DEFAULT_CONNECTION_LIMIT = 1000  # until the configuration's limits are applied
 BUSY = b"BUSY\r\n"
 
@@ -93,7 +93,7 @@
         ] = {}  # with the time until which they are served
         self.active_count = 0  # sessions taken and not ended
         self.connection_limit = DEFAULT_CONNECTION_LIMIT  # descriptors past which room is made
-        self.adoption_deadline = self.loop.now + ADOPTION_PERIOD
+        self.adoption_deadline = self.loop.now + ADOPTION_PERIOD_SECONDS
         self.counters.open_listeners(settings.listeners)
 
     def apply_settings(self, settings: SessionSettings) -> None:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -188,7 +188,7 @@
 
 
 def test_a_server_gone_silent_is_found_by_its_missing_echoes(loopback, monkeypatch):
-    monkeypatch.setattr(line_forwarding, "SILENCE_TIMEOUT", 0.8)
+    monkeypatch.setattr(line_forwarding, "SILENCE_TIMEOUT_SECONDS", 0.8)
     proxy = loopback()
     client, server = proxy.established()
     proxy.run_for(1.0)
@@ -344,7 +344,9 @@
             client.send(b"\r\n" * 4000)
         proxy.run_for(0.005)
         server.read()
-    assert len(live.forwarder.in_flight) <= line_forwarding.MAX_IN_FLIGHT and len(server.received) < 10_000
+    assert (
+        len(live.forwarder.in_flight) <= line_forwarding.MAX_LINES_IN_FLIGHT and len(server.received) < 10_000
+    )
 
 
 def test_lines_of_the_log_that_bad_clients_cause_are_limited_and_all_are_counted(loopback):
