--- a/onyxhollow/wire/attempts.py
+++ b/onyxhollow/wire/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: a session's opening line to one endpoint, and what comes back before its connection is up."""
+"""Attempts: sending a session's OPEN line to one endpoint and waiting for the endpoint's answer."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.system_errors import Fault, fault_of_connect
 
-# The words by which an endpoint does not accept a request.
-OUTCOMES = {
+# Outcome of an attempt by the first word of an answer that does not accept the request.
+OUTCOME_BY_WORD = {
     b"BUSY": AttemptOutcome.OVERLOADED,
     b"ERR": AttemptOutcome.ERROR,
     b"BYE": AttemptOutcome.OK,
@@ -22,33 +22,33 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended; where it was accepted, the connection and the endpoint's UP line."""
+    """Outcome of an attempt; if it was accepted, also the connection and the endpoint's UP line."""
 
     outcome: AttemptOutcome = AttemptOutcome.CONNECT_FAILED
-    load: float | None = None  # that an endpoint reported with its answer
+    load: float | None = None  # reported by the endpoint with its answer
     channel: Channel | None = None
     up_line: bytes = b""
 
 
 class AttemptOwner(Protocol):
-    """What an attempt asks of the session that it is made for."""
+    """Interface of the session that an attempt is made for."""
 
     @property
     def wake(self) -> Callable[[], None]:
-        """Called when something has come on the connection to the endpoint, or has become of it."""
+        """Callback for received bytes and state changes of the connection to the endpoint."""
 
     def opening_line(self, wait: float) -> bytes:
-        """The line for the endpoint, with the seconds for which its answer is waited for."""
+        """Return the OPEN line for the endpoint; it states the seconds that are left for the answer."""
 
     def may_send(self) -> bool:
-        """Whether that line may still be written; called right before it is."""
+        """Return whether the OPEN line may still be written; called right before the write."""
 
     def abort_outcome(self) -> AttemptOutcome | None:
-        """Whether the attempt is to end now, and as what."""
+        """Return the outcome with which the attempt must end now, or None if it continues."""
 
 
 class AttemptRunner:
-    """Makes attempts; holds what they share."""
+    """Runs attempts and holds their common settings."""
 
     def __init__(
         self,
@@ -66,31 +66,31 @@
         self.report_malformed = report_malformed
 
     def apply_settings(self, load_field: str, connect_timeout: float) -> None:
-        """Sets the terms of attempts that begin from now on."""
+        """Set the settings of attempts that start from now on."""
         self.load_field = load_field
         self.connect_timeout = connect_timeout
 
     def run(self, endpoint: str, wait: float, owner: AttemptOwner) -> Generator[float, None, AttemptResult]:
-        """Makes one attempt, of `wait` seconds at the most.
+        """Make one attempt, of at most `wait` seconds.
 
-        Unless it was accepted its connection is closed when this returns: a copy left behind could still
-        run, and the next attempt would be a second one.
+        Unless the attempt was accepted, its connection is closed before this returns. Otherwise the endpoint
+        could still run the request while the next attempt runs it a second time.
         """
-        until = self.loop.now + wait
+        deadline = self.loop.now + wait
         address = self.addresses.find(endpoint)
         if address is None:
             return AttemptResult()
         try:
             channel = Channel.connect(self.loop, address, self.pool, owner.wake)
         except OSError as error:
-            # Without a descriptor of our own nothing was tried, and nothing is known of the endpoint.
+            # Without a free descriptor nothing was sent: no evidence about the endpoint.
             is_shortage = fault_of_connect(error) is Fault.SHORTAGE
             return AttemptResult(AttemptOutcome.NOT_SENT if is_shortage else AttemptOutcome.CONNECT_FAILED)
         result = AttemptResult()
         try:
-            result = yield from self.exchange(channel, until, owner)
+            result = yield from self.exchange(channel, deadline, owner)
         except LineTooLongError:
-            self.report_malformed("line over 4 KiB from a server")
+            self.report_malformed("line longer than 4 KiB from a server")
             result = AttemptResult(AttemptOutcome.UNKNOWN)
         finally:
             if result.channel is None:
@@ -98,42 +98,42 @@
         return result
 
     def exchange(
-        self, channel: Channel, until: float, owner: AttemptOwner
+        self, channel: Channel, deadline: float, owner: AttemptOwner
     ) -> Generator[float, None, AttemptResult]:
-        """Connects, writes the opening line and waits for the first line that comes back."""
-        connected_by = min(until, self.loop.now + self.connect_timeout)
-        while channel.connecting and self.loop.now < connected_by:
+        """Connect, write the OPEN line and wait for the endpoint's first line."""
+        connect_deadline = min(deadline, self.loop.now + self.connect_timeout)
+        while channel.connecting and self.loop.now < connect_deadline:
             if owner.abort_outcome() is not None:
                 return AttemptResult(AttemptOutcome.NOT_SENT)
-            yield connected_by
+            yield connect_deadline
         if channel.connecting or channel.broken:
             return AttemptResult(AttemptOutcome.CONNECT_FAILED)
-        # While the connection came up the endpoint may have begun to drain, the client may have left, time
-        # may have run out, a stop may have begun. What is not written now is known not to have run.
+        # During the connect the endpoint may have begun to drain, the client may have left, the deadline may
+        # have passed or a stop may have begun. A request that is not written has certainly not run.
         now = self.loop.read_clock()
-        if now >= until or not owner.may_send():
+        if now >= deadline or not owner.may_send():
             self.counters.add("dials withheld")
             return AttemptResult(AttemptOutcome.NOT_SENT)
-        channel.write(owner.opening_line(until - now))
-        return (yield from self.await_answer(channel, until, owner))
+        channel.write(owner.opening_line(deadline - now))
+        return (yield from self.await_answer(channel, deadline, owner))
 
     def await_answer(
-        self, channel: Channel, until: float, owner: AttemptOwner
+        self, channel: Channel, deadline: float, owner: AttemptOwner
     ) -> Generator[float, None, AttemptResult]:
-        """Waits for the endpoint's first line after the opening line."""
-        counted = False
+        """Wait for the endpoint's first line after the OPEN line."""
+        write_counted = False
         while True:
-            if channel.flushed and not counted:
-                counted = True
+            if channel.flushed and not write_counted:
+                write_counted = True
                 self.counters.add("dials written whole")
             line = channel.line()
             if line is not None:
                 return self.read_answer(channel, line)
-            # Whether it may have run is decided by the last byte of the opening line.
+            # The request may have run only if the last byte of the OPEN line was written.
             outcome = None
             if channel.ended:
                 outcome = AttemptOutcome.RESET if channel.flushed else AttemptOutcome.CONNECT_FAILED
-            elif self.loop.now >= until:
+            elif self.loop.now >= deadline:
                 outcome = AttemptOutcome.TIMEOUT if channel.flushed else AttemptOutcome.CONNECT_FAILED
             else:
                 abort_outcome = owner.abort_outcome()
@@ -141,12 +141,12 @@
                     outcome = abort_outcome if channel.flushed else AttemptOutcome.NOT_SENT
             if outcome is not None:
                 return AttemptResult(outcome)
-            yield until
+            yield deadline
 
     def read_answer(self, channel: Channel, line: memoryview) -> AttemptResult:
-        """What the endpoint's first line says."""
+        """Return the result for the endpoint's first line."""
         word = first_word(line)
         if word == b"UP":
             return AttemptResult(AttemptOutcome.OK, None, channel, bytes(line))
         load = parse_load_report(after_first_word(line), self.load_field)
-        return AttemptResult(OUTCOMES.get(word, AttemptOutcome.UNKNOWN), load)
+        return AttemptResult(OUTCOME_BY_WORD.get(word, AttemptOutcome.UNKNOWN), load)
--- a/onyxhollow/wire/connection_handoff.py
+++ b/onyxhollow/wire/connection_handoff.py
@@ -1,4 +1,4 @@
-"""An open connection as it is handed off to the process that succeeds this one."""
+"""Record of an open connection for the hand-off to a successor process."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from onyxhollow.wire.buffers import BUFFER_SIZE
 from onyxhollow.wire.messages import OpenRequest, parse_open_request
 
-BytePair = tuple[bytes, bytes]  # of the client's connection, and of the endpoint's
+BytePair = tuple[bytes, bytes]  # for the client's connection and the endpoint's
 
 
 class ConnectionHandoff(NamedTuple):
-    """All that an open connection takes along to another process; both read one monotonic clock."""
+    """State of an open connection that is handed off; both processes read the same monotonic clock."""
 
     request: OpenRequest
-    listener: Listener  # with the terms that the session was taken under
+    listener: Listener  # with the settings at the start of the session
     endpoint: str
     started_at: float  # seconds of the monotonic clock
     last_echo_at: float
-    in_flight: list[float]  # when lines were sent to the endpoint that it has not sent back
+    in_flight: list[float]  # send times of the lines without an echo yet
     load: float | None
-    final_word: bytes  # the endpoint's word before its end, if it has sent one
-    unread: BytePair  # received from the client and the endpoint, and not used yet
+    final_word: bytes  # the word by which the endpoint ends the connection, if received
+    unread: BytePair  # received from the client and the endpoint, not forwarded yet
     unsent: BytePair  # to be written to the client and the endpoint
 
     def encode(self) -> dict[str, Any]:
-        """The record of the hand-off protocol; its keys are those that every version has used."""
+        """Encode a record of the hand-off protocol, under the keys that every version has used."""
         return {
             "line": self.request.line.decode("latin-1"),
             "listener": encode_listener(self.listener),
@@ -43,10 +43,10 @@
 
     @classmethod
     def decode(cls, record: Mapping[str, Any]) -> ConnectionHandoff:
-        """Reads a record.
+        """Decode a record.
 
         Raises:
-            MalformedError: Its OPEN line can't be read.
+            MalformedError: The OPEN line is malformed.
             KeyError, TypeError, ValueError, AttributeError: Another field is missing or malformed.
         """
         listener = decode_listener(record["listener"])
@@ -57,7 +57,7 @@
             endpoint=str(record["server"]),
             started_at=float(record["started"]),
             last_echo_at=float(record["heard"]),
-            in_flight=[float(at) for at in record["out"]],
+            in_flight=[float(sent_at) for sent_at in record["out"]],
             load=None if load is None else float(load),
             final_word=record["last"].encode("latin-1"),
             unread=decode_unread(record["read"]),
@@ -66,7 +66,7 @@
 
 
 def encode_listener(listener: Listener) -> dict[str, Any]:
-    """The listener under the keys that every version of the hand-off protocol has used."""
+    """Encode a listener under the keys that every version of the hand-off protocol has used."""
     return {
         "name": listener.name,
         "handshake_target": listener.handshake_objective,
@@ -80,7 +80,7 @@
 
 
 def decode_listener(record: Mapping[str, Any]) -> Listener:
-    """The listener of a hand-off record; KeyError, TypeError or ValueError for one that is malformed."""
+    """Decode the listener of a record; raise KeyError, TypeError or ValueError if it is malformed."""
     return Listener(
         name=record["name"],
         handshake_objective=record["handshake_target"],
@@ -94,14 +94,14 @@
 
 
 def decode_pair(texts: Any) -> BytePair:
-    """The bytes of both connections; TypeError, ValueError or AttributeError if these are not two texts."""
+    """Decode two texts to bytes; raise TypeError, ValueError or AttributeError for anything else."""
     client, server = texts
     return client.encode("latin-1"), server.encode("latin-1")
 
 
 def decode_unread(texts: Any) -> BytePair:
-    """The same for bytes that go into read buffers; ValueError also for more than one buffer holds."""
+    """Decode as `decode_pair`; raise ValueError also for a text that exceeds a read buffer."""
     client, server = texts
     if max(len(client), len(server)) > BUFFER_SIZE:
-        raise ValueError(f"read: expected {BUFFER_SIZE} bytes at most, got {max(len(client), len(server))}")
+        raise ValueError(f"read: expected at most {BUFFER_SIZE} bytes, got {max(len(client), len(server))}")
     return decode_pair(texts)
--- a/onyxhollow/wire/handoff_channel.py
+++ b/onyxhollow/wire/handoff_channel.py
@@ -1,7 +1,7 @@
-"""Open connections go from a process to its successor over a Unix socket, with what belongs to them.
+"""Hand-off of open connections, with their state, from a process to its successor over a Unix socket.
 
-One message for each connection, answered with its number once the successor has it; until then nobody reads
-from the connection.
+Each connection is one message. The successor answers with the message's number once it has the connection.
+Until then neither process reads from the connection.
 """
 
 from __future__ import annotations
@@ -16,26 +16,27 @@
 
 from onyxhollow.loop import READ, Loop
 
-VERSION = 1  # of the messages; those of another version are refused
-MAX_MESSAGE_SIZE = 128 * 1024  # bytes; a connection with more still to be written is migrated instead
-MAX_UNACKNOWLEDGED = 32  # messages on their way
-READS_PER_TURN = 16  # messages read in one turn of the loop
+VERSION = 1  # of the message format; a message of another version is refused
+MAX_MESSAGE_BYTES = 128 * 1024  # a connection with more unsent bytes is migrated instead
+MAX_UNACKNOWLEDGED = 32  # messages sent and not answered
+READS_PER_TURN = 16  # messages read per turn of the loop
 DESCRIPTORS_PER_MESSAGE = 2  # the client's connection and the endpoint's
 
 
 def open_unix_socket() -> socket.socket:
-    """A Unix socket that keeps the borders of messages."""
+    """Return a new Unix socket that preserves message boundaries."""
     return socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
 
 
 class HandoffSender:
-    """The end of the process that is replaced; OSError from the constructor if the successor is not there."""
+    """The predecessor's end; the constructor raises OSError if the successor does not listen."""
 
     def __init__(self, loop: Loop, path: str) -> None:
         self.loop = loop
         self.last_number = 0
         self.broken = False
-        self.unacknowledged: dict[int, Callable[[bool], None]] = {}  # called with whether it was taken
+        # Callbacks by message number, called with whether the connection was accepted.
+        self.unacknowledged: dict[int, Callable[[bool], None]] = {}
         self.sock = open_unix_socket()
         try:
             self.sock.setblocking(False)
@@ -47,38 +48,38 @@
 
     @property
     def free_slots(self) -> int:
-        """How many more messages may be sent before one is answered."""
+        """Number of messages that may be sent before another answer is received."""
         return 0 if self.broken else MAX_UNACKNOWLEDGED - len(self.unacknowledged)
 
     def send(self, record: dict[str, Any], fds: list[int], on_answer: Callable[[bool], None]) -> bool:
-        """Sends one connection; False if it can't be sent, else `on_answer` is called later, once."""
+        """Send one connection; return False if it can't be sent, else call `on_answer` once, later."""
         self.last_number += 1
         message = orjson.dumps({"version": VERSION, "number": self.last_number, **record})
-        if len(message) > MAX_MESSAGE_SIZE or self.broken:
+        if len(message) > MAX_MESSAGE_BYTES or self.broken:
             return False
         try:
             socket.send_fds(self.sock, [message], fds)
-        except OSError:  # also when there is no room: it is migrated then
+        except OSError:  # also if the socket buffer is full: the connection is migrated then
             return False
         self.unacknowledged[self.last_number] = on_answer
         return True
 
     def on_ready(self, _: int) -> None:
-        """Answers have come, or the end of the successor."""
+        """Process answers, or the end of the successor."""
         try:
             while answer := self.sock.recv(64):
-                number, word = answer.split(b" ")
+                number, verdict = answer.split(b" ")
                 on_answer = self.unacknowledged.pop(int(number), None)
                 if on_answer is not None:
-                    on_answer(word == b"taken")
+                    on_answer(verdict == b"taken")
         except BlockingIOError:
             return
         except (OSError, ValueError):
-            pass  # reset, or not an answer of this protocol: as if the successor were gone
+            pass  # reset, or no answer of this protocol: handled as the end of the successor
         self.close()
 
     def close(self) -> None:
-        """Ends the hand-off; connections not answered for stay with this process."""
+        """End the hand-off; connections without an answer stay with this process."""
         if self.broken:
             return
         self.broken = True
@@ -91,7 +92,7 @@
 
 
 class HandoffReceiver:
-    """The successor's end; OSError from the constructor if nothing can be listened for at the path.
+    """The successor's end; the constructor raises OSError if it can't listen at the path.
 
     `take_over` receives a record and the two sockets, and returns whether it has accepted them.
     `on_closed` is called when the sender has closed its end.
@@ -121,7 +122,7 @@
         loop.watch(self.listener.fileno(), READ, self.accept)
 
     def accept(self, _: int) -> None:
-        """Takes the one sender, and listens for no other."""
+        """Accept the only sender, then stop listening."""
         with contextlib.suppress(OSError):
             sender, _peer = self.listener.accept()
             self.sender = sender
@@ -130,13 +131,13 @@
             self.stop_listening()
 
     def on_ready(self, _: int) -> None:
-        """Messages have come, or the end of the sender."""
+        """Process messages, or the end of the sender."""
         sender = self.sender
         assert sender is not None
         for _ in range(READS_PER_TURN):
             try:
                 message, fds, _flags, _peer = socket.recv_fds(
-                    sender, MAX_MESSAGE_SIZE + 1024, DESCRIPTORS_PER_MESSAGE
+                    sender, MAX_MESSAGE_BYTES + 1024, DESCRIPTORS_PER_MESSAGE
                 )
             except BlockingIOError:
                 return
@@ -146,11 +147,11 @@
                 self.close()
                 return
             answer = self.process_message(message, fds)
-            with contextlib.suppress(OSError):  # it has died: what it handed off is served all the same
+            with contextlib.suppress(OSError):  # a failed sender's connections are served all the same
                 sender.send(answer)
 
     def process_message(self, message: bytes, fds: list[int]) -> bytes:
-        """Takes the connection of a message, or closes its descriptors; returns the answer for the sender."""
+        """Accept the connection in a message, or close its descriptors; return the answer."""
         socks: list[socket.socket] = []
         number = 0
         try:
@@ -160,14 +161,14 @@
             usable = record["version"] == VERSION and len(socks) == DESCRIPTORS_PER_MESSAGE
             if usable and self.take_over(record, *socks):
                 return b"%d taken" % number
-        except Exception as error:  # noqa: BLE001 -- whatever it was, the sender keeps the connection
+        except Exception as error:  # noqa: BLE001 -- after any error the sender keeps the connection
             self.loop.report_failure("passing", error)
         for sock in socks:
             sock.close()
         return b"%d refused" % number
 
     def stop_listening(self) -> None:
-        """Closes the listening socket and removes its path."""
+        """Close the listening socket and remove its path."""
         if self.listener.fileno() < 0:
             return
         self.loop.watch(self.listener.fileno(), 0, None)
@@ -176,7 +177,7 @@
             os.unlink(self.path)
 
     def close(self) -> None:
-        """Ends the hand-off; what was taken stays."""
+        """End the hand-off; accepted connections stay with this process."""
         self.stop_listening()
         if self.sender is not None:
             self.loop.watch(self.sender.fileno(), 0, None)
--- a/onyxhollow/wire/placement.py
+++ b/onyxhollow/wire/placement.py
@@ -55,9 +55,8 @@
         self.counters.add("sessions taken")
         if self.request.previous_endpoint is not None:
             return (yield from self.adopt(self.request.previous_endpoint, listener, tenant))
-        self.registry.adoption_deadline = (
-            -math.inf
-        )  # the first new request means that all earlier sessions have reconnected
+        # The first new request means that all earlier sessions have reconnected.
+        self.registry.adoption_deadline = -math.inf
         if not self.registry.free_descriptors():
             # An attempt without a free descriptor would fail and count as evidence against the endpoint.
             self.counters.add("sessions refused for want of descriptors")
--- a/onyxhollow/wire/session_registry.py
+++ b/onyxhollow/wire/session_registry.py
@@ -1,4 +1,4 @@
-"""All client connections of this process and what they share; makes room when descriptors run short."""
+"""All client connections of this process and their shared state; frees descriptors at the limit."""
 
 from __future__ import annotations
 
@@ -16,26 +16,23 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_table import SessionTable
 
-NEW_CONNECTION_GRACE_SECONDS = (
-    0.3  # seconds for which a new connection is not closed for room: its line may be on the way
-)
-CLOSING_GRACE_SECONDS = (
-    0.1  # seconds for which one that only ends in order is left alone where there is no room
-)
-DROPPED_LISTENER_GRACE = (
-    2.0  # seconds for which sessions of a listener dropped by a reload may still be on their way
-)
-ADOPTION_PERIOD_SECONDS = 39.0  # seconds for a connection that was open before the run to be up again
-DEFAULT_CONNECTION_LIMIT = 1000  # until the configuration's limits are applied
+# A new connection is not closed to free descriptors for so long, as its first line may be in transit.
+NEW_CONNECTION_GRACE_SECONDS = 0.3
+# A connection that is shutting down is not closed to free descriptors for so long.
+CLOSING_GRACE_SECONDS = 0.1
+# Sessions of a listener that a reload removed are served for so long, as their requests may be in transit.
+REMOVED_LISTENER_GRACE_SECONDS = 2.0
+ADOPTION_PERIOD_SECONDS = 39.0  # in which a session that was open before the start may reconnect
+DEFAULT_CONNECTION_LIMIT = 1000  # until the configured limits are applied
 BUSY = b"BUSY\r\n"
 
 
 class ClientConnection(Protocol):
-    """What the registry and the owners of a shutdown or migration see of one client's connection."""
+    """Client connection as the registry, shutdown and migration use it."""
 
     client: Channel
-    request: OpenRequest | None  # None until a valid OPEN line has come
-    accepted_at: float  # seconds of the loop's clock
+    request: OpenRequest | None  # None until a valid OPEN line is received
+    accepted_at: float  # loop time in seconds
     stopping: bool
     handoff_sender: HandoffSender | None
     handoff_accepted: bool | None
@@ -45,28 +42,28 @@
         """Whether UP was forwarded and the connection has not ended."""
 
     def wake(self) -> None:
-        """Lets the connection's coroutine look at what has changed."""
+        """Schedule the connection's coroutine, which then checks for changes."""
 
     def stop(self) -> None:
-        """Ends it: an open connection is migrated; one that waits is answered now."""
+        """End the session: migrate an open connection, answer a request that still waits."""
 
 
 class SessionSettings(NamedTuple):
-    """The part of the configuration that sessions go by; a reload replaces it as a whole."""
+    """Settings that apply to sessions; a reload replaces all of them at once."""
 
     listeners: Mapping[str, Listener]
     tenants: Mapping[str, Tenant]
     load_field: str
-    connect_timeout: float  # seconds for a connection to an endpoint to come up
+    connect_timeout: float  # seconds for a connection to an endpoint to be established
 
     @classmethod
     def of(cls, settings: Settings, connect_timeout: float) -> SessionSettings:
-        """Picks them out of all settings."""
+        """Select the session settings from all settings."""
         return cls(settings.listeners, settings.tenants, settings.load_field, connect_timeout)
 
 
 class SessionRegistry:
-    """The client connections of this process, and the one place for what they share."""
+    """Client connections of this process, with their shared settings, counters and tables."""
 
     def __init__(
         self,
@@ -88,70 +85,71 @@
         )
         self.echo_monitor = EchoMonitor(self.loop)
         self.table: SessionTable[ClientConnection] = SessionTable()
-        self.dropped_listeners: dict[
-            str, tuple[Listener, float]
-        ] = {}  # with the time until which they are served
-        self.active_count = 0  # sessions taken and not ended
-        self.connection_limit = DEFAULT_CONNECTION_LIMIT  # descriptors past which room is made
+        # Removed listeners by name, with the loop time until which they are served.
+        self.removed_listeners: dict[str, tuple[Listener, float]] = {}
+        self.active_count = 0  # sessions with a valid request that have not ended
+        self.connection_limit = DEFAULT_CONNECTION_LIMIT  # idle connections are closed from here on
         self.adoption_deadline = self.loop.now + ADOPTION_PERIOD_SECONDS
         self.counters.open_listeners(settings.listeners)
 
     def apply_settings(self, settings: SessionSettings) -> None:
-        """Sets the terms of sessions that come from now on; earlier ones keep their listener's terms.
+        """Apply settings to new sessions; earlier sessions keep their listener's settings.
 
-        Clients learn of a dropped listener later than this proxy: what is on its way goes by the old terms.
+        Clients are notified of a removed listener later than this proxy. Their requests in transit are
+        served by the old settings.
         """
         now = self.loop.now
-        served = {name: row for name, row in self.dropped_listeners.items() if now < row[1]}
+        served = {name: row for name, row in self.removed_listeners.items() if now < row[1]}
         for name, listener in self.settings.listeners.items():
             if name not in settings.listeners:
-                served[name] = (listener, now + DROPPED_LISTENER_GRACE)
-        self.dropped_listeners = served
+                served[name] = (listener, now + REMOVED_LISTENER_GRACE_SECONDS)
+        self.removed_listeners = served
         self.settings = settings
         self.counters.open_listeners(settings.listeners)
         self.attempts.apply_settings(settings.load_field, settings.connect_timeout)
 
     def find_listener(self, name: str) -> Listener | None:
-        """The listener of that name, also for a moment after a reload has dropped it."""
+        """Return the listener of that name, also for 2 s after a reload has removed it; None if unknown."""
         listener = self.settings.listeners.get(name)
         if listener is not None:
             return listener
-        dropped, until = self.dropped_listeners.get(name, (None, 0.0))
-        return dropped if self.loop.now < until else None
+        removed, until = self.removed_listeners.get(name, (None, 0.0))
+        return removed if self.loop.now < until else None
 
     def find_tenant(self, name: str) -> Tenant | None:
-        """The tenant of that name; None for one without a quota."""
+        """Return the tenant of that name, or None if it has no quota."""
         return self.settings.tenants.get(name)
 
     def may_adopt(self, endpoint: str) -> bool:
-        """Whether a connection that was open at this endpoint before the run may still come."""
+        """Return whether a session that was open at this endpoint before the start may still reconnect."""
         return self.loop.now < self.adoption_deadline and self.addresses.find(endpoint) is not None
 
     @property
-    def is_crowded(self) -> bool:
-        """Whether room is to be made: the last descriptors are for attempts, health checks and the list."""
+    def is_at_limit(self) -> bool:
+        """Whether the limit is reached; descriptors above it are for attempts, health checks and the list."""
         return self.pool.open_connections >= self.connection_limit
 
     def free_descriptors(self) -> bool:
-        """Closes connections that ask for nothing, so that they don't take the place of those that do.
+        """Close connections without a request, so that descriptors are left for those with one.
 
-        Returns whether there is room now.
+        Returns:
+            Whether the number of connections is below the limit now.
         """
-        if self.is_crowded:
+        if self.is_at_limit:
             self._close_ending_connections()
-        while self.is_crowded:
-            longest = self.table.longest_idle()
-            if longest is None or self.loop.now - longest.accepted_at < NEW_CONNECTION_GRACE_SECONDS:
-                break  # its line may be on the way
-            self._evict(longest)
-        return not self.is_crowded
+        while self.is_at_limit:
+            oldest_idle = self.table.longest_idle()
+            if oldest_idle is None or self.loop.now - oldest_idle.accepted_at < NEW_CONNECTION_GRACE_SECONDS:
+                break  # its first line may be in transit
+            self._evict(oldest_idle)
+        return not self.is_at_limit
 
     def _close_ending_connections(self) -> None:
         now = self.loop.now
         for closing in list(self.pool.closing.values()):
-            if not self.is_crowded or now - closing.since < CLOSING_GRACE_SECONDS:
+            if not self.is_at_limit or now - closing.since < CLOSING_GRACE_SECONDS:
                 break
-            if not closing.has_unsent():  # else its final answer would go with it
+            if not closing.has_unsent():  # else its final answer would be lost
                 closing.close()
                 self.counters.add("leaving connections closed for room")
 
@@ -159,12 +157,12 @@
         self.table.mark_active(connection)
         connection.client.read()
         connection.wake()
-        if not len(connection.client.inbox):  # else its line has come just now: it is served
-            connection.client.write(BUSY)  # the answer of a request that crosses the close
+        if not len(connection.client.inbox):  # else its first line has just arrived and is served
+            connection.client.write(BUSY)  # the answer to a request in transit
             connection.client.close()
             self.counters.add("idle connections closed for room")
 
-    def report_malformed(self, why: str, line: bytes = b"") -> None:
-        """Counts and logs input that can't be read; at most 120 bytes of it are logged."""
+    def report_malformed(self, reason: str, line: bytes = b"") -> None:
+        """Count and log malformed input, with at most its first 120 bytes."""
         self.counters.add("malformed lines")
-        self.log("malformed", why=why, line=repr(line[:120])[2:-1])
+        self.log("malformed", why=reason, line=repr(line[:120])[2:-1])
--- a/onyxhollow/wire/session_table.py
+++ b/onyxhollow/wire/session_table.py
@@ -1,17 +1,17 @@
-"""Which clients are connected, which of them have asked for nothing yet, and which session ids were seen."""
+"""Tables of connected clients, of clients that have sent no request yet, and of recent session ids."""
 
 from __future__ import annotations
 
 from typing import Generic, TypeVar
 
-MAX_SEEN_IDS = 8192  # more than sessions can be open, and bounded
+MAX_SEEN_IDS = 8192  # above the number of sessions that can be open; bounds the memory
 Item = TypeVar("Item")
 
 
 class SessionTable(Generic[Item]):
-    """The connected clients in the order in which they came.
+    """Connected clients in the order of their arrival, and the session ids that were used.
 
-    A session id is new with its connection, so one that comes again is not its owner's.
+    Each connection has a new session id. An id that is received again belongs to another session.
     """
 
     def __init__(self) -> None:
@@ -20,24 +20,24 @@
         self.seen_ids: dict[str, None] = {}
 
     def add(self, item: Item) -> None:
-        """Adds a connection that was accepted."""
+        """Add an accepted connection."""
         self.live[item] = None
 
     def remove(self, item: Item) -> None:
-        """Removes a connection that has ended."""
+        """Remove a connection that has ended."""
         del self.live[item]
         self.mark_active(item)
 
     def mark_idle(self, item: Item) -> None:
-        """Notes that a connection waits for its first line, from the first call on."""
+        """Mark a connection as waiting for its first line; later calls keep its position in the order."""
         self.idle.setdefault(item)
 
     def mark_active(self, item: Item) -> None:
-        """Notes that a connection has asked for something, or has ended."""
+        """Mark a connection as having sent a request, or as ended."""
         self.idle.pop(item, None)
 
     def claim_id(self, session_id: str) -> bool:
-        """Claims an id for a new session; False if one with this id is open or was of late."""
+        """Claim an id for a new session; return False if an open or recent session has it."""
         if session_id in self.seen_ids:
             return False
         self.seen_ids[session_id] = None
@@ -46,7 +46,7 @@
         return True
 
     def longest_idle(self) -> Item | None:
-        """The connection that has waited longest for its first line."""
+        """Return the connection that has waited longest for its first line, or None."""
         return next(iter(self.idle), None)
 
     def __len__(self) -> int:
