--- a/onyxhollow/__init__.py
+++ b/onyxhollow/__init__.py
@@ -1,3 +1,3 @@
-"""onyxhollow: a balancer for long-lived connections."""
+"""A load balancer for long-lived connections."""
 
 __version__ = "0.2.0"
--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: serve and check here; the other commands are loaded where they are called."""
+"""The command line; modules of a command are imported only when that command runs."""
 
 from __future__ import annotations
 
@@ -14,166 +14,174 @@
     from onyxhollow.lifecycle.config import Config
     from onyxhollow.lifecycle.signals import SignalQueue
 
-EXIT_UNUSABLE = 2  # an extra is missing, or a file can't be used
+EXIT_UNUSABLE = 2  # a required extra is missing, or a file is invalid
 PROXY_COMMANDS = (
     ("serve", "run one proxy"),
-    ("check", "check a configuration and say what it holds"),
+    ("check", "validate a configuration and print a summary"),
 )
 ROUTE_GUARD = "route-guard"
-OLD_ROUTE_GUARD = "gate"  # accepted for one release, with a warning
+OLD_ROUTE_GUARD = "gate"  # deprecated name, accepted for one release with a warning
 ROUTE_GUARD_COMMANDS = (
-    (ROUTE_GUARD, "stand between a site's announcers and its routing daemon"),
+    (ROUTE_GUARD, "guard a site's routes between its announcers and its routing daemon"),
     (OLD_ROUTE_GUARD, f"the former name of {ROUTE_GUARD}"),
 )
-# Commands with a parser of their own, which gets all that follows.
+# Commands that parse their own arguments.
 OTHER_COMMANDS = (
-    ("members", "who is there, as a running process sees it"),
-    ("duties", "who holds what; hand over, release"),
-    ("voters", "who votes on duties; replace one"),
-    ("topology", "the picture of a fleet: draw, show, diff, save, record, replay"),
-    ("addresses", "shared service addresses: which site advertises what, and why; orders"),
+    ("members", "show the members of a fleet as one process sees them"),
+    ("duties", "show roles and lease holders; hand over or release a lease"),
+    ("voters", "show the voter set; replace a voter"),
+    ("topology", "topology of a fleet: draw, show, diff, save, record, replay"),
+    ("addresses", "routes of the shared addresses and their causes; overrides"),
 )
 
 
-def missing_extra(extra: str, error: ImportError) -> int:
-    """Says that an extra's libraries are missing: serve by itself needs none of them."""
-    sys.stderr.write(f"onyxhollow: the {extra} needs {error.name}: pip install 'onyxhollow[{extra}]'\n")
+def report_missing_extra(extra: str, error: ImportError) -> int:
+    """Write how to install a missing extra; return the exit status. A plain `serve` needs no extra."""
+    sys.stderr.write(
+        f"onyxhollow: {extra}: expected package {error.name}, got none: pip install 'onyxhollow[{extra}]'\n"
+    )
     return EXIT_UNUSABLE
 
 
-def unusable(error: ValueError) -> int:
-    """Writes one line for a file that can't be used."""
+def report_unusable_file(error: ValueError) -> int:
+    """Write one line about an invalid file; return the exit status."""
     sys.stderr.write(f"onyxhollow: {error}\n")
     return EXIT_UNUSABLE
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """The parser of all commands."""
-    parser = argparse.ArgumentParser(prog="onyxhollow", description="A balancer for long-lived connections.")
+    """Return the parser for all commands."""
+    parser = argparse.ArgumentParser(
+        prog="onyxhollow", description="A load balancer for long-lived connections."
+    )
     commands = parser.add_subparsers(dest="command", required=True)
     for name, purpose in PROXY_COMMANDS:
         command = commands.add_parser(name, help=purpose)
-        command.add_argument("--config", default=os.environ.get("LB_CONFIG"), help="JSON; else $LB_CONFIG")
-        command.add_argument("--fleet", default=os.environ.get("LB_FLEET"), help="TOML; else $LB_FLEET")
+        command.add_argument(
+            "--config", default=os.environ.get("LB_CONFIG"), help="JSON file (default: $LB_CONFIG)"
+        )
+        command.add_argument(
+            "--fleet", default=os.environ.get("LB_FLEET"), help="TOML file (default: $LB_FLEET)"
+        )
     commands.add_parser("version", help="print the version")
-    lab = commands.add_parser("lab", help="play days on a model of fleet and clients", add_help=False)
-    lab.add_argument("words", nargs=argparse.REMAINDER)
+    lab = commands.add_parser("lab", help="run scenarios on a model of fleet and clients", add_help=False)
+    lab.add_argument("arguments", nargs=argparse.REMAINDER)
     for name, purpose in OTHER_COMMANDS:
         command = commands.add_parser(name, help=purpose, add_help=False)
-        command.add_argument("words", nargs=argparse.REMAINDER)
+        command.add_argument("arguments", nargs=argparse.REMAINDER)
     for name, purpose in ROUTE_GUARD_COMMANDS:
         command = commands.add_parser(name, help=purpose)
-        command.add_argument("--config", required=True, help="TOML")
+        command.add_argument("--config", required=True, help="TOML file")
     return parser
 
 
-def main(words: list[str] | None = None) -> int:
-    """Runs one command; returns the exit status."""
-    arguments = make_parser().parse_args(words)
-    command = arguments.command
+def main(argv: list[str] | None = None) -> int:
+    """Run one command; return the exit status."""
+    options = make_parser().parse_args(argv)
+    command = options.command
     if command == "version":
         print(__version__)
         return 0
     if command == "check":
-        return check(arguments)
+        return check(options)
     if command == "lab":
-        return run_lab(arguments.words)
+        return run_lab(options.arguments)
     if command == "topology":
-        return run_topology(arguments.words)
+        return run_topology(options.arguments)
     if command != "serve":
-        return run_fleet_command(arguments)
+        return run_fleet_command(options)
     from onyxhollow.lifecycle.signals import SignalQueue
 
-    signals = SignalQueue()  # before anything is loaded that takes its time
-    status = serve(arguments, signals)
+    signals = SignalQueue()  # before slow imports, so that no signal is lost
+    status = serve(options, signals)
     if status:
         signals.close()
     return status
 
 
-def run_lab(words: list[str]) -> int:
-    """The emulator's commands."""
+def run_lab(arguments: list[str]) -> int:
+    """Run a command of the emulator."""
     try:
         from onyxhollow.lab.cli import main as run
     except ImportError as error:
-        return missing_extra("lab", error)
-    return run(words)
+        return report_missing_extra("lab", error)
+    return run(arguments)
 
 
-def run_topology(words: list[str]) -> int:
-    """The commands on the picture of a fleet."""
+def run_topology(arguments: list[str]) -> int:
+    """Run a command on the topology of a fleet."""
     try:
         from onyxhollow.topology.commands import main as run
     except ImportError as error:
-        return missing_extra("topology", error)
-    return run(words)
+        return report_missing_extra("topology", error)
+    return run(arguments)
 
 
-def run_fleet_command(arguments: argparse.Namespace) -> int:
-    """The commands on a running fleet, and the route guard."""
-    command = arguments.command
+def run_fleet_command(options: argparse.Namespace) -> int:
+    """Run a command on a running fleet, or the route guard."""
+    command = options.command
     if command == OLD_ROUTE_GUARD:
-        notice = f"{OLD_ROUTE_GUARD}: now called {ROUTE_GUARD}; this name goes with the next release"
+        notice = f"{OLD_ROUTE_GUARD}: now called {ROUTE_GUARD}; this name will be removed in the next release"
         sys.stderr.write(f"onyxhollow: {notice}\n")
     try:
         if command in (ROUTE_GUARD, OLD_ROUTE_GUARD):
             from onyxhollow.fleet.route_guard import main as run_route_guard
 
-            return run_route_guard(arguments.config)
+            return run_route_guard(options.config)
         if command == "addresses":
             from onyxhollow.fleet.address_commands import main as run_addresses
 
-            return run_addresses(arguments.words)
+            return run_addresses(options.arguments)
         from onyxhollow.fleet.commands import main as run
     except ImportError as error:
-        return missing_extra("fleet", error)
-    return run(command, arguments.words)
+        return report_missing_extra("fleet", error)
+    return run(command, options.arguments)
 
 
-def read_files(arguments: argparse.Namespace) -> tuple[Config, FleetConfig | None]:
-    """The configuration, and the fleet file where one is named.
+def read_files(options: argparse.Namespace) -> tuple[Config, FleetConfig | None]:
+    """Return the configuration, and the fleet's if a fleet file is given.
 
     Raises:
-        ValueError: One of them can't be used (ConfigError, FleetFileError).
-        ImportError: The fleet's libraries are missing.
+        ValueError: A file is invalid (ConfigError, FleetFileError).
+        ImportError: A package of the extra `fleet` is missing.
     """
     from onyxhollow.lifecycle.config import ConfigError, read_config
 
-    if not arguments.config:
-        raise ConfigError("no configuration: neither --config nor $LB_CONFIG")
-    config = read_config(arguments.config)
-    if not arguments.fleet:
+    if not options.config:
+        raise ConfigError("configuration: expected --config or $LB_CONFIG, got neither")
+    config = read_config(options.config)
+    if not options.fleet:
         return config, None
     from onyxhollow.fleet.file import read_fleet
 
-    return config, read_fleet(arguments.fleet)
+    return config, read_fleet(options.fleet)
 
 
-def serve(arguments: argparse.Namespace, signals: SignalQueue) -> int:
-    """Runs one proxy until a signal ends it."""
+def serve(options: argparse.Namespace, signals: SignalQueue) -> int:
+    """Run one proxy until a signal ends it; return the exit status."""
     from onyxhollow.lifecycle import serve as serving
 
     try:
-        config, fleet = read_files(arguments)
+        config, fleet = read_files(options)
     except ImportError as error:
-        return missing_extra("fleet", error)
+        return report_missing_extra("fleet", error)
     except ValueError as error:
-        return unusable(error)
+        return report_unusable_file(error)
     if fleet is None:
-        return serving.serve(config, arguments.config, signals)
+        return serving.serve(config, options.config, signals)
     from onyxhollow.fleet.node import attach
 
-    return serving.serve(config, arguments.config, signals, attach(fleet))
+    return serving.serve(config, options.config, signals, attach(fleet))
 
 
-def check(arguments: argparse.Namespace) -> int:
-    """Says what a configuration holds, and the fleet file beside it."""
+def check(options: argparse.Namespace) -> int:
+    """Validate the configuration and the fleet file, and print a summary; return the exit status."""
     try:
-        config, fleet = read_files(arguments)
+        config, fleet = read_files(options)
     except ImportError as error:
-        return missing_extra("fleet", error)
+        return report_missing_extra("fleet", error)
     except ValueError as error:
-        return unusable(error)
+        return report_unusable_file(error)
     print_config(config)
     if fleet is not None:
         print_fleet(fleet)
@@ -181,31 +189,32 @@
 
 
 def print_config(config: Config) -> None:
-    """What a configuration holds."""
+    """Print a summary of a configuration."""
     settings = config.settings
     host, port = config.listen
-    print(f"{config.name}: listens on {host}:{port}, one of {settings.instance_count} balancers")
-    calls = ":".join(map(str, config.management)) if config.management else "nowhere: no management"
-    print(f"operators call {calls}")
+    print(f"{config.name}: listens on {host}:{port}, one of {settings.instance_count} instances")
+    management = ":".join(map(str, config.management)) if config.management else "disabled"
+    print(f"management API: {management}")
     weights = "live" if settings.live_weights else "sizes"
-    how = "asked for" if settings.list_is_polled else "pushed"
+    delivery = "polled" if settings.list_is_polled else "pushed"
     print(
-        f"weights {weights}, list {how}, groups {'on' if settings.group_affinity else 'off'}, "
-        f"a probe costs {settings.health_check_price:g}, a crossing {settings.cross_zone_price:g}"
+        f"weights {weights}, endpoint list {delivery}, "
+        f"group affinity {'on' if settings.group_affinity else 'off'}, "
+        f"costs: health check {settings.health_check_price:g}, other zone {settings.cross_zone_price:g}"
     )
-    print(f"servers known {len(config.known.endpoints)}, listeners {len(settings.listeners)}")
+    print(f"known endpoints {len(config.known.endpoints)}, listeners {len(settings.listeners)}")
 
 
 def print_fleet(fleet: FleetConfig) -> None:
-    """What a fleet file holds."""
+    """Print a summary of a fleet file."""
     file = fleet.file
-    roles = ", ".join(f"{role.name} ({role.task.value}, one a {role.scope.value})" for role in file.roles)
+    roles = ", ".join(f"{role.name} ({role.task.value}, one per {role.scope.value})" for role in file.roles)
     host, port = fleet.advertise
     print(
         f"fleet {file.fleet}: member at {host}:{port}, "
         f"voters {', '.join(file.voters)}, lease {file.leases.duration:g} s"
     )
-    print(f"duties: {roles or 'none'}")
+    print(f"roles: {roles or 'none'}")
     shared = fleet.addresses
     if shared is not None:
         names = ", ".join(service.name for service in shared.services)
--- a/onyxhollow/benchlink.py
+++ b/onyxhollow/benchlink.py
@@ -1,6 +1,6 @@
-"""The earlier name of `onyxhollow.simulator_adapter`: `python -m onyxhollow.benchlink` works for one release.
+"""Deprecated alias of `onyxhollow.simulator_adapter`, which will be removed in the next release.
 
-Standard output carries the simulator's wire, so the warning goes to standard error.
+Standard output carries the simulator's protocol, so the warning goes to standard error.
 """
 
 from __future__ import annotations
--- a/onyxhollow/lifecycle/__init__.py
+++ b/onyxhollow/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, the loop, the log, signals."""
+"""The life of one proxy process: configuration, startup, reload, replacement and graceful shutdown."""
--- a/onyxhollow/lifecycle/accepting.py
+++ b/onyxhollow/lifecycle/accepting.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections as the service state says, and ends listening without losing one."""
+"""Accepting of client connections, and closing the listener without losing a queued connection."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
 from onyxhollow.wire.session_registry import BUSY, SessionRegistry
 from onyxhollow.wire.system_errors import LOST_IN_ACCEPT, Fault, fault_of
 
-MAX_BATCH = 64  # connections accepted in one turn of the loop, so that those open are not made to wait
-PAUSE = 0.05  # seconds until accepting is tried again when there are no descriptors
+MAX_ACCEPTS_PER_TURN = 64  # a bound per turn of the loop, so that open connections are not delayed
+RETRY_DELAY_SECONDS = 0.05  # pause before the next accept, for example when no descriptor is free
 DEFAULT_MAX_CONNECTIONS = 1000  # until the configuration's limits are applied
 
 
 def reject_connection(sock: socket.socket) -> None:
-    """Rejects a connection that there is no room for, at once.
+    """Answer BUSY on a connection that exceeds the limits, and close it.
 
-    Its line is read: closed over unread bytes it would be reset and the answer lost.
+    The request is read first: closing a socket with unread bytes resets the connection, and the client
+    would lose the answer.
     """
     with contextlib.suppress(OSError):
         sock.setblocking(False)
@@ -33,7 +34,7 @@
 
 
 class ClientAcceptor:
-    """Owns the clients' listening socket."""
+    """Accepts connections on the client listening socket."""
 
     def __init__(
         self,
@@ -51,17 +52,17 @@
         self.max_connections = DEFAULT_MAX_CONNECTIONS
 
     def update(self) -> None:
-        """Begins to accept, or ceases to, as the service state says."""
+        """Start or stop accepting according to the service state."""
         if self.listener.fileno() >= 0:
             self.loop.watch(self.listener.fileno(), READ if self.service.accepts else 0, self.on_ready)
 
     def on_ready(self, _: int) -> None:
-        """The loop's callback: connections wait to be accepted."""
+        """Accept connections when the loop reports the listener readable."""
         self.accept_batch()
 
     def accept_batch(self) -> bool:
-        """Accepts connections that the system has, 64 at most; whether there are no more."""
-        for _ in range(MAX_BATCH):
+        """Accept a batch of pending connections; return whether the queue was emptied."""
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             if self.pool.open_connections >= self.max_connections:
                 self.sessions.make_room()
             if self.pool.open_connections >= self.max_connections:
@@ -73,7 +74,7 @@
                 return True
             except OSError as error:
                 if error.errno in LOST_IN_ACCEPT:
-                    continue  # that connection has gone already
+                    continue  # the client closed this connection before it was accepted
                 is_shortage = fault_of(error) is Fault.SHORTAGE
                 self.pause("accepts without a descriptor" if is_shortage else "accepts that failed")
                 return False
@@ -82,10 +83,10 @@
         return False
 
     def open_session(self, sock: socket.socket) -> None:
-        """Makes a session of a connection; one that can't be set up is owed its answer all the same."""
+        """Create a session for a connection, or reject the connection if its setup fails."""
         try:
             sock.setblocking(False)
-            with contextlib.suppress(OSError):  # reset already: reading it will show that
+            with contextlib.suppress(OSError):  # already reset: the next read reports it
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             accept_connection(self.sessions, sock)
         except OSError:
@@ -93,9 +94,9 @@
             reject_connection(sock)
 
     def pause(self, reason: str) -> None:
-        """Accepts nothing for a moment, and counts the reason.
+        """Stop accepting for `RETRY_DELAY_SECONDS`, and count the reason.
 
-        The loop reports the listener ready for as long as connections wait, and would spin on them.
+        While connections are pending, the loop reports the listener as readable and would spin.
         """
         self.counters.add(reason)
         if self.listener.fileno() in self.loop.watched:
@@ -103,20 +104,22 @@
             self.loop.spawn(self.resume())
 
     def resume(self) -> Generator[float, None, None]:
-        """Accepts again after a pause."""
-        yield from self.loop.sleep(PAUSE)
+        """Accept again after a pause."""
+        yield from self.loop.sleep(RETRY_DELAY_SECONDS)
         self.update()
 
-    def stop_listening(self, last: float) -> Generator[float, None, None]:
-        """Closes the listener in the moment in which its queue is found empty.
+    def stop_listening(self, deadline: float) -> Generator[float, None, None]:
+        """Close the listener as soon as its queue is empty.
 
-        Whatever stands in the queue has been accepted by the machine and is owed an answer. By `last`, in
-        seconds of the loop's clock, it is closed in any case.
+        The kernel has already accepted the queued connections, so each of them must be answered.
+
+        Args:
+            deadline: On the loop's clock; the listener is then closed even if its queue is not empty.
         """
         if self.listener.fileno() < 0:
             return
-        while self.service.accepts and not self.accept_batch() and self.loop.now < last:
+        while self.service.accepts and not self.accept_batch() and self.loop.now < deadline:
             is_paused = self.listener.fileno() not in self.loop.watched
-            yield self.loop.now + (PAUSE if is_paused else 0.0)
+            yield self.loop.now + (RETRY_DELAY_SECONDS if is_paused else 0.0)
         self.loop.watch(self.listener.fileno(), 0, None)
         self.listener.close()
--- a/onyxhollow/lifecycle/config.py
+++ b/onyxhollow/lifecycle/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a proxy: the JSON of $LB_CONFIG, checked whole at its start and at each reload."""
+"""The configuration of a proxy: a JSON file, validated as a whole at startup and at each reload."""
 
 from __future__ import annotations
 
@@ -23,90 +23,97 @@
 
 
 class ConfigError(ValueError):
-    """A configuration that can't be used; the text says what is wrong."""
+    """An invalid configuration; the message names the place, what was expected and what was found."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that one configuration file, and the environment beside it, say."""
+    """The values of one configuration file, with the overrides of the environment applied."""
 
     name: str
-    listen: Address  # where clients connect
-    discovery: Address
-    management: Address | None  # where operators call
+    listen: Address  # of the client listener
+    discovery: Address  # of the list service
+    management: Address | None  # of the management API
     seed: int
-    max_sockets: int  # descriptors of this process
+    max_sockets: int  # limit on the descriptors of this process
     memory_bytes: int
-    known: EndpointList  # the endpoints known before discovery was polled
+    known: EndpointList  # the endpoints to use before the first poll of the list service
     settings: Settings
-    connect_timeout: float  # seconds for a connection to an endpoint to come up
+    connect_timeout: float  # seconds to connect to an endpoint
     health_check_timeout: float  # seconds for a health check to be answered
-    clock: RemoteClock = field(default_factory=RemoteClock, compare=False)  # that the known list was read by
-    keys: frozenset[str] = frozenset()  # all that the file names, but the endpoints known
+    clock: RemoteClock = field(default_factory=RemoteClock, compare=False)  # maps the start times in `known`
+    key_paths: frozenset[str] = frozenset()  # of all keys in the file except those within `known`
 
 
-def read_config(path: str, again: bool = False) -> Config:
-    """Reads the file and checks it whole.
+def read_config(path: str, is_reload: bool = False) -> Config:
+    """Read and validate a configuration file.
 
     Args:
         path: Of the JSON file.
-        again: Whether this is a reload: the file says then which list to follow; $LB_DISCOVERY holds only at
-            the start.
+        is_reload: Whether to ignore $LB_DISCOVERY, which overrides the list service of the file only at
+            startup.
 
     Raises:
-        ConfigError: It is missing, not JSON, or something in it can't be used.
+        ConfigError: The file cannot be read, is not JSON, or holds an invalid value.
     """
-    environment = {name: value for name, value in os.environ.items() if not again or name != "LB_DISCOVERY"}
+    environment = {
+        name: value for name, value in os.environ.items() if not is_reload or name != "LB_DISCOVERY"
+    }
     try:
         with open(path, "rb") as file:
             document = orjson.loads(file.read())
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except ValueError as error:
-        raise ConfigError(f"{path}: not JSON: {error}") from None
+        raise ConfigError(f"{path}: expected JSON, got invalid text: {error}") from None
     if not isinstance(document, Mapping):
-        raise ConfigError(f"{path}: not an object")
+        raise ConfigError(f"{path}: expected a JSON object, got {type(document).__name__}")
     try:
-        return decode(document, environment)
+        return decode_config(document, environment)
     except (WireError, EndpointListError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def needs_restart(old: Config, new: Config) -> str:
-    """What was changed and no running proxy can change; empty if there is nothing of that.
+def find_restart_reason(old: Config, new: Config) -> str:
+    """Return why a reload from `old` to `new` needs a restart, or an empty string.
 
-    Seed and known list belong to a start alone.
+    Changes of the seed and of the known list are accepted: only a start uses them.
     """
     for name in ("name", "listen", "management"):
         before = getattr(old, name)
         after = getattr(new, name)
         if before != after:
-            return f"{name}: expected {before!r} until a restart, got {after!r}"
-    missing = sorted(old.keys - new.keys)
+            return f"{name}: expected {before!r} (a change needs a restart), got {after!r}"
+    missing = sorted(old.key_paths - new.key_paths)
     if missing:
-        return f"{missing[0]}: expected, as in the file in force, got nothing"
+        return f"{missing[0]}: expected this key, as in the configuration in use, got nothing"
     return ""
 
 
-def key_paths(document: Mapping[str, Any], within: str = "") -> frozenset[str]:
-    """The paths of all keys of a document.
+def collect_key_paths(document: Mapping[str, Any], prefix: str = "") -> frozenset[str]:
+    """Return the paths of all keys in a document.
 
-    Of a list of objects those that each of them has: listeners come and go, and one that lacks what all
-    others have is half-written.
+    For a list of objects, only keys present in every object count: a reload may add and remove listeners,
+    but a key that disappears from one of them indicates an incomplete file.
     """
-    found: set[str] = set()
+    paths: set[str] = set()
     for name, value in document.items():
-        path = f"{within}{name}"
-        found.add(path)
+        path = f"{prefix}{name}"
+        paths.add(path)
         if isinstance(value, Mapping):
-            found |= key_paths(value, f"{path}.")
+            paths |= collect_key_paths(value, f"{path}.")
         elif isinstance(value, list) and value and all(isinstance(row, Mapping) for row in value):
-            found |= frozenset.intersection(*(key_paths(row, f"{path}[].") for row in value))
-    return frozenset(found)
+            paths |= frozenset.intersection(*(collect_key_paths(row, f"{path}[].") for row in value))
+    return frozenset(paths)
 
 
-def decode(document: Mapping[str, Any], environment: Mapping[str, str]) -> Config:
-    """Reads a parsed file; WireError or EndpointListError for what can't be used."""
+def decode_config(document: Mapping[str, Any], environment: Mapping[str, str]) -> Config:
+    """Decode a parsed configuration file.
+
+    Raises:
+        WireError: A setting is missing or invalid.
+        EndpointListError: An address or the known list is invalid.
+    """
     options = section(document, "settings", needed=True)
     settings, _ = read_settings(options)
     seed = decode_seed(text(document, "seed", "0"))
@@ -127,13 +134,19 @@
         settings=settings,
         connect_timeout=seconds(section(options, "ceilings"), "connectTimeoutNs", 1.0) or 1.0,
         health_check_timeout=min(seconds(row, "handshakeTargetNs") for row in rows(options, "listeners")),
-        keys=key_paths({name: None if name == "known" else value for name, value in document.items()}),
+        key_paths=collect_key_paths(
+            {name: None if name == "known" else value for name, value in document.items()}
+        ),
     )
 
 
 def decode_seed(text: str) -> int:
-    """Reads a hexadecimal seed; WireError for anything else."""
+    """Return the value of a hexadecimal seed.
+
+    Raises:
+        WireError: The text is not a hexadecimal number.
+    """
     try:
         return int(text, 16)
     except ValueError:
-        raise WireError(f"seed: impossible value {text[:40]!r}") from None
+        raise WireError(f"seed: expected a hexadecimal number, got {text[:40]!r}") from None
--- a/onyxhollow/lifecycle/draining.py
+++ b/onyxhollow/lifecycle/draining.py
@@ -1,4 +1,4 @@
-"""Migrates open clients away a few at a time: at an operator's request, and at a stop."""
+"""Gradual migration of open client connections: for an operator's drain and for a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -10,40 +10,50 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_registry import SessionRegistry
 
-STEP = 0.05  # seconds from one group of migrated clients to the next
-DRAIN_TIME = 3.6  # seconds from an operator's request by which all clients have been sent MOVE
-DRAIN_DELAY = 0.4  # seconds from it to the first that is: until then the front may send them back here
-DRAIN_MARGIN = 0.1  # seconds before the end of that time by which all migrations were begun
-CLOSING_TIME = 0.2  # seconds past it for which one that reads nothing stays open
+MIGRATION_INTERVAL_SECONDS = 0.05  # between two batches of migrated connections
+DRAIN_SECONDS = 3.6  # from an operator's request until all clients have been sent MOVE
+DRAIN_DELAY_SECONDS = 0.4  # before the first MOVE: until then the front may route clients back here
+DRAIN_MARGIN_SECONDS = 0.1  # before the end of the drain, by when every migration must have started
+CLOSING_SECONDS = 0.2  # after the drain, for clients that do not read their MOVE
 
 
 class ClientMigrator:
-    """Migrates open connections one after another.
-
-    All at once they would be a mass reconnect for the other proxies.
-    """
+    """Migrates open connections gradually, so that the other proxies see no mass reconnect."""
 
     def __init__(self, context: NetworkContext, sessions: SessionRegistry) -> None:
         self.loop = context.loop
         self.sessions = sessions
 
-    def migrate(self, last: float, wanted: Callable[[], bool]) -> Generator[float, None, None]:
-        """Migrates open connections, spread over the time until `last`, for as long as that is wanted."""
-        due = 0.0
-        while wanted():
+    def migrate(self, deadline: float, should_continue: Callable[[], bool]) -> Generator[float, None, None]:
+        """Spread the migration of open connections over the time until `deadline`.
+
+        Args:
+            deadline: On the loop's clock.
+            should_continue: Called before each batch; migration ends when it returns False.
+        """
+        due_migrations = 0.0
+        while should_continue():
             now = self.loop.now
-            if now >= last:
+            if now >= deadline:
                 break
-            connections = [one for one in self.sessions.table.live if one.is_open and not one.stopping]
-            due += len(connections) * STEP / max(STEP, last - now)
-            due, count = math.modf(due)
+            connections = [
+                connection
+                for connection in self.sessions.table.live
+                if connection.is_open and not connection.stopping
+            ]
+            due_migrations += (
+                len(connections)
+                * MIGRATION_INTERVAL_SECONDS
+                / max(MIGRATION_INTERVAL_SECONDS, deadline - now)
+            )
+            due_migrations, count = math.modf(due_migrations)
             for connection in connections[: int(count)]:
                 connection.stop()
-            yield from self.loop.sleep(STEP)
+            yield from self.loop.sleep(MIGRATION_INTERVAL_SECONDS)
 
 
 class OperatorDrain:
-    """Takes this process out of service and back, at an operator's request."""
+    """Takes this process out of service and puts it back at an operator's request."""
 
     def __init__(
         self,
@@ -58,19 +68,19 @@
         self.sessions = sessions
         self.service = service
         self.migrator = migrator
-        self.drain_count = 0  # requests so far: an earlier drain ends when another one begins
+        self.drain_count = 0  # drains started so far; a new drain ends an earlier one
 
-    def out_of_service(self, _: str) -> Answer:
-        """Begins to drain, unless the process is not in service anyway."""
+    def take_out_of_service(self, _: str) -> Answer:
+        """Start a drain if the process is in service, and answer the operator."""
         if self.service.ready:
             self.drain_count += 1
             self.service.phase = ServicePhase.DRAINING
-            self.log("out of service", live=self.sessions.active_count, within=DRAIN_TIME)
+            self.log("out of service", live=self.sessions.active_count, within=DRAIN_SECONDS)
             self.loop.spawn(self.drain(self.drain_count))
         return 200, b"out of service\n", PLAIN_TEXT
 
-    def in_service(self, _: str) -> Answer:
-        """Calls a drain off, or ends its effect."""
+    def put_in_service(self, _: str) -> Answer:
+        """Cancel a drain or return to service after one, and answer the operator."""
         if self.service.stopping:
             return 503, b"stopping\n", PLAIN_TEXT
         if self.service.is_any(ServicePhase.DRAINING, ServicePhase.OUT_OF_SERVICE):
@@ -79,31 +89,34 @@
         return 200, b"in service\n", PLAIN_TEXT
 
     def drain(self, number: int) -> Generator[float, None, None]:
-        """Migrates clients away until an operator calls that off.
+        """Migrate all clients, unless the drain is cancelled or replaced by another one.
+
+        Sessions that arrive during the drain are served and later migrated. Sessions that arrive after it
+        are rejected.
 
-        Sessions that come meanwhile are served and migrated in their turn; what comes after the time there is
-        for it is rejected.
+        Args:
+            number: The value of `drain_count` for this drain.
         """
         started_at = self.loop.now
-        last = started_at + DRAIN_TIME
+        deadline = started_at + DRAIN_SECONDS
 
-        def wanted() -> bool:
+        def is_current() -> bool:
             return self.service.is_any(ServicePhase.DRAINING) and self.drain_count == number
 
-        yield from self.loop.sleep(DRAIN_DELAY)
-        yield from self.migrator.migrate(last - DRAIN_MARGIN, wanted)
-        yield from self.loop.sleep(last - self.loop.now)
-        if wanted():
+        yield from self.loop.sleep(DRAIN_DELAY_SECONDS)
+        yield from self.migrator.migrate(deadline - DRAIN_MARGIN_SECONDS, is_current)
+        yield from self.loop.sleep(deadline - self.loop.now)
+        if is_current():
             yield from self.complete(started_at)
 
     def complete(self, started_at: float) -> Generator[float, None, None]:
-        """Ends all sessions that are left, and what reads nothing a moment later."""
+        """End the remaining sessions, and shortly after close connections whose clients do not read."""
         self.service.phase = ServicePhase.OUT_OF_SERVICE
-        left = [connection for connection in self.sessions.table.live if connection.request is not None]
-        for connection in left:
+        remaining = [connection for connection in self.sessions.table.live if connection.request is not None]
+        for connection in remaining:
             connection.stop()
-        self.log("sent away", left=len(left), took=round(self.loop.now - started_at, 2))
-        yield from self.loop.sleep(CLOSING_TIME)
+        self.log("sent away", left=len(remaining), took=round(self.loop.now - started_at, 2))
+        yield from self.loop.sleep(CLOSING_SECONDS)
         for closing in list(self.pool.closing.values()):
-            if closing.since < self.loop.now - CLOSING_TIME / 2:  # was sent MOVE, reads nothing
+            if closing.since < self.loop.now - CLOSING_SECONDS / 2:  # was sent MOVE and has not read it
                 closing.close()
--- a/onyxhollow/lifecycle/first_list.py
+++ b/onyxhollow/lifecycle/first_list.py
@@ -1,4 +1,4 @@
-"""Waits of a process that has just started for its first endpoint list."""
+"""The wait of a new process for its first endpoint list."""
 
 from __future__ import annotations
 
@@ -9,39 +9,39 @@
 from onyxhollow.loop import Loop, Task
 from onyxhollow.service_state import ServicePhase, ServiceState
 
-TIMEOUT = 0.5  # seconds for which the list is waited for at the start where it is pushed
+FIRST_LIST_TIMEOUT_SECONDS = 0.5  # wait before accepting clients when the list is pushed
 
 
 class FirstList:
-    """Whether the discovery service has answered this process yet."""
+    """Tracks whether the list service has answered this process."""
 
     def __init__(self) -> None:
-        self.answered = False  # the first poll has been answered, or has failed
-        self.received = False  # a list has come
-        self.starter: Task | None = None  # woken at each answer
-        self.follower: Task | None = None  # woken by the first list
+        self.is_answered = False  # the first poll has been answered or has failed
+        self.is_received = False  # a poll has returned a list
+        self.accepting_task: Task | None = None  # woken by each answer
+        self.replacement_task: Task | None = None  # woken by the first list
 
     def on_update(self, kind: EndpointListKind) -> None:
-        """Notes an answer, and wakes who waits for it."""
-        self.answered = True
-        if self.starter is not None:
-            self.starter.wake()
-        if not self.received and kind is not EndpointListKind.FAILED:
-            self.received = True
-            if self.follower is not None:
-                self.follower.wake()
+        """Record an answer of the list service and wake the tasks that wait for it."""
+        self.is_answered = True
+        if self.accepting_task is not None:
+            self.accepting_task.wake()
+        if not self.is_received and kind is not EndpointListKind.FAILED:
+            self.is_received = True
+            if self.replacement_task is not None:
+                self.replacement_task.wake()
 
     def begin_service(
         self, loop: Loop, service: ServiceState, acceptor: ClientAcceptor
     ) -> Generator[float, None, None]:
-        """Begins to accept once the list service has answered or failed, or has not in time.
+        """Start accepting once the first poll has been answered, has failed or has timed out.
 
-        Where the list is pushed, what its service has counts as notified from this process's start on. The
-        list from the file may name endpoints that drain since, and no client is placed by it.
+        Used when the list is pushed. This process then counts as notified of every change from its start on.
+        Endpoints of the configured list may be draining by now, so it must not place clients by that list.
         """
-        until = loop.now + TIMEOUT
-        while not self.answered and loop.now < until:
-            yield until
+        deadline = loop.now + FIRST_LIST_TIMEOUT_SECONDS
+        while not self.is_answered and loop.now < deadline:
+            yield deadline
         if service.is_any(ServicePhase.STARTING):
             service.phase = ServicePhase.IN_SERVICE
             acceptor.update()
--- a/onyxhollow/lifecycle/handover.py
+++ b/onyxhollow/lifecycle/handover.py
@@ -1,10 +1,9 @@
-"""Two processes of one proxy: who serves, who follows, and what they say to each other, by files in $TMPDIR.
+"""Coordination between the serving process of a proxy and its successor, by files in $TMPDIR.
 
-The process that serves writes down what it knows when a successor says that it starts: JSON lines under a
-header.
-
-`serving` and `successor` are locked by the process that has that role; the system releases a lock when its
-holder dies, however it does. What a process says stands in the file that it has locked.
+Each role has a file, `onyxhollow-serving` and `onyxhollow-successor`, locked by the process in that role. The
+system releases the lock when the process ends, however it ends. The successor announces its state in the file
+that it has locked. When it announces that it starts, the serving process writes its own state for it to
+`onyxhollow-state`: a header and one record per endpoint, as JSON lines.
 """
 
 from __future__ import annotations
@@ -21,45 +20,57 @@
 
 from onyxhollow.wire.listening import ListenError
 
-VERSION = 2  # of what stands in the files; that of another version is not read
-STARTING = "starting"  # what a successor says
+FORMAT_VERSION = 2  # of the files; files of another version are ignored
+# The states that a successor announces.
+STARTING = "starting"
 TAKING = "taking"
 STOPPING = "stopping"
-MAX_STATE_SIZE = 4 * 1024 * 1024  # bytes of what one process writes for another
-MAX_ANNOUNCEMENT_SIZE = 1024  # bytes
-LOCK_TIMEOUT = 1.0  # seconds in which the successor's lock comes free, if its holder has just begun to serve
-LOCK_RETRY_INTERVAL = 0.01  # seconds
-MAX_STATE_AGE = 10.0  # seconds after which what was written is too old
-CLOCK_TOLERANCE = 1.0  # seconds by which what was written may seem to be of the future
+MAX_STATE_BYTES = 4 * 1024 * 1024
+MAX_ANNOUNCEMENT_BYTES = 1024
+# A successor that has just become the serving process releases the successor lock within this time.
+LOCK_TIMEOUT_SECONDS = 1.0
+LOCK_RETRY_INTERVAL_SECONDS = 0.01
+MAX_STATE_AGE_SECONDS = 10.0
+CLOCK_TOLERANCE_SECONDS = 1.0  # by which the time of a state file may lie in the future
 
 
 def open_inherited_socket(text: str) -> socket.socket:
-    """The clients' listening socket that the platform keeps open; ListenError if the descriptor is none.
+    """Return the client listening socket that the platform passes by descriptor number.
+
+    The processes of a proxy share this socket and its options.
 
-    Two processes share it, and its settings.
+    Raises:
+        ListenError: The text is not the descriptor of a listening socket.
     """
     try:
-        sock = listening_socket(int(text))
+        sock = open_listening_socket(int(text))
     except (ValueError, OSError) as error:
-        why = error.strerror if isinstance(error, OSError) else str(error)
-        raise ListenError(f"$LB_LISTEN_FD: expected a listening socket, got {text[:40]!r}: {why}") from None
+        reason = error.strerror if isinstance(error, OSError) else str(error)
+        raise ListenError(
+            f"$LB_LISTEN_FD: expected a listening socket, got {text[:40]!r}: {reason}"
+        ) from None
     sock.setblocking(False)
     return sock
 
 
-def listening_socket(descriptor: int) -> socket.socket:
-    """The socket of a descriptor; ValueError or OSError if it is not one that listens."""
+def open_listening_socket(descriptor: int) -> socket.socket:
+    """Return the socket of a descriptor.
+
+    Raises:
+        ValueError: The descriptor is not a listening socket.
+        OSError: The descriptor is not open.
+    """
     if not stat.S_ISSOCK(os.fstat(descriptor).st_mode):
-        raise ValueError("no socket")
+        raise ValueError("not a socket")
     sock = socket.socket(fileno=descriptor)
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         sock.detach()
-        raise ValueError("not listening")
+        raise ValueError("not a listening socket")
     return sock
 
 
 def try_lock(path: str) -> int | None:
-    """The descriptor of the file with its lock, or None while another process has that."""
+    """Lock a file; return its descriptor, or None if another process holds the lock."""
     fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
     try:
         fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -70,114 +81,147 @@
 
 
 class StateError(Exception):
-    """What another process wrote down can't be used; the text says why."""
+    """A state file that cannot be used; the message says why."""
 
 
-def encode_state(token: str, at: float, common: dict[str, Any], records: list[dict[str, Any]]) -> bytes:
-    """The lines of a state file.
+def encode_state(
+    token: str, written_at: float, common: dict[str, Any], records: list[dict[str, Any]]
+) -> bytes:
+    """Return the content of a state file.
 
     Args:
-        token: Of the process that it is written for.
-        at: On the machine's monotonic clock, which both processes read; the wall clock may be stepped.
-        common: What is known once.
-        records: What is known of each endpoint.
+        token: Of the successor that the file is written for.
+        written_at: On the machine's monotonic clock, which both processes share; the wall clock may be
+            stepped.
+        common: State that does not belong to a single endpoint.
+        records: State of each endpoint.
     """
-    header = {"version": VERSION, "token": token, "at": at, "records": len(records), "common": common}
+    header = {
+        "version": FORMAT_VERSION,
+        "token": token,
+        "at": written_at,
+        "records": len(records),
+        "common": common,
+    }
     return b"".join(orjson.dumps(row, option=orjson.OPT_APPEND_NEWLINE) for row in (header, *records))
 
 
 def decode_state(text: bytes, token: str, now: float) -> tuple[dict[str, Any], list[dict[str, Any]]]:
-    """What is known once and of each endpoint; StateError if any of the file can't be used."""
-    if len(text) > MAX_STATE_SIZE:
-        raise StateError(f"over {MAX_STATE_SIZE} bytes")
-    *lines, rest = text.split(b"\n")
+    """Return the common state and the endpoint records of a state file.
+
+    Raises:
+        StateError: Any part of the file is invalid, or the file is not meant for this process.
+    """
+    if len(text) > MAX_STATE_BYTES:
+        raise StateError(f"state file: expected at most {MAX_STATE_BYTES} bytes, got more")
+    *lines, trailing_text = text.split(b"\n")
     try:
         header, *records = [orjson.loads(line) for line in lines]
         check_header(header, token, now)
-        if rest or header["records"] != len(records):
-            raise StateError(f"{len(records)} records, expected {header['records']!r:.20}")
+        if trailing_text or header["records"] != len(records):
+            raise StateError(
+                f"state file: expected {header['records']!r:.20} complete records, got {len(records)}"
+            )
         return header["common"], records
     except (ValueError, KeyError, TypeError) as error:
-        raise StateError(f"cut off or not ours: {error!r:.80}") from None
+        raise StateError(f"state file: expected complete JSON lines, got {error!r:.80}") from None
 
 
 def check_header(header: Any, token: str, now: float) -> None:
-    """StateError if the file is of another version, for another process, or too old."""
-    if header["version"] != VERSION:
-        raise StateError(f"version {header['version']!r:.20}, expected {VERSION}")
+    """Check version, recipient and age of a state file.
+
+    Raises:
+        StateError: One of them does not fit.
+    """
+    if header["version"] != FORMAT_VERSION:
+        raise StateError(f"state file: version: expected {FORMAT_VERSION}, got {header['version']!r:.20}")
     if header["token"] != token:
-        raise StateError("written for another process")
+        raise StateError(f"state file: token: expected {token!r}, got {header['token']!r:.60}")
     age = now - header["at"]
-    if not -CLOCK_TOLERANCE <= age <= MAX_STATE_AGE:
-        raise StateError(f"{age:.0f} s old")
+    if not -CLOCK_TOLERANCE_SECONDS <= age <= MAX_STATE_AGE_SECONDS:
+        raise StateError(
+            f"state file: age: expected {-CLOCK_TOLERANCE_SECONDS:g} to {MAX_STATE_AGE_SECONDS:g} s, "
+            f"got {age:.0f} s"
+        )
 
 
 class Handover:
-    """The role of one process. OSError from the constructor: the files can't be used, and none has a role."""
+    """The role of one process: serving, successor or none.
+
+    The constructor raises OSError if the files cannot be opened or locked.
+    """
 
     def __init__(self, folder: str) -> None:
         self.serving_path = os.path.join(folder, "onyxhollow-serving")
         self.successor_path = os.path.join(folder, "onyxhollow-successor")
         self.state_path = os.path.join(folder, "onyxhollow-state")
         self.token = f"{os.getpid()}-{time.monotonic_ns()}"
-        self.handoff_path = os.path.join(
-            folder, f"onyxhollow-{self.token}"
-        )  # of the socket for open connections
-        self.written_for = ""  # the token of the successor that the state was written for
-        self.serving: int | None = None  # descriptors of the locked files
-        self.successor: int | None = None
-        until = time.monotonic() + LOCK_TIMEOUT
-        # The successor's lock first: nobody then begins to serve between the two attempts.
-        while (descriptor := try_lock(self.successor_path)) is None and time.monotonic() < until:
-            time.sleep(LOCK_RETRY_INTERVAL)
-        self.successor = descriptor
-        self.has_no_role = self.successor is None  # two others are there: this one follows nobody
+        # Of the socket that receives open connections.
+        self.handoff_path = os.path.join(folder, f"onyxhollow-{self.token}")
+        self.state_recipient = ""  # token of the successor that the last state file was written for
+        self.serving_lock: int | None = None  # descriptors of the locked files
+        self.successor_lock: int | None = None
+        deadline = time.monotonic() + LOCK_TIMEOUT_SECONDS
+        # The successor lock comes first, so that no other process can start serving between the two attempts.
+        while (descriptor := try_lock(self.successor_path)) is None and time.monotonic() < deadline:
+            time.sleep(LOCK_RETRY_INTERVAL_SECONDS)
+        self.successor_lock = descriptor
+        self.has_no_role = self.successor_lock is None  # two other processes have the roles
         if not self.take_over():
             self.announce(STARTING)
 
     def take_over(self) -> bool:
-        """Whether this process is the one that serves, now that the one before it may have ended."""
-        if self.serving is None and self.successor is not None:
+        """Try to become the serving process; return whether this process is the serving one."""
+        if self.serving_lock is None and self.successor_lock is not None:
             descriptor = try_lock(self.serving_path)
             if descriptor is not None:
-                self.serving = descriptor
-                os.ftruncate(self.successor, 0)
-                os.close(self.successor)
-                self.successor = None
-        return self.serving is not None
+                self.serving_lock = descriptor
+                os.ftruncate(self.successor_lock, 0)
+                os.close(self.successor_lock)
+                self.successor_lock = None
+        return self.serving_lock is not None
 
     @property
-    def follows(self) -> bool:
-        """Whether this process is the successor of one that serves."""
-        return self.successor is not None
+    def is_successor(self) -> bool:
+        """Whether this process is the successor of a serving process."""
+        return self.successor_lock is not None
 
     def announce(self, state: str, path: str = "") -> None:
-        """Says as the successor what it does; `path` is where open connections may be handed off to."""
-        if self.successor is None:
+        """Announce the state of this process if it is the successor.
+
+        Args:
+            state: `STARTING`, `TAKING` or `STOPPING`.
+            path: Of the socket that receives open connections, if there is one.
+        """
+        if self.successor_lock is None:
             return
-        text = orjson.dumps({"version": VERSION, "token": self.token, "state": state, "path": path})
-        os.ftruncate(self.successor, 0)
-        os.pwrite(self.successor, text, 0)
+        text = orjson.dumps({"version": FORMAT_VERSION, "token": self.token, "state": state, "path": path})
+        os.ftruncate(self.successor_lock, 0)
+        os.pwrite(self.successor_lock, text, 0)
 
-    def successor_announcement(self) -> dict[str, Any]:
-        """What a living successor says; nothing if there is none, or if this process does not serve."""
-        if self.serving is None:
+    def read_successor_announcement(self) -> dict[str, Any]:
+        """Return the successor's announcement; empty if there is none or this process does not serve."""
+        if self.serving_lock is None:
             return {}
         with contextlib.suppress(OSError, ValueError):
             fd = os.open(self.successor_path, os.O_RDONLY | os.O_CLOEXEC)
             try:
-                fcntl.flock(fd, fcntl.LOCK_SH | fcntl.LOCK_NB)  # it has no holder if that succeeds
+                fcntl.flock(fd, fcntl.LOCK_SH | fcntl.LOCK_NB)  # succeeds only if there is no successor
             except BlockingIOError:
-                announcement = orjson.loads(os.pread(fd, MAX_ANNOUNCEMENT_SIZE, 0))
-                is_ours = isinstance(announcement, dict) and announcement.get("version") == VERSION
-                return announcement if is_ours else {}
+                announcement = orjson.loads(os.pread(fd, MAX_ANNOUNCEMENT_BYTES, 0))
+                is_valid = isinstance(announcement, dict) and announcement.get("version") == FORMAT_VERSION
+                return announcement if is_valid else {}
             finally:
                 os.close(fd)
         return {}
 
     def write_state(self, token: str, common: dict[str, Any], records: list[dict[str, Any]]) -> None:
-        """Writes the state file, once for each successor; OSError if it can't be written."""
-        self.written_for = token
+        """Write the state file for the successor with this token.
+
+        Raises:
+            OSError: The file cannot be written.
+        """
+        self.state_recipient = token
         temporary_path = f"{self.state_path}-{os.getpid()}"
         try:
             with open(temporary_path, "wb") as file:
@@ -189,10 +233,14 @@
             raise
 
     def read_state(self) -> tuple[dict[str, Any], list[dict[str, Any]]]:
-        """What the process before this one has written for it; StateError if it can't be used."""
+        """Return the common state and the endpoint records that the predecessor has written.
+
+        Raises:
+            StateError: The state file is missing or cannot be used.
+        """
         try:
             with open(self.state_path, "rb") as file:
-                text = file.read(MAX_STATE_SIZE + 1)
+                text = file.read(MAX_STATE_BYTES + 1)
         except OSError as error:
-            raise StateError(str(error.strerror)) from None
+            raise StateError(f"{self.state_path}: {error.strerror}") from None
         return decode_state(text, self.token, time.monotonic())
--- a/onyxhollow/lifecycle/limits.py
+++ b/onyxhollow/lifecycle/limits.py
@@ -1,6 +1,6 @@
-"""What each part of the process may use of the limits that the configuration gives.
+"""Division of the configured limits among the parts of the process.
 
-The parts get shares: fixed sizes that suit a thousand descriptors would leave nothing of few.
+Each part gets a share of the limit. Fixed sizes that suit a thousand descriptors would use up a small limit.
 """
 
 from __future__ import annotations
@@ -10,54 +10,53 @@
 
 from onyxhollow.lifecycle.config import Config
 
-OWN_DESCRIPTORS = 12  # that are no connections: the loop's, the listener, standard ones, signals, the file
-MAX_STOP_TIME = 3.0  # seconds from SIGTERM to SIGKILL, as far as the longest attempt timeout counts ...
-STOP_TIME_MORE = 0.7  # ... and these more
-STOP_MARGIN_SECONDS = 0.6  # seconds before SIGKILL by which all clients have been sent MOVE
-MANAGEMENT_CONNECTIONS = (8, 64)  # at least and at most: a sixteenth of the descriptors
-MANAGEMENT_DESCRIPTORS = 2  # of the management address besides: its listener and its poll
+OWN_DESCRIPTORS = 12  # other than connections: loop, listener, standard streams, signals, configuration file
+# From SIGTERM to SIGKILL: the longest attempt timeout, up to this maximum, plus the extra time.
+MAX_STOP_SECONDS = 3.0
+EXTRA_STOP_SECONDS = 0.7
+STOP_MARGIN_SECONDS = 0.6  # before SIGKILL, by when all clients must have been sent MOVE
+MANAGEMENT_CONNECTION_RANGE = (8, 64)  # minimum and maximum of a sixteenth of the descriptors
+MANAGEMENT_DESCRIPTORS = 2  # of the management API in addition: its listener and its epoll descriptor
 MAX_HEALTH_CHECK_CONNECTIONS = 64
-HIGH_WATER_MARK = (4096, 32768)  # bytes, at least and at most
+HIGH_WATER_MARK_RANGE_BYTES = (4096, 32768)  # minimum and maximum
 
 
 class Limits(NamedTuple):
-    """What the parts of the process may use."""
+    """Limits of the parts of the process."""
 
-    stop_time: float  # seconds that a stop takes at most
-    accepted_connections: (
-        int  # past them accepting pauses: the last are for attempts, health checks and the list
-    )
-    client_connections: int  # past them room is made among the clients
+    stop_time: float  # maximum duration of a graceful shutdown, seconds
+    accepted_connections: int  # accepting pauses above it; the rest serves attempts, health checks, the list
+    client_connections: int  # idle client connections are closed above it
     management_connections: int
-    health_check_connections: int  # cached ones
-    high_water_mark: int  # unsent bytes of one side of a session past which the other is not read on
+    health_check_connections: int  # cached connections of health checks
+    high_water_mark: int  # unsent bytes to one side of a session above which the other side is not read
 
 
-def shares_of(config: Config, has_management: bool) -> Limits:
-    """Divides what the configuration and the system allow.
+def compute_limits(config: Config, has_management: bool) -> Limits:
+    """Divide the limits of the configuration and the system among the parts of the process.
 
-    Operators are answered when sessions have used up all the rest: their descriptors are set aside first.
+    Descriptors of the management API are set aside first, so that it works when sessions use up all others.
     """
-    longest = max(row.attempt_timeout for row in config.settings.listeners.values())
+    longest_timeout = max(listener.attempt_timeout for listener in config.settings.listeners.values())
     descriptors = min(config.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - OWN_DESCRIPTORS
     management = 0
     if has_management:
-        least, most = MANAGEMENT_CONNECTIONS
-        management = max(least, min(most, descriptors // 16))
+        lowest, highest = MANAGEMENT_CONNECTION_RANGE
+        management = max(lowest, min(highest, descriptors // 16))
         descriptors -= management + MANAGEMENT_DESCRIPTORS
-    least, most = HIGH_WATER_MARK
+    lowest, highest = HIGH_WATER_MARK_RANGE_BYTES
     return Limits(
-        stop_time=min(MAX_STOP_TIME, longest) + STOP_TIME_MORE - STOP_MARGIN_SECONDS,
+        stop_time=min(MAX_STOP_SECONDS, longest_timeout) + EXTRA_STOP_SECONDS - STOP_MARGIN_SECONDS,
         accepted_connections=descriptors - descriptors // 16,
         client_connections=descriptors - descriptors // 8,
         management_connections=management,
         health_check_connections=min(MAX_HEALTH_CHECK_CONNECTIONS, descriptors // 8),
-        high_water_mark=max(least, min(most, config.memory_bytes // 8 // descriptors)),
+        high_water_mark=max(lowest, min(highest, config.memory_bytes // 8 // descriptors)),
     )
 
 
 def raise_descriptor_limit() -> None:
-    """Takes as many descriptors as the system allows this process."""
+    """Raise the soft limit on descriptors of this process to the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
--- a/onyxhollow/lifecycle/operator_pages.py
+++ b/onyxhollow/lifecycle/operator_pages.py
@@ -1,4 +1,4 @@
-"""What operators fetch from this process: whether it takes clients, and its metrics."""
+"""Read-only pages of the management API: readiness and metrics."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class OperatorPages:
-    """Answers of the management address that change nothing."""
+    """Handlers of the management API that only read."""
 
     def __init__(
         self,
@@ -25,24 +25,24 @@
         self.sessions = sessions
         self.decisions = decisions
 
-    def ready(self, _: str) -> Answer:
-        """200 while this process takes clients, else 503 with its phase."""
+    def get_ready(self, _: str) -> Answer:
+        """Return 200 if operators may send clients here, otherwise 503 with the service phase."""
         if not self.service.ready:
             return 503, f"{self.service.phase.value}\n".encode(), PLAIN_TEXT
         return 200, b"ready\n", PLAIN_TEXT
 
-    def metrics(self, _: str) -> Answer:
-        """All metrics in the Prometheus text format."""
+    def get_metrics(self, _: str) -> Answer:
+        """Return all metrics in the Prometheus text format."""
         counts = self.counters.counts
         listed, down = self.decisions.count_avoided()
-        refused = counts["reloads refused"]
+        refused_reloads = counts["reloads refused"]
         values = (
             ("backend_calls_total", counts["dials written whole"]),
             ("inflight", self.sessions.active_count),
             ("hosts_listed", listed),
             ("hosts_down", down),
-            ("reconfig_ok_total", counts["reloads"] - refused),
-            ("reconfig_failed_total", refused),
+            ("reconfig_ok_total", counts["reloads"] - refused_reloads),
+            ("reconfig_failed_total", refused_reloads),
         )
         ends = self.counters.ends
         by_tier = (
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy: puts its parts together and runs the loop."""
+"""Assembly of one proxy from its parts, and its event loop."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from onyxhollow.lifecycle.draining import ClientMigrator, OperatorDrain
 from onyxhollow.lifecycle.first_list import FirstList
 from onyxhollow.lifecycle.handover import Handover
-from onyxhollow.lifecycle.limits import shares_of
+from onyxhollow.lifecycle.limits import compute_limits
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.lifecycle.operator_pages import OperatorPages
 from onyxhollow.lifecycle.reloading import BYTES_PER_MEBIBYTE, ConfigReloader
@@ -36,31 +36,34 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_registry import SessionRegistry, SessionSettings
 
-TIMER_RETRY = 0.05  # seconds to the decisions' next timer after one that failed
-MAX_LOGGED_TRACE = 2000  # characters
+TIMER_RETRY_SECONDS = 0.05  # until the next call after a failure in the decisions' timer
+MAX_LOGGED_TRACE_CHARACTERS = 2000
 
 Routes = dict[str, Mapping[str, Callable[[str], Answer]]]  # by path and method
 
 
 class ProxyExtension(Protocol):
-    """Something beside the sessions that this process carries: notified of what it may need to know."""
+    """A further service in this process, for example a fleet member, that runs on the proxy's event loop."""
 
     def on_endpoint_list(self, kind: EndpointListKind, endpoints: list[Endpoint]) -> None:
-        """The endpoint list has changed, or its service has failed."""
+        """Handle a change of the endpoint list or a failure of the list service."""
 
     def close(self) -> None:
-        """The process ends now."""
+        """Release all resources: the process ends."""
 
 
 class Proxy:
-    """Owns all parts of one proxy. ListenError from the constructor: an address is not free."""
+    """Owns all parts of one proxy.
+
+    The constructor raises ListenError if an address cannot be listened on.
+    """
 
     def __init__(
         self,
         config: Config,
         log_descriptor: int,
         reread_config: Callable[[], Config],
-        given: socket.socket | None = None,
+        inherited_listener: socket.socket | None = None,
         handover: Handover | None = None,
     ) -> None:
         self.counters = Counters()
@@ -72,10 +75,10 @@
         self.extensions: list[ProxyExtension] = []
         self.first_list = FirstList()
         settings = config.settings
-        follows = handover is not None and handover.follows
-        must_wait = follows or not settings.list_is_polled
+        is_successor = handover is not None and handover.is_successor
+        must_wait = is_successor or not settings.list_is_polled
         self.service = ServiceState(ServicePhase.STARTING if must_wait else ServicePhase.IN_SERVICE)
-        self.listener = given or listen_socket(config.listen, "listen")
+        self.listener = inherited_listener or listen_socket(config.listen, "listen")
         for name, address in config.known.addresses.items():
             self.addresses.store(name, address)
         context = NetworkContext(self.loop, self.pool, self.counters, self.addresses, self.log.event)
@@ -87,7 +90,7 @@
             version=config.known.version,
             on_update=self.on_endpoint_list,
             rng=Random(config.seed),
-            answer_at_once=follows,
+            answer_at_once=is_successor,
         )
         self.health_checker = HealthChecker(
             context, settings.load_field, config.health_check_timeout, on_result=self.on_health_check
@@ -133,10 +136,10 @@
         if config.management is not None:
             self.management = Management(self.loop, config.management, self.counters, self.routes)
         self.apply_limits(config)
-        self.start_coroutines(must_wait and not follows)
+        self.start_coroutines(must_wait and not is_successor)
 
     def make_replacement(self, context: NetworkContext, handover: Handover | None) -> Replacement | None:
-        """This process's part in a replacement, where the platform gave it a listening socket."""
+        """Return the replacement coordinator, or None if there is no shared listening socket."""
         if handover is None:
             return None
         return Replacement(
@@ -151,34 +154,40 @@
         )
 
     def make_routes(self) -> Routes:
-        """The paths of the management address; further parts add theirs."""
+        """Return the routes of the management API; extensions add theirs later."""
         pages = OperatorPages(self.counters, self.service, self.sessions, self.decisions)
         return {
-            "/control/ready": {"GET": pages.ready},
-            "/control/counters": {"GET": pages.metrics},
-            "/control/out-of-service": {"POST": self.drain.out_of_service},
-            "/control/in-service": {"POST": self.drain.in_service},
+            "/control/ready": {"GET": pages.get_ready},
+            "/control/counters": {"GET": pages.get_metrics},
+            "/control/out-of-service": {"POST": self.drain.take_out_of_service},
+            "/control/in-service": {"POST": self.drain.put_in_service},
         }
 
     def start_coroutines(self, waits_for_list: bool) -> None:
-        """Begins to accept if the service state says so, and to wait for what must come first if not."""
+        """Start the coroutines of the proxy, and accept clients if the service state allows it.
+
+        Args:
+            waits_for_list: Whether to accept clients only after the first answer of the list service.
+        """
         self.loop.spawn(self.run_timer())
         self.acceptor.update()
         if self.replacement is not None:
-            self.first_list.follower = self.loop.spawn(self.replacement.run(lambda: self.config.discovery))
+            self.first_list.replacement_task = self.loop.spawn(
+                self.replacement.run(lambda: self.config.discovery)
+            )
         if waits_for_list:
-            self.first_list.starter = self.loop.spawn(
+            self.first_list.accepting_task = self.loop.spawn(
                 self.first_list.begin_service(self.loop, self.service, self.acceptor)
             )
 
     @property
     def config(self) -> Config:
-        """The configuration in force."""
+        """The configuration in use."""
         return self.reloader.config
 
     def apply_limits(self, config: Config) -> None:
-        """Divides what the configuration allows among the parts."""
-        limits = shares_of(config, self.management is not None)
+        """Apply the limits of a configuration to the parts of the proxy."""
+        limits = compute_limits(config, self.management is not None)
         if self.management is not None:
             self.management.max_connections = limits.management_connections
         self.shutdown.stop_time = limits.stop_time
@@ -187,49 +196,65 @@
         self.health_checker.max_connections = limits.health_check_connections
         self.pool.high_water_mark = limits.high_water_mark
 
-    # called by the network code
+    # callbacks of the network code
 
     def on_endpoint_list(self, kind: EndpointListKind, endpoints: list[Endpoint]) -> None:
-        """The watch has an update of the endpoint list, or has failed."""
+        """Apply an update or a failure of the endpoint list watch."""
         self.first_list.on_update(kind)
         try:
             self.decisions.report_list(kind, endpoints)
             for extension in self.extensions:
                 extension.on_endpoint_list(kind, endpoints)
-        except Exception as error:  # noqa: BLE001 -- the list must go on being followed
+        except Exception as error:  # noqa: BLE001 -- a failure here must not end the list watch
             self.report_failure("list", error)
 
     def on_health_check(
         self, endpoint: str, outcome: AttemptOutcome, duration: float, load: float | None
     ) -> None:
-        """A health check has a result; the duration is in seconds."""
+        """Log the result of a health check and report it to the decisions.
+
+        Args:
+            endpoint: The endpoint's name.
+            outcome: How the check ended.
+            duration: In seconds.
+            load: The load reported by the endpoint, if any.
+        """
         self.log.event("probe", server=endpoint, end=outcome.value, took=round(duration, 4), load=load)
         self.decisions.report_health_check(endpoint, outcome, duration, load)
 
     def run_timer(self) -> Generator[float, None, None]:
-        """The decisions' one timer. A failure in it is logged, and the timer goes on."""
+        """Call the decisions whenever their timer is due; a failure is logged and the timer continues."""
         while True:
             while self.loop.now < self.decisions.due:
                 yield self.decisions.due
             try:
                 self.decisions.tick()
-            except Exception as error:  # noqa: BLE001 -- without its timer the proxy would decide nothing more
+            except Exception as error:  # noqa: BLE001 -- the proxy needs its timer for all later decisions
                 self.report_failure("tick", error)
-                self.decisions.due = self.loop.now + TIMER_RETRY
+                self.decisions.due = self.loop.now + TIMER_RETRY_SECONDS
+
+    def report_failure(self, place: str, error: BaseException) -> None:
+        """Count and log an unexpected exception.
 
-    def report_failure(self, where: str, error: BaseException) -> None:
-        """Counts and logs a failure of this program that was caught at the loop's edge."""
+        Args:
+            place: Where it was caught.
+            error: The exception.
+        """
         self.counters.add("failures")
         trace = "".join(traceback.format_exception(error))
-        self.log.event("failure", where=where, error=repr(error), trace=trace[-MAX_LOGGED_TRACE:])
+        self.log.event("failure", where=place, error=repr(error), trace=trace[-MAX_LOGGED_TRACE_CHARACTERS:])
 
-    # the process
+    # process lifecycle
 
     def run(self, signals: SignalQueue) -> None:
-        """Serves until a signal ends it."""
+        """Run the event loop until a shutdown is complete.
+
+        Args:
+            signals: The signals of this process: SIGUSR1 logs the counters, SIGHUP reloads, others shut down.
+        """
 
         def on_signals(_: int) -> None:
-            for number in signals.received():  # several SIGHUPs in a row are one reload
+            for number in signals.read_pending():  # several pending SIGHUPs cause one reload
                 if number == signal.SIGUSR1:
                     self.log_counters()
                 elif number == signal.SIGHUP:
@@ -251,7 +276,7 @@
         self.log_counters()
 
     def log_counters(self) -> None:
-        """Logs all counters, and the gauges beside them."""
+        """Log all counters and gauges."""
         gauges = {
             "live": len(self.sessions.table),
             "connections": self.pool.open_connections,
@@ -260,6 +285,6 @@
         self.log.event("counters", **self.counters.snapshot(), **gauges)
 
     def close_extensions(self) -> None:
-        """Ends the further parts, at the end of a stop."""
+        """Close the extensions at the end of a shutdown."""
         for extension in self.extensions:
             extension.close()
--- a/onyxhollow/lifecycle/reloading.py
+++ b/onyxhollow/lifecycle/reloading.py
@@ -1,22 +1,22 @@
-"""SIGHUP: the configuration is read again, checked whole, and applied in one step or not at all."""
+"""Reload of the configuration on SIGHUP: validated as a whole, then applied in one step or not at all."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from onyxhollow.decision_adapter import DecisionAdapter
-from onyxhollow.lifecycle.config import Config, ConfigError, needs_restart
+from onyxhollow.lifecycle.config import Config, ConfigError, find_restart_reason
 from onyxhollow.wire.endpoint_list_watch import EndpointListWatch, WatchConfig
 from onyxhollow.wire.health_checks import HealthChecker
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_registry import SessionRegistry, SessionSettings
 
-MAX_LOGGED_REASON = 200  # characters
+MAX_LOGGED_REASON_CHARACTERS = 200
 BYTES_PER_MEBIBYTE = 1 << 20
 
 
 class ConfigReloader:
-    """Holds the configuration in force, and replaces it."""
+    """Holds the configuration in use and replaces it on a reload."""
 
     def __init__(
         self,
@@ -40,14 +40,17 @@
         self.decisions = decisions
 
     def reload(self) -> None:
-        """Reads the file again. Sessions go on, also during a stop, for which new ones are still placed."""
+        """Read the configuration again and apply it, or keep the old one if the new one is invalid.
+
+        Sessions continue. A reload also works during a shutdown, which still places new sessions.
+        """
         self.counters.add("reloads")
         try:
             config = self.reread_config()
-            self.check_running(config)
-        except ConfigError as error:  # missing, half-written, bad: the old one stays in force
+            self.check_applicable(config)
+        except ConfigError as error:  # missing, incomplete or invalid: the old one stays in use
             self.counters.add("reloads refused")
-            self.log("reload refused", why=str(error)[:MAX_LOGGED_REASON])
+            self.log("reload refused", why=str(error)[:MAX_LOGGED_REASON_CHARACTERS])
             return
         changed = config.settings != self.config.settings
         self.log(
@@ -64,17 +67,21 @@
             self.apply_settings(config)
         self.discovery.switch_to(config.discovery, resync=changed)
 
-    def check_running(self, config: Config) -> None:
-        """ConfigError if the file changes what no running proxy can change."""
-        reason = needs_restart(self.config, config)
+    def check_applicable(self, config: Config) -> None:
+        """Check that a running proxy can apply a configuration.
+
+        Raises:
+            ConfigError: A change needs a restart.
+        """
+        reason = find_restart_reason(self.config, config)
         if reason:
             raise ConfigError(reason)
 
     def apply_settings(self, config: Config) -> None:
-        """Applies other settings, between two turns of the loop: no session sees half of them.
+        """Apply changed settings between two turns of the loop, so that no session sees a mixture.
 
-        Sessions taken before keep their listener's terms and their attempts. The list is asked for whole: its
-        weights may mean another thing now.
+        Sessions in flight keep their listener's settings and their maximum number of attempts. The caller
+        polls for a full snapshot of the list, since its weights may now have another meaning.
         """
         settings = config.settings
         self.sessions.apply_settings(SessionSettings.of(settings, config.connect_timeout))
--- a/onyxhollow/lifecycle/replacement.py
+++ b/onyxhollow/lifecycle/replacement.py
@@ -1,4 +1,4 @@
-"""The replacement of one process by another: state and clients go to the successor."""
+"""Replacement of one process by another: state, new clients and open connections go to the successor."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_registry import SessionRegistry
 
-LIST_TIMEOUT_SECONDS = 2.0  # seconds for which a successor waits for the list before it takes clients without
-STATE_TIMEOUT_SECONDS = 0.5  # seconds for which it waits for what the one before it knows
-STATE_POLL_INTERVAL = 0.02  # seconds between checks whether that is there
-POLL_INTERVAL = 0.1  # seconds between checks what the other process of this proxy does
-HANDOFF_STEP = 0.005  # seconds from one group of connections handed off to the next
-MAX_LOGGED_REASON = 200  # characters
+LIST_TIMEOUT_SECONDS = 2.0  # after which a successor takes clients without a list of its own
+STATE_TIMEOUT_SECONDS = 0.5  # for the predecessor to write its state
+STATE_POLL_INTERVAL_SECONDS = 0.02  # between attempts to read that state
+POLL_INTERVAL_SECONDS = 0.1  # between checks of the other process of this proxy
+HANDOFF_INTERVAL_SECONDS = 0.005  # between two batches of connections handed off
+MAX_LOGGED_REASON_CHARACTERS = 200
 
 
 class Replacement:
-    """This process's part in a replacement, first as the successor and later as the predecessor."""
+    """Runs this process's side of a replacement, first as the successor and later as the predecessor."""
 
     def __init__(
         self,
@@ -53,17 +53,17 @@
         self.discovery = discovery
         self.decisions = decisions
         self.first_list = first_list
-        self.handoff_path = ""  # where the successor takes open connections
+        self.handoff_path = ""  # of the socket where the successor receives open connections
 
     def run(self, configured_discovery: Callable[[], Address]) -> Generator[float, None, None]:
-        """The coroutine of the replacement: follows a predecessor to its end, then looks out for a successor.
+        """Replace the predecessor if there is one, then watch for a successor.
 
         Args:
-            configured_discovery: The list service of the configuration in force.
+            configured_discovery: Returns the list service of the configuration in use.
         """
         if self.handover.has_no_role:
-            self.log("nothing handed over", why="two other processes of this proxy are there")
-        if self.handover.follows:
+            self.log("nothing handed over", why="expected at most one other process of this proxy, got two")
+        if self.handover.is_successor:
             started_at = self.loop.now
             yield from self.start_as_successor(configured_discovery, started_at)
             if self.service.stopping:
@@ -71,63 +71,69 @@
             yield from self.take_clients(started_at)
         while not self.service.stopping:
             self.check_successor()
-            yield from self.loop.sleep(POLL_INTERVAL)
+            yield from self.loop.sleep(POLL_INTERVAL_SECONDS)
 
     # as the successor
 
     def start_as_successor(
         self, configured_discovery: Callable[[], Address], started_at: float
     ) -> Generator[float, None, None]:
-        """Restores the predecessor's state if there is any, and waits for the list."""
+        """Restore the predecessor's state if there is one, and wait for the first list."""
         self.discovery.poll()
         yield from self.restore_state(configured_discovery, started_at + STATE_TIMEOUT_SECONDS)
-        while not self.first_list.received and self.loop.now < started_at + LIST_TIMEOUT_SECONDS:
+        while not self.first_list.is_received and self.loop.now < started_at + LIST_TIMEOUT_SECONDS:
             yield started_at + LIST_TIMEOUT_SECONDS
 
     def take_clients(self, started_at: float) -> Generator[float, None, None]:
-        """Takes new clients from now on, and open connections until the predecessor has ended."""
+        """Accept new clients, and receive open connections until the predecessor has ended."""
         receiver = self.open_receiver()
         self.service.phase = ServicePhase.IN_SERVICE
         self.acceptor.update()
         self.handover.announce(TAKING, receiver.path if receiver else "")
-        self.log("successor", list_heard=self.first_list.received, took=round(self.loop.now - started_at, 3))
+        self.log(
+            "successor", list_heard=self.first_list.is_received, took=round(self.loop.now - started_at, 3)
+        )
         while not self.handover.take_over():
-            yield from self.loop.sleep(POLL_INTERVAL)
+            yield from self.loop.sleep(POLL_INTERVAL_SECONDS)
         taken = self.counters.counts["connections taken over"]
         self.log("predecessor ended", after=round(self.loop.now - started_at, 2), taken_over=taken)
         if receiver is not None:
             receiver.close()
 
     def restore_state(
-        self, configured_discovery: Callable[[], Address], until: float
+        self, configured_discovery: Callable[[], Address], deadline: float
     ) -> Generator[float, None, None]:
-        """Begins with what the predecessor knows, or without it."""
-        why = "nothing written"
-        while self.loop.now < until:
-            yield from self.loop.sleep(STATE_POLL_INTERVAL)
+        """Apply the predecessor's state once it is written, or log why this process starts without it."""
+        reason = "expected a state file of the predecessor, got none"
+        while self.loop.now < deadline:
+            yield from self.loop.sleep(STATE_POLL_INTERVAL_SECONDS)
             try:
                 self.apply_state(configured_discovery())
             except StateError as error:
-                why = str(error)
-            except Exception as error:  # noqa: BLE001 -- written by a build that goes wrong: it starts without
-                why = repr(error)
+                reason = str(error)
+            except Exception as error:  # noqa: BLE001 -- invalid state must not prevent the start
+                reason = repr(error)
                 break
             else:
                 return
-        self.log("started without", why=why[:MAX_LOGGED_REASON])
+        self.log("started without", why=reason[:MAX_LOGGED_REASON_CHARACTERS])
 
     def apply_state(self, configured_discovery: Address) -> None:
-        """Reads and applies the predecessor's state; StateError if it is not there or can't be used."""
+        """Read and apply the predecessor's state.
+
+        Raises:
+            StateError: The state file is missing or cannot be used.
+        """
         common, records = self.handover.read_state()
         clock = self.discovery.clock
         clock.restore(common["starts"])
-        if not self.first_list.received and common["discovery"] == list(configured_discovery):
+        if not self.first_list.is_received and common["discovery"] == list(configured_discovery):
             self.apply_list(decode_endpoint_list(common["list"], clock, self.loop.now))
         servers = self.decisions.restore_snapshot(common, records)
         self.log("taken over", servers=servers, version=common["list"]["seq"])
 
     def apply_list(self, endpoint_list: EndpointList) -> None:
-        """Begins with the list as the predecessor had it; the next poll goes on from there."""
+        """Start with the predecessor's endpoint list; the next poll continues from its version."""
         if not endpoint_list.endpoints:
             return
         for name, address in endpoint_list.addresses.items():
@@ -136,26 +142,28 @@
         self.decisions.report_list(EndpointListKind.CACHED, endpoint_list.endpoints)
 
     def open_receiver(self) -> HandoffReceiver | None:
-        """Listens for the predecessor's open connections; None where that can't be."""
-        take = partial(accept_handoff, self.sessions)
+        """Return a receiver for the predecessor's open connections, or None if it cannot listen."""
+        accept = partial(accept_handoff, self.sessions)
         try:
-            return HandoffReceiver(self.loop, self.handover.handoff_path, take, self.decisions.on_all_adopted)
-        except OSError as error:  # a path too long, perhaps: its clients are migrated then
+            return HandoffReceiver(
+                self.loop, self.handover.handoff_path, accept, self.decisions.on_all_adopted
+            )
+        except OSError as error:  # for example, the path is too long; the predecessor migrates its clients
             self.log("nothing passed on", why=str(error))
             return None
 
     # as the predecessor
 
     def check_successor(self) -> None:
-        """Accepts nothing while a successor takes clients.
+        """Stop accepting while a successor takes clients, and accept again if the successor dies.
 
-        Of two that place new sessions side by side each would need its part of every budget. If the successor
-        dies, all is as before.
+        Two processes that place new sessions at the same time would each have to limit itself to its part of
+        every budget.
         """
-        announcement = self.handover.successor_announcement()
+        announcement = self.handover.read_successor_announcement()
         state = announcement.get("state", "")
         token = str(announcement.get("token", ""))
-        if state == STARTING and token != self.handover.written_for:
+        if state == STARTING and token != self.handover.state_recipient:
             self.write_state(token)
         self.handoff_path = str(announcement.get("path", ""))
         is_taking = state == TAKING
@@ -165,39 +173,43 @@
             self.acceptor.update()
 
     def write_state(self, token: str) -> None:
-        """Writes what this process knows, for the successor of that token."""
+        """Write this process's state for the successor with this token."""
         try:
             common, records = self.decisions.take_snapshot()
             common |= {"discovery": self.discovery.address, "list": self.discovery.snapshot()}
             common["starts"] = self.discovery.clock.starts
             self.handover.write_state(token, common, records)
             self.log("handed over", servers=len(records))
-        except Exception as error:  # noqa: BLE001 -- a successor without it is better than no successor
+        except Exception as error:  # noqa: BLE001 -- the successor can start without this state
             self.loop.report_failure("hand-over", error)
 
     def begin_stop(self) -> None:
-        """Says that this process stops: called off as a successor, it gives the clients back."""
+        """Announce the shutdown; if this process is a successor, its predecessor accepts clients again."""
         self.handover.announce(STOPPING)
         self.check_successor()
 
-    def hand_off_connections(self, path: str, until: float) -> Generator[float, None, None]:
-        """Hands open connections off to the successor while it is there, also those that come up later.
+    def hand_off_connections(self, path: str, deadline: float) -> Generator[float, None, None]:
+        """Hand open connections off to the successor, including those established in the meantime.
 
-        What it does not take is migrated.
+        The caller migrates connections that the successor does not accept.
+
+        Args:
+            path: Of the successor's socket.
+            deadline: On the loop's clock.
         """
         try:
             sender = HandoffSender(self.loop, path)
         except OSError as error:
             self.log("nothing passed on", why=str(error))
             return
-        while self.sessions.table.live and self.loop.now < until and not sender.broken:
+        while self.sessions.table.live and self.loop.now < deadline and not sender.broken:
             self.offer_connections(sender)
-            yield from self.loop.sleep(HANDOFF_STEP)
+            yield from self.loop.sleep(HANDOFF_INTERVAL_SECONDS)
         sender.close()
         self.log("passed on", connections=self.counters.counts["connections passed on"])
 
     def offer_connections(self, sender: HandoffSender) -> None:
-        """Lets as many open connections be sent as there are free slots."""
+        """Offer as many open connections to the sender as it has free slots."""
         slots = sender.free_slots
         for connection in self.sessions.table.live:
             if slots <= 0:
--- a/onyxhollow/lifecycle/serve.py
+++ b/onyxhollow/lifecycle/serve.py
@@ -1,4 +1,4 @@
-"""Runs one proxy from its configuration to its end."""
+"""Startup of one proxy process and its exit status."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
     signals: SignalQueue,
     attach: Callable[[Proxy], None] | None = None,
 ) -> int:
-    """Serves until a signal ends it; returns the exit status.
+    """Run one proxy until a signal ends it; return the exit status.
 
     Args:
-        config: The configuration as read from `path`.
-        path: Where a reload reads it again.
-        signals: Made before anything is taken on.
-        attach: Puts further parts on the proxy, before its loop runs.
+        config: The configuration read from `path`.
+        path: Of the configuration file, which a reload reads again.
+        signals: The signals of this process, queued since before the configuration was read.
+        attach: Adds extensions to the proxy before its loop runs.
     """
     raise_descriptor_limit()
     os.set_blocking(sys.stdout.fileno(), False)
-    given = handover = None
+    inherited_listener = handover = None
     try:
         descriptor = os.environ.get("LB_LISTEN_FD")
         if descriptor:
-            given = open_inherited_socket(descriptor)
-            with contextlib.suppress(OSError):  # no such folder: nothing is handed over
+            inherited_listener = open_inherited_socket(descriptor)
+            with contextlib.suppress(OSError):  # no usable folder: runs without a handover
                 handover = Handover(os.environ.get("TMPDIR", ""))
         proxy = Proxy(
             config,
             sys.stdout.fileno(),
-            lambda: read_config(path, again=True),
-            given,
+            lambda: read_config(path, is_reload=True),
+            inherited_listener,
             handover,
         )
         if attach is not None:
--- a/onyxhollow/lifecycle/signals.py
+++ b/onyxhollow/lifecycle/signals.py
@@ -1,4 +1,4 @@
-"""Signals of this process, reported one after another on a descriptor that the loop watches."""
+"""Signals of this process, delivered through a descriptor that the event loop watches."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 import socket
 
 HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
-MAX_READ = 64  # signals read at once; more of the same say nothing new
+MAX_SIGNALS_PER_READ = 64  # repeated signals of one kind count once anyway
 
 
 class SignalQueue:
-    """Queues signals from its making on, before the loop runs.
+    """Queues signals from its creation on, also before the loop runs.
 
-    By default the first one would end a process whose machine has accepted connections for it.
+    With the default handlers, a signal during startup would end the process and reset connections that the
+    kernel has already accepted for it.
     """
 
     def __init__(self) -> None:
@@ -23,9 +24,9 @@
         self.previous_handlers = {number: signal.signal(number, lambda *_: None) for number in HANDLED}
 
     def close(self) -> None:
-        """Signals do again what they did before.
+        """Restore the previous signal handlers.
 
-        Not called at the end of a stop, which a second signal that comes late must not turn into a failure.
+        Not called after a graceful shutdown: a late second signal must not turn it into a failure.
         """
         signal.set_wakeup_fd(-1)
         for number, handler in self.previous_handlers.items():
@@ -34,9 +35,9 @@
         self.writer.close()
 
     def fileno(self) -> int:
-        """The descriptor that is readable once a signal has come."""
+        """Return the descriptor that is readable while signals are queued."""
         return self.reader.fileno()
 
-    def received(self) -> list[int]:
-        """The kinds of signals that have come since the last call, each once."""
-        return sorted(set(self.reader.recv(MAX_READ)))
+    def read_pending(self) -> list[int]:
+        """Return the numbers of the signals received since the last call, each once."""
+        return sorted(set(self.reader.recv(MAX_SIGNALS_PER_READ)))
--- a/onyxhollow/management/__init__.py
+++ b/onyxhollow/management/__init__.py
@@ -1,1 +1,1 @@
-"""What operators call and read: the management address and the figures. It is given what to do."""
+"""The management API for operators and the metrics page; the handlers are passed in by the caller."""
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -51,7 +51,7 @@
     words = ["check", "--config", "example/config.json", "--fleet", str(tmp_path / "fleet.toml")]
     assert main(words) == 0
     output = capfd.readouterr().out
-    assert "voters a, b, c, lease 3 s" in output and "list (list, one a zone)" in output
+    assert "voters a, b, c, lease 3 s" in output and "list (list, one per zone)" in output
     (tmp_path / "key").write_text("ab")
     assert main(words) == 2
     output = capfd.readouterr().err
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -885,8 +885,8 @@
 @pytest.mark.parametrize(
     "text, said",
     [
-        ("{", "not JSON"),
-        ("[]", "not an object"),
+        ("{", "config.json: expected JSON, got invalid text: "),
+        ("[]", "config.json: expected a JSON object, got list"),
         ("{}", "missing setting settings"),
         (None, "No such file"),
         ('{"settings":{"rules":{},"listeners":[]}}', "listeners: expected one at least, got none"),
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -19,7 +19,7 @@
 from onyxhollow.interface import AttemptOutcome, EndpointListKind, Idempotency
 from onyxhollow.lifecycle import draining, replacement, shutdown
 from onyxhollow.lifecycle import handover as handovers
-from onyxhollow.lifecycle.config import ConfigError, decode, needs_restart, read_config
+from onyxhollow.lifecycle.config import ConfigError, decode_config, find_restart_reason, read_config
 from onyxhollow.lifecycle.handover import (
     Handover,
     StateError,
@@ -196,8 +196,8 @@
 
 
 def test_clients_are_sent_away_between_lines_and_what_still_comes_is_served(served, monkeypatch):
-    monkeypatch.setattr(draining, "DRAIN_DELAY", 0.1)
-    monkeypatch.setattr(draining, "DRAIN_TIME", 0.8)
+    monkeypatch.setattr(draining, "DRAIN_DELAY_SECONDS", 0.1)
+    monkeypatch.setattr(draining, "DRAIN_SECONDS", 0.8)
     proxy = served()
     front = proxy.client(b"PING\r\n")
     proxy.until(lambda: front.read() == b"PONG\r\n")
@@ -233,7 +233,7 @@
 
 
 def test_taken_back_half_way_those_not_moved_yet_stay(served, monkeypatch):
-    monkeypatch.setattr(draining, "DRAIN_DELAY", 0.05)
+    monkeypatch.setattr(draining, "DRAIN_DELAY_SECONDS", 0.05)
     proxy = served()
     clients = [proxy.established()[0] for _ in range(12)]
     proxy.call_operator("out-of-service", "POST")
@@ -295,7 +295,7 @@
 
 
 def test_no_file_that_lacks_a_key_or_is_cut_off_is_taken(tmp_path):
-    old, path = decode(TOLD, {}), tmp_path / "config.json"
+    old, path = decode_config(TOLD, {}), tmp_path / "config.json"
     whole = json.dumps(TOLD)
     files = [whole[:place] for place in range(0, len(whole), 10)]
     for place, found in objects(TOLD):
@@ -315,14 +315,21 @@
         path.write_text(text)
         with pytest.raises(ConfigError):
             fresh = read_config(str(path))
-            if why := needs_restart(old, fresh):
+            if why := find_restart_reason(old, fresh):
                 raise ConfigError(why)
     assert len(files) > 80
     added = changed(("settings", "listeners", 0), "name", "new")  # dropped, added, with another effect
     added["settings"]["listeners"][0]["semantics"] = "non_idempotent"
-    assert needs_restart(old, decode(added, {})) == "" == needs_restart(decode(added, {}), old)
+    assert (
+        find_restart_reason(old, decode_config(added, {}))
+        == ""
+        == find_restart_reason(decode_config(added, {}), old)
+    )
     one = changed(("settings", "listeners"), 0)
-    assert needs_restart(old, decode(one, {})) == "" and decode(one, {}).settings.max_attempts == 3
+    assert (
+        find_restart_reason(old, decode_config(one, {})) == ""
+        and decode_config(one, {}).settings.max_attempts == 3
+    )
 
 
 def test_a_dropped_listeners_sessions_keep_their_terms_and_fewer_dials_are_for_new_ones(served, monkeypatch):
@@ -396,7 +403,7 @@
         """As a process that is killed: all its descriptors go, and with them its locks."""
         self.running.remove(proxy)
         handover = proxy.proxy.handover
-        for fd in (handover.serving, handover.successor):
+        for fd in (handover.serving_lock, handover.successor_lock):
             if fd is not None:
                 os.close(fd)
         proxy.proxy.loop.watch(proxy.proxy.listener.fileno(), 0, None)
@@ -450,7 +457,7 @@
     accepted.send(b"PING\r\n")
     overlap.until(lambda: accepted.read() == b"PONG\r\n" * 2)
     overlap.die(old)
-    overlap.until(lambda: new.proxy.handover.serving is not None)
+    overlap.until(lambda: new.proxy.handover.serving_lock is not None)
     overlap.taken_by(replaced(overlap))  # a successor's successor
 
 
@@ -469,20 +476,20 @@
 
 
 def test_a_third_process_or_a_folder_that_cant_be_used_hands_nothing_over(overlap, tmp_path, monkeypatch):
-    monkeypatch.setattr(handovers, "LOCK_TIMEOUT", 0.05)
+    monkeypatch.setattr(handovers, "LOCK_TIMEOUT_SECONDS", 0.05)
     old, new = overlap.start(), overlap.start()
     third = Handover(str(tmp_path))
-    assert not old.proxy.handover.follows and new.proxy.handover.follows
+    assert not old.proxy.handover.is_successor and new.proxy.handover.is_successor
     assert (
         third.has_no_role
-        and not third.follows
-        and not third.successor_announcement()
+        and not third.is_successor
+        and not third.read_successor_announcement()
         and not third.take_over()
     )
     with pytest.raises(OSError):
         Handover(str(tmp_path / "nowhere"))
     (tmp_path / "onyxhollow-successor").write_bytes(b'{"version": 1, "state"')
-    assert old.proxy.handover.successor_announcement() == {}
+    assert old.proxy.handover.read_successor_announcement() == {}
 
 
 def test_a_descriptor_that_is_no_listening_socket_is_refused(tmp_path):
@@ -549,7 +556,7 @@
         monkeypatch.setattr(shutdown, "STOP_MARGIN_SECONDS", 2.6)
     else:
         monkeypatch.setattr(
-            Handover, "successor_announcement", lambda _: {"state": "taking", "path": "/nowhere"}
+            Handover, "read_successor_announcement", lambda _: {"state": "taking", "path": "/nowhere"}
         )
     old.proxy.loop.spawn(old.proxy.shutdown.run())
     overlap.until(lambda: all(c.read() == b"MOVE\r\n" and c.end == "closed" for c in clients), within=3.5)
@@ -683,9 +690,9 @@
 
 
 def test_a_client_that_reads_nothing_is_not_held_past_the_time_for_sending_away(served, monkeypatch):
-    monkeypatch.setattr(draining, "DRAIN_DELAY", 0.05)
-    monkeypatch.setattr(draining, "DRAIN_TIME", 0.5)
-    monkeypatch.setattr(draining, "CLOSING_TIME", 0.1)
+    monkeypatch.setattr(draining, "DRAIN_DELAY_SECONDS", 0.05)
+    monkeypatch.setattr(draining, "DRAIN_SECONDS", 0.5)
+    monkeypatch.setattr(draining, "CLOSING_SECONDS", 0.1)
     proxy = served()
     client, server = proxy.established()
     (live,) = proxy.proxy.sessions.table.live
