--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,6 +1,7 @@
-"""The instant in which something ends while something is still owed (docs/endings.md), on real connections.
+"""Races between an end (of a connection, a watch or the process) and a pending request (docs/endings.md).
 
-Each story forces the bad order: a peer acts at a hook in the very moment, or on a condition that it has seen.
+Each test forces the unfavourable order on real connections: a peer acts within a hook of the code, or once a
+condition holds.
 """
 
 import json
@@ -21,21 +22,23 @@
 from onyxhollow.wire import discovery_connection, first_line, session_registry
 from onyxhollow.wire.channel import Channel
 
-PATIENT = replace(CALLS, handshake_objective=4.0, attempt_timeout=4.0)
-REFUSED, FAILED = b"BUSY\r\n", b"ERR\r\n"
-EMPTY_LIST = json.dumps({"seq": 8, "whole": False, "hosts": []}).encode()
+SLOW_CALLS = replace(CALLS, handshake_objective=4.0, attempt_timeout=4.0)
+BUSY_LINE, ERR_LINE = b"BUSY\r\n", b"ERR\r\n"
+EMPTY_DELTA = json.dumps({"seq": 8, "whole": False, "hosts": []}).encode()
 
 
-class LateServer(ScriptedServer):
-    """A server whose connections come up late: its queue is full until it lets them in. The system tries
-    again a second after the first time."""
+class SlowConnectServer(ScriptedServer):
+    """A server whose accept queue is full until `empty_queue` is called.
+
+    Connections to it are established late: the kernel retries a connect after a second.
+    """
 
     def __init__(self):
         super().__init__()
         self.sock.listen(0)
         self.filler = socket.create_connection((HOST, self.port))
 
-    def let_in(self):
+    def empty_queue(self):
         self.sock.listen(64)
         self.sock.setblocking(True)
         self.sock.accept()[0].close()
@@ -44,12 +47,12 @@
 
 
 @pytest.fixture
-def late(loopback):
-    """A proxy among servers; connections to the one named first come up late."""
+def start_proxy(loopback):
+    """Starts proxies; connections to the endpoint named first are established late."""
 
     def make(servers="ab", listeners=None, **changes):
-        proxy = loopback(servers, known=False, listeners=listeners or {"calls": PATIENT}, **changes)
-        proxy.endpoints[servers[0]] = LateServer()
+        proxy = loopback(servers, known=False, listeners=listeners or {"calls": SLOW_CALLS}, **changes)
+        proxy.endpoints[servers[0]] = SlowConnectServer()
         proxy.proxy.sessions.attempts.connect_timeout = 3.0
         body = json.dumps({"seq": 8, "whole": True, "hosts": [proxy.list_record(servers[0])]}).encode()
         proxy.answer_list(body)
@@ -59,188 +62,190 @@
     return make
 
 
-def connecting(proxy):
-    """The proxy, once its one dial is out and its connection is not up."""
+def wait_for_connect(proxy):
+    """Return the proxy once its first attempt is connecting."""
     proxy.until(lambda: proxy.counts["dials"] == 1)
     proxy.run_for(0.02)
     return proxy
 
 
-def nothing_sent(proxy, server):
-    """Whether the late server has got a connection and not one byte on it."""
+def has_received_nothing(proxy, server):
+    """Return whether the server's first connection ended without a byte on it."""
     peer = proxy.until(lambda: server.peers[0] if server.peers else server.accept())
     proxy.until(lambda: peer.read() is not None and peer.end)
     return peer.received == b""
 
 
-def tell(proxy, seq, *rows):
+def send_delta(proxy, version, *rows):
+    """Send a delta of the endpoint list, and wait until the proxy has applied it."""
     body = json.dumps(
-        {"seq": seq, "whole": False, "hosts": [proxy.list_record(*row) for row in rows]}
+        {"seq": version, "whole": False, "hosts": [proxy.list_record(*row) for row in rows]}
     ).encode()
     proxy.answer_list(body)
-    proxy.until(lambda: proxy.proxy.discovery.version == seq)
+    proxy.until(lambda: proxy.proxy.discovery.version == version)
 
 
 # attempts
 
 
-def test_a_server_told_to_drain_while_its_connection_comes_up_gets_nothing_and_another_one_does(late):
-    # Told 0.25 s before the line was written, it counted as a send to a draining server.
-    proxy = late()
+def test_an_endpoint_that_drains_during_the_connect_gets_nothing_and_another_one_is_used(start_proxy):
+    # Guards against an OPEN line to a draining endpoint: the notice came 0.25 s before the line was written.
+    proxy = start_proxy()
     client = proxy.open_session(wait=4000)
-    connecting(proxy)
-    tell(proxy, 9, ("a", "leaving"), ("b",))
-    proxy.endpoints["a"].let_in()
+    wait_for_connect(proxy)
+    send_delta(proxy, 9, ("a", "leaving"), ("b",))
+    proxy.endpoints["a"].empty_queue()
     server = proxy.until(lambda: proxy.endpoints["b"].connection())
     server.send(b"UP r1\r\n")
     proxy.until(lambda: client.read() == b"UP r1\r\n")
-    assert nothing_sent(proxy, proxy.endpoints["a"])
+    assert has_received_nothing(proxy, proxy.endpoints["a"])
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half-close"])
 @pytest.mark.parametrize("cancelling", [True, False])
-def test_a_client_that_leaves_while_the_connection_comes_up_has_nothing_sent_for_it(late, how, cancelling):
-    proxy = late("a", cancellation=cancelling)
+def test_nothing_is_sent_for_a_client_that_leaves_during_the_connect(start_proxy, how, cancelling):
+    proxy = start_proxy("a", cancellation=cancelling)
     client = proxy.open_session(wait=4000)
-    connecting(proxy)
+    wait_for_connect(proxy)
     if how == "half-close":
         client.sock.shutdown(socket.SHUT_WR)
     else:
         if how == "reset":
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         client.sock.close()
-    proxy.endpoints["a"].let_in()
+    proxy.endpoints["a"].empty_queue()
     proxy.until(lambda: not proxy.proxy.sessions.table.live)
-    if not cancelling:  # else its connection may have been withdrawn before it was up
-        assert nothing_sent(proxy, proxy.endpoints["a"])
+    if not cancelling:  # else the connect may have been cancelled before it was established
+        assert has_received_nothing(proxy, proxy.endpoints["a"])
     assert not proxy.counts["dials written whole"]
-    if how == "half-close":  # it still reads: it is owed its answer
-        proxy.until(lambda: client.read() in (REFUSED, FAILED) and client.end)
+    if how == "half-close":  # the client still reads and must be answered
+        proxy.until(lambda: client.read() in (BUSY_LINE, ERR_LINE) and client.end)
 
 
-def test_a_client_that_leaves_between_the_pick_and_the_write_has_nothing_sent_for_it(loopback, monkeypatch):
-    # Its end stood unread in the system's buffer, and the line went out after it.
+def test_nothing_is_sent_for_a_client_that_leaves_between_selection_and_write(loopback, monkeypatch):
+    # Guards against an OPEN line sent while the end of the client connection is still unread in the kernel.
     proxy = loopback()
     client = proxy.open_session()
-    begun = Channel.connect.__func__
+    connect = Channel.connect.__func__
 
-    def leave_then_dial(cls, *values):
+    def close_client_and_connect(cls, *values):
         if values[1][1] == proxy.endpoints["a"].port:
             client.sock.close()
-        return begun(cls, *values)
+        return connect(cls, *values)
 
-    monkeypatch.setattr(Channel, "connect", classmethod(leave_then_dial))
+    monkeypatch.setattr(Channel, "connect", classmethod(close_client_and_connect))
     proxy.until(lambda: proxy.counts["clients gone before an answer"] == 1)
     assert proxy.counts["dials"] == 1 and not proxy.counts["dials written whole"]
     proxy.until(lambda: proxy.endpoints["a"].accept())
-    assert nothing_sent(proxy, proxy.endpoints["a"])
+    assert has_received_nothing(proxy, proxy.endpoints["a"])
 
 
-def test_a_stop_that_ends_between_the_pick_and_the_write_refuses_and_sends_nothing(loopback, monkeypatch):
-    # The line went out, and a once-only session that need not have run was torn down.
-    proxy = loopback(listeners={"calls": replace(PATIENT, idempotency=Idempotency.NON_IDEMPOTENT)})
+def test_a_shutdown_between_selection_and_write_rejects_and_sends_nothing(loopback, monkeypatch):
+    # Guards against sending the OPEN line: a non-idempotent session then fails instead of being rejected.
+    proxy = loopback(listeners={"calls": replace(SLOW_CALLS, idempotency=Idempotency.NON_IDEMPOTENT)})
     client = proxy.open_session(wait=4000)
     ready = Channel.ready
 
-    def stop_as_it_comes_up(channel, events):
+    def stop_sessions_on_connect(channel, events):
         if channel.connecting and channel.sock.getpeername()[1] == proxy.endpoints["a"].port:
             for session in proxy.proxy.sessions.table.live:
                 session.stop()
         ready(channel, events)
 
-    monkeypatch.setattr(Channel, "ready", stop_as_it_comes_up)
+    monkeypatch.setattr(Channel, "ready", stop_sessions_on_connect)
     proxy.until(lambda: client.read() and client.end)
-    assert client.received == REFUSED and nothing_sent(proxy, proxy.endpoints["a"])
+    assert client.received == BUSY_LINE and has_received_nothing(proxy, proxy.endpoints["a"])
 
 
-def test_a_repeat_whose_window_passes_while_the_connection_comes_up_is_not_sent(late):
-    # The window was looked at when the server was picked, a whole connect time before the write.
+def test_a_retry_whose_deduplication_window_ends_during_the_connect_is_not_sent(start_proxy):
+    # Guards against a check of the window only at the selection, a whole connect time before the write.
     keyed = replace(
-        PATIENT,
+        SLOW_CALLS,
         idempotency=Idempotency.KEYED,
         deduplication_scope=DeduplicationScope.ALL,
         deduplication_window=0.9,
     )
-    proxy = late("ab", listeners={"calls": keyed})
-    tell(proxy, 9, ("a", "leaving"), ("b",))
+    proxy = start_proxy("ab", listeners={"calls": keyed})
+    send_delta(proxy, 9, ("a", "leaving"), ("b",))
     client = proxy.open_session(wait=4000)
     first = proxy.until(lambda: proxy.endpoints["b"].connection())
-    tell(proxy, 10, ("a",), ("b", "leaving"))
-    first.send(FAILED)
+    send_delta(proxy, 10, ("a",), ("b", "leaving"))
+    first.send(ERR_LINE)
     proxy.until(lambda: proxy.counts["dials"] == 2)
     proxy.run_for(0.02)
-    proxy.endpoints["a"].let_in()
+    proxy.endpoints["a"].empty_queue()
     proxy.until(lambda: client.read() and client.end)
-    assert client.received == REFUSED and nothing_sent(proxy, proxy.endpoints["a"])
+    assert client.received == BUSY_LINE and has_received_nothing(proxy, proxy.endpoints["a"])
 
 
-def test_a_request_with_hardly_any_time_left_as_its_connection_comes_up_is_refused_unsent(late, monkeypatch):
-    # Held up for a moment the line would go out after the client's end.
-    monkeypatch.setattr("onyxhollow.policy.retry.MIN_TIME_LEFT", 1.0)  # the connection takes a second
-    proxy = late("a")
+def test_a_request_with_little_time_left_after_the_connect_is_rejected_unsent(start_proxy, monkeypatch):
+    # Guards against sending the OPEN line past the client's deadline after a further short delay.
+    monkeypatch.setattr("onyxhollow.policy.retry.MIN_TIME_LEFT", 1.0)  # the connect takes a second
+    proxy = start_proxy("a")
     client = proxy.open_session(wait=1900)
-    connecting(proxy).endpoints["a"].let_in()
+    wait_for_connect(proxy).endpoints["a"].empty_queue()
     proxy.until(lambda: client.read() and client.end)
-    assert client.received == REFUSED and nothing_sent(proxy, proxy.endpoints["a"])
+    assert client.received == BUSY_LINE and has_received_nothing(proxy, proxy.endpoints["a"])
 
 
 @pytest.mark.parametrize("how", ["close", "half-close"])
-def test_a_client_that_leaves_the_queue_is_not_served_when_there_is_room_at_last(loopback, how):
+def test_a_client_that_leaves_the_queue_is_not_served_later(loopback, how):
     proxy = loopback(known=False)
     client = proxy.open_session()
     proxy.until(lambda: proxy.counts["sessions taken"] == 1)
     client.sock.close() if how == "close" else client.sock.shutdown(socket.SHUT_WR)
-    left = time.monotonic()
-    if how == "half-close":  # it was closed with no answer: read, it was owed one
-        proxy.until(lambda: client.read() == REFUSED and client.end)
+    ended_at = time.monotonic()
+    if how == "half-close":  # this client still reads and must be answered
+        proxy.until(lambda: client.read() == BUSY_LINE and client.end)
     proxy.until(lambda: not proxy.proxy.sessions.active_count)
-    assert time.monotonic() - left < 0.1
+    assert time.monotonic() - ended_at < 0.1
     proxy.answer_list(json.dumps({"seq": 8, "whole": True, "hosts": [proxy.list_record("a")]}).encode())
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
     proxy.run_for(0.1)
     assert not proxy.counts["dials"]
 
 
-# connections that have asked for nothing
+# idle connections
 
 
-@pytest.mark.parametrize("said", [b"", b"PING\r\n"])
-def test_a_request_that_crosses_the_end_of_a_resting_connection_finds_its_answer(loopback, monkeypatch, said):
-    # Read after the end of sending it could not be answered any more, and the connection was closed.
+@pytest.mark.parametrize("sent", [b"", b"PING\r\n"])
+def test_a_request_that_crosses_the_idle_timeout_is_answered(loopback, monkeypatch, sent):
+    # Guards against reading the request only after the proxy has ended its own sending and cannot answer.
     monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT", 0.2)
     monkeypatch.setattr(first_line, "FRONT_LINE_TIMEOUT", 0.2)
     proxy = loopback()
-    client = proxy.client(said)
-    ends = Channel.finish
+    client = proxy.client(sent)
+    finish = Channel.finish
 
-    def cross(channel, *values):
+    def send_request_and_finish(channel, *values):
         client.send(b"OPEN 9b1f 7f3a c=calls,d=2000\r\n")
-        ends(channel, *values)
+        finish(channel, *values)
 
-    monkeypatch.setattr(Channel, "finish", cross)
+    monkeypatch.setattr(Channel, "finish", send_request_and_finish)
     proxy.until(lambda: client.read() and client.end)
-    assert client.received == said.replace(b"I", b"O") + REFUSED and client.end == "closed"
+    assert client.received == sent.replace(b"I", b"O") + BUSY_LINE and client.end == "closed"
     assert not proxy.counts["dials"]
 
 
-def test_a_request_that_comes_as_its_resting_connection_is_to_be_ended_is_served(loopback, monkeypatch):
+def test_a_request_that_arrives_as_the_idle_timeout_is_due_is_served(loopback, monkeypatch):
     monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT", 0.2)
     proxy = loopback()
     client = proxy.client()
     proxy.until(lambda: proxy.proxy.sessions.table.live)
-    time.sleep(0.25)  # the process stands still: the end is due
-    listen = proxy.proxy.loop.epoll.poll
+    time.sleep(0.25)  # the process stalls until the idle timeout is due
+    poll = proxy.proxy.loop.epoll.poll
     client.send(b"OPEN 9b1f 7f3a c=calls,d=2000\r\n")
-    proxy.proxy.loop.epoll = _Blind(proxy.proxy.loop.epoll)  # the turn in which it comes is not told of it
+    # The request is not reported in the turn in which the timeout is due.
+    proxy.proxy.loop.epoll = _EmptyEpoll(proxy.proxy.loop.epoll)
     proxy.proxy.loop.turn(0.0)
     proxy.proxy.loop.turn(0.0)
-    proxy.proxy.loop.epoll = listen.__self__
+    proxy.proxy.loop.epoll = poll.__self__
     proxy.until(lambda: proxy.endpoints["a"].connection())
     assert not client.read() and not client.end
 
 
-class _Blind:
-    """An epoll that tells of nothing."""
+class _EmptyEpoll:
+    """An epoll object that reports no events."""
 
     def __init__(self, epoll):
         self.epoll = epoll
@@ -252,27 +257,27 @@
         return getattr(self.epoll, name)
 
 
-def test_a_request_that_crosses_an_eviction_for_room_finds_its_answer(loopback, monkeypatch):
+def test_a_request_that_crosses_an_eviction_is_answered(loopback, monkeypatch):
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 10)
     first = proxy.client(b"PING\r\n")
     proxy.until(lambda: first.read() == b"PONG\r\n")
-    shut = Channel.close
+    close = Channel.close
 
-    def cross(channel):
+    def send_request_and_close(channel):
         if channel.sock.fileno() >= 0 and channel.sock.getpeername() == first.sock.getsockname():
             first.received = b""
             first.read()
             first.send(b"OPEN 9b1f 7f3a c=calls,d=2000\r\n")
-        shut(channel)
+        close(channel)
 
-    monkeypatch.setattr(Channel, "close", cross)
+    monkeypatch.setattr(Channel, "close", send_request_and_close)
     others = [proxy.client(b"PING\r\n") for _ in range(12)]
     proxy.until(lambda: proxy.counts["idle connections closed for room"] and first.read() and first.end)
-    assert first.received == REFUSED and len(others) == 12
+    assert first.received == BUSY_LINE and len(others) == 12
 
 
-def test_a_last_answer_that_its_client_reads_slowly_is_not_given_up_for_room(loopback, monkeypatch):
+def test_a_final_line_that_its_client_reads_slowly_survives_evictions(loopback, monkeypatch):
     monkeypatch.setattr(session_registry, "CLOSING_GRACE", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 16)
     client, server = proxy.established()
@@ -293,62 +298,64 @@
     proxy.until(lambda: client.read().endswith(b"MOVE\r\n") and client.end == "closed")
 
 
-# the end of the process
+# shutdown
 
 
-def test_all_that_stands_in_the_listeners_queue_at_the_stop_is_answered(loopback, monkeypatch):
-    # One bounded accept was made before it was closed; the system reset the rest.
+def test_every_connection_queued_on_the_listener_at_shutdown_is_answered(loopback, monkeypatch):
+    # Guards against accepting one bounded batch before the listener is closed: the kernel resets the rest.
     proxy = loopback(sockets=1000, known=False)
-    clients, ends = [], ClientAcceptor.stop_listening
+    clients, stop_listening = [], ClientAcceptor.stop_listening
 
-    def rush(inner, *values):
+    def open_sessions_and_stop(acceptor, *values):
         clients.extend(proxy.open_session() for _ in range(200))
-        return ends(inner, *values)
+        return stop_listening(acceptor, *values)
 
-    monkeypatch.setattr(ClientAcceptor, "stop_listening", rush)
+    monkeypatch.setattr(ClientAcceptor, "stop_listening", open_sessions_and_stop)
     proxy.proxy.shutdown.stop_time = 0.9
     proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: not proxy.proxy.loop.running, within=4)
-    assert [client.read() for client in clients] == [REFUSED] * 200
+    assert [client.read() for client in clients] == [BUSY_LINE] * 200
 
 
-def test_a_queue_that_no_descriptor_is_left_for_is_answered_by_the_end_of_the_stop(loopback, monkeypatch):
+def test_a_listener_queue_larger_than_the_descriptor_limit_is_answered_by_the_end_of_the_shutdown(
+    loopback, monkeypatch
+):
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 100, known=False)
-    clients, ends = [], ClientAcceptor.stop_listening
+    clients, stop_listening = [], ClientAcceptor.stop_listening
 
-    def rush(inner, *values):
+    def open_sessions_and_stop(acceptor, *values):
         clients.extend(proxy.open_session(wait=300) for _ in range(150))
-        return ends(inner, *values)
+        return stop_listening(acceptor, *values)
 
-    monkeypatch.setattr(ClientAcceptor, "stop_listening", rush)
+    monkeypatch.setattr(ClientAcceptor, "stop_listening", open_sessions_and_stop)
     proxy.proxy.shutdown.stop_time = 2.5
     proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: not proxy.proxy.loop.running, within=5)
     assert proxy.counts["accepts put off for want of room"]
-    assert [client.read() for client in clients] == [REFUSED] * 150
+    assert [client.read() for client in clients] == [BUSY_LINE] * 150
 
 
-def test_two_signals_to_end_at_once_begin_one_stop_and_one_during_the_start_is_not_lost(tmp_path):
+def test_two_termination_signals_start_one_shutdown_and_signals_during_startup_are_kept(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     listener = {"name": "calls", "semantics": "read_like", "handshakeTargetNs": 3e8, "dialTimeoutNs": 6e8}
-    told = {
+    document = {
         "listen": f"127.0.0.1:{port}",
         "discovery": "127.0.0.1:9",
         "settings": {"listeners": [listener], "rules": {}},
     }
     path = tmp_path / "config.json"
-    os.mkfifo(path)  # who reads it stands still until it is written
-    words = [sys.executable, "-O", "-m", "onyxhollow", "serve", "--config", str(path)]
-    program = subprocess.Popen(words, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+    os.mkfifo(path)  # startup blocks on reading it until the test writes
+    command = [sys.executable, "-O", "-m", "onyxhollow", "serve", "--config", str(path)]
+    program = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
     try:
-        with open(path, "wb") as file:  # opens once the program has opened its end
-            (tmp_path / "next").write_text(json.dumps(told))
-            os.replace(tmp_path / "next", path)  # to be read again
+        with open(path, "wb") as file:  # blocks until the program has opened its end
+            (tmp_path / "next").write_text(json.dumps(document))
+            os.replace(tmp_path / "next", path)  # for the reload
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
                 program.send_signal(number)
-            file.write(json.dumps(told).encode())
+            file.write(json.dumps(document).encode())
         out, errors = program.communicate(timeout=10)
     finally:
         program.kill()
@@ -360,47 +367,51 @@
 # watches of the list
 
 
-def test_each_watch_that_falls_silent_is_followed_by_another_also_at_a_service_that_was_busy(loopback):
-    # After a call turned away the service counted as a busy one: 3.5 s past the wait. A second silence in a
-    # row was a failure, and a pause came before the next call. What was missed counts as told after 2 s.
+def test_each_silent_watch_is_followed_by_another_even_after_a_503(loopback):
+    # Guards against two delays: a timeout that is 3.5 s longer after a 503, when the service counted as busy,
+    # and a pause after a second silent watch, which counted as a failure. Missed changes count as notified
+    # after 2 s.
     proxy = loopback(max_poll_interval=0.6)
     proxy.answer_list(b"", b"503 No")
     proxy.until(lambda: proxy.counts["list failures"] == 1)
-    came = []
+    poll_times = []
     for count in (2, 3, 4):
         proxy.until(lambda n=count: proxy.list_service.connection(n), within=2.4)
-        came.append(time.monotonic())
-    assert all(1.0 < later - sooner < 1.9 for sooner, later in zip(came, came[1:], strict=False))
-    proxy.answer_list(EMPTY_LIST, count=4)
+        poll_times.append(time.monotonic())
+    assert all(
+        1.0 < later - earlier < 1.9 for earlier, later in zip(poll_times, poll_times[1:], strict=False)
+    )
+    proxy.answer_list(EMPTY_DELTA, count=4)
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
 
 
-def test_a_connection_to_the_list_that_never_comes_up_is_followed_by_another(loopback, monkeypatch):
-    # It was waited for as long as the watch that it was made for.
+def test_a_list_connection_that_is_never_established_is_followed_by_another(loopback, monkeypatch):
+    # Guards against a connect that may take as long as the watch itself.
     monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT", 0.3)
     proxy = loopback(max_poll_interval=20.0)
-    proxy.list_service = LateServer()
+    proxy.list_service = SlowConnectServer()
     proxy.follow_list_of(proxy.list_service)
     proxy.until(lambda: proxy.counts["list calls"] >= 3, within=2.0)
-    proxy.list_service.let_in()
+    proxy.list_service.empty_queue()
     proxy.until(lambda: any(peer.read() for peer in proxy.list_service.peers) or proxy.list_service.accept())
 
 
-def test_an_answer_that_trickles_without_end_is_given_up_as_one_that_never_came(loopback):
+def test_a_list_answer_that_trickles_without_end_times_out(loopback):
     proxy = loopback(max_poll_interval=0.6)
     first = proxy.until(lambda: proxy.list_service.connection())
-    came = time.monotonic()
+    started_at = time.monotonic()
     first.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
     while not proxy.list_service.connection(2):
-        assert time.monotonic() - came < 2.4
+        assert time.monotonic() - started_at < 2.4
         if not first.end:
             first.send(b" ")
         proxy.run_for(0.02)
         first.read()
 
 
-def test_where_the_list_is_pushed_no_client_is_taken_by_what_the_file_knew(loopback):
-    # What the list's service has counts as told from the first moment of a process.
+def test_with_a_pushed_list_no_client_is_placed_by_the_configured_list(loopback):
+    # With a pushed list, a process counts as notified of every change from its start on, so the configured
+    # list may name endpoints that drain by now.
     proxy = loopback("ab", list_is_polled=False)
     client = proxy.open_session()
     proxy.until(lambda: proxy.list_service.connection())
@@ -412,7 +423,7 @@
     assert not proxy.endpoints["a"].accept() and proxy.counts["dials"] == 1
 
 
-def test_where_the_list_is_pushed_and_its_service_is_down_clients_are_taken_all_the_same(loopback):
+def test_with_a_pushed_list_clients_are_accepted_when_the_list_service_is_down(loopback):
     proxy = loopback("a", list_is_polled=False)
     proxy.list_service.sock.close()
     proxy.follow_list_of(proxy.list_service)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Day-to-day service: what operators ask for, each story told on loopback."""
+"""Management API, drain, reload and replacement of a proxy process, tested on loopback."""
 
 import json
 import os
@@ -36,19 +36,19 @@
 from onyxhollow.wire.listening import ListenError
 from onyxhollow.wire.session_registry import SessionRegistry
 
-OPERATORS = ("127.0.0.1", 0)
-BOTH = {"calls": CALLS, "once": replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)}
-END = b" HTTP/1.1\r\nHost: x\r\n\r\n"
-READY = b"GET /control/ready"
-LIST = json.dumps({"seq": 8, "whole": False, "hosts": []}).encode()
+MANAGEMENT_ADDRESS = ("127.0.0.1", 0)
+TWO_LISTENERS = {"calls": CALLS, "once": replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)}
+REQUEST_END = b" HTTP/1.1\r\nHost: x\r\n\r\n"
+READY_REQUEST = b"GET /control/ready"
+EMPTY_DELTA = json.dumps({"seq": 8, "whole": False, "hosts": []}).encode()
 
 
 @pytest.fixture
-def served(loopback):
-    return lambda servers="a", **changes: loopback(servers, management=OPERATORS, **changes)
+def start_proxy(loopback):
+    return lambda servers="a", **changes: loopback(servers, management=MANAGEMENT_ADDRESS, **changes)
 
 
-def read_figures(text):
+def parse_metrics(text):
     return {
         (row.name, row.labels.get("tier")): row.value
         for family in text_string_to_metric_families(text)
@@ -57,116 +57,122 @@
 
 
 @pytest.mark.parametrize(
-    "said, status, also",
+    "sent, status, expected_text",
     [
-        (READY + END, 200, b"ready"),
-        (READY + b"?verbose=1" + END, 200, b"ready"),
-        (b"GET http://10.0.0.1:99/control/ready" + END, 200, b"ready"),
-        (READY + END + READY + END + b"x" * 20000, 200, b"ready"),
-        (READY + b" HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc", 200, b"ready"),
-        (READY + b" HTTP/1.0\r\n\r\n", 200, b"ready"),
-        (b"HEAD /control/ready" + END, 200, b"Content-Length: 6"),
-        (b"GET *" + END, 404, b""),
-        (b"GET /control/ready/" + END, 404, b""),
-        (b"POST /control/ready" + END, 405, b"Allow: GET, HEAD"),
-        (b"GET /control/in-service" + END, 405, b"Allow: POST"),
+        (READY_REQUEST + REQUEST_END, 200, b"ready"),
+        (READY_REQUEST + b"?verbose=1" + REQUEST_END, 200, b"ready"),
+        (b"GET http://10.0.0.1:99/control/ready" + REQUEST_END, 200, b"ready"),
+        (READY_REQUEST + REQUEST_END + READY_REQUEST + REQUEST_END + b"x" * 20000, 200, b"ready"),
+        (READY_REQUEST + b" HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc", 200, b"ready"),
+        (READY_REQUEST + b" HTTP/1.0\r\n\r\n", 200, b"ready"),
+        (b"HEAD /control/ready" + REQUEST_END, 200, b"Content-Length: 6"),
+        (b"GET *" + REQUEST_END, 404, b""),
+        (b"GET /control/ready/" + REQUEST_END, 404, b""),
+        (b"POST /control/ready" + REQUEST_END, 405, b"Allow: GET, HEAD"),
+        (b"GET /control/in-service" + REQUEST_END, 405, b"Allow: POST"),
         (b"OPEN 9b1f 7f3a c=calls,d=2000\r\n\r\n", 400, b""),
         (b"\x16\x03\x01\x02\x00\x01\r\n\r\n", 400, b""),
-        (READY + b" HTTP/1.1\r\n\r\n", 400, b""),
-        (READY + b" HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 20000, 431, b""),
-        (READY + b" HTTP/1.1\r\nHost: x\r\nContent-Length: 99999\r\n\r\n" + b"z" * 99999, 413, b""),
+        (READY_REQUEST + b" HTTP/1.1\r\n\r\n", 400, b""),
+        (READY_REQUEST + b" HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 20000, 431, b""),
+        (READY_REQUEST + b" HTTP/1.1\r\nHost: x\r\nContent-Length: 99999\r\n\r\n" + b"z" * 99999, 413, b""),
     ],
 )
-@pytest.mark.parametrize("piece", [1, 10**6])
-def test_every_call_is_answered_once_and_its_answer_can_be_read(served, said, status, also, piece):
-    proxy = served()
+@pytest.mark.parametrize("chunk_size", [1, 10**6])
+def test_each_management_request_gets_one_readable_answer(
+    start_proxy, sent, status, expected_text, chunk_size
+):
+    proxy = start_proxy()
     caller = proxy.operator()
-    for start in range(0, len(said), piece if len(said) < 200 else 10**6):
-        caller.send(said[start : start + piece if len(said) < 200 else None])
+    for start in range(0, len(sent), chunk_size if len(sent) < 200 else 10**6):
+        caller.send(sent[start : start + chunk_size if len(sent) < 200 else None])
         proxy.proxy.loop.turn(0.0)
     proxy.until(lambda: caller.read() and caller.end)
     assert (
         caller.end == "closed"
         and caller.received.startswith(b"HTTP/1.1 %d " % status)
-        and also in caller.received
+        and expected_text in caller.received
     )
     assert caller.received.count(b"HTTP/1.1") == 1 and b"Connection: close" in caller.received
 
 
-def test_a_crowd_of_silent_callers_delays_nobody_and_is_bounded(served):
-    proxy = served()
-    crowd = [proxy.operator(READY) for _ in range(200)]
-    caller = proxy.operator(READY + END)
+def test_many_silent_management_connections_delay_no_request_and_are_bounded(start_proxy):
+    proxy = start_proxy()
+    silent = [proxy.operator(READY_REQUEST) for _ in range(200)]
+    caller = proxy.operator(READY_REQUEST + REQUEST_END)
     proxy.until(lambda: caller.read(), within=1.0)
     assert (
         b" 200 " in caller.received
         and proxy.proxy.management.pool.open_connections <= proxy.proxy.management.max_connections
     )
-    assert not proxy.proxy.pool.open_connections  # none of it is counted among the sessions' connections
-    proxy.until(lambda: sum(bool(peer.read() == b"" and peer.end) for peer in crowd) >= 150)
-
-
-def test_half_a_call_is_given_up_and_half_closed_whole_ones_are_answered(served):
-    proxy = served()
-    half, whole, left = proxy.operator(READY), proxy.operator(READY + END), proxy.operator(READY)
-    whole.sock.shutdown(socket.SHUT_WR)
-    left.sock.shutdown(socket.SHUT_WR)
-    proxy.until(lambda: whole.read() and whole.end and not left.read() and left.end)
-    assert b" 200 " in whole.received and not half.end
-    (caller,) = proxy.proxy.management.pending
-    caller.accepted_at -= 5.0
+    assert not proxy.proxy.pool.open_connections  # operators do not count towards the sessions' limit
+    proxy.until(lambda: sum(bool(peer.read() == b"" and peer.end) for peer in silent) >= 150)
+
+
+def test_incomplete_management_requests_time_out_and_half_closed_complete_ones_are_answered(start_proxy):
+    proxy = start_proxy()
+    incomplete, complete, ended = (
+        proxy.operator(READY_REQUEST),
+        proxy.operator(READY_REQUEST + REQUEST_END),
+        proxy.operator(READY_REQUEST),
+    )
+    complete.sock.shutdown(socket.SHUT_WR)
+    ended.sock.shutdown(socket.SHUT_WR)
+    proxy.until(lambda: complete.read() and complete.end and not ended.read() and ended.end)
+    assert b" 200 " in complete.received and not incomplete.end
+    (pending,) = proxy.proxy.management.pending
+    pending.accepted_at -= 5.0
     proxy.proxy.management.sweeper.wake()
-    proxy.until(lambda: not half.read() and half.end)
+    proxy.until(lambda: not incomplete.read() and incomplete.end)
 
 
-def test_operators_are_answered_when_sessions_have_no_descriptor_left(served, monkeypatch):
-    proxy = served(sockets=64)
+def test_management_requests_are_answered_when_sessions_use_all_descriptors(start_proxy, monkeypatch):
+    proxy = start_proxy(sockets=64)
     idle = [proxy.client() for _ in range(60)]
     proxy.until(lambda: proxy.counts["accepts put off for want of room"])
 
     assert len(idle) == 60 and proxy.call_operator("ready") == (200, "ready\n")
 
 
-def test_operators_are_served_in_the_middle_of_a_long_turn(served, monkeypatch):
+def test_management_requests_are_answered_within_a_long_loop_turn(start_proxy, monkeypatch):
     monkeypatch.setattr(loops, "URGENT_INTERVAL", 0.0)
-    proxy, order = served(), []
+    proxy, order = start_proxy(), []
     loop = proxy.proxy.loop
-    caller = proxy.operator(READY + END)
+    caller = proxy.operator(READY_REQUEST + REQUEST_END)
     for number in range(20):
         reader, writer = os.pipe()
         os.write(writer, b"x")
 
-        def busy(_, number=number, fd=reader):
+        def on_readable(_, number=number, fd=reader):
             order.append((number, bool(caller.read())))
             loop.watch(fd, 0, None)
 
-        loop.watch(reader, loops.READ, busy)
+        loop.watch(reader, loops.READ, on_readable)
     loop.turn(0.0)
-    assert len(order) == 20 and order[-1][1]  # the last of one turn's callbacks came after the answer
+    assert len(order) == 20 and order[-1][1]  # answered before the last callback of this turn
 
 
-def test_each_session_counts_once_under_what_its_client_was_told(served):
-    proxy = served("a", listeners=BOTH)
-    assert read_figures(proxy.call_operator("counters")[1])["lb_busy_total", "once"] == 0
+def test_each_session_is_counted_once_by_its_final_answer(start_proxy):
+    proxy = start_proxy("a", listeners=TWO_LISTENERS)
+    assert parse_metrics(proxy.call_operator("counters")[1])["lb_busy_total", "once"] == 0
     client, server = proxy.established()
-    told = read_figures(proxy.call_operator("counters")[1])
-    assert told["lb_inflight", None] == told["lb_backend_calls_total", None] == 1
-    proxy.client(b"OPEN zz 7f3a c=nobody,d=2000\r\n")  # a bad client's is none
+    values = parse_metrics(proxy.call_operator("counters")[1])
+    assert values["lb_inflight", None] == values["lb_backend_calls_total", None] == 1
+    proxy.client(b"OPEN zz 7f3a c=nobody,d=2000\r\n")  # a malformed request is not counted as a session
     server.send(b"BYE\r\n")
     server.sock.close()
     proxy.until(lambda: client.read().endswith(b"BYE\r\n"))
-    torn = proxy.open_session("once")
+    failed = proxy.open_session("once")
     proxy.until(lambda: proxy.endpoints["a"].connection(2)).send(b"ERR\r\n")
-    proxy.until(lambda: torn.read() == b"ERR\r\n")
+    proxy.until(lambda: failed.read() == b"ERR\r\n")
     proxy.endpoints["a"].sock.close()
-    refused = proxy.open_session("calls")
-    proxy.until(lambda: refused.read() == b"BUSY\r\n")
-    left = proxy.open_session("calls")
-    left.sock.close()
+    rejected = proxy.open_session("calls")
+    proxy.until(lambda: rejected.read() == b"BUSY\r\n")
+    abandoned = proxy.open_session("calls")
+    abandoned.sock.close()
     proxy.until(lambda: not proxy.proxy.sessions.table.live)
-    told = read_figures(proxy.call_operator("counters")[1])
-    ends = {key: value for key, value in told.items() if key[1]}
-    assert ends == {
+    values = parse_metrics(proxy.call_operator("counters")[1])
+    by_tier = {key: value for key, value in values.items() if key[1]}
+    assert by_tier == {
         ("lb_success_total", "calls"): 1,
         ("lb_success_total", "once"): 0,
         ("lb_busy_total", "calls"): 1,
@@ -174,20 +180,20 @@
         ("lb_failure_total", "calls"): 0,
         ("lb_failure_total", "once"): 1,
     }
-    # Nothing was written to the server that refused connections.
-    assert told["lb_backend_calls_total", None] == 2 and told["lb_inflight", None] == 0
-    assert told["lb_hosts_listed", None] == 1
+    # The endpoint that refused connections received no session.
+    assert values["lb_backend_calls_total", None] == 2 and values["lb_inflight", None] == 0
+    assert values["lb_hosts_listed", None] == 1
 
 
-def test_names_of_any_kind_are_read_back_from_the_figures():
-    counters, odd = Counters(), 'a "quoted"\\\nname'
-    counters.open_listeners([odd])
-    counters.ended("accepted", odd)
+def test_listener_names_are_escaped_in_the_metrics():
+    counters, name = Counters(), 'a "quoted"\\\nname'
+    counters.open_listeners([name])
+    counters.ended("accepted", name)
     text = metrics.render([("success_total", counters.ends["accepted"])], []).decode()
-    assert read_figures(text)["lb_success_total", odd] == 1
+    assert parse_metrics(text)["lb_success_total", name] == 1
 
 
-def test_a_server_that_failed_is_down_and_a_full_one_is_not(host):
+def test_hosts_down_counts_failing_but_not_overloaded_endpoints(host):
     host.servers("a", "b", "c")
     host.loads(a=0.9)
     for _ in range(3):
@@ -195,13 +201,13 @@
     assert count_avoided(host.balancer) == (3, 1)
 
 
-def test_clients_are_sent_away_between_lines_and_what_still_comes_is_served(served, monkeypatch):
+def test_a_drain_migrates_all_clients_and_serves_late_ones_until_it_ends(start_proxy, monkeypatch):
     monkeypatch.setattr(draining, "DRAIN_DELAY_SECONDS", 0.1)
     monkeypatch.setattr(draining, "DRAIN_SECONDS", 0.8)
-    proxy = served()
+    proxy = start_proxy()
     front = proxy.client(b"PING\r\n")
     proxy.until(lambda: front.read() == b"PONG\r\n")
-    standing = [proxy.established() for _ in range(4)]
+    established = [proxy.established() for _ in range(4)]
     assert (
         proxy.call_operator("out-of-service", "POST")[0]
         == proxy.call_operator("out-of-service", "POST")[0]
@@ -211,14 +217,14 @@
     proxy.until(lambda: front.read() == b"PONG\r\nBUSY\r\n")
     assert proxy.call_operator("ready")[0] == 503
     late, _ = proxy.established()
-    dialling = proxy.open_session()
-    proxy.proxy.reloader.reload()  # does not bring it back
+    attempting = proxy.open_session()
+    proxy.proxy.reloader.reload()  # must not end the drain
     assert proxy.call_operator("ready")[0] == 503
-    for client, _ in [*standing, (late, None)]:
+    for client, _ in [*established, (late, None)]:
         proxy.until(lambda client=client: client.read() == b"MOVE\r\n" and client.end == "closed", within=1.2)
-    proxy.until(lambda: dialling.read() == b"BUSY\r\n", within=1.2)
-    after = proxy.open_session()
-    proxy.until(lambda: after.read() == b"BUSY\r\n" and after.end)
+    proxy.until(lambda: attempting.read() == b"BUSY\r\n", within=1.2)
+    rejected = proxy.open_session()
+    proxy.until(lambda: rejected.read() == b"BUSY\r\n" and rejected.end)
     assert (
         not front.end
         and proxy.call_operator("in-service", "POST")[0]
@@ -228,25 +234,25 @@
     front.send(b"PING\r\n")
     proxy.until(lambda: front.read().endswith(b"PONG\r\n"))
     assert proxy.call_operator("ready")[0] == 200
-    dials, again = proxy.counts["dials"], proxy.open_session()
-    proxy.until(lambda: proxy.counts["dials"] > dials and not again.end)
+    attempts, accepted = proxy.counts["dials"], proxy.open_session()
+    proxy.until(lambda: proxy.counts["dials"] > attempts and not accepted.end)
 
 
-def test_taken_back_half_way_those_not_moved_yet_stay(served, monkeypatch):
+def test_a_cancelled_drain_leaves_unmigrated_clients_connected(start_proxy, monkeypatch):
     monkeypatch.setattr(draining, "DRAIN_DELAY_SECONDS", 0.05)
-    proxy = served()
+    proxy = start_proxy()
     clients = [proxy.established()[0] for _ in range(12)]
     proxy.call_operator("out-of-service", "POST")
     proxy.until(lambda: any(client.read() for client in clients))
     proxy.call_operator("in-service", "POST")
-    moved = sum(bool(client.read()) for client in clients)
+    migrated = sum(bool(client.read()) for client in clients)
     proxy.run_for(0.3)
-    assert 0 < moved == sum(bool(client.read()) for client in clients) < 12
-    proxy.call_operator("out-of-service", "POST")  # and again, from anew
-    proxy.until(lambda: sum(bool(client.read()) for client in clients) > moved)
+    assert 0 < migrated == sum(bool(client.read()) for client in clients) < 12
+    proxy.call_operator("out-of-service", "POST")  # a second drain migrates the others
+    proxy.until(lambda: sum(bool(client.read()) for client in clients) > migrated)
 
 
-TOLD = {
+CONFIG_DOCUMENT = {
     "name": "n",
     "listen": "127.0.0.1:1",
     "discovery": "127.0.0.1:2",
@@ -274,133 +280,134 @@
 }
 
 
-def objects(told, path=()):
-    """Each object of the file, by the way to it."""
-    yield path, told
-    for key, value in told.items() if isinstance(told, dict) else enumerate(told):
+def iterate_objects(document, path=()):
+    """Yield each object and list of a document with its path."""
+    yield path, document
+    for key, value in document.items() if isinstance(document, dict) else enumerate(document):
         if isinstance(value, dict | list) and key != "known":
-            yield from objects(value, (*path, key))
+            yield from iterate_objects(value, (*path, key))
 
 
-def changed(path, key, value=None):
-    told = json.loads(json.dumps(TOLD))
-    place = told
+def change_document(path, key, value=None):
+    """Return a copy of the configuration with one key set, or removed if the value is None."""
+    document = json.loads(json.dumps(CONFIG_DOCUMENT))
+    target = document
     for step in path:
-        place = place[step]
+        target = target[step]
     if value is None:
-        del place[key]
+        del target[key]
     else:
-        place[key] = value
-    return told
+        target[key] = value
+    return document
 
 
-def test_no_file_that_lacks_a_key_or_is_cut_off_is_taken(tmp_path):
-    old, path = decode_config(TOLD, {}), tmp_path / "config.json"
-    whole = json.dumps(TOLD)
-    files = [whole[:place] for place in range(0, len(whole), 10)]
-    for place, found in objects(TOLD):
-        if isinstance(found, dict):
-            files += [json.dumps(changed(place, key)) for key in found]
+def test_a_reload_rejects_truncated_files_missing_keys_and_invalid_values(tmp_path):
+    old, path = decode_config(CONFIG_DOCUMENT, {}), tmp_path / "config.json"
+    complete = json.dumps(CONFIG_DOCUMENT)
+    files = [complete[:length] for length in range(0, len(complete), 10)]
+    for place, value in iterate_objects(CONFIG_DOCUMENT):
+        if isinstance(value, dict):
+            files += [json.dumps(change_document(place, key)) for key in value]
     for row in (0, 1):
         for key in ("dialTimeoutNs", "handshakeTargetNs"):
             files += [
-                json.dumps(changed(("settings", "listeners", row), key, value))
+                json.dumps(change_document(("settings", "listeners", row), key, value))
                 for value in (0, -5, True, "2e9", float("nan"), float("inf"), [], {})
             ]
     files += [
-        json.dumps(changed(("settings", "ceilings"), "mostDials", value))
+        json.dumps(change_document(("settings", "ceilings"), "mostDials", value))
         for value in (0, -1, True, "3", float("nan"), [])
     ]
     for text in files:
         path.write_text(text)
         with pytest.raises(ConfigError):
-            fresh = read_config(str(path))
-            if why := find_restart_reason(old, fresh):
-                raise ConfigError(why)
+            new = read_config(str(path))
+            if reason := find_restart_reason(old, new):
+                raise ConfigError(reason)
     assert len(files) > 80
-    added = changed(("settings", "listeners", 0), "name", "new")  # dropped, added, with another effect
-    added["settings"]["listeners"][0]["semantics"] = "non_idempotent"
+    renamed = change_document(("settings", "listeners", 0), "name", "new")  # one removed, one added
+    renamed["settings"]["listeners"][0]["semantics"] = "non_idempotent"
     assert (
-        find_restart_reason(old, decode_config(added, {}))
+        find_restart_reason(old, decode_config(renamed, {}))
         == ""
-        == find_restart_reason(decode_config(added, {}), old)
+        == find_restart_reason(decode_config(renamed, {}), old)
     )
-    one = changed(("settings", "listeners"), 0)
+    single = change_document(("settings", "listeners"), 0)
     assert (
-        find_restart_reason(old, decode_config(one, {})) == ""
-        and decode_config(one, {}).settings.max_attempts == 3
+        find_restart_reason(old, decode_config(single, {})) == ""
+        and decode_config(single, {}).settings.max_attempts == 3
     )
 
 
-def test_a_dropped_listeners_sessions_keep_their_terms_and_fewer_dials_are_for_new_ones(served, monkeypatch):
-    proxy = served("ab", listeners=BOTH, max_attempts=2)
-    dialling = proxy.open_session("calls")
+def test_a_reload_changes_listeners_and_max_attempts_for_new_sessions_only(start_proxy, monkeypatch):
+    proxy = start_proxy("ab", listeners=TWO_LISTENERS, max_attempts=2)
+    attempting = proxy.open_session("calls")
     first, other = proxy.first_attempt()
-    settings = replace(proxy.config.settings, listeners={"once": BOTH["once"]}, max_attempts=1)
+    settings = replace(proxy.config.settings, listeners={"once": TWO_LISTENERS["once"]}, max_attempts=1)
     proxy.config = replace(proxy.config, settings=settings)
     proxy.proxy.reloader.reload()
     first.send(b"ERR\r\n")
-    proxy.until(lambda: other.connection()).send(
-        b"UP r\r\n"
-    )  # its second dial, which new ones no longer have
-    proxy.until(lambda: dialling.read() == b"UP r\r\n")
-    on_its_way = proxy.open_session("calls")
+    # The second attempt is still allowed for this session, but no longer for new ones.
+    proxy.until(lambda: other.connection()).send(b"UP r\r\n")
+    proxy.until(lambda: attempting.read() == b"UP r\r\n")
+    in_flight = proxy.open_session("calls")
     proxy.until(lambda: proxy.proxy.sessions.active_count == 2)
     for live in proxy.proxy.sessions.table.live:
         assert live.handle.session.listener is CALLS
     monkeypatch.setattr(
         SessionRegistry, "find_listener", lambda self, name: self.settings.listeners.get(name)
     )
-    too_late = proxy.open_session("calls")
-    proxy.until(lambda: too_late.read() == b"ERR\r\n")
+    failed = proxy.open_session("calls")
+    proxy.until(lambda: failed.read() == b"ERR\r\n")
     assert (
-        not on_its_way.read()
-        and read_figures(proxy.call_operator("counters")[1])["lb_success_total", "calls"] == 1
+        not in_flight.read()
+        and parse_metrics(proxy.call_operator("counters")[1])["lb_success_total", "calls"] == 1
     )
     proxy.proxy.reloader.reread_config = lambda: read_config("/nowhere")
     proxy.proxy.reloader.reload()
-    told = read_figures(proxy.call_operator("counters")[1])
-    assert (told["lb_reconfig_ok_total", None], told["lb_reconfig_failed_total", None]) == (1, 1)
+    values = parse_metrics(proxy.call_operator("counters")[1])
+    assert (values["lb_reconfig_ok_total", None], values["lb_reconfig_failed_total", None]) == (1, 1)
 
 
-def test_an_address_for_operators_that_cant_be_used_is_one_line_and_exit_2(tmp_path, capfd, monkeypatch):
-    taken = socket.create_server(("127.0.0.1", 0))
+def test_an_unusable_management_address_exits_with_2_and_one_error_line(tmp_path, capfd, monkeypatch):
+    in_use = socket.create_server(("127.0.0.1", 0))
     path = tmp_path / "config.json"
-    for address in (f"127.0.0.1:{taken.getsockname()[1]}", "nowhere", "127.0.0.1:99999"):
+    for address in (f"127.0.0.1:{in_use.getsockname()[1]}", "nowhere", "127.0.0.1:99999"):
         free = socket.create_server(("127.0.0.1", 0))
         listen = f"127.0.0.1:{free.getsockname()[1]}"
         free.close()
-        path.write_text(json.dumps(TOLD | {"listen": listen}))
+        path.write_text(json.dumps(CONFIG_DOCUMENT | {"listen": listen}))
         monkeypatch.setenv("LB_MANAGEMENT", address)
         assert main(["serve", "--config", str(path)]) == 2
-        said = capfd.readouterr().err
-        assert said.count("\n") == 1 and str(path) in said and "address" in said
+        errors = capfd.readouterr().err
+        assert errors.count("\n") == 1 and str(path) in errors and "address" in errors
 
 
-class Overlap:
-    """Processes of one proxy, played as proxies that share the platform's listening socket and a folder."""
+class ProcessGroup:
+    """Processes of one proxy, simulated by proxies that share a listening socket and a handover folder."""
 
-    def __init__(self, served, folder):
-        self.served, self.folder = served, str(folder)
+    def __init__(self, start_proxy, folder):
+        self.start_proxy, self.folder = start_proxy, str(folder)
         self.socket = socket.create_server(("127.0.0.1", 0))
         self.running = []
 
     def start(self, **changes):
-        given = open_inherited_socket(str(os.dup(self.socket.fileno())))
-        proxy = self.served("a", given=given, handover=Handover(self.folder), **changes)
+        listener = open_inherited_socket(str(os.dup(self.socket.fileno())))
+        proxy = self.start_proxy("a", given=listener, handover=Handover(self.folder), **changes)
         self.running.append(proxy)
         return proxy
 
-    def until(self, seen, within=3.0):
-        end = time.monotonic() + within
-        while not (got := seen()):
-            assert time.monotonic() < end, [dict(proxy.counts) for proxy in self.running]
+    def until(self, condition, within=3.0):
+        """Turn all loops until the condition returns something true, and return that."""
+        deadline = time.monotonic() + within
+        while not (result := condition()):
+            assert time.monotonic() < deadline, [dict(proxy.counts) for proxy in self.running]
             for proxy in self.running:
                 proxy.proxy.loop.turn(0.002)
-        return got
+        return result
 
-    def die(self, proxy):
-        """As a process that is killed: all its descriptors go, and with them its locks."""
+    def kill(self, proxy):
+        """Close the locked files and the listener of a process, as when it is killed."""
         self.running.remove(proxy)
         handover = proxy.proxy.handover
         for fd in (handover.serving_lock, handover.successor_lock):
@@ -409,75 +416,78 @@
         proxy.proxy.loop.watch(proxy.proxy.listener.fileno(), 0, None)
         proxy.proxy.listener.close()
 
-    def taken_by(self, proxy):
-        """A new client is served there and nowhere else."""
+    def connect_client_to(self, proxy):
+        """Connect a new client, check that only this process accepts it, and return it."""
         before = [other.counts["connections accepted"] for other in self.running]
         front = Peer(socket.create_connection(self.socket.getsockname()))
         front.send(b"PING\r\n")
         self.until(lambda: front.read() == b"PONG\r\n")
         after = [other.counts["connections accepted"] for other in self.running]
-        assert [b - a for a, b in zip(before, after, strict=True)] == [p is proxy for p in self.running]
+        assert [new - old for old, new in zip(before, after, strict=True)] == [
+            other is proxy for other in self.running
+        ]
         return front
 
 
 @pytest.fixture
-def overlap(served, tmp_path):
-    return Overlap(served, tmp_path)
+def processes(start_proxy, tmp_path):
+    return ProcessGroup(start_proxy, tmp_path)
 
 
-def replaced(overlap):
-    """One more process, once it takes clients in place of the one before."""
-    new = overlap.start()
-    overlap.until(lambda: new.list_service.connection())
-    new.answer_list(LIST)
-    overlap.until(lambda: overlap.running[-2].proxy.service.replaced)
+def start_replacement(processes):
+    """Start one more process, and return it once it accepts clients instead of its predecessor."""
+    new = processes.start()
+    processes.until(lambda: new.list_service.connection())
+    new.answer_list(EMPTY_DELTA)
+    processes.until(lambda: processes.running[-2].proxy.service.replaced)
     return new
 
 
-def test_a_successor_takes_clients_once_it_has_the_list_and_the_old_one_serves_its_own(overlap):
-    old = overlap.start()
-    front, (client, _) = overlap.taken_by(old), old.established()
-    new = overlap.start()
-    overlap.until(lambda: new.list_service.connection())
+def test_a_successor_accepts_clients_after_its_first_list_and_the_predecessor_keeps_its_own(processes):
+    old = processes.start()
+    front, (client, _) = processes.connect_client_to(old), old.established()
+    new = processes.start()
+    processes.until(lambda: new.list_service.connection())
     assert new.call_operator("ready")[0] == 503 and old.call_operator("ready")[0] == 200
-    overlap.taken_by(old)
-    new.answer_list(LIST)
-    overlap.until(lambda: new.proxy.service.ready)
+    processes.connect_client_to(old)
+    new.answer_list(EMPTY_DELTA)
+    processes.until(lambda: new.proxy.service.ready)
     assert new.call_operator("ready")[0] == 200
-    overlap.until(lambda: old.proxy.service.replaced)
-    overlap.taken_by(new)
-    accepted = overlap.taken_by(new)
+    processes.until(lambda: old.proxy.service.replaced)
+    processes.connect_client_to(new)
+    accepted = processes.connect_client_to(new)
     front.send(b"PING\r\n")
-    overlap.until(lambda: front.read() == b"PONG\r\nPONG\r\n")  # never a no meanwhile
+    processes.until(lambda: front.read() == b"PONG\r\nPONG\r\n")  # it never stopped answering
     old.proxy.loop.spawn(old.proxy.shutdown.run())
     front.send(b"PING\r\n")
-    overlap.until(lambda: front.read() == b"PONG\r\n" * 3 and front.end == "closed")  # after the answer
-    overlap.until(lambda: not old.proxy.loop.running)
+    # The connection is closed only after the answer.
+    processes.until(lambda: front.read() == b"PONG\r\n" * 3 and front.end == "closed")
+    processes.until(lambda: not old.proxy.loop.running)
     assert not client.read() and not client.end
     accepted.send(b"PING\r\n")
-    overlap.until(lambda: accepted.read() == b"PONG\r\n" * 2)
-    overlap.die(old)
-    overlap.until(lambda: new.proxy.handover.serving_lock is not None)
-    overlap.taken_by(replaced(overlap))  # a successor's successor
+    processes.until(lambda: accepted.read() == b"PONG\r\n" * 2)
+    processes.kill(old)
+    processes.until(lambda: new.proxy.handover.serving_lock is not None)
+    processes.connect_client_to(start_replacement(processes))  # the successor can be replaced as well
 
 
-@pytest.mark.parametrize("after_its_yes", [False, True])
-def test_a_successor_that_dies_leaves_all_as_it_was(overlap, after_its_yes):
-    old = overlap.start()
+@pytest.mark.parametrize("is_taking", [False, True])
+def test_the_predecessor_continues_when_its_successor_dies(processes, is_taking):
+    old = processes.start()
     client, server = old.established()
-    new = replaced(overlap) if after_its_yes else overlap.start()
-    waiting = Peer(socket.create_connection(overlap.socket.getsockname()))  # read by nobody yet
-    overlap.die(new)
+    new = start_replacement(processes) if is_taking else processes.start()
+    waiting = Peer(socket.create_connection(processes.socket.getsockname()))  # not accepted yet
+    processes.kill(new)
     waiting.send(b"PING\r\n")
-    overlap.until(lambda: waiting.read() == b"PONG\r\n" and not old.proxy.service.replaced)
-    overlap.taken_by(old)
+    processes.until(lambda: waiting.read() == b"PONG\r\n" and not old.proxy.service.replaced)
+    processes.connect_client_to(old)
     server.send(b"still here\r\n")
-    overlap.until(lambda: client.read() == b"still here\r\n" and not client.end)
+    processes.until(lambda: client.read() == b"still here\r\n" and not client.end)
 
 
-def test_a_third_process_or_a_folder_that_cant_be_used_hands_nothing_over(overlap, tmp_path, monkeypatch):
+def test_a_third_process_has_no_role_and_a_missing_folder_raises(processes, tmp_path, monkeypatch):
     monkeypatch.setattr(handovers, "LOCK_TIMEOUT_SECONDS", 0.05)
-    old, new = overlap.start(), overlap.start()
+    old, new = processes.start(), processes.start()
     third = Handover(str(tmp_path))
     assert not old.proxy.handover.is_successor and new.proxy.handover.is_successor
     assert (
@@ -492,74 +502,78 @@
     assert old.proxy.handover.read_successor_announcement() == {}
 
 
-def test_a_descriptor_that_is_no_listening_socket_is_refused(tmp_path):
-    plain, file = socket.socket(), open(tmp_path / "file", "w")  # noqa: SIM115
-    for told in (str(plain.fileno()), str(file.fileno()), "999", "-1", "x"):
+def test_an_inherited_descriptor_must_be_a_listening_socket(tmp_path):
+    not_listening, file = socket.socket(), open(tmp_path / "file", "w")  # noqa: SIM115
+    for text in (str(not_listening.fileno()), str(file.fileno()), "999", "-1", "x"):
         with pytest.raises(ListenError, match=r"LB_LISTEN_FD: expected a listening socket"):
-            open_inherited_socket(told)
+            open_inherited_socket(text)
     file.close()
 
 
-def test_open_connections_go_on_in_the_successor_with_all_that_was_under_way(overlap):
-    old = overlap.start()
+def test_open_connections_and_their_buffers_are_handed_off_to_the_successor(processes):
+    old = processes.start()
     pairs = [old.established() for _ in range(40)]
     client, server = pairs[0]
     client.send(b"m 1\r\nm 2")
     old.until(lambda: server.read() == b"m 1\r\n")
     server.send(b"LOAD 5\r\nm")
     old.until(lambda: client.read() == b"LOAD 5\r\n")
-    waiting, later = (
-        old.open_session(),
-        old.until(lambda: old.endpoints["a"].connection(41)),
-    )  # has a dial out at the stop
-    unread = Peer(socket.create_connection(overlap.socket.getsockname()))
-    overlap.until(lambda: old.counts["connections accepted"] == 42)
-    new = replaced(overlap)
+    # This session has an attempt in flight at the shutdown.
+    attempting, attempt = old.open_session(), old.until(lambda: old.endpoints["a"].connection(41))
+    silent = Peer(socket.create_connection(processes.socket.getsockname()))
+    processes.until(lambda: old.counts["connections accepted"] == 42)
+    new = start_replacement(processes)
     old.proxy.loop.spawn(old.proxy.shutdown.run())
-    overlap.until(lambda: new.counts["connections taken over"] == 40)
-    later.send(b"UP r2\r\n")
-    overlap.until(lambda: waiting.read() == b"UP r2\r\n" and new.counts["connections taken over"] == 41)
-    unread.send(b"OPEN 9b1f77 7f3a c=calls,d=2000\r\n")
-    overlap.until(lambda: old.endpoints["a"].connection(42)).send(b"UP r3\r\n")
-    overlap.until(lambda: unread.read() == b"UP r3\r\n" and new.counts["connections taken over"] == 42)
-    overlap.until(lambda: not old.proxy.loop.running)
-    overlap.die(old)
+    processes.until(lambda: new.counts["connections taken over"] == 40)
+    attempt.send(b"UP r2\r\n")
+    processes.until(lambda: attempting.read() == b"UP r2\r\n" and new.counts["connections taken over"] == 41)
+    silent.send(b"OPEN 9b1f77 7f3a c=calls,d=2000\r\n")
+    processes.until(lambda: old.endpoints["a"].connection(42)).send(b"UP r3\r\n")
+    processes.until(lambda: silent.read() == b"UP r3\r\n" and new.counts["connections taken over"] == 42)
+    processes.until(lambda: not old.proxy.loop.running)
+    processes.kill(old)
     client.send(b"\r\n")
     server.send(b" 1\r\n")
-    overlap.until(lambda: server.read() == b"m 1\r\nm 2\r\n" and client.read() == b"LOAD 5\r\nm 1\r\n")
+    processes.until(lambda: server.read() == b"m 1\r\nm 2\r\n" and client.read() == b"LOAD 5\r\nm 1\r\n")
     for client, server in pairs:
         server.received = client.received = b""
         client.send(b"m 3\r\n")
-        overlap.until(lambda s=server: s.read().endswith(b"m 3\r\n"))
+        processes.until(lambda server=server: server.read().endswith(b"m 3\r\n"))
         server.send(b"m 3\r\n")
-        overlap.until(lambda c=client: c.read() == b"m 3\r\n")
+        processes.until(lambda client=client: client.read() == b"m 3\r\n")
     balancer = new.proxy.decisions.balancer
-    (held,) = (len(s.connections) for s in balancer.tracked.values())
-    assert held == 42 and all(sess.placed_here for s in balancer.tracked.values() for sess in s.connections)
-    assert new.counts["dials"] == 0  # nothing was dialled anew
-    told = read_figures(new.call_operator("counters")[1])
-    assert (told["lb_inflight", None], told["lb_success_total", "calls"]) == (42, 0)
-    new.proxy.loop.spawn(new.proxy.shutdown.run())  # and from it, moved, as there is no successor
-    overlap.until(lambda: all(c.read().endswith(b"MOVE\r\n") and c.end for c, _ in pairs), within=3.5)
-
-
-@pytest.mark.parametrize("fails", ["refuses", "dies", "no path"])
-def test_what_a_successor_does_not_take_is_moved(overlap, monkeypatch, fails):
-    old = overlap.start()
+    (count,) = (len(endpoint.connections) for endpoint in balancer.tracked.values())
+    assert count == 42 and all(
+        session.placed_here for endpoint in balancer.tracked.values() for session in endpoint.connections
+    )
+    assert new.counts["dials"] == 0  # no new connection to an endpoint
+    values = parse_metrics(new.call_operator("counters")[1])
+    assert (values["lb_inflight", None], values["lb_success_total", "calls"]) == (42, 0)
+    new.proxy.loop.spawn(new.proxy.shutdown.run())  # it has no successor and migrates them
+    processes.until(
+        lambda: all(client.read().endswith(b"MOVE\r\n") and client.end for client, _ in pairs), within=3.5
+    )
+
+
+@pytest.mark.parametrize("failure", ["refuses", "dies", "no path"])
+def test_connections_that_the_successor_does_not_take_are_migrated(processes, monkeypatch, failure):
+    old = processes.start()
     clients = [old.established()[0] for _ in range(3)]
-    new = replaced(overlap)
-    if fails == "refuses":
+    new = start_replacement(processes)
+    if failure == "refuses":
         monkeypatch.setattr(ConnectionHandoff, "decode", lambda _: 1 / 0)
-    elif fails == "dies":
+    elif failure == "dies":
         new.proxy.loop.running = False
-        overlap.running.remove(new)  # never turned again: it has the messages, and answers none
+        processes.running.remove(new)  # its loop never runs again: it receives the messages and answers none
         monkeypatch.setattr(shutdown, "STOP_MARGIN_SECONDS", 2.6)
     else:
         monkeypatch.setattr(
             Handover, "read_successor_announcement", lambda _: {"state": "taking", "path": "/nowhere"}
         )
     old.proxy.loop.spawn(old.proxy.shutdown.run())
-    overlap.until(lambda: all(c.read() == b"MOVE\r\n" and c.end == "closed" for c in clients), within=3.5)
+    processes.until(
+        lambda: all(client.read() == b"MOVE\r\n" and client.end == "closed" for client in clients), within=3.5
+    )
     assert not old.counts["connections passed on"]
 
 
@@ -575,7 +589,7 @@
         {"number": "x"},
     ],
 )
-def test_a_record_that_cant_be_used_leaves_the_connection_where_it_is(loopback, change):
+def test_an_invalid_handoff_record_is_refused_and_the_connection_stays(loopback, change):
     proxy = loopback()
     client, _ = proxy.established()
     (live,) = proxy.proxy.sessions.table.live
@@ -595,15 +609,15 @@
     assert receiver.answer_for(json.dumps(record).encode(), [pair[0].detach() for pair in ends]) == b"7 taken"
 
 
-def test_a_hand_over_file_is_used_whole_or_not_at_all():
+def test_a_state_file_is_used_whole_or_not_at_all():
     rows = [{"name": f"s{number}"} for number in range(5)]
     text = encode_state("me", 100.0, {"x": 1}, rows)
     assert decode_state(text, "me", 101.0) == ({"x": 1}, rows)
     lines = text.split(b"\n")
-    cut = [b"\n".join(lines[:count]) + b"\n" for count in range(1, 6)]
-    cut += [text[:place] for place in range(0, len(text), 7)]
-    odd = [text + lines[1] + b"\n", text.replace(b'"version":2', b'"version":1'), b"\xff" * 90, b"[]\n"]
-    for broken in cut + odd:
+    truncated = [b"\n".join(lines[:count]) + b"\n" for count in range(1, 6)]
+    truncated += [text[:length] for length in range(0, len(text), 7)]
+    invalid = [text + lines[1] + b"\n", text.replace(b'"version":2', b'"version":1'), b"\xff" * 90, b"[]\n"]
+    for broken in truncated + invalid:
         with pytest.raises(StateError):
             decode_state(broken, "me", 101.0)
     for token, now in (("you", 101.0), ("me", 111.0), ("me", 90.0)):
@@ -611,7 +625,7 @@
             decode_state(text, token, now)
 
 
-def test_a_load_estimated_below_zero_does_not_cost_the_successor_all_that_is_known(start, lost):
+def test_a_negative_load_estimate_does_not_invalidate_the_state_snapshot(start, lost):
     old, new = start(), start()
     for host in (old, new):
         host.servers("a", "b", "c")
@@ -625,9 +639,14 @@
     assert all(endpoint.load == 0.0 for endpoint in new.balancer.tracked.values())
 
 
-def test_a_successor_knows_loads_and_distrust_and_spends_no_cold_budget_twice(start):
-    cold = {"instance_count": 1, "slow_start_share": 0.25, "slow_start_time": 10.0, "overload_multiple": 2.0}
-    old, new = start(**cold), start(**cold)
+def test_a_snapshot_restores_loads_outlier_scores_and_the_spent_slow_start_budget(start):
+    slow_start = {
+        "instance_count": 1,
+        "slow_start_share": 0.25,
+        "slow_start_time": 10.0,
+        "overload_multiple": 2.0,
+    }
+    old, new = start(**slow_start), start(**slow_start)
     for host in (old, new):
         host.servers("a", "b", "c")
         host.loads(a=0.2, b=0.2, c=0.2)
@@ -642,58 +661,63 @@
     for host in (old, new):
         host.servers("d", kind=EndpointListKind.DELTA, started_at=1009.0)
     budget = old.balancer.slow_start
-    budget.tokens[old.balancer.tracked["d"]] = (0.1, old.now)  # the rest is spent
+    budget.tokens[old.balancer.tracked["d"]] = (0.1, old.now)  # almost all tokens are spent
     common, records = json.loads(json.dumps(take_snapshot(old.balancer)))
     for broken in ({"load": -1}, {"distrust": float("nan")}, {"set_up": [1]}, {"tokens": True}):
         with pytest.raises((ValueError, TypeError)):
             restore_snapshot(new.balancer, common, [*records[:3], {**records[3], **broken}])
-    assert count_avoided(new.balancer) == (4, 0)  # nothing of it was used
+    assert count_avoided(new.balancer) == (4, 0)  # nothing was restored
     assert restore_snapshot(new.balancer, common, [*records, {**records[0], "name": "nobody"}]) == 4
-    servers = new.balancer.tracked
-    assert count_avoided(new.balancer) == (4, 1) and servers["b"].outlier_score(new.now) > 2.9
-    assert 0.5 <= servers["a"].load < 0.6 and servers["a"].ever_used and servers["d"].arrival
-    assert new.balancer.slow_start.tokens[servers["d"]] == (pytest.approx(0.1), new.now)
+    endpoints = new.balancer.tracked
+    assert count_avoided(new.balancer) == (4, 1) and endpoints["b"].outlier_score(new.now) > 2.9
+    assert 0.5 <= endpoints["a"].load < 0.6 and endpoints["a"].ever_used and endpoints["d"].arrival
+    assert new.balancer.slow_start.tokens[endpoints["d"]] == (pytest.approx(0.1), new.now)
     assert new.balancer.slow_start.rate(new.now) == pytest.approx(old.balancer.slow_start.rate(old.now))
 
 
-def test_a_successor_that_hears_no_list_goes_on_from_the_old_ones_and_takes_clients(overlap, monkeypatch):
+def test_a_successor_without_a_list_uses_the_predecessors_list(processes, monkeypatch):
     monkeypatch.setattr(replacement, "LIST_TIMEOUT_SECONDS", 0.4)
-    old = overlap.start()
-    rows = [old.list_record("a"), old.list_record("a", "leaving") | {"host": "b"}]
-    whole = {"seq": 41, "whole": True, "hosts": rows}
-    old.answer_list(json.dumps(whole).encode())
-    overlap.until(lambda: len(old.proxy.decisions.balancer.tracked) == 2)
-    new = overlap.start(known=False)
-    old.proxy.discovery.address = new.config.discovery  # one service for both
-    overlap.until(lambda: new.proxy.service.ready, within=1.0)
-    told = {server.name: server.state.value for server in new.proxy.decisions.balancer.tracked.values()}
-    assert told == {"a": "in service", "b": "draining"} and new.proxy.discovery.version == 41
-
-
-def test_answers_of_servers_and_list_are_read_whatever_their_pieces(loopback):
-    for cut in range(1, 7):
+    old = processes.start()
+    records = [old.list_record("a"), old.list_record("a", "leaving") | {"host": "b"}]
+    snapshot = {"seq": 41, "whole": True, "hosts": records}
+    old.answer_list(json.dumps(snapshot).encode())
+    processes.until(lambda: len(old.proxy.decisions.balancer.tracked) == 2)
+    new = processes.start(known=False)
+    old.proxy.discovery.address = new.config.discovery  # both use one list service
+    processes.until(lambda: new.proxy.service.ready, within=1.0)
+    states = {
+        endpoint.name: endpoint.state.value for endpoint in new.proxy.decisions.balancer.tracked.values()
+    }
+    assert states == {"a": "in service", "b": "draining"} and new.proxy.discovery.version == 41
+
+
+def test_endpoint_and_list_answers_are_parsed_at_any_fragmentation(loopback):
+    for length in range(1, 7):
         proxy = loopback()
-        client, server = proxy.open_session(), proxy.until(lambda p=proxy: p.endpoints["a"].connection())
-        server.send(b"UP r1\r\n"[:cut])
+        client, server = (
+            proxy.open_session(),
+            proxy.until(lambda proxy=proxy: proxy.endpoints["a"].connection()),
+        )
+        server.send(b"UP r1\r\n"[:length])
         proxy.run_for(0.01)
         assert not client.read()
-        server.send(b"UP r1\r\n"[cut:])
-        proxy.until(lambda c=client: c.read() == b"UP r1\r\n")
+        server.send(b"UP r1\r\n"[length:])
+        proxy.until(lambda client=client: client.read() == b"UP r1\r\n")
     peer = proxy.until(lambda: proxy.list_service.connection())
     body = json.dumps({"seq": 8, "whole": True, "hosts": [proxy.list_record("a", health="leaving")]}).encode()
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-    for place in range(len(answer)):
+    for position in range(len(answer)):
         assert proxy.proxy.discovery.version == 7
-        peer.send(answer[place : place + 1])
+        peer.send(answer[position : position + 1])
         proxy.proxy.loop.turn(0.0)
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
 
 
-def test_a_client_that_reads_nothing_is_not_held_past_the_time_for_sending_away(served, monkeypatch):
+def test_a_client_that_reads_nothing_is_closed_after_the_drain(start_proxy, monkeypatch):
     monkeypatch.setattr(draining, "DRAIN_DELAY_SECONDS", 0.05)
     monkeypatch.setattr(draining, "DRAIN_SECONDS", 0.5)
     monkeypatch.setattr(draining, "CLOSING_SECONDS", 0.1)
-    proxy = served()
+    proxy = start_proxy()
     client, server = proxy.established()
     (live,) = proxy.proxy.sessions.table.live
     live.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -704,37 +728,37 @@
     proxy.until(lambda: live.client.closed, within=1.5)
 
 
-def test_an_old_process_out_of_service_leaves_the_clients_to_its_successor(overlap):
-    old = overlap.start()
+def test_a_drained_process_leaves_clients_to_its_successor(processes):
+    old = processes.start()
     client, _ = old.established()
     old.call_operator("out-of-service", "POST")
-    new = replaced(overlap)
+    new = start_replacement(processes)
     for _ in range(4):
-        overlap.taken_by(new)
+        processes.connect_client_to(new)
     old.proxy.loop.spawn(old.proxy.shutdown.run())
-    overlap.until(lambda: new.counts["connections taken over"] == 1 or client.read() == b"MOVE\r\n")
-    overlap.until(lambda: not old.proxy.loop.running)
+    processes.until(lambda: new.counts["connections taken over"] == 1 or client.read() == b"MOVE\r\n")
+    processes.until(lambda: not old.proxy.loop.running)
 
 
-def test_a_successor_that_is_called_off_gives_the_clients_back_before_it_ends(overlap):
-    old = overlap.start()
-    new = replaced(overlap)
-    overlap.taken_by(new)
+def test_a_stopped_successor_returns_clients_to_its_predecessor_before_it_ends(processes):
+    old = processes.start()
+    new = start_replacement(processes)
+    processes.connect_client_to(new)
     new.proxy.loop.spawn(new.proxy.shutdown.run())
-    overlap.until(lambda: not old.proxy.service.replaced, within=0.4)
+    processes.until(lambda: not old.proxy.service.replaced, within=0.4)
     assert new.proxy.loop.running
-    overlap.until(lambda: not new.proxy.loop.running)
-    overlap.taken_by(old)
+    processes.until(lambda: not new.proxy.loop.running)
+    processes.connect_client_to(old)
 
 
-def test_a_stop_while_clients_are_sent_away_ends_as_usual_and_figures_go_on(served):
-    proxy = served()
+def test_a_shutdown_during_a_drain_completes_and_metrics_stay_available(start_proxy):
+    proxy = start_proxy()
     clients = [proxy.established()[0] for _ in range(5)]
     proxy.proxy.shutdown.stop_time = 0.9
     proxy.call_operator("out-of-service", "POST")
     proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: proxy.proxy.service.stopping)
     assert proxy.call_operator("in-service", "POST")[0] == proxy.call_operator("ready")[0] == 503
-    assert read_figures(proxy.call_operator("counters")[1])["lb_inflight", None] == 5
+    assert parse_metrics(proxy.call_operator("counters")[1])["lb_inflight", None] == 5
     proxy.until(lambda: not proxy.proxy.loop.running, within=2.5)
     assert all(client.read() == b"MOVE\r\n" for client in clients) and not proxy.proxy.sessions.active_count
