--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -101,16 +101,16 @@
     assert has_received_nothing(proxy, proxy.endpoints["a"])
 
 
-@pytest.mark.parametrize("how", ["close", "reset", "half-close"])
+@pytest.mark.parametrize("client_action", ["close", "reset", "half-close"])
 @pytest.mark.parametrize("cancelling", [True, False])
-def test_nothing_is_sent_for_a_client_that_leaves_during_the_connect(start_proxy, how, cancelling):
+def test_nothing_is_sent_for_a_client_that_leaves_during_the_connect(start_proxy, client_action, cancelling):
     proxy = start_proxy("a", cancellation=cancelling)
     client = proxy.open_session(wait=4000)
     wait_for_connect(proxy)
-    if how == "half-close":
+    if client_action == "half-close":
         client.sock.shutdown(socket.SHUT_WR)
     else:
-        if how == "reset":
+        if client_action == "reset":
             client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         client.sock.close()
     proxy.endpoints["a"].empty_queue()
@@ -118,7 +118,7 @@
     if not cancelling:  # else the connect may have been cancelled before it was established
         assert has_received_nothing(proxy, proxy.endpoints["a"])
     assert not proxy.counts["dials written whole"]
-    if how == "half-close":  # the client still reads and must be answered
+    if client_action == "half-close":  # the client still reads and must be answered
         proxy.until(lambda: client.read() in (BUSY_LINE, ERR_LINE) and client.end)
 
 
@@ -188,14 +188,14 @@
     assert client.received == BUSY_LINE and has_received_nothing(proxy, proxy.endpoints["a"])
 
 
-@pytest.mark.parametrize("how", ["close", "half-close"])
-def test_a_client_that_leaves_the_queue_is_not_served_later(loopback, how):
+@pytest.mark.parametrize("client_action", ["close", "half-close"])
+def test_a_client_that_leaves_the_queue_is_not_served_later(loopback, client_action):
     proxy = loopback(known=False)
     client = proxy.open_session()
     proxy.until(lambda: proxy.counts["sessions taken"] == 1)
-    client.sock.close() if how == "close" else client.sock.shutdown(socket.SHUT_WR)
+    client.sock.close() if client_action == "close" else client.sock.shutdown(socket.SHUT_WR)
     ended_at = time.monotonic()
-    if how == "half-close":  # this client still reads and must be answered
+    if client_action == "half-close":  # this client still reads and must be answered
         proxy.until(lambda: client.read() == BUSY_LINE and client.end)
     proxy.until(lambda: not proxy.proxy.sessions.active_count)
     assert time.monotonic() - ended_at < 0.1
@@ -281,16 +281,16 @@
     monkeypatch.setattr(session_registry, "CLOSING_GRACE", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 16)
     client, server = proxy.established()
-    (live,) = proxy.proxy.sessions.table.live
-    live.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    (session,) = proxy.proxy.sessions.table.live
+    session.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     line = b"m" + b"x" * 4000 + b"\r\n"
     server.sock.settimeout(0.01)
-    while not live.client.outgoing:
+    while not session.client.outgoing:
         try:
             server.sock.sendall(line)
         except TimeoutError:
             proxy.run_for(0.01)
-    live.handle.decisions.migrate(live.handle)
+    session.handle.decisions.migrate(session.handle)
     proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.closing)
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE", 0.0)
     others = [proxy.client(b"PING\r\n") for _ in range(40)]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -352,8 +352,8 @@
     proxy.until(lambda: attempting.read() == b"UP r\r\n")
     in_flight = proxy.open_session("calls")
     proxy.until(lambda: proxy.proxy.sessions.active_count == 2)
-    for live in proxy.proxy.sessions.table.live:
-        assert live.handle.session.listener is CALLS
+    for session in proxy.proxy.sessions.table.live:
+        assert session.handle.session.listener is CALLS
     monkeypatch.setattr(
         SessionRegistry, "find_listener", lambda self, name: self.settings.listeners.get(name)
     )
@@ -592,10 +592,10 @@
 def test_an_invalid_handoff_record_is_refused_and_the_connection_stays(loopback, change):
     proxy = loopback()
     client, _ = proxy.established()
-    (live,) = proxy.proxy.sessions.table.live
+    (session,) = proxy.proxy.sessions.table.live
     sent = []
     sender = SimpleNamespace(send=lambda record, *_: sent.append(record))
-    list(EstablishedConnection(live, live.forwarder, 0.0).hand_off(sender))
+    list(EstablishedConnection(session, session.forwarder, 0.0).hand_off(sender))
     record = orjson.loads(orjson.dumps({"version": 1, "number": 7, **sent[0]}))
     record["line"] = record["line"].replace("OPEN 9b1f1", "OPEN 9b1f2")
     receiver = HandoffReceiver.__new__(HandoffReceiver)
@@ -719,13 +719,13 @@
     monkeypatch.setattr(draining, "CLOSING_SECONDS", 0.1)
     proxy = start_proxy()
     client, server = proxy.established()
-    (live,) = proxy.proxy.sessions.table.live
-    live.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    while not live.client.outgoing:
+    (session,) = proxy.proxy.sessions.table.live
+    session.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    while not session.client.outgoing:
         server.send(b"x" * 1000 + b"\r\n")
         proxy.proxy.loop.turn(0.001)
     proxy.call_operator("out-of-service", "POST")
-    proxy.until(lambda: live.client.closed, within=1.5)
+    proxy.until(lambda: session.client.closed, within=1.5)
 
 
 def test_a_drained_process_leaves_clients_to_its_successor(processes):
