--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -192,13 +192,13 @@
     """Print a summary of a configuration."""
     settings = config.settings
     host, port = config.listen
-    print(f"{config.name}: listens on {host}:{port}, one of {settings.instance_count} instances")
+    print(f"{config.name}: listens on {host}:{port}, one of {settings.instance_count} balancers")
     management = ":".join(map(str, config.management)) if config.management else "disabled"
     print(f"management API: {management}")
     weights = "live" if settings.live_weights else "sizes"
     delivery = "polled" if settings.list_is_polled else "pushed"
     print(
-        f"weights {weights}, endpoint list {delivery}, "
+        f"weights {weights}, list {delivery}, "
         f"group affinity {'on' if settings.group_affinity else 'off'}, "
         f"costs: health check {settings.health_check_price:g}, other zone {settings.cross_zone_price:g}"
     )
@@ -214,7 +214,7 @@
         f"fleet {file.fleet}: member at {host}:{port}, "
         f"voters {', '.join(file.voters)}, lease {file.leases.duration:g} s"
     )
-    print(f"roles: {roles or 'none'}")
+    print(f"duties: {roles or 'none'}")
     shared = fleet.addresses
     if shared is not None:
         names = ", ".join(service.name for service in shared.services)
