--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -902,8 +902,8 @@
 @pytest.mark.parametrize(
     "text, message",
     [
-        ("{", "not JSON"),
-        ("[]", "not an object"),
+        ("{", "config.json: expected JSON, got invalid text: "),
+        ("[]", "config.json: expected a JSON object, got list"),
         ("{}", "missing setting settings"),
         (None, "No such file"),
         ('{"settings":{"rules":{},"listeners":[]}}', "listeners: expected one at least, got none"),
