--- a/onyxhollow/policy/admission.py
+++ b/onyxhollow/policy/admission.py
@@ -122,9 +122,9 @@
     over its quota.
     """
     tenant = session.tenant
-    over_quota = (
+    is_over_quota = (
         tenant is not None
         and 0 < tenant.connection_quota < state.instance_count * state.own_connections[tenant.name]
     )
-    utility_factor = state.over_quota_utility if over_quota else 1
+    utility_factor = state.over_quota_utility if is_over_quota else 1
     return state.host.now >= session.queue_deadline, session.listener.utility * utility_factor
--- a/onyxhollow/policy/arrivals.py
+++ b/onyxhollow/policy/arrivals.py
@@ -21,14 +21,14 @@
     The share is rounded at random, so that the placements of many instances add up to the fair share.
     """
     now = state.host.now
-    share = state.mean_connections * endpoint.size
+    fair_share = state.mean_connections * endpoint.size
     endpoint.migration = None
     endpoint.recorded_score = 0.0
     phase = (state.slow_start.phase + stable_uniform(endpoint.name)) % 1.0
     state.slow_start.tokens[endpoint] = (phase, now)
-    endpoint.arrival = StagedMigration(int(share + state.rng.random()))
+    endpoint.arrival = StagedMigration(int(fair_share + state.rng.random()))
     reason = "cold" if state.slow_start.warming_up(endpoint, now) else "back"
-    state.host.log(f"arrival {endpoint.name}: {reason}, size {endpoint.size:g}, share {share:.1f}")
+    state.host.log(f"arrival {endpoint.name}: {reason}, size {endpoint.size:g}, share {fair_share:.1f}")
     # The endpoint joins as many instances' subsets as the other endpoints.
     if state.rng.random() * len(state.endpoints) < len(state.subset) and endpoint not in state.subset:
         state.subset[state.rng.randrange(len(state.subset))] = endpoint
@@ -59,8 +59,8 @@
     if arrival is None:
         return True
     now = state.host.now
-    cold = state.slow_start.warming_up(endpoint, now)
-    if arrival.moved >= arrival.count and not cold:
+    is_cold = state.slow_start.warming_up(endpoint, now)
+    if arrival.moved >= arrival.count and not is_cold:
         endpoint.arrival = None
         state.host.log(f"arrival {endpoint.name} ends: own connections {len(endpoint.connections)}")
         return True
@@ -69,8 +69,8 @@
         allowed = arrival.allowance(mean_latency(state, others), endpoint.latency(now))
         arrival.credited_at = now
         arrival.credit = arrival.credit or max(1, allowed)
-    # Queued sessions may exceed the pace of a warm endpoint; they would be rejected while it is idle.
-    within_pace = arrival.credit > 0 or (session.was_queued and not cold)
+    # Queued sessions may exceed a warm endpoint's pace, as they would otherwise be rejected while it is idle.
+    within_pace = arrival.credit > 0 or (session.was_queued and not is_cold)
     return within_pace and state.slow_start.refill(endpoint, state.connections_at_capacity, now) >= 1
 
 
--- a/onyxhollow/policy/endpoints.py
+++ b/onyxhollow/policy/endpoints.py
@@ -126,7 +126,8 @@
     if weight:
         connections = endpoint.size / weight - 1.0
         if endpoint.shared_connections_at == -math.inf:
-            endpoint.shared_connections_at_report = connections  # base for an earlier report
+            # An earlier report is corrected by the change in connections from now on.
+            endpoint.shared_connections_at_report = connections
         endpoint.shared_connections = connections
         endpoint.shared_connections_at = state.host.now
 
--- a/onyxhollow/policy/handoff.py
+++ b/onyxhollow/policy/handoff.py
@@ -34,8 +34,8 @@
         reason: for the log.
         forced: start even if the endpoint is not in service or a migration is in progress (drain notices).
     """
-    in_service = source.state is EndpointState.IN_SERVICE
-    if source.connections and (forced or (in_service and not source.migration)):
+    is_in_service = source.state is EndpointState.IN_SERVICE
+    if source.connections and (forced or (is_in_service and not source.migration)):
         source.migration = StagedMigration(len(source.connections), source.latency(state.host.now))
         state.host.log(f"hand-off {source.name}: {reason}, own connections {source.migration.count}")
         migrate_step(state, source, source.migration)
@@ -61,7 +61,8 @@
         source.migration = None
         return
     receivers = [s for s in state.subset if s is not source and not s.migration and state.eligible(s)]
-    # Adopted connections leave a failing endpoint too if the others have capacity, but not a draining one.
+    # A drain does not migrate adopted connections. A failing endpoint in service does not serve them well, so
+    # they are migrated too if most other endpoints have capacity.
     include_adopted = (
         source.state is EndpointState.IN_SERVICE and state.eligible_share > 0.5 and not state.few_connections
     )
--- a/onyxhollow/policy/health_checks.py
+++ b/onyxhollow/policy/health_checks.py
@@ -65,8 +65,10 @@
     """
     if not state.few_connections or not state.checks_per_session:
         return False
-    is_shared = now - endpoint.shared_connections_at < REPORT_LIFETIME_SECONDS
-    if now - endpoint.load_reported_at < (REPORT_LIFETIME_SECONDS if is_shared else MAX_REPORT_AGE_SECONDS):
+    shared_is_recent = now - endpoint.shared_connections_at < REPORT_LIFETIME_SECONDS
+    if now - endpoint.load_reported_at < (
+        REPORT_LIFETIME_SECONDS if shared_is_recent else MAX_REPORT_AGE_SECONDS
+    ):
         if may_claim_capacity(state, session, endpoint, now):
             return False
         endpoint.overloaded_at = now
--- a/onyxhollow/policy/migration.py
+++ b/onyxhollow/policy/migration.py
@@ -31,19 +31,19 @@
         self.credited_at = -math.inf
         self.latency = latency
 
-    def allowance(self, source: float | None, receiver: float | None) -> int:
+    def allowance(self, source_latency: float | None, receiver_latency: float | None) -> int:
         """Return how many connections may move this second.
 
         Args:
-            source: the source's latency in seconds; None if unknown.
-            receiver: the receiver's latency in seconds. Unless both are known the stage's rate applies.
+            source_latency: seconds; None if unknown.
+            receiver_latency: seconds; None if unknown. Unless both are known, the stage's rate applies.
         """
         stage = min(3, 4 * self.moved // max(1, self.count))
         rate = float(math.ceil(STAGE_RATES[stage] * self.count))
-        if source is not None and receiver is not None:
-            if stage < 3 and receiver >= 2 * source:
-                rate /= 4 if receiver >= 3 * source else 2
-            if source > receiver:
+        if source_latency is not None and receiver_latency is not None:
+            if stage < 3 and receiver_latency >= 2 * source_latency:
+                rate /= 4 if receiver_latency >= 3 * source_latency else 2
+            if source_latency > receiver_latency:
                 rate *= 2
         self.carry, whole = math.modf(rate + self.carry)
         return int(whole)
--- a/onyxhollow/policy/outlier_detection.py
+++ b/onyxhollow/policy/outlier_detection.py
@@ -12,7 +12,7 @@
 from onyxhollow.policy.state import EJECTION_SCORE, TICK_SECONDS, PolicyState
 from onyxhollow.policy.tracked import TrackedEndpoint
 
-CERTAIN_FAILURE_SCORE = 3.0  # for a single event: the endpoint closed a connection, or its port is closed
+CERTAIN_FAILURE_SCORE = 3.0  # a connection closed by the endpoint, or a closed port, ejects it at once
 BROKEN_CONNECTION_SCORE = 0.3
 OVERLOADED_SCORE = 0.5
 FAILED_ATTEMPT_SCORE = 1.0
@@ -51,7 +51,7 @@
         if outcome is AttemptOutcome.TIMEOUT:
             state.handshake_time.add(took, state.host.now)
     if outcome is AttemptOutcome.OVERLOADED or (session.established and outcome is AttemptOutcome.RESET):
-        endpoint.overloaded_at = state.host.now  # it would shed new sessions at once
+        endpoint.overloaded_at = state.host.now  # it would shed new sessions again
     port_closed = outcome is AttemptOutcome.CONNECT_FAILED and took < TICK_SECONDS
     if closed_by_endpoint or port_closed:
         amount = CERTAIN_FAILURE_SCORE
--- a/onyxhollow/policy/retry.py
+++ b/onyxhollow/policy/retry.py
@@ -13,7 +13,7 @@
 from onyxhollow.policy.tracked import TrackedEndpoint
 
 MAX_WRITE_DELAY_SECONDS = 0.15  # between reading the clock and the write
-MIN_SECONDS_LEFT = 0.05  # with less until the deadline nothing is sent, as the answer would be too late
+MIN_SECONDS_LEFT = 0.05  # with less time left nothing is sent, as it would be too late for the client
 HANDSHAKE_MULTIPLE = 3.0  # lower bound of an early attempt's timeout, in average handshake times
 
 
@@ -32,9 +32,9 @@
 
 def may_attempt_at(session: RetryState, endpoint: TrackedEndpoint, now: float) -> bool:
     """Return whether an attempt at this endpoint cannot run the request twice (rule 2)."""
-    first = session.may_have_run_on
+    first_endpoint = session.may_have_run_on
     listener = session.listener
-    if first is None or listener.idempotency is Idempotency.IDEMPOTENT:
+    if first_endpoint is None or listener.idempotency is Idempotency.IDEMPOTENT:
         return True
     window = listener.deduplication_window - MAX_WRITE_DELAY_SECONDS
     if listener.idempotency is Idempotency.NON_IDEMPOTENT or now - session.may_have_run_since >= window:
@@ -42,8 +42,8 @@
     if listener.deduplication_scope is DeduplicationScope.ALL:
         return True
     if listener.deduplication_scope is DeduplicationScope.ZONE:
-        return endpoint.zone == first.zone
-    return endpoint.cell == first.cell
+        return endpoint.zone == first_endpoint.zone
+    return endpoint.cell == first_endpoint.cell
 
 
 def may_send(session: RetryState, now: float) -> bool:
--- a/onyxhollow/policy/selection.py
+++ b/onyxhollow/policy/selection.py
@@ -59,7 +59,7 @@
         own_connections = state.mean_connections * endpoint.size
     if now - endpoint.shared_connections_at < REPORT_LIFETIME_SECONDS:
         calibration = state.load_calibration.get(endpoint.machine_type)
-        if calibration:  # connections of all instances
+        if calibration:  # the connections of all instances are known
             capacity = capacity if state.live_weights else calibration[0] / max(calibration[1], 1e-6)
             own_connections = state.load_of(endpoint) * capacity * endpoint.size
     if state.group_affinity and group is not None and endpoint is not affinity:
@@ -68,7 +68,7 @@
             own_connections += (
                 NEW_GROUP_COST * (capacity * endpoint.size + FEW_CONNECTIONS_PER_ENDPOINT) * factor
             )
-    # With few own connections, endpoints of other zones and cold ones are remote.
+    # With few own connections, endpoints of other zones and arriving ones count as remote.
     remote = state.few_connections and endpoint not in (affinity, *state.local_endpoints)
     score = 1.0 + endpoint.outlier_score(now)
     return (own_connections + 1.0) / endpoint.size * score * (REMOTE_COST_FACTOR if remote else 1.0)
@@ -99,13 +99,15 @@
         state.endpoints[state.ring[(first_position + offset) % len(state.ring)][1]] for offset in offsets
     )
     usable = affinity_candidates(state, ring_endpoints, session)
-    first = next(usable, None)
-    if first is None or not state.prefer_local or state.loads_unknown:
-        return first
+    first_usable = next(usable, None)
+    if first_usable is None or not state.prefer_local or state.loads_unknown:
+        return first_usable
     local_endpoints = (
-        s for s in (first, *usable) if s.zone == state.zone and state.load_of(s) < MAX_LOCAL_AFFINITY_LOAD
+        s
+        for s in (first_usable, *usable)
+        if s.zone == state.zone and state.load_of(s) < MAX_LOCAL_AFFINITY_LOAD
     )
-    return next(local_endpoints, first)
+    return next(local_endpoints, first_usable)
 
 
 def affinity_candidates(
@@ -140,10 +142,10 @@
     arriving = [s for s in pool if s.arrival and s.arrival.moved < s.arrival.count]
     others = [s for s in pool if s not in arriving]
     session.sampled = list(candidates(state, session.sampled, session)) or sample_endpoints(state, others)
-    best: Iterable[TrackedEndpoint] = ()
+    affinity_option: Iterable[TrackedEndpoint] = ()
     if affinity and affinity not in session.attempted:
-        best = candidates(state, [affinity], session)
-    options = (*best, *arriving, *session.sampled)
+        affinity_option = candidates(state, [affinity], session)
+    options = (*affinity_option, *arriving, *session.sampled)
     return min(options, key=lambda s: cost(state, s, session.group, affinity), default=None)
 
 
--- a/onyxhollow/policy/slow_start.py
+++ b/onyxhollow/policy/slow_start.py
@@ -28,7 +28,7 @@
 
     def __init__(self, now: float) -> None:
         super().__init__(now)
-        self.tokens: dict[TrackedEndpoint, tuple[float, float]] = {}  # level, and when it was computed
+        self.tokens: dict[TrackedEndpoint, tuple[float, float]] = {}  # bucket level, and when it was computed
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply settings, at the start or at a reload."""
--- a/onyxhollow/policy/subset.py
+++ b/onyxhollow/policy/subset.py
@@ -12,11 +12,11 @@
 from onyxhollow.policy.outlier_detection import ejection_threshold
 from onyxhollow.policy.state import PolicyState
 
-MIN_SUBSET = 16  # endpoints; smaller fleets are used whole
+MIN_SUBSET = 16  # endpoints; fleets up to this size are used whole
 MAX_SUBSET = 64  # endpoints
 REBALANCE_SECONDS = 0.5  # between updates of the subset
 REPLACEMENT_SECONDS = 10.0  # mean time until the oldest endpoint of the subset is replaced
-CONNECTIONS_PER_ENDPOINT = 4  # own connections needed to add an endpoint to the subset
+CONNECTIONS_PER_ENDPOINT = 4  # own connections per endpoint of the subset
 FEW_CONNECTIONS_PER_ENDPOINT = 3.0  # up to this mean, differences in own connections are mostly chance
 LOCAL_LOAD_PER_PRICE = 10.0  # times the cross-zone price: the fleet's load below which affinity is local
 MIN_USABLE_LOAD = 0.25  # lower reported loads do not allow an estimate of the capacity
--- a/onyxhollow/policy/tracked.py
+++ b/onyxhollow/policy/tracked.py
@@ -13,7 +13,7 @@
 from onyxhollow.policy.estimators import Ewma, stable_uniform
 from onyxhollow.policy.migration import StagedMigration
 
-SCORE_DECAY_SECONDS = 7.0  # time constant of the outlier score
+SCORE_DECAY_SECONDS = 7.0  # after this time 37 % (1/e) of an outlier score is left
 MAX_RING_POSITIONS = 32  # per endpoint
 
 
