--- a/onyxhollow/fleet/route_guard.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -36,7 +36,7 @@
 import msgspec
 import orjson
 
-from onyxhollow.addresses.file import AddressesError, AddressesFile, Site, read_address
+from onyxhollow.addresses.file import AddressesError, AddressesFile, Site, parse_host_port
 from onyxhollow.addresses.health import HealthAggregator
 from onyxhollow.addresses.messages import AddressHealth, HealthReport
 from onyxhollow.addresses.route_table import RECORDS, GuardRecord, RouteTable, StaleTermError, encode
@@ -48,7 +48,7 @@
 from onyxhollow.fleet.routing_daemon import RoutingDaemonClient
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.loop import Loop
-from onyxhollow.management.api import PLAIN, Answer, Management
+from onyxhollow.management.api import PLAIN_TEXT, Answer, Management
 from onyxhollow.wire.listening import ListenError
 
 CHECK_INTERVAL = 0.2  # seconds between checks whether an announcer still calls
@@ -90,7 +90,7 @@
         self.member_seen_at = clock.now()  # the last report of any member
         self.management = Management(
             self.loop,
-            read_address(config.listen, "listen"),
+            parse_host_port(config.listen, "listen"),
             self.counters,
             {
                 "/routes": {"GET": lambda _: self.answer_state()},
@@ -101,7 +101,7 @@
             },
         )
         self.daemon = RoutingDaemonClient(
-            self.loop, read_address(config.speaker, "speaker"), self.table, self.log_event, self.counters
+            self.loop, parse_host_port(config.speaker, "speaker"), self.table, self.log_event, self.counters
         )
         self.loop.spawn(self.watch_for_orphans())
         preferences = {name: int(preference) for name, preference in self.table.preferences.items()}
@@ -148,7 +148,7 @@
         """Stores what a call has changed, then answers; without the disk nothing of the call counts."""
         if records and not self.store(records):
             self.table.revert(before)
-            return 503, b"the disk fails\n", PLAIN
+            return 503, b"the disk fails\n", PLAIN_TEXT
         if records:
             self.daemon.wake()
         return self.answer_state()
@@ -173,7 +173,7 @@
         term = read_number(parameters, "term")
         member = read_text(parameters, "member")
         if term < 1 or not member:
-            return 400, b"claim: expected term and member\n", PLAIN
+            return 400, b"claim: expected term and member\n", PLAIN_TEXT
         before = self.table.copy()
         try:
             records = self.table.claim(term, member, clock.now())
@@ -193,7 +193,7 @@
         name = read_text(parameters, "name")
         known = preference in (0, 1, 2) and name in self.table.preferences
         if min(term, number) < 1 or controller_term < 0 or not known:
-            return 400, b"set: expected term, number, keeper, a known name, as from 0 to 2\n", PLAIN
+            return 400, b"set: expected term, number, keeper, a known name, as from 0 to 2\n", PLAIN_TEXT
         before = self.table.copy()
         try:
             records = self.table.set_preference(
@@ -227,7 +227,7 @@
                 if name in self.table.preferences:
                     rows.append(AddressHealth(name, float(text), "", 0.0, 0.0))
         if not member or not rows:
-            return 400, b"seen: expected member, and addresses with their health\n", PLAIN
+            return 400, b"seen: expected member, and addresses with their health\n", PLAIN_TEXT
         self.member_seen_at = clock.now()
         self.health.record(member, HealthReport(self.config.site, rows), self.member_seen_at)
         return self.answer_state()
--- a/onyxhollow/lifecycle/replacement.py
+++ b/onyxhollow/lifecycle/replacement.py
@@ -20,8 +20,8 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_registry import SessionRegistry
 
-LIST_TIMEOUT = 2.0  # seconds for which a successor waits for the list before it takes clients without
-STATE_TIMEOUT = 0.5  # seconds for which it waits for what the one before it knows
+LIST_TIMEOUT_SECONDS = 2.0  # seconds for which a successor waits for the list before it takes clients without
+STATE_TIMEOUT_SECONDS = 0.5  # seconds for which it waits for what the one before it knows
 STATE_POLL_INTERVAL = 0.02  # seconds between checks whether that is there
 POLL_INTERVAL = 0.1  # seconds between checks what the other process of this proxy does
 HANDOFF_STEP = 0.005  # seconds from one group of connections handed off to the next
@@ -80,9 +80,9 @@
     ) -> Generator[float, None, None]:
         """Restores the predecessor's state if there is any, and waits for the list."""
         self.discovery.poll()
-        yield from self.restore_state(configured_discovery, started_at + STATE_TIMEOUT)
-        while not self.first_list.received and self.loop.now < started_at + LIST_TIMEOUT:
-            yield started_at + LIST_TIMEOUT
+        yield from self.restore_state(configured_discovery, started_at + STATE_TIMEOUT_SECONDS)
+        while not self.first_list.received and self.loop.now < started_at + LIST_TIMEOUT_SECONDS:
+            yield started_at + LIST_TIMEOUT_SECONDS
 
     def take_clients(self, started_at: float) -> Generator[float, None, None]:
         """Takes new clients from now on, and open connections until the predecessor has ended."""
@@ -137,9 +137,11 @@
 
     def open_receiver(self) -> HandoffReceiver | None:
         """Listens for the predecessor's open connections; None where that can't be."""
-        take = partial(accept_handoff, self.sessions)
+        take_over = partial(accept_handoff, self.sessions)
         try:
-            return HandoffReceiver(self.loop, self.handover.handoff_path, take, self.decisions.on_all_adopted)
+            return HandoffReceiver(
+                self.loop, self.handover.handoff_path, take_over, self.decisions.on_all_adopted
+            )
         except OSError as error:  # a path too long, perhaps: its clients are migrated then
             self.log("nothing passed on", why=str(error))
             return None
@@ -202,7 +204,7 @@
         for connection in self.sessions.table.live:
             if slots <= 0:
                 break
-            is_new = connection.handoff_taken is None and connection.handoff_sender is None
+            is_new = connection.handoff_accepted is None and connection.handoff_sender is None
             if connection.is_open and is_new:
                 connection.handoff_sender = sender
                 slots -= 1
