--- a/onyxhollow/wire/first_line.py
+++ b/onyxhollow/wire/first_line.py
@@ -12,7 +12,7 @@
 
 FIRST_LINE_TIMEOUT_SECONDS = 2.5  # the protocol allows 3 s
 AFTER_PING_TIMEOUT_SECONDS = 30.0  # a PING comes from the front end, which may send more on this connection
-PARTIAL_LINE_TIMEOUT_SECONDS = 0.3  # for the rest of a line that began to arrive as the timeout expired
+PARTIAL_LINE_TIMEOUT_SECONDS = 0.3  # for the rest of a line that arrives as the connection is about to end
 MAX_PINGS_PER_SECOND = 32  # per connection; the front end sends fewer
 PONG = b"PONG\r\n"
 NOT_IN_SERVICE = BUSY  # answer to PING while clients are migrated away; any line but PONG means not ready
