--- a/onyxhollow/fleet/leader_tasks.py
+++ b/onyxhollow/fleet/leader_tasks.py
@@ -140,7 +140,7 @@
         self, this_run: int, target: str, holds_lease: Callable[[], bool]
     ) -> Generator[float, None, None]:
         deadline = self.loop.now + CALL_TIMEOUT_SECONDS
-        if self.connection is None or not self.connection.reusable:
+        if self.connection is None or not self.connection.is_reusable:
             self.close_connection()
             self.connection = DiscoveryConnection(self.loop, self.address, self.buffers, self.wake)
         connection = self.connection
--- a/onyxhollow/fleet/shared_addresses/announcer_task.py
+++ b/onyxhollow/fleet/shared_addresses/announcer_task.py
@@ -125,7 +125,7 @@
         """
         loop = self.member.loop
         until = loop.now + GUARD_TIMEOUT
-        if self.connection is None or not self.connection.reusable:
+        if self.connection is None or not self.connection.is_reusable:
             self.close_connection()
             self.connection = DiscoveryConnection(loop, self.address, self.buffers, self.wake)
         connection = self.connection
--- a/onyxhollow/lifecycle/accepting.py
+++ b/onyxhollow/lifecycle/accepting.py
@@ -12,7 +12,7 @@
 from onyxhollow.wire.client_session import accept_connection
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_registry import BUSY, SessionRegistry
-from onyxhollow.wire.system_errors import LOST_IN_ACCEPT, Fault, fault_of
+from onyxhollow.wire.system_errors import ABORTED_CONNECTION_ERRORS, ErrorCause, classify_error
 
 MAX_ACCEPTS_PER_TURN = 64  # a bound per turn of the loop, so that open connections are not delayed
 RETRY_DELAY_SECONDS = 0.05  # pause before the next accept, for example when no descriptor is free
@@ -73,9 +73,9 @@
             except (BlockingIOError, InterruptedError):
                 return True
             except OSError as error:
-                if error.errno in LOST_IN_ACCEPT:
+                if error.errno in ABORTED_CONNECTION_ERRORS:
                     continue  # the client closed this connection before it was accepted
-                is_shortage = fault_of(error) is Fault.SHORTAGE
+                is_shortage = classify_error(error) is ErrorCause.SHORTAGE
                 self.pause("accepts without a descriptor" if is_shortage else "accepts that failed")
                 return False
             self.counters.add("connections accepted")
--- a/onyxhollow/loop.py
+++ b/onyxhollow/loop.py
@@ -21,7 +21,9 @@
 STALL_TOLERANCE = 0.005  # seconds late that a due time may come on a core that others use
 MAX_POLL_TIME = 1.0  # seconds: a lost wake-up costs no more than this
 POLL_RETRY_INTERVAL = 0.01  # seconds after a poll that failed: the loop must not spin on it
-URGENT_INTERVAL = 0.02  # seconds of one turn after which urgent descriptors are served between its callbacks
+URGENT_INTERVAL_SECONDS = (
+    0.02  # seconds of one turn after which urgent descriptors are served between its callbacks
+)
 
 
 def update_epoll(epoll: select.epoll, fd: int, before: int, events: int) -> None:
@@ -215,7 +217,7 @@
     def serve_ready(self) -> None:
         """Calls the callbacks of those that are ready, if the turn has gone on for long."""
         now = time.monotonic()
-        if now - max(self.served_at, self.loop.now) >= URGENT_INTERVAL:
+        if now - max(self.served_at, self.loop.now) >= URGENT_INTERVAL_SECONDS:
             self.served_at = now
             for fd, events in self.epoll.poll(0):
                 self.loop.call(fd, events)
--- a/onyxhollow/management/api.py
+++ b/onyxhollow/management/api.py
@@ -14,7 +14,7 @@
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.listening import listen_socket
-from onyxhollow.wire.system_errors import Fault, fault_of
+from onyxhollow.wire.system_errors import ErrorCause, classify_error
 
 CALL_TIMEOUT_SECONDS = 5.0  # for receiving a complete request, and for the answer to be read
 MAX_HEAD_BYTES = 16 * 1024
@@ -53,7 +53,7 @@
             try:
                 sock, _peer = self.listener.accept()
             except OSError as error:
-                if fault_of(error) is Fault.SHORTAGE and self.close_oldest():
+                if classify_error(error) is ErrorCause.SHORTAGE and self.close_oldest():
                     continue
                 return  # none left, or already closed; the loop reports further ones again
             sock.setblocking(False)
@@ -68,7 +68,7 @@
         oldest = next(iter(self.pending), None)
         if oldest is None:
             return False
-        oldest.channel.ready(READ)  # its request may have just arrived
+        oldest.channel.on_ready(READ)  # its request may have just arrived
         if oldest in self.pending:
             self.counters.add("operators' calls closed for room")
             oldest.close()
--- a/onyxhollow/wire/attempts.py
+++ b/onyxhollow/wire/attempts.py
@@ -10,7 +10,7 @@
 from onyxhollow.wire.channel import Channel
 from onyxhollow.wire.messages import after_first_word, first_word, parse_load_report
 from onyxhollow.wire.network_context import NetworkContext
-from onyxhollow.wire.system_errors import Fault, fault_of_connect
+from onyxhollow.wire.system_errors import ErrorCause, classify_connect_error
 
 # Outcome of an attempt by the first word of an answer that does not accept the request.
 OUTCOME_BY_WORD = {
@@ -84,7 +84,7 @@
             channel = Channel.connect(self.loop, address, self.pool, owner.wake)
         except OSError as error:
             # Without a free descriptor nothing was sent: no evidence about the endpoint.
-            is_shortage = fault_of_connect(error) is Fault.SHORTAGE
+            is_shortage = classify_connect_error(error) is ErrorCause.SHORTAGE
             return AttemptResult(AttemptOutcome.NOT_SENT if is_shortage else AttemptOutcome.CONNECT_FAILED)
         result = AttemptResult()
         try:
--- a/onyxhollow/wire/channel.py
+++ b/onyxhollow/wire/channel.py
@@ -11,7 +11,7 @@
 from onyxhollow.loop import READ, WRITE, Loop, UrgentDescriptors
 from onyxhollow.wire.buffers import BufferPool, ClosingConnection, LineBuffer
 from onyxhollow.wire.endpoint_addresses import Address
-from onyxhollow.wire.system_errors import SHORTAGE_PAUSE, Fault, fault_of
+from onyxhollow.wire.system_errors import SHORTAGE_RETRY_SECONDS, ErrorCause, classify_error
 
 LINGER = 0.5  # seconds of silence for which a finished one is read: a reset would lose its last bytes
 MAX_LINGER = 2.0  # seconds for which it is read at the most, however much still comes
@@ -51,7 +51,7 @@
         self.discarding = False  # what is received is thrown away
         self.last_read_at = 0.0  # while discarding: when the last of it came
         self.backing_off = False  # this machine is short of something: it is not watched for a moment
-        self.loop.watch(self.fd, self.events(), self.ready)
+        self.loop.watch(self.fd, self.events(), self.on_ready)
         pool.open_connections += 1
 
     @classmethod
@@ -81,7 +81,7 @@
         if self.closed or self.backing_off:
             return
         try:
-            self.loop.watch(self.fd, self.events(), self.ready)
+            self.loop.watch(self.fd, self.events(), self.on_ready)
         except OSError:  # the system has no room for it now
             self.back_off()
 
@@ -94,7 +94,7 @@
         if not self.backing_off and not self.closed:
             self.backing_off = True
             self.loop.watch(self.fd, 0, None)
-            self.loop.spawn(self.resume_at(self.loop.now + SHORTAGE_PAUSE))
+            self.loop.spawn(self.resume_at(self.loop.now + SHORTAGE_RETRY_SECONDS))
 
     def resume_at(self, at: float) -> Generator[float, None, None]:
         """Goes on after a moment's rest."""
@@ -107,7 +107,7 @@
             self.flush()
         self.update_interest()
 
-    def ready(self, events: int) -> None:
+    def on_ready(self, events: int) -> None:
         """The loop's callback: the connection came up, or something can be read or written."""
         if self.connecting:
             is_up = self.connection_result()
@@ -136,7 +136,7 @@
         try:
             return not self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as error:
-            return None if fault_of(error) is Fault.SHORTAGE else False
+            return None if classify_error(error) is ErrorCause.SHORTAGE else False
 
     # reading
 
@@ -156,17 +156,17 @@
         try:
             count = self.sock.recv_into(space, len(space), flags)
         except OSError as error:
-            self.on_read_error(fault_of(error))
+            self.on_read_error(classify_error(error))
             return 0
         if not count:
             self.ended = True
         return count
 
-    def on_read_error(self, fault: Fault) -> None:
+    def on_read_error(self, fault: ErrorCause) -> None:
         """A read failed."""
-        if fault is Fault.SHORTAGE:
+        if fault is ErrorCause.SHORTAGE:
             self.back_off()
-        elif fault is not Fault.NOT_READY:
+        elif fault is not ErrorCause.NOT_READY:
             self.ended = True
             self.broken = True
             self.outgoing.clear()
@@ -220,10 +220,10 @@
         try:
             return self.sock.send(data)
         except OSError as error:
-            fault = fault_of(error)
-        if fault is Fault.SHORTAGE:
+            fault = classify_error(error)
+        if fault is ErrorCause.SHORTAGE:
             self.back_off()
-        elif fault is not Fault.NOT_READY:
+        elif fault is not ErrorCause.NOT_READY:
             self.on_write_error()
         return 0
 
--- a/onyxhollow/wire/discovery_connection.py
+++ b/onyxhollow/wire/discovery_connection.py
@@ -12,7 +12,9 @@
 from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.endpoint_list import EndpointListError
 
-CONNECT_TIMEOUT = 1.5  # seconds for a connection to the service to come up before another one is tried
+CONNECT_TIMEOUT_SECONDS = (
+    1.5  # seconds for a connection to the service to come up before another one is tried
+)
 MAX_BODY_SIZE = 4 * 1024 * 1024  # bytes of one list
 OK = 200  # the one status that an answer is used with
 
@@ -42,7 +44,7 @@
         self.host = f"{address[0]}:{address[1]}"
 
     @property
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Whether another call may be made on it."""
         return not self.channel.ended and self.http.our_state is h11.IDLE
 
@@ -69,7 +71,7 @@
         """
         self.send_request(target, method)
         body = bytearray()
-        connected_by = min(until, self.loop.now + CONNECT_TIMEOUT)
+        connected_by = min(until, self.loop.now + CONNECT_TIMEOUT_SECONDS)
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
--- a/onyxhollow/wire/endpoint_list_watch.py
+++ b/onyxhollow/wire/endpoint_list_watch.py
@@ -21,7 +21,9 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.remote_clock import RemoteClock
 
-ANSWER_TIMEOUT = 3.5  # seconds for an answer that is due at once: a busy service works through calls in turn
+ANSWER_TIMEOUT_SECONDS = (
+    3.5  # seconds for an answer that is due at once: a busy service works through calls in turn
+)
 SILENCE_TIMEOUT = 1.0  # seconds past its wait after which a poll counts as silent; the protocol allows 2 s
 JITTER = (0.75, 1.25)  # parts of the wait: polls that began together end, and are opened again, one by one
 REJECTED_BACKOFF = 0.5  # seconds after a call that was rejected, where the list is pushed
@@ -195,7 +197,7 @@
 
     def connected(self) -> DiscoveryConnection:
         """The connection of the last poll, or a new one; OSError if that can't be begun."""
-        if self.connection is None or not self.connection.reusable:
+        if self.connection is None or not self.connection.is_reusable:
             self.disconnect()
             self.connection = DiscoveryConnection(
                 self.loop, self.address, self.pool, lambda: self.task.wake()
@@ -235,9 +237,9 @@
     def next_request(self) -> tuple[str, float]:
         """The target of the next poll, and for how many seconds its answer is waited for."""
         if self.version < 0:
-            return "/v1/endpoints", ANSWER_TIMEOUT
+            return "/v1/endpoints", ANSWER_TIMEOUT_SECONDS
         wait = LEAST_WAIT
-        grace = ANSWER_TIMEOUT
+        grace = ANSWER_TIMEOUT_SECONDS
         if not self.answer_at_once:
             wait = min(MAX_WAIT, self.config.poll_wait * self.rng.uniform(*JITTER))
             grace = SILENCE_TIMEOUT
--- a/onyxhollow/wire/health_checks.py
+++ b/onyxhollow/wire/health_checks.py
@@ -12,7 +12,7 @@
 from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.messages import after_first_word, first_word, parse_load_report
 from onyxhollow.wire.network_context import NetworkContext
-from onyxhollow.wire.system_errors import Fault, fault_of_connect
+from onyxhollow.wire.system_errors import ErrorCause, classify_connect_error
 
 OUTCOMES = {b"PONG": AttemptOutcome.OK, b"ERR": AttemptOutcome.ERROR, b"BUSY": AttemptOutcome.OVERLOADED}
 CONNECTED = frozenset(
@@ -90,7 +90,7 @@
             connection.channel.write(b"STATS\r\n" if self.load_field else b"PING\r\n")
             outcome, load = yield from self.await_answer(connection, started_at + self.timeout)
         except OSError as error:
-            if fault_of_connect(error) is Fault.SHORTAGE:
+            if classify_connect_error(error) is ErrorCause.SHORTAGE:
                 self.counters.add("probes without a descriptor")
                 return  # nothing was asked: it says nothing of the endpoint
             outcome = AttemptOutcome.CONNECT_FAILED
--- a/onyxhollow/wire/system_errors.py
+++ b/onyxhollow/wire/system_errors.py
@@ -9,10 +9,10 @@
 import errno
 from enum import Enum
 
-SHORTAGE_PAUSE = 0.05  # seconds until something that this machine was short of is tried again
+SHORTAGE_RETRY_SECONDS = 0.05  # seconds until something that this machine was short of is tried again
 
 
-class Fault(Enum):
+class ErrorCause(Enum):
     """Whose fault an error is."""
 
     NOT_READY = "not ready"  # nobody's: later
@@ -46,7 +46,7 @@
     }
 )
 # What accept reports of the one connection that it would have given, which has gone.
-LOST_IN_ACCEPT = NETWORK_ERRORS | {
+ABORTED_CONNECTION_ERRORS = NETWORK_ERRORS | {
     errno.ECONNABORTED,
     errno.ECONNRESET,
     errno.EPROTO,
@@ -56,15 +56,15 @@
 }
 
 
-def fault_of(error: OSError) -> Fault:
+def classify_error(error: OSError) -> ErrorCause:
     """Whose fault an error of a call on a connected or connecting socket is."""
     if error.errno in NOT_READY_ERRORS:
-        return Fault.NOT_READY
+        return ErrorCause.NOT_READY
     if error.errno in SHORTAGE_ERRORS:
-        return Fault.SHORTAGE
-    return Fault.NETWORK if error.errno in NETWORK_ERRORS else Fault.PEER
+        return ErrorCause.SHORTAGE
+    return ErrorCause.NETWORK if error.errno in NETWORK_ERRORS else ErrorCause.PEER
 
 
-def fault_of_connect(error: OSError) -> Fault:
+def classify_connect_error(error: OSError) -> ErrorCause:
     """The same for a connect that could not be begun: EAGAIN says there that no port is left."""
-    return Fault.SHORTAGE if error.errno == errno.EAGAIN else fault_of(error)
+    return ErrorCause.SHORTAGE if error.errno == errno.EAGAIN else classify_error(error)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -90,12 +90,19 @@
     """One proxy on loopback among scripted servers, turned by hand."""
 
     def __init__(
-        self, servers="a", known=True, sockets=500, management=None, given=None, handover=None, **changes
+        self,
+        servers="a",
+        has_cached_list=True,
+        sockets=500,
+        management=None,
+        inherited_listener=None,
+        handover=None,
+        **changes,
     ):
         self.endpoints = {name: ScriptedServer() for name in servers}
         self.list_service = ScriptedServer()
         self.opened = 0  # sessions
-        records = [self.list_record(name) for name in servers] if known else []
+        records = [self.list_record(name) for name in servers] if has_cached_list else []
         settings = replace(PLAIN, **{"max_attempts": 2, "list_is_polled": True, **changes})
         document = {"seq": 7, "whole": True, "hosts": records}
         self.config = Config(
@@ -114,7 +121,7 @@
         self.log_reader, writer = os.pipe()
         os.set_blocking(writer, False)
         os.set_blocking(self.log_reader, False)
-        self.proxy = Proxy(self.config, writer, lambda: self.config, given, handover)
+        self.proxy = Proxy(self.config, writer, lambda: self.config, inherited_listener, handover)
         self.proxy.discovery.rng.uniform = lambda low, high: (low + high) / 2  # polls of the middle length
         self.counts = self.proxy.counters.counts
 
@@ -137,22 +144,22 @@
         while time.monotonic() < end:
             self.proxy.loop.turn(0.005)
 
-    def client(self, data=b""):
+    def connect_client(self, data=b""):
         """A client's new connection, which has sent that."""
         peer = Peer(socket.create_connection(self.proxy.listener.getsockname()))
         if data:
             peer.send(data)
         return peer
 
-    def operator(self, data=b""):
+    def connect_operator(self, data=b""):
         """An operator's new connection, which has sent that."""
         peer = Peer(socket.create_connection(self.proxy.management.listener.getsockname()))
         peer.send(data)
         return peer
 
-    def call_operator(self, target, method="GET"):
+    def call_management(self, target, method="GET"):
         """Makes an operator's call; returns status and body."""
-        peer = self.operator(f"{method} /control/{target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+        peer = self.connect_operator(f"{method} /control/{target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         self.until(lambda: peer.read() and peer.end)
         assert peer.end == "closed"
         head, _, body = peer.received.partition(b"\r\n\r\n")
@@ -161,9 +168,9 @@
     def open_session(self, listener="calls", wait=2000):
         """A client that has sent its OPEN line, with a wait in milliseconds."""
         self.opened += 1  # an id is new with every connection
-        return self.client(b"OPEN 9b1f%d 7f3a c=%s,d=%d\r\n" % (self.opened, listener.encode(), wait))
+        return self.connect_client(b"OPEN 9b1f%d 7f3a c=%s,d=%d\r\n" % (self.opened, listener.encode(), wait))
 
-    def established(self, name="a"):
+    def establish(self, name="a"):
         """A client and its endpoint with the connection up; nothing received stands on either."""
         client = self.open_session()
         count = len(self.endpoints[name].peers) + 1
@@ -179,7 +186,7 @@
         first = self.until(lambda: next(filter(None, (one.connection() for one in endpoints)), None))
         return first, next(one for one in endpoints if first not in one.peers)
 
-    def follow_list_of(self, server):
+    def switch_list_service(self, server):
         """The file names another list service, and SIGHUP comes."""
         self.config = replace(self.config, discovery=(HOST, server.port))
         self.proxy.reloader.reload()
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -58,7 +58,7 @@
     # Its wall clock was taken once, at the start: an hour ahead every new server counted as warm at once.
     true = time.time
     monkeypatch.setattr(time, "time", lambda: true() + step)
-    proxy = loopback("abc", known=False)
+    proxy = loopback("abc", has_cached_list=False)
     old, new = true() - 500.0, true()
     rows = [
         {**proxy.list_record("a"), "born_ms": round(old * 1000)},
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -279,10 +279,10 @@
     """All that operators may ask, one after another: the whole answers, figures without their values."""
     calls = replace(CALLS, name="calls"), replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)
     proxy = loopback(management=("127.0.0.1", 0), listeners={row.name: row for row in calls})
-    proxy.established()
+    proxy.establish()
     found = {}
     for place, call in enumerate(CONTROL):
-        peer = proxy.operator(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+        peer = proxy.connect_operator(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         proxy.until(lambda peer=peer: peer.read() and peer.end)
         head, _, body = peer.received.decode().partition("\r\n\r\n")
         if "counters" in call:
--- a/tests/test_connection_states.py
+++ b/tests/test_connection_states.py
@@ -33,7 +33,7 @@
 
 def test_an_event_without_a_row_is_counted_and_changes_no_state(loopback):
     proxy = loopback()
-    client, _server = proxy.established()
+    client, _server = proxy.establish()
     (connection,) = proxy.proxy.sessions.table.live
     assert connection.state is ConnectionState.ESTABLISHED and connection.is_open
     with pytest.raises(AssertionError, match="'attempt started' in state 'established'"):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -51,7 +51,9 @@
     """Starts proxies; connections to the endpoint named first are established late."""
 
     def make(servers="ab", listeners=None, **changes):
-        proxy = loopback(servers, known=False, listeners=listeners or {"calls": SLOW_CALLS}, **changes)
+        proxy = loopback(
+            servers, has_cached_list=False, listeners=listeners or {"calls": SLOW_CALLS}, **changes
+        )
         proxy.endpoints[servers[0]] = SlowConnectServer()
         proxy.proxy.sessions.attempts.connect_timeout = 3.0
         body = json.dumps({"seq": 8, "whole": True, "hosts": [proxy.list_record(servers[0])]}).encode()
@@ -144,15 +146,15 @@
     # Guards against sending the OPEN line: a non-idempotent session then fails instead of being rejected.
     proxy = loopback(listeners={"calls": replace(SLOW_CALLS, idempotency=Idempotency.NON_IDEMPOTENT)})
     client = proxy.open_session(wait=4000)
-    ready = Channel.ready
+    on_ready = Channel.on_ready
 
     def stop_sessions_on_connect(channel, events):
         if channel.connecting and channel.sock.getpeername()[1] == proxy.endpoints["a"].port:
             for session in proxy.proxy.sessions.table.live:
                 session.stop()
-        ready(channel, events)
+        on_ready(channel, events)
 
-    monkeypatch.setattr(Channel, "ready", stop_sessions_on_connect)
+    monkeypatch.setattr(Channel, "on_ready", stop_sessions_on_connect)
     proxy.until(lambda: client.read() and client.end)
     assert client.received == BUSY_LINE and has_received_nothing(proxy, proxy.endpoints["a"])
 
@@ -190,7 +192,7 @@
 
 @pytest.mark.parametrize("client_action", ["close", "half-close"])
 def test_a_client_that_leaves_the_queue_is_not_served_later(loopback, client_action):
-    proxy = loopback(known=False)
+    proxy = loopback(has_cached_list=False)
     client = proxy.open_session()
     proxy.until(lambda: proxy.counts["sessions taken"] == 1)
     client.sock.close() if client_action == "close" else client.sock.shutdown(socket.SHUT_WR)
@@ -214,7 +216,7 @@
     monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT_SECONDS", 0.2)
     monkeypatch.setattr(first_line, "AFTER_PING_TIMEOUT_SECONDS", 0.2)
     proxy = loopback()
-    client = proxy.client(sent)
+    client = proxy.connect_client(sent)
     finish = Channel.finish
 
     def send_request_and_finish(channel, *values):
@@ -230,7 +232,7 @@
 def test_a_request_that_arrives_as_the_idle_timeout_is_due_is_served(loopback, monkeypatch):
     monkeypatch.setattr(first_line, "FIRST_LINE_TIMEOUT_SECONDS", 0.2)
     proxy = loopback()
-    client = proxy.client()
+    client = proxy.connect_client()
     proxy.until(lambda: proxy.proxy.sessions.table.live)
     time.sleep(0.25)  # the process stalls until the idle timeout is due
     poll = proxy.proxy.loop.epoll.poll
@@ -260,7 +262,7 @@
 def test_a_request_that_crosses_an_eviction_is_answered(loopback, monkeypatch):
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE_SECONDS", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 10)
-    first = proxy.client(b"PING\r\n")
+    first = proxy.connect_client(b"PING\r\n")
     proxy.until(lambda: first.read() == b"PONG\r\n")
     close = Channel.close
 
@@ -272,7 +274,7 @@
         close(channel)
 
     monkeypatch.setattr(Channel, "close", send_request_and_close)
-    others = [proxy.client(b"PING\r\n") for _ in range(12)]
+    others = [proxy.connect_client(b"PING\r\n") for _ in range(12)]
     proxy.until(lambda: proxy.counts["idle connections closed for room"] and first.read() and first.end)
     assert first.received == BUSY_LINE and len(others) == 12
 
@@ -280,7 +282,7 @@
 def test_a_final_line_that_its_client_reads_slowly_survives_evictions(loopback, monkeypatch):
     monkeypatch.setattr(session_registry, "CLOSING_GRACE_SECONDS", 0.0)
     proxy = loopback(sockets=OWN_DESCRIPTORS + 16)
-    client, server = proxy.established()
+    client, server = proxy.establish()
     (session,) = proxy.proxy.sessions.table.live
     session.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     line = b"m" + b"x" * 4000 + b"\r\n"
@@ -293,7 +295,7 @@
     session.handle.decisions.migrate(session.handle)
     proxy.until(lambda: not proxy.proxy.sessions.table.live and proxy.proxy.pool.closing)
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE_SECONDS", 0.0)
-    others = [proxy.client(b"PING\r\n") for _ in range(40)]
+    others = [proxy.connect_client(b"PING\r\n") for _ in range(40)]
     proxy.until(lambda: sum(bool(peer.read() and peer.end) for peer in others) > 20)
     proxy.until(lambda: client.read().endswith(b"MOVE\r\n") and client.end == "closed")
 
@@ -303,7 +305,7 @@
 
 def test_every_connection_queued_on_the_listener_at_shutdown_is_answered(loopback, monkeypatch):
     # Guards against accepting one bounded batch before the listener is closed: the kernel resets the rest.
-    proxy = loopback(sockets=1000, known=False)
+    proxy = loopback(sockets=1000, has_cached_list=False)
     clients, stop_listening = [], ClientAcceptor.stop_listening
 
     def open_sessions_and_stop(acceptor, *values):
@@ -321,7 +323,7 @@
     loopback, monkeypatch
 ):
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE_SECONDS", 0.0)
-    proxy = loopback(sockets=OWN_DESCRIPTORS + 100, known=False)
+    proxy = loopback(sockets=OWN_DESCRIPTORS + 100, has_cached_list=False)
     clients, stop_listening = [], ClientAcceptor.stop_listening
 
     def open_sessions_and_stop(acceptor, *values):
@@ -387,10 +389,10 @@
 
 def test_a_list_connection_that_is_never_established_is_followed_by_another(loopback, monkeypatch):
     # Guards against a connect that may take as long as the watch itself.
-    monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT", 0.3)
+    monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT_SECONDS", 0.3)
     proxy = loopback(max_poll_interval=20.0)
     proxy.list_service = SlowConnectServer()
-    proxy.follow_list_of(proxy.list_service)
+    proxy.switch_list_service(proxy.list_service)
     proxy.until(lambda: proxy.counts["list calls"] >= 3, within=2.0)
     proxy.list_service.empty_queue()
     proxy.until(lambda: any(peer.read() for peer in proxy.list_service.peers) or proxy.list_service.accept())
@@ -426,7 +428,7 @@
 def test_with_a_pushed_list_clients_are_accepted_when_the_list_service_is_down(loopback):
     proxy = loopback("a", list_is_polled=False)
     proxy.list_service.sock.close()
-    proxy.follow_list_of(proxy.list_service)
+    proxy.switch_list_service(proxy.list_service)
     client = proxy.open_session()
     proxy.until(lambda: proxy.endpoints["a"].connection()).send(b"UP r1\r\n")
     proxy.until(lambda: client.read() == b"UP r1\r\n")
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -31,7 +31,7 @@
 
 def test_the_open_line_is_forwarded_unchanged_except_for_the_remaining_wait(loopback):
     proxy = loopback()
-    client = proxy.client(b"OPEN 9b1f 7f3a r=1,c=calls,t=acme,d=2000,g=5c0f,h=0.25,again=1\r\n")
+    client = proxy.connect_client(b"OPEN 9b1f 7f3a r=1,c=calls,t=acme,d=2000,g=5c0f,h=0.25,again=1\r\n")
     server = proxy.until(lambda: proxy.endpoints["a"].connection())
     head, _, tail = server.received.partition(b"d=")
     wait, _, tail = tail.partition(b",")
@@ -42,7 +42,7 @@
 
 def test_an_established_connection_forwards_all_lines_unchanged_and_its_load_is_reported(loopback):
     proxy = loopback()
-    client, server = proxy.established()
+    client, server = proxy.establish()
     client.send(b"m 1 \x00\xff\r\nm 2\r\n")
     proxy.until(lambda: server.read() == b"m 1 \x00\xff\r\nm 2\r\n")
     server.send(b"LOAD 12.5\r\nm 1 \x00\xff\r\nm 2\r")
@@ -121,7 +121,7 @@
 
 def test_move_is_written_between_two_lines_even_if_the_clients_buffer_is_partly_sent(loopback):
     proxy = loopback()
-    client, server = proxy.established()
+    client, server = proxy.establish()
     (connection,) = proxy.proxy.sessions.table.live
     connection.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     line = b"m" + b"x" * 4000 + b"\r\n"
@@ -146,7 +146,7 @@
 def test_a_client_migrated_while_it_sends_still_receives_move(loopback):
     # Closing a connection with unread lines makes the system reset it, which would lose MOVE.
     proxy = loopback()
-    client, server = proxy.established()
+    client, server = proxy.establish()
     (connection,) = proxy.proxy.sessions.table.live
     connection.handle.decisions.migrate(connection.handle)
     client.send(b"m 1\r\n" * 50)
@@ -155,14 +155,14 @@
 
 def test_the_end_of_one_side_is_repeated_on_the_other_after_the_last_bytes(loopback):
     proxy = loopback()
-    client, server = proxy.established()
+    client, server = proxy.establish()
     server.send(b"m 1\r\nBYE\r\n")
     server.sock.close()
     proxy.until(lambda: client.read() and client.end)
     assert (client.received, client.end) == (b"m 1\r\nBYE\r\n", "closed") and proxy.counts[
         "connections ok"
     ] == 1
-    client, server = proxy.established()
+    client, server = proxy.establish()
     server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     server.sock.close()
     proxy.until(lambda: client.read() is not None and client.end)
@@ -171,7 +171,7 @@
 
 def test_the_endpoints_last_lines_are_forwarded_although_a_write_to_it_has_failed(loopback):
     proxy = loopback()
-    client, server = proxy.established()
+    client, server = proxy.establish()
     (connection,) = proxy.proxy.sessions.table.live
     client.send(b"m 1\r\n")
     time.sleep(0.02)
@@ -184,7 +184,7 @@
 
 def test_the_last_line_of_a_client_that_disconnects_reaches_the_endpoint_before_the_end(loopback):
     proxy = loopback()
-    client, server = proxy.established()
+    client, server = proxy.establish()
     client.send(b"m 2\r\n")
     client.sock.close()
     proxy.until(lambda: server.read() == b"m 2\r\n" and server.end == "closed")
@@ -194,7 +194,7 @@
 def test_a_silent_endpoint_is_detected_by_its_missing_echoes(loopback, monkeypatch):
     monkeypatch.setattr(line_forwarding, "SILENCE_TIMEOUT_SECONDS", 0.8)
     proxy = loopback()
-    client, server = proxy.established()
+    client, server = proxy.establish()
     proxy.run_for(1.0)
     assert not client.read()  # without a line in flight no echo is missing
     client.send(b"m 1\r\n")
@@ -204,7 +204,7 @@
 
 def test_late_echoes_are_reported_once_a_second_per_endpoint_and_without_own_stalls(loopback):
     proxy = loopback()
-    connections = [proxy.established(), proxy.established()]
+    connections = [proxy.establish(), proxy.establish()]
     endpoint = proxy.proxy.decisions.balancer.tracked["a"]
     for client, server in connections:
         client.send(b"m 1\r\n")
@@ -228,7 +228,7 @@
     proxy = loopback()
     port = proxy.endpoints["a"].port
     proxy.endpoints["a"].sock.close()
-    client = proxy.client(b"OPEN 9b1f 7f3a c=calls,d=2000,at=a\r\n")
+    client = proxy.connect_client(b"OPEN 9b1f 7f3a c=calls,d=2000,at=a\r\n")
     proxy.run_for(0.4)
     endpoint = proxy.endpoints["a"]
     endpoint.sock = socket.create_server((HOST, port))
@@ -242,7 +242,7 @@
 
 def test_a_client_from_before_the_start_that_disconnects_ends_its_attempts(loopback):
     proxy = loopback()
-    client = proxy.client(b"OPEN 9b1f 7f3a c=calls,d=2000,at=a\r\n")
+    client = proxy.connect_client(b"OPEN 9b1f 7f3a c=calls,d=2000,at=a\r\n")
     server = proxy.until(lambda: proxy.endpoints["a"].connection())
     client.sock.close()
     proxy.until(lambda: server.read() and server.end)
@@ -282,7 +282,7 @@
 )
 def test_malformed_input_is_answered_with_err_and_reaches_neither_decisions_nor_endpoint(loopback, data):
     proxy = loopback()
-    client, malformed = proxy.established()[0], proxy.client(data)
+    client, malformed = proxy.establish()[0], proxy.connect_client(data)
     proxy.until(lambda: malformed.read().endswith(b"ERR\r\n") and malformed.end == "closed")
     assert proxy.counts["malformed lines"] == 1 and not client.read() and not client.end
     assert len(proxy.proxy.sessions.table.live) == 1 and not proxy.counts["failures"]
@@ -293,8 +293,11 @@
     # Such connections used to hold a descriptor for long: 30 s without a first line, 10 s with an incomplete
     # one, 39 s for an endpoint that never accepts.
     proxy = loopback(sockets=300)
-    silent = [proxy.client() for _ in range(40)]
-    malformed = [proxy.client(b"OPEN 1 2 c=ca"), proxy.client(b"OPEN 1 2 c=calls,d=9,at=b\r\n")]
+    silent = [proxy.connect_client() for _ in range(40)]
+    malformed = [
+        proxy.connect_client(b"OPEN 1 2 c=ca"),
+        proxy.connect_client(b"OPEN 1 2 c=calls,d=9,at=b\r\n"),
+    ]
     started_at = time.monotonic()
     proxy.until(lambda: all(peer.read() is not None and peer.end for peer in silent + malformed), within=2.9)
     assert time.monotonic() - started_at > 1.0 and [peer.received for peer in malformed] == [b"ERR\r\n"] * 2
@@ -325,7 +328,7 @@
 
 def test_twenty_megabytes_after_an_error_are_discarded_while_others_are_served(loopback):
     proxy = loopback()
-    malformed = proxy.client()
+    malformed = proxy.connect_client()
     piece, pieces_left, client = b"x" * 262144, 80, None
     deadline = time.monotonic() + 4
     while pieces_left > 0 and time.monotonic() < deadline:  # keeps sending after the error was received
@@ -342,7 +345,7 @@
 
 def test_a_client_that_floods_an_endpoint_without_echoes_is_not_read_further(loopback):
     proxy = loopback()
-    client, server = proxy.established()
+    client, server = proxy.establish()
     (connection,) = proxy.proxy.sessions.table.live
     for _ in range(40):
         with contextlib.suppress(BlockingIOError):
@@ -367,11 +370,11 @@
 
 def test_an_incomplete_first_line_and_an_overlong_line_end_the_connection(loopback):
     proxy = loopback()
-    client = proxy.client(b"OPEN 1 2 c=ca")
+    client = proxy.connect_client(b"OPEN 1 2 c=ca")
     proxy.run_for(0.03)
     client.sock.close()
     proxy.until(lambda: proxy.counts["malformed lines"] == 1)
-    client, server = proxy.established()
+    client, server = proxy.establish()
     client.send(b"x" * 5000)
     proxy.until(lambda: client.read() is not None and client.end)
     proxy.until(lambda: server.read() is not None and server.end)
@@ -382,7 +385,7 @@
 def test_a_client_whose_endpoint_sends_an_overlong_line_is_migrated(loopback):
     # The endpoint still answers. Without MOVE the connection would count as lost.
     proxy = loopback()
-    client, server = proxy.established()
+    client, server = proxy.establish()
     server.send(b"x" * 5000)
     proxy.until(lambda: client.read() == b"MOVE\r\n" and client.end == "closed")
     assert not proxy.proxy.decisions.balancer.tracked["a"].connections
@@ -392,13 +395,13 @@
     loopback, monkeypatch
 ):
     proxy = loopback(sockets=OWN_DESCRIPTORS + 8)  # for seven connections, the list's among them
-    partial = proxy.client(b"OPEN 1 2 c=calls,")
+    partial = proxy.connect_client(b"OPEN 1 2 c=calls,")
     proxy.run_for(0.02)
-    new_clients = [proxy.client() for _ in range(6)]
+    new_clients = [proxy.connect_client() for _ in range(6)]
     proxy.run_for(0.05)
     assert not any(peer.read() or peer.end for peer in new_clients)
     monkeypatch.setattr(session_registry, "NEW_CONNECTION_GRACE_SECONDS", 0.0)
-    others = [proxy.client() for _ in range(6)]
+    others = [proxy.connect_client() for _ in range(6)]
     proxy.run_for(0.05)
     partial.send(b"d=2000\r\n")
     proxy.until(lambda: proxy.endpoints["a"].connection())
@@ -410,7 +413,7 @@
         raise KeyError("planted error")
 
     proxy = loopback()
-    client, _ = proxy.established()
+    client, _ = proxy.establish()
     monkeypatch.setattr("onyxhollow.policy.Balancer.admit", broken)
     failing_client = proxy.open_session()
     proxy.until(lambda: failing_client.read() and failing_client.end)
@@ -427,17 +430,17 @@
     proxy = loopback(sockets=OWN_DESCRIPTORS + 10)
     idle = []
     for _ in range(12):
-        idle.append(proxy.client(b"PING\r\n"))
+        idle.append(proxy.connect_client(b"PING\r\n"))
         proxy.until(lambda: idle[-1].read() == b"PONG\r\n")
     assert idle[0].read() == b"PONG\r\nBUSY\r\n" and idle[0].end and not idle[-1].end
-    client, _ = proxy.established()
+    client, _ = proxy.establish()
     assert proxy.counts["idle connections closed for room"] >= 5 and not client.end
 
 
 def test_without_free_descriptors_a_session_is_rejected_with_no_evidence_against_the_endpoint(loopback):
     proxy = loopback(sockets=OWN_DESCRIPTORS + 16)
     proxy.answer_list(EMPTY_DELTA)
-    established = [proxy.established() for _ in range(6)]
+    established = [proxy.establish() for _ in range(6)]
     client = proxy.open_session()
     proxy.until(lambda: client.read() == b"BUSY\r\n")
     assert proxy.counts["dials"] == 6 and proxy.proxy.decisions.balancer.tracked["a"].recorded_score == 0.0
@@ -491,7 +494,7 @@
     proxy = loopback()
     duplicates, turns = [], 0
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    peer = proxy.client(b"PING\r\n")
+    peer = proxy.connect_client(b"PING\r\n")
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(os.dup(0) + 1, 64), hard))
     try:
         with pytest.raises(OSError):
@@ -553,7 +556,7 @@
     assert 0.04 < time.monotonic() - answered_at < 0.2
     proxy.answer_list(EMPTY_DELTA.replace(b"8", b"9"), count=2)
     proxy.until(lambda: proxy.proxy.discovery.version == 9)
-    proxy.follow_list_of(new)
+    proxy.switch_list_service(new)
     started_at = time.monotonic()
     proxy.until(lambda: new.connection())
     assert time.monotonic() - started_at < 0.2
@@ -573,7 +576,7 @@
 
 
 def test_requests_before_the_first_list_are_served_when_it_arrives(loopback):
-    proxy = loopback(known=False)
+    proxy = loopback(has_cached_list=False)
     clients = [proxy.open_session() for _ in range(20)]
     proxy.until(lambda: proxy.counts["sessions taken"] == 20)
     assert not proxy.counts["dials"]
@@ -612,7 +615,7 @@
     proxy.until(lambda: proxy.counts["list failures"] == 1)
     proxy.answer_list(EMPTY_DELTA, count=2)
     proxy.until(lambda: proxy.list_service.peers[1].read().startswith(b"GET /v1/endpoints?index=8&wait=5000"))
-    client, _ = proxy.established()  # the cached list serves meanwhile
+    client, _ = proxy.establish()  # the cached list serves meanwhile
     assert not client.end and not proxy.counts["failures"]
 
 
@@ -625,7 +628,7 @@
 
 
 def test_a_poll_without_an_answer_times_out(loopback, monkeypatch):
-    monkeypatch.setattr("onyxhollow.wire.endpoint_list_watch.ANSWER_TIMEOUT", 0.2)
+    monkeypatch.setattr("onyxhollow.wire.endpoint_list_watch.ANSWER_TIMEOUT_SECONDS", 0.2)
     proxy = loopback(max_poll_interval=0.6)
     proxy.until(lambda: proxy.list_service.connection())
     proxy.until(lambda: proxy.counts["list failures"] == 1)
@@ -668,9 +671,9 @@
     old_peer = proxy.until(
         lambda: b"index=8&wait=5000" in proxy.list_service.peers[0].read() and proxy.list_service.peers[0]
     )
-    client = proxy.client()
+    client = proxy.connect_client()
     started_at = time.monotonic()
-    proxy.follow_list_of(new)
+    proxy.switch_list_service(new)
     peer = proxy.until(lambda: new.connection())
     assert time.monotonic() - started_at < 0.3 and peer.received.startswith(b"GET /v1/endpoints HTTP/1.1\r\n")
     with contextlib.suppress(OSError):
@@ -697,7 +700,7 @@
     old_peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
     time.sleep(0.02)
     closed_server.sock.close()
-    proxy.follow_list_of(closed_server)
+    proxy.switch_list_service(closed_server)
     proxy.until(lambda: proxy.counts["list failures"] >= 2)  # unreachable: polled again
     assert not proxy.proxy.decisions.balancer.endpoints and len(proxy.proxy.decisions.balancer.tracked) == 1
 
@@ -705,7 +708,7 @@
 def test_the_last_of_several_reloads_applies_and_an_invalid_file_changes_nothing(loopback):
     proxy, servers = loopback(), [ScriptedServer(), ScriptedServer(), ScriptedServer()]
     for server in servers:
-        proxy.follow_list_of(server)
+        proxy.switch_list_service(server)
     proxy.until(lambda: servers[2].connection())
     assert not servers[0].connection() and not servers[1].connection() and proxy.counts["reloads"] == 3
 
@@ -716,7 +719,7 @@
     proxy.proxy.reloader.reload()
     proxy.answer_list(EMPTY_DELTA, server=servers[2])
     proxy.until(lambda: b"index=8" in servers[2].peers[0].read())
-    assert proxy.counts["reloads refused"] == 1 and proxy.established()
+    assert proxy.counts["reloads refused"] == 1 and proxy.establish()
 
 
 def test_reloads_switch_settings_and_back_under_traffic_without_losing_or_repeating_a_session(loopback):
@@ -815,7 +818,7 @@
 
 def test_a_shutdown_migrates_open_sessions_answers_waiting_ones_and_serves_late_ones(loopback):
     proxy = loopback()
-    (first, _), (second, _) = proxy.established(), proxy.established()
+    (first, _), (second, _) = proxy.establish(), proxy.establish()
     proxy.proxy.shutdown.stop_time = 0.9
     proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     late = proxy.open_session()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -82,7 +82,7 @@
     start_proxy, sent, status, expected_text, chunk_size
 ):
     proxy = start_proxy()
-    caller = proxy.operator()
+    caller = proxy.connect_operator()
     for start in range(0, len(sent), chunk_size if len(sent) < 200 else 10**6):
         caller.send(sent[start : start + chunk_size if len(sent) < 200 else None])
         proxy.proxy.loop.turn(0.0)
@@ -97,8 +97,8 @@
 
 def test_many_silent_management_connections_delay_no_request_and_are_bounded(start_proxy):
     proxy = start_proxy()
-    silent = [proxy.operator(READY_REQUEST) for _ in range(200)]
-    caller = proxy.operator(READY_REQUEST + REQUEST_END)
+    silent = [proxy.connect_operator(READY_REQUEST) for _ in range(200)]
+    caller = proxy.connect_operator(READY_REQUEST + REQUEST_END)
     proxy.until(lambda: caller.read(), within=1.0)
     assert (
         b" 200 " in caller.received
@@ -111,9 +111,9 @@
 def test_incomplete_management_requests_time_out_and_half_closed_complete_ones_are_answered(start_proxy):
     proxy = start_proxy()
     incomplete, complete, ended = (
-        proxy.operator(READY_REQUEST),
-        proxy.operator(READY_REQUEST + REQUEST_END),
-        proxy.operator(READY_REQUEST),
+        proxy.connect_operator(READY_REQUEST),
+        proxy.connect_operator(READY_REQUEST + REQUEST_END),
+        proxy.connect_operator(READY_REQUEST),
     )
     complete.sock.shutdown(socket.SHUT_WR)
     ended.sock.shutdown(socket.SHUT_WR)
@@ -127,17 +127,17 @@
 
 def test_management_requests_are_answered_when_sessions_use_all_descriptors(start_proxy, monkeypatch):
     proxy = start_proxy(sockets=64)
-    idle = [proxy.client() for _ in range(60)]
+    idle = [proxy.connect_client() for _ in range(60)]
     proxy.until(lambda: proxy.counts["accepts put off for want of room"])
 
-    assert len(idle) == 60 and proxy.call_operator("ready") == (200, "ready\n")
+    assert len(idle) == 60 and proxy.call_management("ready") == (200, "ready\n")
 
 
 def test_management_requests_are_answered_within_a_long_loop_turn(start_proxy, monkeypatch):
-    monkeypatch.setattr(loops, "URGENT_INTERVAL", 0.0)
+    monkeypatch.setattr(loops, "URGENT_INTERVAL_SECONDS", 0.0)
     proxy, order = start_proxy(), []
     loop = proxy.proxy.loop
-    caller = proxy.operator(READY_REQUEST + REQUEST_END)
+    caller = proxy.connect_operator(READY_REQUEST + REQUEST_END)
     for number in range(20):
         reader, writer = os.pipe()
         os.write(writer, b"x")
@@ -153,11 +153,13 @@
 
 def test_each_session_is_counted_once_by_its_final_answer(start_proxy):
     proxy = start_proxy("a", listeners=TWO_LISTENERS)
-    assert parse_metrics(proxy.call_operator("counters")[1])["lb_busy_total", "once"] == 0
-    client, server = proxy.established()
-    values = parse_metrics(proxy.call_operator("counters")[1])
+    assert parse_metrics(proxy.call_management("counters")[1])["lb_busy_total", "once"] == 0
+    client, server = proxy.establish()
+    values = parse_metrics(proxy.call_management("counters")[1])
     assert values["lb_inflight", None] == values["lb_backend_calls_total", None] == 1
-    proxy.client(b"OPEN zz 7f3a c=nobody,d=2000\r\n")  # a malformed request is not counted as a session
+    proxy.connect_client(
+        b"OPEN zz 7f3a c=nobody,d=2000\r\n"
+    )  # a malformed request is not counted as a session
     server.send(b"BYE\r\n")
     server.sock.close()
     proxy.until(lambda: client.read().endswith(b"BYE\r\n"))
@@ -170,7 +172,7 @@
     abandoned = proxy.open_session("calls")
     abandoned.sock.close()
     proxy.until(lambda: not proxy.proxy.sessions.table.live)
-    values = parse_metrics(proxy.call_operator("counters")[1])
+    values = parse_metrics(proxy.call_management("counters")[1])
     by_tier = {key: value for key, value in values.items() if key[1]}
     assert by_tier == {
         ("lb_success_total", "calls"): 1,
@@ -205,21 +207,21 @@
     monkeypatch.setattr(draining, "DRAIN_DELAY_SECONDS", 0.1)
     monkeypatch.setattr(draining, "DRAIN_SECONDS", 0.8)
     proxy = start_proxy()
-    front = proxy.client(b"PING\r\n")
+    front = proxy.connect_client(b"PING\r\n")
     proxy.until(lambda: front.read() == b"PONG\r\n")
-    established = [proxy.established() for _ in range(4)]
+    established = [proxy.establish() for _ in range(4)]
     assert (
-        proxy.call_operator("out-of-service", "POST")[0]
-        == proxy.call_operator("out-of-service", "POST")[0]
+        proxy.call_management("out-of-service", "POST")[0]
+        == proxy.call_management("out-of-service", "POST")[0]
         == 200
     )
     front.send(b"PING\r\n")
     proxy.until(lambda: front.read() == b"PONG\r\nBUSY\r\n")
-    assert proxy.call_operator("ready")[0] == 503
-    late, _ = proxy.established()
+    assert proxy.call_management("ready")[0] == 503
+    late, _ = proxy.establish()
     attempting = proxy.open_session()
     proxy.proxy.reloader.reload()  # must not end the drain
-    assert proxy.call_operator("ready")[0] == 503
+    assert proxy.call_management("ready")[0] == 503
     for client, _ in [*established, (late, None)]:
         proxy.until(lambda client=client: client.read() == b"MOVE\r\n" and client.end == "closed", within=1.2)
     proxy.until(lambda: attempting.read() == b"BUSY\r\n", within=1.2)
@@ -227,13 +229,13 @@
     proxy.until(lambda: rejected.read() == b"BUSY\r\n" and rejected.end)
     assert (
         not front.end
-        and proxy.call_operator("in-service", "POST")[0]
-        == proxy.call_operator("in-service", "POST")[0]
+        and proxy.call_management("in-service", "POST")[0]
+        == proxy.call_management("in-service", "POST")[0]
         == 200
     )
     front.send(b"PING\r\n")
     proxy.until(lambda: front.read().endswith(b"PONG\r\n"))
-    assert proxy.call_operator("ready")[0] == 200
+    assert proxy.call_management("ready")[0] == 200
     attempts, accepted = proxy.counts["dials"], proxy.open_session()
     proxy.until(lambda: proxy.counts["dials"] > attempts and not accepted.end)
 
@@ -241,14 +243,14 @@
 def test_a_cancelled_drain_leaves_unmigrated_clients_connected(start_proxy, monkeypatch):
     monkeypatch.setattr(draining, "DRAIN_DELAY_SECONDS", 0.05)
     proxy = start_proxy()
-    clients = [proxy.established()[0] for _ in range(12)]
-    proxy.call_operator("out-of-service", "POST")
+    clients = [proxy.establish()[0] for _ in range(12)]
+    proxy.call_management("out-of-service", "POST")
     proxy.until(lambda: any(client.read() for client in clients))
-    proxy.call_operator("in-service", "POST")
+    proxy.call_management("in-service", "POST")
     migrated = sum(bool(client.read()) for client in clients)
     proxy.run_for(0.3)
     assert 0 < migrated == sum(bool(client.read()) for client in clients) < 12
-    proxy.call_operator("out-of-service", "POST")  # a second drain migrates the others
+    proxy.call_management("out-of-service", "POST")  # a second drain migrates the others
     proxy.until(lambda: sum(bool(client.read()) for client in clients) > migrated)
 
 
@@ -361,11 +363,11 @@
     proxy.until(lambda: failed.read() == b"ERR\r\n")
     assert (
         not in_flight.read()
-        and parse_metrics(proxy.call_operator("counters")[1])["lb_success_total", "calls"] == 1
+        and parse_metrics(proxy.call_management("counters")[1])["lb_success_total", "calls"] == 1
     )
     proxy.proxy.reloader.reread_config = lambda: read_config("/nowhere")
     proxy.proxy.reloader.reload()
-    values = parse_metrics(proxy.call_operator("counters")[1])
+    values = parse_metrics(proxy.call_management("counters")[1])
     assert (values["lb_reconfig_ok_total", None], values["lb_reconfig_failed_total", None]) == (1, 1)
 
 
@@ -393,7 +395,7 @@
 
     def start(self, **changes):
         listener = open_inherited_socket(str(os.dup(self.socket.fileno())))
-        proxy = self.start_proxy("a", given=listener, handover=Handover(self.folder), **changes)
+        proxy = self.start_proxy("a", inherited_listener=listener, handover=Handover(self.folder), **changes)
         self.running.append(proxy)
         return proxy
 
@@ -445,14 +447,14 @@
 
 def test_a_successor_accepts_clients_after_its_first_list_and_the_predecessor_keeps_its_own(processes):
     old = processes.start()
-    front, (client, _) = processes.connect_client_to(old), old.established()
+    front, (client, _) = processes.connect_client_to(old), old.establish()
     new = processes.start()
     processes.until(lambda: new.list_service.connection())
-    assert new.call_operator("ready")[0] == 503 and old.call_operator("ready")[0] == 200
+    assert new.call_management("ready")[0] == 503 and old.call_management("ready")[0] == 200
     processes.connect_client_to(old)
     new.answer_list(EMPTY_DELTA)
     processes.until(lambda: new.proxy.service.ready)
-    assert new.call_operator("ready")[0] == 200
+    assert new.call_management("ready")[0] == 200
     processes.until(lambda: old.proxy.service.replaced)
     processes.connect_client_to(new)
     accepted = processes.connect_client_to(new)
@@ -474,7 +476,7 @@
 @pytest.mark.parametrize("is_taking", [False, True])
 def test_the_predecessor_continues_when_its_successor_dies(processes, is_taking):
     old = processes.start()
-    client, server = old.established()
+    client, server = old.establish()
     new = start_replacement(processes) if is_taking else processes.start()
     waiting = Peer(socket.create_connection(processes.socket.getsockname()))  # not accepted yet
     processes.kill(new)
@@ -512,7 +514,7 @@
 
 def test_open_connections_and_their_buffers_are_handed_off_to_the_successor(processes):
     old = processes.start()
-    pairs = [old.established() for _ in range(40)]
+    pairs = [old.establish() for _ in range(40)]
     client, server = pairs[0]
     client.send(b"m 1\r\nm 2")
     old.until(lambda: server.read() == b"m 1\r\n")
@@ -547,7 +549,7 @@
         session.placed_here for endpoint in balancer.tracked.values() for session in endpoint.connections
     )
     assert new.counts["dials"] == 0  # no new connection to an endpoint
-    values = parse_metrics(new.call_operator("counters")[1])
+    values = parse_metrics(new.call_management("counters")[1])
     assert (values["lb_inflight", None], values["lb_success_total", "calls"]) == (42, 0)
     new.proxy.loop.spawn(new.proxy.shutdown.run())  # it has no successor and migrates them
     processes.until(
@@ -558,7 +560,7 @@
 @pytest.mark.parametrize("failure", ["refuses", "dies", "no path"])
 def test_connections_that_the_successor_does_not_take_are_migrated(processes, monkeypatch, failure):
     old = processes.start()
-    clients = [old.established()[0] for _ in range(3)]
+    clients = [old.establish()[0] for _ in range(3)]
     new = start_replacement(processes)
     if failure == "refuses":
         monkeypatch.setattr(ConnectionHandoff, "decode", lambda _: 1 / 0)
@@ -591,7 +593,7 @@
 )
 def test_an_invalid_handoff_record_is_refused_and_the_connection_stays(loopback, change):
     proxy = loopback()
-    client, _ = proxy.established()
+    client, _ = proxy.establish()
     (session,) = proxy.proxy.sessions.table.live
     sent = []
     sender = SimpleNamespace(send=lambda record, *_: sent.append(record))
@@ -685,7 +687,7 @@
     snapshot = {"seq": 41, "whole": True, "hosts": records}
     old.answer_list(json.dumps(snapshot).encode())
     processes.until(lambda: len(old.proxy.decisions.balancer.tracked) == 2)
-    new = processes.start(known=False)
+    new = processes.start(has_cached_list=False)
     old.proxy.discovery.address = new.config.discovery  # both use one list service
     processes.until(lambda: new.proxy.service.ready, within=1.0)
     states = {
@@ -721,20 +723,20 @@
     monkeypatch.setattr(draining, "DRAIN_SECONDS", 0.5)
     monkeypatch.setattr(draining, "CLOSING_SECONDS", 0.1)
     proxy = start_proxy()
-    client, server = proxy.established()
+    client, server = proxy.establish()
     (session,) = proxy.proxy.sessions.table.live
     session.client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     while not session.client.outgoing:
         server.send(b"x" * 1000 + b"\r\n")
         proxy.proxy.loop.turn(0.001)
-    proxy.call_operator("out-of-service", "POST")
+    proxy.call_management("out-of-service", "POST")
     proxy.until(lambda: session.client.closed, within=1.5)
 
 
 def test_a_drained_process_leaves_clients_to_its_successor(processes):
     old = processes.start()
-    client, _ = old.established()
-    old.call_operator("out-of-service", "POST")
+    client, _ = old.establish()
+    old.call_management("out-of-service", "POST")
     new = start_replacement(processes)
     for _ in range(4):
         processes.connect_client_to(new)
@@ -756,12 +758,12 @@
 
 def test_a_shutdown_during_a_drain_completes_and_metrics_stay_available(start_proxy):
     proxy = start_proxy()
-    clients = [proxy.established()[0] for _ in range(5)]
+    clients = [proxy.establish()[0] for _ in range(5)]
     proxy.proxy.shutdown.stop_time = 0.9
-    proxy.call_operator("out-of-service", "POST")
+    proxy.call_management("out-of-service", "POST")
     proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
     proxy.until(lambda: proxy.proxy.service.stopping)
-    assert proxy.call_operator("in-service", "POST")[0] == proxy.call_operator("ready")[0] == 503
-    assert parse_metrics(proxy.call_operator("counters")[1])["lb_inflight", None] == 5
+    assert proxy.call_management("in-service", "POST")[0] == proxy.call_management("ready")[0] == 503
+    assert parse_metrics(proxy.call_management("counters")[1])["lb_inflight", None] == 5
     proxy.until(lambda: not proxy.proxy.loop.running, within=2.5)
     assert all(client.read() == b"MOVE\r\n" for client in clients) and not proxy.proxy.sessions.active_count
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -17,7 +17,7 @@
 
 from onyxhollow.interface import Idempotency
 from onyxhollow.wire import channel, listening
-from onyxhollow.wire.system_errors import Fault, fault_of, fault_of_connect
+from onyxhollow.wire.system_errors import ErrorCause, classify_connect_error, classify_error
 
 CALLS = {
     "accept": (
@@ -212,7 +212,7 @@
         first = peer.received.split(b"\r\n")[0]
         assert first in (b"UP r1", b"BUSY", b"ERR", b"") and (peer.received or peer.end), peer.received
         assert peer.received.count(b"BUSY") + peer.received.count(b"ERR") + peer.received.count(b"UP") <= 1
-        if whose is Fault.SHORTAGE or whose is Fault.NOT_READY:
+        if whose is ErrorCause.SHORTAGE or whose is ErrorCause.NOT_READY:
             assert first != b"", "a shortage of this machine frees no request of its answer"
     assert len(set(servers.openings)) == len(servers.openings)
     assert not proxy.counts["failures"] and not [name for name in proxy.counts if name.startswith("broken")]
@@ -222,9 +222,13 @@
 @pytest.mark.parametrize("times", [1, 3])
 def test_each_call_fails_in_turn_and_every_client_has_its_answer(shimmed, call, name, times):
     error = getattr(errno, name)
-    whose = fault_of(OSError(error, "")) if call != "connect_ex" else fault_of_connect(OSError(error, ""))
+    whose = (
+        classify_error(OSError(error, ""))
+        if call != "connect_ex"
+        else classify_connect_error(OSError(error, ""))
+    )
     if call in ("accept", "poll", "unregister", "register", "modify", "setsockopt", "getsockopt", "socket"):
-        whose = Fault.SHORTAGE  # whatever it says: no client is at fault
+        whose = ErrorCause.SHORTAGE  # whatever it says: no client is at fault
     balancer = shimmed.proxy.decisions.balancer
     index = 0
     while True:
