--- a/onyxhollow/wire/channel.py
+++ b/onyxhollow/wire/channel.py
@@ -1,4 +1,4 @@
-"""One non-blocking connection that reads lines and writes what it is given."""
+"""A non-blocking connection with buffered reading of lines and buffered writing."""
 
 from __future__ import annotations
 
@@ -13,18 +13,21 @@
 from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.system_errors import SHORTAGE_RETRY_SECONDS, ErrorCause, classify_error
 
-LINGER = 0.5  # seconds of silence for which a finished one is read: a reset would lose its last bytes
-MAX_LINGER = 2.0  # seconds for which it is read at the most, however much still comes
-FLUSH_TIMEOUT = 10.0  # seconds for the last bytes to go out to one that reads slowly
-DISCARD_BUFFER = bytearray(64 * 1024)  # where bytes that nobody wants are read to
-DISCARD_READS = 8  # such reads in one turn of the loop: 60 MB must go by without making others wait
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+# A connection that is shut down is read until the peer has been silent for so long. Closing it earlier could
+# reset it, and the peer would lose the last bytes.
+LINGER_SECONDS = 0.5
+MAX_LINGER_SECONDS = 2.0  # limit of that reading for a peer that keeps sending
+FLUSH_TIMEOUT_SECONDS = 10.0  # for sending the last bytes to a peer that reads slowly
+DISCARD_BUFFER = bytearray(64 * 1024)  # receives bytes that are ignored
+MAX_DISCARD_READS = 8  # per turn of the loop; discarding 60 MB must not delay other connections
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with a timeout of 0
 
 
 class Channel:
-    """One connection, watched by the loop; OSError from the constructor if it can't be.
+    """One connection, watched by the loop; the constructor raises OSError if the loop can't watch it.
 
-    Its owner's `wake` is called after each change. The owner ends it by one of `close`, `reset` and `finish`.
+    The owner's `wake` is called after each change. The owner ends the connection by `close`, `reset` or
+    `finish`.
     """
 
     def __init__(
@@ -41,65 +44,71 @@
         self.pool = pool
         self.wake = wake
         self.inbox = LineBuffer(pool)
-        self.outgoing = bytearray()  # what the system has not taken yet
+        self.outgoing = bytearray()  # written bytes that the kernel has not accepted yet
         self.connecting = connecting
-        self.paused = False  # not read on until its lines were used, or the other side takes more
-        self.ended = False  # the other side has ended its sending, or the connection broke
-        self.broken = False  # by a reset, or an error of a call on it
+        self.paused = (
+            False  # not read until its lines are consumed, or the receiver of its lines accepts more
+        )
+        self.ended = False  # the peer has shut down its sending side, or the connection has failed
+        self.broken = False  # the connection was reset, or a system call on it failed
         self.closed = False
-        self.flushed = False  # the system has once taken all that was written
-        self.discarding = False  # what is received is thrown away
-        self.last_read_at = 0.0  # while discarding: when the last of it came
-        self.backing_off = False  # this machine is short of something: it is not watched for a moment
-        self.loop.watch(self.fd, self.events(), self.on_ready)
+        self.flushed = False  # the kernel has at least once accepted everything that was written
+        self.discarding = False  # received bytes are ignored
+        self.last_read_at = 0.0  # loop time of the last received bytes, while discarding
+        self.backing_off = False  # not watched for a short time, as this machine lacks a resource
+        self.loop.watch(self.fd, self.wanted_events(), self.on_ready)
         pool.open_connections += 1
 
     @classmethod
     def connect(cls, loop: Loop, address: Address, pool: BufferPool, wake: Callable[[], None]) -> Channel:
-        """A connection on its way up; OSError if it can't even be begun."""
+        """Start to connect and return the channel; raise OSError if that fails at once."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             result = sock.connect_ex(address)
-            if result not in (0, errno.EINPROGRESS, errno.EINTR):  # interrupted, it goes on by itself
-                raise OSError(result, "connect")  # noqa: TRY301 -- closed below, as for other errors
+            if result not in (
+                0,
+                errno.EINPROGRESS,
+                errno.EINTR,
+            ):  # after EINTR the kernel continues to connect
+                raise OSError(result, "connect")  # noqa: TRY301 -- the handler below closes the socket
             return cls(loop, sock, pool, wake, connecting=True)
         except OSError:
             sock.close()
             raise
 
-    # watched by the loop
+    # Events of the loop.
 
-    def events(self) -> int:
-        """What the loop is to watch for."""
+    def wanted_events(self) -> int:
+        """Return the events that the loop has to watch for in the present state."""
         if self.connecting:
             return WRITE
         return (0 if self.ended or self.paused else READ) | (WRITE if self.outgoing else 0)
 
     def update_interest(self) -> None:
-        """Tells the loop what to watch for now."""
+        """Register the events of the present state with the loop."""
         if self.closed or self.backing_off:
             return
         try:
-            self.loop.watch(self.fd, self.events(), self.on_ready)
-        except OSError:  # the system has no room for it now
+            self.loop.watch(self.fd, self.wanted_events(), self.on_ready)
+        except OSError:  # epoll is out of memory or descriptors
             self.back_off()
 
     def back_off(self) -> None:
-        """Rests for a moment, as this machine is short of something.
+        """Stop watching for a short time, as this machine lacks a resource.
 
-        Nothing is lost by it, and nothing known of the other side. If the loop reported the connection ready
-        again at once, it would spin.
+        No data is lost, and the shortage is no evidence about the peer. If the connection stayed registered,
+        the loop would report it as ready again at once and spin.
         """
         if not self.backing_off and not self.closed:
             self.backing_off = True
             self.loop.watch(self.fd, 0, None)
-            self.loop.spawn(self.resume_at(self.loop.now + SHORTAGE_RETRY_SECONDS))
+            self.loop.spawn(self.resume_after_backoff(self.loop.now + SHORTAGE_RETRY_SECONDS))
 
-    def resume_at(self, at: float) -> Generator[float, None, None]:
-        """Goes on after a moment's rest."""
-        while self.loop.now < at:
-            yield at
+    def resume_after_backoff(self, resume_time: float) -> Generator[float, None, None]:
+        """Write pending bytes and watch the connection again at the given loop time."""
+        while self.loop.now < resume_time:
+            yield resume_time
         self.backing_off = False
         if self.closed or self.broken:
             return
@@ -108,14 +117,14 @@
         self.update_interest()
 
     def on_ready(self, events: int) -> None:
-        """The loop's callback: the connection came up, or something can be read or written."""
+        """Handle events of the loop: the connect has ended, or the connection is readable or writable."""
         if self.connecting:
-            is_up = self.connection_result()
-            if is_up is None:
+            is_connected = self.has_connected()
+            if is_connected is None:
                 self.back_off()
                 return
             self.connecting = False
-            if not is_up:
+            if not is_connected:
                 self.ended = True
                 self.broken = True
                 self.loop.watch(self.fd, 0, None)
@@ -128,20 +137,20 @@
         self.wake()
         self.update_interest()
 
-    def connection_result(self) -> bool | None:
-        """Whether the connection is up, once the system has reported that it is or has failed.
+    def has_connected(self) -> bool | None:
+        """Return whether the connect has succeeded, once the loop has reported its end.
 
-        None if the system can't say now.
+        The result is None if a shortage on this machine prevents the query.
         """
         try:
             return not self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as error:
             return None if classify_error(error) is ErrorCause.SHORTAGE else False
 
-    # reading
+    # Reading.
 
     def read(self) -> None:
-        """Reads once into the buffer; pauses if that is full of lines that were not used."""
+        """Read once into the buffer; pause reading if it is full of unread lines."""
         if self.discarding:
             self.discard_input()
             return
@@ -152,7 +161,7 @@
         self.inbox.commit(self.receive(space))
 
     def receive(self, space: memoryview | bytearray, flags: int = 0) -> int:
-        """How many bytes have come: 0 also at the end and after a reset."""
+        """Receive into the space and return the number of bytes; 0 also at the end and after an error."""
         try:
             count = self.sock.recv_into(space, len(space), flags)
         except OSError as error:
@@ -162,37 +171,41 @@
             self.ended = True
         return count
 
-    def on_read_error(self, fault: ErrorCause) -> None:
-        """A read failed."""
-        if fault is ErrorCause.SHORTAGE:
+    def on_read_error(self, cause: ErrorCause) -> None:
+        """Handle a failed read: retry it later, or mark the connection as broken."""
+        if cause is ErrorCause.SHORTAGE:
             self.back_off()
-        elif fault is not ErrorCause.NOT_READY:
+        elif cause is not ErrorCause.NOT_READY:
             self.ended = True
             self.broken = True
             self.outgoing.clear()
 
     def discard_input(self) -> None:
-        """Reads what has come and throws it away, up to half a megabyte."""
-        for _ in range(DISCARD_READS):
-            if not self.receive(DISCARD_BUFFER, socket.MSG_TRUNC):  # TCP: not even copied
+        """Receive and ignore up to half a megabyte."""
+        for _ in range(MAX_DISCARD_READS):
+            if not self.receive(DISCARD_BUFFER, socket.MSG_TRUNC):  # TCP: dropped without a copy
                 return
             self.last_read_at = self.loop.now
 
     def line(self) -> memoryview | None:
-        """The next whole line, valid until the next read; LineTooLongError for one over 4 KiB."""
+        """Return the next whole line, valid until the next read, or None.
+
+        Raises:
+            LineTooLongError: The line exceeds 4 KiB.
+        """
         return self.inbox.line()
 
     def set_paused(self, paused: bool) -> None:
-        """After its lines were used: gives an empty buffer back, and reads on unless it is to pause."""
+        """Pause or resume reading, and return an empty buffer to the pool; called once lines are consumed."""
         self.inbox.release()
         if paused != self.paused:
             self.paused = paused
             self.update_interest()
 
-    # writing
+    # Writing.
 
     def write(self, data: bytes | memoryview) -> None:
-        """Sends at once what the system takes; only the rest is copied."""
+        """Send as much as the kernel accepts at once; copy only the rest, to be sent later."""
         if self.closed or self.broken:
             return
         if not self.outgoing and not self.connecting:
@@ -207,7 +220,7 @@
         self.update_interest()
 
     def flush(self) -> None:
-        """Sends what waits to be sent, as far as the system takes it."""
+        """Send pending bytes, as far as the kernel accepts them."""
         if not self.outgoing:
             return
         sent = self.send(self.outgoing)
@@ -216,19 +229,22 @@
             self.flushed = self.flushed or not self.outgoing
 
     def send(self, data: bytes | memoryview | bytearray) -> int:
-        """How many bytes the system has taken: none also where it can't just now, or never will."""
+        """Send and return the number of bytes that the kernel has accepted; 0 also after an error."""
         try:
             return self.sock.send(data)
         except OSError as error:
-            fault = classify_error(error)
-        if fault is ErrorCause.SHORTAGE:
+            cause = classify_error(error)
+        if cause is ErrorCause.SHORTAGE:
             self.back_off()
-        elif fault is not ErrorCause.NOT_READY:
+        elif cause is not ErrorCause.NOT_READY:
             self.on_write_error()
         return 0
 
     def on_write_error(self) -> None:
-        """A write failed. What the other side sent before it went, BYE perhaps, is still there to be read."""
+        """Handle a failed write: mark the connection as broken, but read first.
+
+        Lines that the peer sent before it closed, for example BYE, can still be read.
+        """
         if not self.ended and not self.paused:
             self.read()
         self.ended = True
@@ -239,13 +255,13 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether so much waits to be sent that the other side is not read on."""
+        """Whether so many bytes are pending that the source of the data must not be read."""
         return len(self.outgoing) > self.pool.high_water_mark
 
-    # ending
+    # Closing.
 
     def close(self) -> None:
-        """Closes it at once. With bytes unread the system resets the connection."""
+        """Close the connection at once; the kernel resets it if received bytes are unread."""
         if self.closed:
             return
         self.loop.watch(self.fd, 0, None)
@@ -257,41 +273,44 @@
         self.sock.close()
 
     def reset(self) -> None:
-        """Ends it as one that broke."""
+        """Close the connection with a reset."""
         if self.closed:
             return
-        with contextlib.suppress(OSError):  # already gone
+        with contextlib.suppress(OSError):  # the connection has already failed
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.close()
 
-    def finish(self, timeout: float = FLUSH_TIMEOUT) -> None:
-        """Ends it in order: what is to be written goes out, what still comes is read and thrown away.
+    def finish(self, timeout: float = FLUSH_TIMEOUT_SECONDS) -> None:
+        """Close the connection gracefully: send pending bytes, and read and ignore what still arrives.
+
+        If it were closed with unread bytes, the kernel would reset it, and the peer would lose the last line.
 
-        Closed with bytes unread the system would reset it, and its last line would be lost on the way.
+        Args:
+            timeout: Seconds for sending the pending bytes.
         """
         if self.closed:
             return
         self.discarding = True
         self.last_read_at = self.loop.now
         self.pool.closing[self.fd] = ClosingConnection(self.loop.now, self.close, lambda: bool(self.outgoing))
-        self.wake = self.loop.spawn(self.drain(self.loop.now + timeout)).wake
+        self.wake = self.loop.spawn(self.close_gracefully(self.loop.now + timeout)).wake
 
-    def drain(self, until: float) -> Generator[float, None, None]:
-        """Ends the sending once all is sent, then reads on until the other side is silent for a while."""
-        shut = False
+    def close_gracefully(self, deadline: float) -> Generator[float, None, None]:
+        """Shut down the sending side once all bytes are sent, then read until the peer is silent."""
+        is_shut_down = False
         try:
-            while self.loop.now < until and not self.broken and not self.closed:
+            while self.loop.now < deadline and not self.broken and not self.closed:
                 self.inbox.discard()
                 self.set_paused(False)
-                if not self.outgoing and not shut:
-                    shut = True
-                    until = self.loop.now + MAX_LINGER
+                if not self.outgoing and not is_shut_down:
+                    is_shut_down = True
+                    deadline = self.loop.now + MAX_LINGER_SECONDS
                     try:
                         self.sock.shutdown(socket.SHUT_WR)
                     except OSError:
                         return
-                if shut and (self.ended or self.loop.now >= self.last_read_at + LINGER):
+                if is_shut_down and (self.ended or self.loop.now >= self.last_read_at + LINGER_SECONDS):
                     return
-                yield min(until, self.last_read_at + LINGER) if shut else until
+                yield min(deadline, self.last_read_at + LINGER_SECONDS) if is_shut_down else deadline
         finally:
             self.close()
--- a/onyxhollow/wire/discovery_connection.py
+++ b/onyxhollow/wire/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to the discovery service; whoever calls it waits for the whole answer."""
+"""HTTP connection to the discovery service; a call returns the complete answer."""
 
 from __future__ import annotations
 
@@ -12,29 +12,27 @@
 from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.endpoint_list import EndpointListError
 
-CONNECT_TIMEOUT_SECONDS = (
-    1.5  # seconds for a connection to the service to come up before another one is tried
-)
-MAX_BODY_SIZE = 4 * 1024 * 1024  # bytes of one list
-OK = 200  # the one status that an answer is used with
+CONNECT_TIMEOUT_SECONDS = 1.5  # for a connection to be established before another one is tried
+MAX_BODY_BYTES = 4 * 1024 * 1024  # of one answer
+OK = 200  # the only status whose answer is used
 
 
 class DiscoveryTimeoutError(EndpointListError):
-    """Nothing came in time, or not the whole answer."""
+    """The complete answer was not received in time."""
 
 
 class DiscoveryStatusError(EndpointListError):
-    """The service answered with another status than 200."""
+    """The service answered with a status other than 200."""
 
     def __init__(self, status: int) -> None:
-        super().__init__(f"status {status}")
+        super().__init__(f"status: expected {OK}, got {status}")
         self.status = status
 
 
 class DiscoveryConnection:
-    """One HTTP connection to discovery, used for one call after another while it lives.
+    """HTTP connection to the discovery service, used for one call after another until it ends.
 
-    The constructor raises OSError if the connection can't even be begun.
+    The constructor raises OSError if the connect fails at once.
     """
 
     def __init__(self, loop: Loop, address: Address, pool: BufferPool, wake: Callable[[], None]) -> None:
@@ -45,86 +43,88 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another call may be made on it."""
+        """Whether another call may be made on this connection."""
         return not self.channel.ended and self.http.our_state is h11.IDLE
 
     def close(self) -> None:
-        """Closes the connection, whatever is still due on it."""
+        """Close the connection, even if an answer is pending."""
         self.channel.close()
 
     def get(
-        self, target: str, until: float, superseded: Callable[[], bool], method: str = "GET"
+        self, target: str, deadline: float, is_superseded: Callable[[], bool], method: str = "GET"
     ) -> Generator[float, None, bytes]:
-        """Makes one call and waits for its whole answer, of 4 MiB at the most.
+        """Make one call, wait for its complete answer and return the body, of at most 4 MiB.
 
         Args:
             target: Path and query.
-            until: Seconds of the loop's clock by which the whole answer must have come.
-            superseded: Whether the answer is no longer wanted; looked at each time that the caller is woken.
-            method: Of the request, which has no body.
+            deadline: Loop time in seconds by which the complete answer must be received.
+            is_superseded: Returns whether the answer is no longer needed; called at each wake-up.
+            method: HTTP method; the request has no body.
 
         Raises:
-            DiscoveryTimeoutError: No connection, or no whole answer, in time.
-            DiscoveryStatusError: Another status than 200.
-            EndpointListError: Superseded, reset, cut off, or too long.
-            h11.RemoteProtocolError: What came is not HTTP.
+            DiscoveryTimeoutError: The connect or the complete answer took too long.
+            DiscoveryStatusError: The status was not 200.
+            EndpointListError: The call was superseded, or the answer was reset, incomplete or too long.
+            h11.RemoteProtocolError: The answer is not valid HTTP.
         """
         self.send_request(target, method)
         body = bytearray()
-        connected_by = min(until, self.loop.now + CONNECT_TIMEOUT_SECONDS)
+        connect_deadline = min(deadline, self.loop.now + CONNECT_TIMEOUT_SECONDS)
         while True:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
-                if self.receive(superseded):
+                if self.receive(is_superseded):
                     continue
-                due = connected_by if self.channel.connecting else until
-                if self.loop.now >= due:
-                    raise DiscoveryTimeoutError("silence")
-                yield due
-            elif self.take(event, body):
+                wait_until = connect_deadline if self.channel.connecting else deadline
+                if self.loop.now >= wait_until:
+                    raise DiscoveryTimeoutError(
+                        f"{self.host}: expected a complete answer in time, got a timeout"
+                    )
+                yield wait_until
+            elif self.process_event(event, body):
                 break
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
         return bytes(body)
 
-    def take(self, event: object, body: bytearray) -> bool:
-        """Takes a part of the answer, adding its data to the body; whether it was the last one."""
+    def process_event(self, event: object, body: bytearray) -> bool:
+        """Process a parser event, append its data to the body; return whether the answer is complete."""
         if isinstance(event, h11.Response):
             if event.status_code != OK:
                 raise DiscoveryStatusError(event.status_code)
             return False
         if isinstance(event, h11.Data):
             body += event.data
-            if len(body) > MAX_BODY_SIZE:
-                raise EndpointListError("list too long")
+            if len(body) > MAX_BODY_BYTES:
+                raise EndpointListError(f"answer: expected at most {MAX_BODY_BYTES} bytes, got {len(body)}")
             return False
         if isinstance(event, h11.EndOfMessage):
             return True
-        raise EndpointListError("half an answer")
+        raise EndpointListError("answer: expected a complete one, got the end of the connection")
 
     def send_request(self, target: str, method: str) -> None:
-        """Writes a request without a body."""
+        """Write a request without a body."""
         headers = [("Host", self.host), ("Accept", "application/json")]
         request = h11.Request(method=method, target=target, headers=headers)
         for part in (request, h11.EndOfMessage()):
             self.channel.write(self.http.send(part) or b"")
 
-    def receive(self, superseded: Callable[[], bool]) -> bool:
-        """Gives the parser what has come, or the end; whether there was any of that."""
+    def receive(self, is_superseded: Callable[[], bool]) -> bool:
+        """Pass received bytes, or the end of the connection, to the parser; return whether there were any."""
         if len(self.channel.inbox):
             self.http.receive_data(self.channel.inbox.take_rest())
             self.channel.set_paused(False)
             return True
-        if superseded():
-            # What was written before counts as notified, also where it is more than one read brings.
+        if is_superseded():
+            # By the protocol, what the service wrote before counts as notified. It may exceed one read.
             if not self.channel.ended and not self.channel.connecting:
                 self.channel.read()
                 if len(self.channel.inbox):
                     return True
-            raise EndpointListError("left for another address")
+            raise EndpointListError(f"{self.host}: answer no longer needed")
         if self.channel.ended:
             if self.channel.broken:
-                raise EndpointListError("reset")
+                raise EndpointListError(f"{self.host}: connection reset, or connect failed")
             self.http.receive_data(b"")
             return True
         return False
--- a/onyxhollow/wire/endpoint_list.py
+++ b/onyxhollow/wire/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list, as the discovery service and the configuration file write it, decoded and checked."""
+"""Decoding and validation of the endpoint list, as the discovery service and the configuration write it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.remote_clock import RemoteClock
 
-STATES = {
+STATE_BY_HEALTH = {
     "active": EndpointState.IN_SERVICE,
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.REMOVED,
@@ -18,42 +18,42 @@
 
 
 class EndpointListError(Exception):
-    """An answer that is not an endpoint list, or none at all."""
+    """The endpoint list is malformed, or no answer was received."""
 
 
 class EndpointList(NamedTuple):
-    """A snapshot of the endpoint list, or what has changed in it."""
+    """A snapshot of the endpoint list, or a delta to an earlier version."""
 
     version: int
-    is_snapshot: bool  # else a delta: what is not named is as before
+    is_snapshot: bool  # else a delta: endpoints that it does not contain are unchanged
     endpoints: list[Endpoint]
     addresses: dict[str, Address]  # by endpoint name
 
 
 def decode_address(text: Any) -> Address:
-    """Reads `host:port`; EndpointListError for anything else."""
+    """Decode `host:port`; raise EndpointListError for anything else."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise EndpointListError(f"address: impossible value {text!r}")
+        raise EndpointListError(f"address: expected HOST:PORT, got {text!r}")
     return host, int(port)
 
 
 def decode_endpoint_list(document: Any, clock: RemoteClock, now: float) -> EndpointList:
-    """Reads a list that was parsed from JSON.
+    """Decode a list that was parsed from JSON.
 
     Args:
         document: The parsed list.
-        clock: That of the machines which the list names; it learns from their times of start.
-        now: Seconds of the loop's clock.
+        clock: Converts the endpoints' start times; it is updated from the latest one.
+        now: Loop time in seconds.
 
     Raises:
-        EndpointListError: Part of it is missing or impossible; nothing of the list is used then.
+        EndpointListError: A part is missing or invalid; the whole list is rejected then.
     """
     if not isinstance(document, dict) or not isinstance(document.get("hosts"), list):
-        raise EndpointListError("not an object with hosts")
+        raise EndpointListError("list: expected an object with an array 'hosts', got something else")
     version = document.get("seq")
     if isinstance(version, bool) or not isinstance(version, int):
-        raise EndpointListError(f"seq: impossible value {version!r}")
+        raise EndpointListError(f"seq: expected a whole number, got {version!r}")
     records = document["hosts"]
     latest_start = max((decode_start(record) for record in records), default=0.0)
     if latest_start:
@@ -69,25 +69,27 @@
 
 
 def decode_identity(record: Any) -> tuple[str, EndpointState]:
-    """The name and state of one endpoint; EndpointListError if one of them is missing or impossible."""
+    """Decode an endpoint's name and state; raise EndpointListError if one is missing or invalid."""
     if not isinstance(record, dict) or not isinstance(record.get("host"), str) or not record["host"]:
-        raise EndpointListError(f"host: impossible value {record!r}")
-    state = STATES.get(record.get("health", ""))
+        raise EndpointListError(f"hosts: expected an object with a text 'host', got {record!r}")
+    state = STATE_BY_HEALTH.get(record.get("health", ""))
     if state is None:
-        raise EndpointListError(f"health: impossible value {record.get('health')!r}")
+        raise EndpointListError(
+            f"health: expected one of {', '.join(STATE_BY_HEALTH)}, got {record.get('health')!r}"
+        )
     return record["host"], state
 
 
 def decode_endpoint(
     name: str, state: EndpointState, record: Mapping[str, Any], clock: RemoteClock, now: float
 ) -> Endpoint:
-    """Reads the rest of one endpoint but its address; EndpointListError if a quantity is impossible."""
+    """Decode an endpoint's other fields except its address; raise EndpointListError for an invalid number."""
     weight = record.get("share", 1.0)
     cell = record.get("block") or 0
     started_at_wall = decode_start(record)
     for value in (weight, cell):
         if not is_quantity(value):
-            raise EndpointListError(f"{name}: impossible figure {value!r}")
+            raise EndpointListError(f"{name}: expected a finite number of at least 0, got {value!r}")
     return Endpoint(
         name=name,
         state=state,
@@ -100,13 +102,15 @@
 
 
 def is_quantity(value: Any) -> bool:
-    """Whether a value of the list is a finite number from 0."""
+    """Return whether a value of the list is a finite number of at least 0."""
     return not isinstance(value, bool) and isinstance(value, int | float) and 0 <= value < math.inf
 
 
 def decode_start(record: Any) -> float:
-    """When an endpoint started, in seconds of its machine's wall time; 0 for long ago."""
+    """Return an endpoint's start as wall time of its machine, in seconds; 0 if the list gives none."""
     milliseconds = record.get("born_ms") or 0 if isinstance(record, dict) else 0
     if not is_quantity(milliseconds):
-        raise EndpointListError(f"{record.get('host')}: impossible figure {milliseconds!r}")
+        raise EndpointListError(
+            f"{record.get('host')}: born_ms: expected a finite number of at least 0, got {milliseconds!r}"
+        )
     return float(milliseconds) / 1000
--- a/onyxhollow/wire/system_errors.py
+++ b/onyxhollow/wire/system_errors.py
@@ -1,7 +1,7 @@
-"""What the error of a system call on a socket says: whose fault it is, and so what is done about it.
+"""Classification of socket errors by their cause, which determines how they are handled.
 
-docs/proxy.md has the same as a table, call by call. An error number that is not named here counts as the
-peer's: the connection is gone.
+docs/proxy.md has the same classification as a table, by system call. An error number that is not listed here
+counts as caused by the peer: the connection has failed.
 """
 
 from __future__ import annotations
@@ -9,16 +9,16 @@
 import errno
 from enum import Enum
 
-SHORTAGE_RETRY_SECONDS = 0.05  # seconds until something that this machine was short of is tried again
+SHORTAGE_RETRY_SECONDS = 0.05  # until a call is retried that failed for lack of a resource of this machine
 
 
 class ErrorCause(Enum):
-    """Whose fault an error is."""
+    """Cause of a failed system call on a socket."""
 
-    NOT_READY = "not ready"  # nobody's: later
-    SHORTAGE = "shortage"  # this machine's: nothing was tried and nothing is known of the other side
-    NETWORK = "network"  # the way to the other side
-    PEER = "peer"  # the connection, or the one at its other end
+    NOT_READY = "not ready"  # the call would have blocked or was interrupted; it is retried later
+    SHORTAGE = "shortage"  # this machine lacks a resource; nothing was sent, so no evidence about the peer
+    NETWORK = "network"  # the path to the peer
+    PEER = "peer"  # the connection, or the process at its other end
 
 
 NOT_READY_ERRORS = frozenset(
@@ -30,8 +30,8 @@
         errno.ENFILE,
         errno.ENOBUFS,
         errno.ENOMEM,
-        errno.ENOSPC,  # epoll: no more descriptors may be watched
-        errno.EADDRNOTAVAIL,  # connect: no port is left
+        errno.ENOSPC,  # epoll can't watch more descriptors
+        errno.EADDRNOTAVAIL,  # connect found no free local port
     }
 )
 NETWORK_ERRORS = frozenset(
@@ -45,7 +45,7 @@
         errno.EPERM,
     }
 )
-# What accept reports of the one connection that it would have given, which has gone.
+# Errors of accept for a connection that failed before it was accepted; the listener still works.
 ABORTED_CONNECTION_ERRORS = NETWORK_ERRORS | {
     errno.ECONNABORTED,
     errno.ECONNRESET,
@@ -57,7 +57,7 @@
 
 
 def classify_error(error: OSError) -> ErrorCause:
-    """Whose fault an error of a call on a connected or connecting socket is."""
+    """Return the cause of an error of a call on a connected or connecting socket."""
     if error.errno in NOT_READY_ERRORS:
         return ErrorCause.NOT_READY
     if error.errno in SHORTAGE_ERRORS:
@@ -66,5 +66,5 @@
 
 
 def classify_connect_error(error: OSError) -> ErrorCause:
-    """The same for a connect that could not be begun: EAGAIN says there that no port is left."""
+    """Return the cause of a connect that failed at once; EAGAIN then means that no local port is free."""
     return ErrorCause.SHORTAGE if error.errno == errno.EAGAIN else classify_error(error)
