--- a/onyxhollow/wire/__init__.py
+++ b/onyxhollow/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the wire: lines, sessions, dials, probes, discovery."""
+"""Network code: lines, sessions, attempts at endpoints, health checks and the endpoint list watch."""
--- a/onyxhollow/wire/endpoint_addresses.py
+++ b/onyxhollow/wire/endpoint_addresses.py
@@ -1,4 +1,4 @@
-"""Where each endpoint is reached from this process."""
+"""Network addresses of endpoints."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class EndpointAddresses:
-    """Addresses by endpoint name. An address differs from proxy to proxy and may change.
+    """Addresses by endpoint name; an address may differ between proxies, and may change.
 
-    The endpoint list bounds it: names come from there alone.
+    All names come from the endpoint list, which therefore limits the size.
     """
 
     def __init__(self) -> None:
         self.by_name: dict[str, Address] = {}
 
     def store(self, name: str, address: Address) -> None:
-        """Sets the address of an endpoint."""
+        """Store the address of an endpoint."""
         self.by_name[name] = address
 
     def find(self, name: str) -> Address | None:
-        """The address of an endpoint; None if the list has not named it."""
+        """Return the address of an endpoint, or None if the list has not contained it."""
         return self.by_name.get(name)
--- a/onyxhollow/wire/endpoint_list_watch.py
+++ b/onyxhollow/wire/endpoint_list_watch.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list over HTTP by long polls, one after another."""
+"""Watch of the endpoint list: long polls of the discovery service over HTTP, one after another."""
 
 from __future__ import annotations
 
@@ -21,48 +21,46 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.remote_clock import RemoteClock
 
-ANSWER_TIMEOUT_SECONDS = (
-    3.5  # seconds for an answer that is due at once: a busy service works through calls in turn
-)
-SILENCE_TIMEOUT = 1.0  # seconds past its wait after which a poll counts as silent; the protocol allows 2 s
-JITTER = (0.75, 1.25)  # parts of the wait: polls that began together end, and are opened again, one by one
-REJECTED_BACKOFF = 0.5  # seconds after a call that was rejected, where the list is pushed
-# The same after a call that nobody took: what changes before the service returns counts as notified then,
-# less the grace.
-UNREACHABLE_BACKOFF = 0.1
-FLEET_POLL_RATE = 2.0  # polls a second that the watches of a fleet make together while nothing changes
-CONTINUATION_TIME = 0.2  # seconds within which a watch must go on after an answer (protocol)
-STAGGERED_POLLS = 5  # answers after a failure for which the next poll is put off by a random time
-LEAST_WAIT = 0.001  # seconds that a poll asks to wait
-MAX_WAIT = 60.0  # seconds: the protocol's limit
-MAX_LOGGED_ENDPOINTS = 24  # of one update
-UNKNOWN_VERSION = -1  # a snapshot is asked for
+ANSWER_TIMEOUT_SECONDS = 3.5  # for an answer that is due at once; a busy service answers calls one by one
+SILENCE_TIMEOUT_SECONDS = 1.0  # after a poll's wait, until it counts as unanswered; the protocol allows 2 s
+WAIT_JITTER = (0.75, 1.25)  # factors of the wait, so that polls that start together do not end together
+REJECTED_BACKOFF_SECONDS = 0.5  # after a rejected call, if the decisions expect pushed updates
+# The same after a call that did not reach the service: by the protocol, a change during the outage counts as
+# notified as soon as the service returns, apart from a short grace period.
+UNREACHABLE_BACKOFF_SECONDS = 0.1
+FLEET_POLLS_PER_SECOND = 2.0  # by all watches of a fleet together while nothing changes
+CONTINUATION_SECONDS = 0.2  # within which a watch must poll again after an answer, by the protocol
+STAGGERED_POLLS = 5  # polls after a failure that are delayed by a random time
+MIN_WAIT_SECONDS = 0.001  # shortest wait that a poll requests
+MAX_WAIT_SECONDS = 60.0  # the protocol's limit
+MAX_LOGGED_ENDPOINTS = 24  # per update
+UNKNOWN_VERSION = -1  # the next poll requests a snapshot
 
 
 def poll_wait(max_poll_interval: float, instance_count: int) -> float:
-    """How long a poll waits for a change, in seconds.
+    """Return how long a poll waits for a change, in seconds.
 
-    The service works through the polls of all in turn: short waits of many keep it busy with polls that have
-    nothing to answer, and what it has to say comes late.
+    The service answers the polls of all instances one by one. With many instances and short waits it would be
+    busy with polls that return no change, and would report changes late.
     """
-    return min(MAX_WAIT, max(max_poll_interval / 2, instance_count / FLEET_POLL_RATE))
+    return min(MAX_WAIT_SECONDS, max(max_poll_interval / 2, instance_count / FLEET_POLLS_PER_SECOND))
 
 
 class WatchConfig(NamedTuple):
-    """The part of the settings that a watch goes by."""
+    """Settings that apply to a watch."""
 
     poll_wait: float  # seconds that one poll waits for a change
-    pushed: bool  # the decisions expect updates without having asked for them
+    pushed: bool  # the decisions expect updates without requesting them
 
     @classmethod
     def of(cls, settings: Settings) -> WatchConfig:
-        """Picks them out of all settings."""
+        """Select the watch settings from all settings."""
         wait = poll_wait(settings.max_poll_interval, settings.instance_count)
         return cls(wait, not settings.list_is_polled)
 
 
 class EndpointListWatch:
-    """Polls one discovery service, keeps the list's version, and reports each update or failure."""
+    """Polls one discovery service, tracks the list's version, and reports each update or failure."""
 
     def __init__(
         self,
@@ -86,47 +84,49 @@
         self.version = version
         self.on_update = on_update
         self.rng = rng
-        self.answer_at_once = answer_at_once  # the first answer is waited for, changed or not
+        # The next poll requests an answer at once, even without a change.
+        self.answer_at_once = answer_at_once
         self.poll_requested = config.pushed
-        self.staggered_polls = 0  # answers until the service no longer counts as a busy one
-        self.timeouts = 0  # polls in a row that nothing came on
-        self.interrupted = True  # no poll has been answered yet, or not since one failed
-        self.backoff = REJECTED_BACKOFF  # seconds before the next poll, after a failure
-        self.records: dict[str, Any] = {}  # the list by endpoint, in the service's form, for a successor
+        self.staggered_polls = 0  # further polls that are delayed by a random time
+        self.timeouts = 0  # consecutive polls without an answer
+        self.interrupted = True  # no poll has been answered since the start or the last failure
+        self.backoff = REJECTED_BACKOFF_SECONDS  # seconds before the next poll after a failure
+        # The list in the service's format, by endpoint; passed to a successor.
+        self.records: dict[str, Any] = {}
         self.connection: DiscoveryConnection | None = None
-        self.next_address: Address | None = None  # to be followed from now on
-        self.suspended = False  # another member of the fleet follows the list for this proxy
+        self.next_address: Address | None = None  # service to switch to at the next poll
+        self.suspended = False  # another member of the fleet polls the list for this proxy
         self.task = self.loop.spawn(self.run())
 
     def poll(self) -> None:
-        """Requests an update: the decisions want to know of changes from now on."""
+        """Start polling for an update that the decisions have requested."""
         self.poll_requested = True
         self.task.wake()
 
     def snapshot(self) -> dict[str, Any]:
-        """The list as last reported, in the service's form."""
+        """Return the list as last reported, in the service's format."""
         return {"seq": self.version, "whole": True, "hosts": list(self.records.values())}
 
     def set_suspended(self, suspended: bool) -> None:
-        """Suspends polling while the fleet replicates the list, or polls again, at once."""
+        """Suspend polling while the fleet replicates the list, or resume it with a poll at once."""
         self.suspended = suspended
         if not suspended:
             self.poll_requested = True
         self.task.wake()
 
     def apply_settings(self, config: WatchConfig) -> None:
-        """Sets what polls go by, from the next one on."""
+        """Apply settings to the polls that start from now on."""
         self.config = config
 
     def switch_to(self, address: Address, resync: bool = False) -> None:
-        """Follows another service from now on, after a reload; it is polled at once, for a snapshot.
+        """Switch to another service after a reload, and poll it at once for a snapshot.
 
-        What the old one has written by now counts as notified and is still used; what it would send later
-        must not come after the new list.
+        By the protocol, what the old service has written before counts as notified, so it is still applied.
+        Later data of the old service is ignored, so that it can't overwrite the new list.
 
         Args:
-            address: Of the service; the one in use means no change, unless `resync` is set.
-            resync: Ask the same service for a snapshot, as its weights mean another thing now.
+            address: Address of the service; the present address means no change, unless `resync` is set.
+            resync: Request a snapshot from the same service, as the meaning of its weights has changed.
         """
         channel = self.connection.channel if self.connection is not None else None
         if channel is not None and not channel.ended and not channel.connecting:
@@ -138,12 +138,12 @@
         self.task.wake()
 
     def run(self) -> Generator[float, None, None]:
-        """The watch's coroutine."""
+        """Poll while polls are requested; the watch's coroutine."""
         while True:
             while not self.poll_requested or self.suspended:
                 yield math.inf
-            # Every call is a long poll from the first on: a short one would take a second turn at the
-            # service, and would be given up in a queue in which a long poll waits its time.
+            # Every call is a long poll, also the first one. A short one would need a second call, and would
+            # time out in the queue of a busy service, where a long poll has time to wait.
             while (yield from self.poll_once()):
                 yield from self.stagger()
                 if self.suspended:
@@ -153,24 +153,25 @@
                 self.poll_requested = True
 
     def stagger(self) -> Generator[float, None, None]:
-        """Puts the next poll off by a random time for some answers after a failure.
+        """Delay the next poll by a random time, for some polls after a failure.
 
-        The service has rejected calls of late: all that got the same change just now would come again within
-        a millisecond, and most would be rejected once more. No later than a watch must go on: what changes
-        within that time of an answer counts as notified, also to one who comes later, and that one would have
-        made attempts at endpoints that drained in it. Another address is polled at once.
+        The service has recently rejected calls. All instances that have just received the same change would
+        otherwise poll again within a millisecond, and most would be rejected again. The delay stays below the
+        time in which a watch must poll again by the protocol: a change within that time counts as notified
+        even to an instance that polls later, which could then make attempts at draining endpoints. A new
+        address is polled at once.
         """
         if not self.staggered_polls:
             return
         self.staggered_polls -= 1
-        until = self.loop.now + self.rng.random() * CONTINUATION_TIME / 2
-        while self.loop.now < until and self.next_address is None:
-            yield until
+        poll_at = self.loop.now + self.rng.random() * CONTINUATION_SECONDS / 2
+        while self.loop.now < poll_at and self.next_address is None:
+            yield poll_at
 
     def poll_once(self) -> Generator[float, None, bool]:
-        """Makes one poll and reports what came of it; whether the next one may follow at once."""
+        """Make one poll and report its result; return whether the next one may follow at once."""
         if self.next_address is not None:
-            # The versions of one service may mean nothing at the other: it is asked for a snapshot.
+            # The new service may not use the versions of the old one, so a snapshot is requested.
             self.disconnect()
             self.address = self.next_address
             self.next_address = None
@@ -178,10 +179,10 @@
         target, timeout = self.next_request()
         self.counters.add("list calls")
         try:
-            until = self.loop.now + timeout
-            body = yield from self.connected().get(target, until, self.is_superseded)
+            deadline = self.loop.now + timeout
+            body = yield from self.ensure_connection().get(target, deadline, self.is_superseded)
             document = orjson.loads(body)
-            if not self.interrupted:  # what has changed since the last answer is answered at once
+            if not self.interrupted:  # the service returns a change since the last answer at once
                 self.clock.known_until = self.loop.now
             update = decode_endpoint_list(document, self.clock, self.loop.now)
         except (EndpointListError, OSError, ValueError, h11.ProtocolError) as error:
@@ -195,8 +196,8 @@
         self.apply(document["hosts"], update)
         return True
 
-    def connected(self) -> DiscoveryConnection:
-        """The connection of the last poll, or a new one; OSError if that can't be begun."""
+    def ensure_connection(self) -> DiscoveryConnection:
+        """Return the connection of the last poll or a new one; raise OSError if a connect fails at once."""
         if self.connection is None or not self.connection.is_reusable:
             self.disconnect()
             self.connection = DiscoveryConnection(
@@ -205,29 +206,33 @@
         return self.connection
 
     def is_superseded(self) -> bool:
-        """Whether the answer of the poll in flight is no longer wanted."""
+        """Return whether the answer of the poll in flight is no longer needed."""
         return self.next_address is not None or self.suspended
 
     def on_failure(self, error: Exception) -> bool:
-        """Reports a poll that failed; whether the next one may follow at once."""
+        """Report a failed poll; return whether the next one may follow at once."""
         if self.next_address is not None:
-            return True  # it failed because it was left, or just before: the new service is polled at once
+            return True  # cancelled by the switch, or failed just before: the new service is polled at once
         if self.suspended:
-            return False  # left because the fleet replicates the list: no failure
+            return False  # cancelled because the fleet replicates the list: no failure
         self.counters.add("list failures")
         self.interrupted = True
         if isinstance(error, DiscoveryTimeoutError):
-            # What a silent poll missed counts as notified 2 s after its wait: the next one is opened at once,
-            # however often. All polls may fall silent at once and the service be well; from the second in a
-            # row on it is reported as a failure all the same.
+            # By the protocol, a change that an unanswered poll missed counts as notified 2 s after its wait.
+            # So the next poll always starts at once. All polls may remain unanswered together although the
+            # service works; from the second consecutive one on, a failure is reported nevertheless.
             self.timeouts += 1
             self.log("list silent", version=self.version, in_a_row=self.timeouts)
             if self.timeouts > 1:
                 self.on_update(EndpointListKind.FAILED, [])
             return True
         self.staggered_polls = STAGGERED_POLLS
-        self.backoff = REJECTED_BACKOFF if isinstance(error, DiscoveryStatusError) else UNREACHABLE_BACKOFF
-        self.poll_requested = False  # the decisions say now when to poll again
+        self.backoff = (
+            REJECTED_BACKOFF_SECONDS
+            if isinstance(error, DiscoveryStatusError)
+            else UNREACHABLE_BACKOFF_SECONDS
+        )
+        self.poll_requested = False  # the decisions request the next poll
         self.log("list failed", why=str(error)[:200], version=self.version)
         if isinstance(error, ValueError):
             self.version = UNKNOWN_VERSION
@@ -235,22 +240,22 @@
         return False
 
     def next_request(self) -> tuple[str, float]:
-        """The target of the next poll, and for how many seconds its answer is waited for."""
+        """Return the target of the next poll, and its timeout in seconds."""
         if self.version < 0:
             return "/v1/endpoints", ANSWER_TIMEOUT_SECONDS
-        wait = LEAST_WAIT
+        wait = MIN_WAIT_SECONDS
         grace = ANSWER_TIMEOUT_SECONDS
         if not self.answer_at_once:
-            wait = min(MAX_WAIT, self.config.poll_wait * self.rng.uniform(*JITTER))
-            grace = SILENCE_TIMEOUT
+            wait = min(MAX_WAIT_SECONDS, self.config.poll_wait * self.rng.uniform(*WAIT_JITTER))
+            grace = SILENCE_TIMEOUT_SECONDS
         return f"/v1/endpoints?index={self.version}&wait={round(wait * 1000)}", wait + grace
 
     def apply(self, records: list[Any], update: EndpointList) -> None:
-        """Applies an update of the service, received here or by another member of the fleet.
+        """Apply an update of the service, received here or by another member of the fleet.
 
         Args:
-            records: The endpoints in the service's form.
-            update: The same, decoded.
+            records: The endpoints in the service's format.
+            update: The same update, decoded.
         """
         for name, address in update.addresses.items():
             self.addresses.store(name, address)
@@ -267,14 +272,14 @@
         self.on_update(kind, update.endpoints)
 
     def log_line(self, endpoint: Endpoint) -> str:
-        """An endpoint in the log: its name, state and age."""
+        """Format an endpoint for the log, with its name, state and age."""
         line = f"{endpoint.name} {endpoint.state.value}"
         if endpoint.started_at is None:
             return line
         return line + f", started {self.loop.now - endpoint.started_at:.1f} s ago"
 
     def disconnect(self) -> None:
-        """Closes the connection, and gives up the poll on it."""
+        """Close the connection, and abandon the poll on it."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
--- a/onyxhollow/wire/health_checks.py
+++ b/onyxhollow/wire/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: asks endpoints for their load, on one cached connection to each."""
+"""Health checks of endpoints, with their load reports, on one cached connection per endpoint."""
 
 from __future__ import annotations
 
@@ -14,29 +14,33 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.system_errors import ErrorCause, classify_connect_error
 
-OUTCOMES = {b"PONG": AttemptOutcome.OK, b"ERR": AttemptOutcome.ERROR, b"BUSY": AttemptOutcome.OVERLOADED}
-CONNECTED = frozenset(
+OUTCOME_BY_WORD = {
+    b"PONG": AttemptOutcome.OK,
+    b"ERR": AttemptOutcome.ERROR,
+    b"BUSY": AttemptOutcome.OVERLOADED,
+}
+REUSABLE_OUTCOMES = frozenset(
     {AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.OVERLOADED, AttemptOutcome.TIMEOUT}
-)  # outcomes after which the connection may be used again
-MAX_ANSWERS_DUE = 3  # of one connection; an endpoint that owes more may never have got the questions
-DEFAULT_MAX_CONNECTIONS = 64  # until the configuration's limits are applied
+)  # outcomes after which the connection may be reused
+MAX_PENDING_ANSWERS = 3  # per connection; with more, the endpoint may never have received the requests
+DEFAULT_MAX_CONNECTIONS = 64  # cached; until the configured limits are applied
 
 
 @dataclass(slots=True, eq=False)
 class HealthCheckConnection:
-    """One connection for health checks.
+    """A connection for health checks.
 
-    It outlives a question that is not answered in time: a new one would cost an endpoint that is short of
-    time a connection set-up more.
+    It stays open after a health check that timed out: a new connection would cost an endpoint that is
+    already slow another connection set-up.
     """
 
     address: Address
     channel: Channel
-    answers_due: int = 0  # to earlier questions, which may still come
+    pending_answers: int = 0  # to earlier requests that timed out, and to the present one
 
 
 class HealthChecker:
-    """Makes health checks and caches their connections; the one unused for longest makes room."""
+    """Makes health checks and caches their connections; closes the least recently used ones."""
 
     def __init__(
         self,
@@ -51,28 +55,28 @@
         self.addresses = context.addresses
         self.load_field = load_field
         self.timeout = timeout  # seconds
-        self.on_result = on_result  # endpoint, outcome, seconds it took, load
-        self.connections: dict[str, HealthCheckConnection] = {}  # idle ones, by endpoint
+        self.on_result = on_result  # called with the endpoint, outcome, duration in seconds and load
+        self.connections: dict[str, HealthCheckConnection] = {}  # idle connections by endpoint
         self.max_connections = DEFAULT_MAX_CONNECTIONS
 
     def apply_settings(self, load_field: str, timeout: float) -> None:
-        """Sets the terms of health checks that begin from now on."""
+        """Apply settings to the health checks that start from now on."""
         self.load_field = load_field
         self.timeout = timeout
 
     def start_check(self, endpoint: str) -> None:
-        """Begins a health check; its result comes by `on_result`, unless no descriptor was left for it."""
-        holder: list[Task] = []
-        holder.append(self.loop.spawn(self.check(endpoint, lambda: holder[0].wake())))
+        """Start a health check; its result is passed to `on_result`, unless no descriptor is free."""
+        tasks: list[Task] = []
+        tasks.append(self.loop.spawn(self.check(endpoint, lambda: tasks[0].wake())))
 
     def acquire(self, endpoint: str, wake: Callable[[], None]) -> HealthCheckConnection:
-        """The cached connection to an endpoint, or a new one; OSError if that can't even be begun."""
+        """Return the cached connection or a new one; raise OSError if no connect can be started."""
         address = self.addresses.find(endpoint)
         if address is None:
-            raise OSError("no address")
+            raise OSError(f"{endpoint}: expected an address in the endpoint list, got none")
         cached = self.connections.pop(endpoint, None)
         if cached is not None:
-            usable = not cached.channel.ended and cached.answers_due < MAX_ANSWERS_DUE
+            usable = not cached.channel.ended and cached.pending_answers < MAX_PENDING_ANSWERS
             if usable and cached.address == address:
                 cached.channel.wake = wake
                 return cached
@@ -80,7 +84,7 @@
         return HealthCheckConnection(address, Channel.connect(self.loop, address, self.pool, wake))
 
     def check(self, endpoint: str, wake: Callable[[], None]) -> Generator[float, None, None]:
-        """Makes one health check and reports its result."""
+        """Make one health check and report its result."""
         started_at = self.loop.now
         load = None
         connection = None
@@ -92,12 +96,12 @@
         except OSError as error:
             if classify_connect_error(error) is ErrorCause.SHORTAGE:
                 self.counters.add("probes without a descriptor")
-                return  # nothing was asked: it says nothing of the endpoint
+                return  # no request was sent: no evidence about the endpoint
             outcome = AttemptOutcome.CONNECT_FAILED
         except LineTooLongError:
             outcome = AttemptOutcome.UNKNOWN
         if connection is not None:
-            usable = outcome in CONNECTED and not connection.channel.ended
+            usable = outcome in REUSABLE_OUTCOMES and not connection.channel.ended
             if usable and endpoint not in self.connections:
                 self.store(endpoint, connection)
             else:
@@ -106,28 +110,28 @@
         self.on_result(endpoint, outcome, self.loop.now - started_at, load)
 
     def await_answer(
-        self, connection: HealthCheckConnection, until: float
+        self, connection: HealthCheckConnection, deadline: float
     ) -> Generator[float, None, tuple[AttemptOutcome, float | None]]:
-        """Waits for the answer to the newest question; returns the outcome and the load reported with it."""
+        """Wait for the answer to the latest request; return the outcome and the reported load."""
         channel = connection.channel
-        connection.answers_due += 1
+        connection.pending_answers += 1
         while True:
             while (line := channel.line()) is not None:
-                connection.answers_due -= 1
-                if not connection.answers_due:
-                    outcome = OUTCOMES.get(first_word(line), AttemptOutcome.UNKNOWN)
+                connection.pending_answers -= 1
+                if not connection.pending_answers:
+                    outcome = OUTCOME_BY_WORD.get(first_word(line), AttemptOutcome.UNKNOWN)
                     load = parse_load_report(after_first_word(line), self.load_field)
                     channel.set_paused(False)
                     return outcome, load
             channel.set_paused(False)
             if channel.ended:
                 return (AttemptOutcome.RESET if channel.flushed else AttemptOutcome.CONNECT_FAILED), None
-            if self.loop.now >= until:
+            if self.loop.now >= deadline:
                 return (AttemptOutcome.CONNECT_FAILED if channel.connecting else AttemptOutcome.TIMEOUT), None
-            yield until
+            yield deadline
 
     def store(self, endpoint: str, connection: HealthCheckConnection) -> None:
-        """Caches a connection for the next health check, and closes the oldest ones past the limit."""
+        """Cache a connection for the next health check, and close the oldest ones above the limit."""
         connection.channel.wake = lambda: self.close_if_ended(endpoint, connection)
         self.connections[endpoint] = connection
         while len(self.connections) > self.max_connections:
@@ -135,9 +139,9 @@
             self.connections.pop(oldest).channel.close()
 
     def close_if_ended(self, endpoint: str, connection: HealthCheckConnection) -> None:
-        """Closes a cached connection that its endpoint has ended, at once and not at the next health check.
+        """Close a cached connection as soon as its endpoint has ended it.
 
-        An endpoint that is gone for good gets no further check, and its descriptor would stay open for ever.
+        An endpoint that was removed gets no further health check, so its descriptor would stay open forever.
         """
         if connection.channel.ended and self.connections.get(endpoint) is connection:
             del self.connections[endpoint]
--- a/onyxhollow/wire/listening.py
+++ b/onyxhollow/wire/listening.py
@@ -1,4 +1,4 @@
-"""Opens listening sockets."""
+"""Listening TCP sockets."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from onyxhollow.wire.endpoint_addresses import Address
 
-BACKLOG = 1024  # connections that the system accepts ahead of this process
+BACKLOG = 1024  # connections that the kernel queues until this process accepts them
 
 
 class ListenError(Exception):
-    """An address or descriptor that can't be listened on."""
+    """Listening on an address or an inherited descriptor failed."""
 
 
 def listen_socket(address: Address, purpose: str, backlog: int = BACKLOG) -> socket.socket:
-    """A non-blocking listening socket; ListenError, with the purpose, if the address is not free."""
+    """Open a non-blocking listening socket; raise ListenError, naming the purpose, if that fails."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
--- a/onyxhollow/wire/network_context.py
+++ b/onyxhollow/wire/network_context.py
@@ -1,4 +1,4 @@
-"""What every part of the network code works with: the loop, the buffers, counters, addresses and the log."""
+"""Context shared by the network code: the loop, buffers, counters, addresses and the log."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class NetworkContext(NamedTuple):
-    """Shared by all connections of one proxy; made once at its start."""
+    """Objects shared by all connections of one proxy; created once, at its start."""
 
     loop: Loop
     pool: BufferPool
     counters: Counters
     addresses: EndpointAddresses
-    log: Callable[..., None]  # an event's name, and its values by keyword
+    log: Callable[..., None]  # called with an event's name and its values by keyword
