--- a/onyxhollow/loop.py
+++ b/onyxhollow/loop.py
@@ -1,8 +1,8 @@
-"""The one loop: select.epoll, generators as coroutines, all due times in one heap.
+"""Event loop of the process: select.epoll, generators as coroutines, and a heap of their due times.
 
-A coroutine yields the time until which it waits (math.inf: for ever) and goes on when that has come or
-something wakes it; it then looks at what has changed. Descriptors are served by callbacks, which wake.
-All times are seconds of the machine's monotonic clock.
+A coroutine yields the time until which it waits; math.inf waits without a limit. It is resumed at that time,
+or earlier if it is woken, and then checks what has changed. Events of descriptors are handled by callbacks,
+which wake coroutines. All times are in seconds of the machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,40 +18,38 @@
 Coroutine = Generator[float, None, None]
 READ = select.EPOLLIN
 WRITE = select.EPOLLOUT
-STALL_TOLERANCE = 0.005  # seconds late that a due time may come on a core that others use
-MAX_POLL_TIME = 1.0  # seconds: a lost wake-up costs no more than this
-POLL_RETRY_INTERVAL = 0.01  # seconds after a poll that failed: the loop must not spin on it
-URGENT_INTERVAL_SECONDS = (
-    0.02  # seconds of one turn after which urgent descriptors are served between its callbacks
-)
+STALL_TOLERANCE_SECONDS = 0.005  # lateness of a timer that is normal on a shared core
+MAX_POLL_SECONDS = 1.0  # limits the delay that a lost wake-up causes
+POLL_RETRY_SECONDS = 0.01  # pause after a failed poll, so that the loop does not spin
+URGENT_INTERVAL_SECONDS = 0.02  # within a turn, between two checks of the urgent descriptors
 
 
-def update_epoll(epoll: select.epoll, fd: int, before: int, events: int) -> None:
-    """Changes the events that a descriptor is registered with; 0 means that it is not registered."""
-    if not before and events:
+def update_epoll(epoll: select.epoll, fd: int, registered_events: int, events: int) -> None:
+    """Change the registered events of a descriptor; 0 events mean that it is not registered."""
+    if not registered_events and events:
         epoll.register(fd, events)
-    elif before and not events:
-        with contextlib.suppress(OSError):  # it is not watched, whatever the system says
+    elif registered_events and not events:
+        with contextlib.suppress(OSError):  # the descriptor is not watched any more in any case
             epoll.unregister(fd)
-    elif before != events:
+    elif registered_events != events:
         epoll.modify(fd, events)
 
 
 class Task:
-    """One coroutine on the loop."""
+    """A coroutine that runs on the loop."""
 
     __slots__ = ("armed_for", "done", "loop", "queued", "steps", "until")
 
     def __init__(self, loop: Loop, steps: Coroutine) -> None:
         self.loop = loop
         self.steps = steps
-        self.until = math.inf  # it waits for this time, unless woken
-        self.armed_for = math.inf  # the heap has an entry for this time
+        self.until = math.inf  # time until which the coroutine waits, unless it is woken
+        self.armed_for = math.inf  # time of the valid heap entry; inf if there is none
         self.queued = False
         self.done = False
 
     def wake(self) -> None:
-        """Lets the coroutine go on in the next turn of the loop."""
+        """Resume the coroutine in the next turn of the loop."""
         if not self.queued and not self.done:
             self.queued = True
             self.loop.runnable.append(self)
@@ -60,8 +58,8 @@
 class Loop:
     """Runs callbacks and coroutines on one thread.
 
-    `report_failure` is called with a place and an error for each failure of a callback or coroutine: such a
-    failure is its own, and the loop goes on.
+    An exception in a callback or coroutine does not stop the loop. `report_failure` is called with the place
+    and the exception.
     """
 
     def __init__(self, report_failure: Callable[[str, BaseException], None]) -> None:
@@ -69,93 +67,93 @@
         self.epoll = select.epoll()
         self.watched: dict[int, tuple[int, Callable[[int], None]]] = {}  # events and callback by descriptor
         self.runnable: deque[Task] = deque()
-        self.due: list[tuple[float, int, Task]] = []  # a heap by time, and then by order
+        self.due: list[tuple[float, int, Task]] = []  # a heap, ordered by time and then by insertion
         self.armed_count = 0
         self.running = True
-        self.now = time.monotonic()  # when this turn began
-        self.stalled = 0.0  # seconds for which this process stood still, by how late its timers came
+        self.now = time.monotonic()  # at which the present turn began
+        self.stalled = 0.0  # total seconds for which this process did not run, as far as its late timers show
         self.urgent: UrgentDescriptors | None = None
 
     def read_clock(self) -> float:
-        """The time at this moment, for what can't go by the time at which the turn began."""
+        """Update `now` in the middle of a turn and return it, for decisions that need the exact time."""
         self.now = time.monotonic()
         return self.now
 
     def spawn(self, steps: Coroutine) -> Task:
-        """Begins a coroutine; its first step is made in the next turn."""
+        """Start a coroutine; its first step runs in the next turn."""
         task = Task(self, steps)
         task.wake()
         return task
 
-    def watch(self, fd: int, events: int, call: Callable[[int], None] | None) -> None:
-        """Sets which events of a descriptor call what; with no events it is let go.
+    def watch(self, fd: int, events: int, callback: Callable[[int], None] | None) -> None:
+        """Call the callback on these events of a descriptor; 0 events stop watching it.
 
         Raises:
-            OSError: The system has no room for it.
+            OSError: epoll can't watch the descriptor, as memory or descriptors are short.
         """
-        known = self.watched.get(fd)
-        if events and call:
-            update_epoll(self.epoll, fd, known[0] if known else 0, events)
-            self.watched[fd] = (events, call)
-        elif known:
-            # The end of a connection is reported again and again otherwise, and the loop would spin.
+        registered = self.watched.get(fd)
+        if events and callback:
+            update_epoll(self.epoll, fd, registered[0] if registered else 0, events)
+            self.watched[fd] = (events, callback)
+        elif registered:
+            # Otherwise epoll would report the end of a connection again and again, and the loop would spin.
             del self.watched[fd]
-            update_epoll(self.epoll, fd, known[0], 0)
+            update_epoll(self.epoll, fd, registered[0], 0)
 
     def step(self, task: Task) -> None:
-        """Lets a coroutine go on to where it waits next."""
+        """Run a coroutine to the point where it waits next."""
         task.queued = False
         try:
             task.until = next(task.steps)
         except StopIteration:
             task.done = True
             return
-        except Exception as error:  # noqa: BLE001 -- the failure of one coroutine is its own, not the proxy's
+        except Exception as error:  # noqa: BLE001 -- one coroutine must not stop the proxy
             task.done = True
             self.report_failure("coroutine", error)
             return
         self.arm(task)
 
     def arm(self, task: Task) -> None:
-        """Puts the time that a coroutine waits for into the heap, unless an earlier one is there."""
+        """Add the time until which a coroutine waits to the heap, unless it has an earlier entry."""
         if task.until < task.armed_for:
             task.armed_for = task.until
             self.armed_count += 1
             heapq.heappush(self.due, (task.until, self.armed_count, task))
 
-    def sleep(self, span: float) -> Coroutine:
-        """Waits for so many seconds, however often it is woken."""
-        until = self.now + span
+    def sleep(self, duration: float) -> Coroutine:
+        """Wait for so many seconds, even if the coroutine is woken."""
+        until = self.now + duration
         while self.now < until:
             yield until
 
     def fire_due(self) -> None:
-        """Wakes the coroutines whose time has come."""
+        """Wake the coroutines that are due."""
         if self.due:
-            late = self.now - self.due[0][0]
-            if late > STALL_TOLERANCE:
-                self.stalled += late
+            lateness = self.now - self.due[0][0]
+            if lateness > STALL_TOLERANCE_SECONDS:
+                self.stalled += lateness
         while self.due and self.due[0][0] <= self.now:
-            when, _, task = heapq.heappop(self.due)
-            if task.done or when != task.armed_for:
+            due_time, _, task = heapq.heappop(self.due)
+            if task.done or due_time != task.armed_for:
                 continue
             task.armed_for = math.inf
             if task.until <= self.now:
                 task.wake()
-            else:  # it waits for longer by now
+            else:  # it waits for a later time by now
                 self.arm(task)
 
-    def turn(self, longest: float = MAX_POLL_TIME) -> None:
-        """One turn: waits for events, calls their callbacks, wakes what is due, runs what was woken."""
-        timeout = longest
+    def turn(self, max_wait: float = MAX_POLL_SECONDS) -> None:
+        """Run one turn: wait for events, call their callbacks, run the coroutines that are due or woken."""
+        timeout = max_wait
         if self.runnable:
             timeout = 0.0
         elif self.due:
-            timeout = min(longest, max(0.0, self.due[0][0] - time.monotonic()))
+            timeout = min(max_wait, max(0.0, self.due[0][0] - time.monotonic()))
         events = self.poll(timeout)
         self.now = time.monotonic()
-        for fd, what in events:
-            self.call(fd, what)
+        for fd, ready_events in events:
+            self.call(fd, ready_events)
             if self.urgent:
                 self.urgent.serve_ready()
         self.fire_due()
@@ -165,35 +163,35 @@
                 self.urgent.serve_ready()
 
     def poll(self, timeout: float) -> list[tuple[int, int]]:
-        """The events that have come within that time; none, a moment later, where the system can't say."""
+        """Return the events within that time; none if the poll fails, after a short pause."""
         try:
             return self.epoll.poll(timeout)
         except InterruptedError:
             return []
         except OSError as error:
             self.report_failure("poll", error)
-            time.sleep(POLL_RETRY_INTERVAL)
+            time.sleep(POLL_RETRY_SECONDS)
             return []
 
     def call(self, fd: int, events: int) -> None:
-        """Calls the callback of a descriptor, unless one called before it has let that go."""
+        """Call the callback of a descriptor, unless an earlier callback stopped watching it."""
         if fd not in self.watched:
             return
         try:
             self.watched[fd][1](events)
-        except Exception as error:  # noqa: BLE001 -- the failure of one connection is its own, not the proxy's
+        except Exception as error:  # noqa: BLE001 -- one connection must not stop the proxy
             self.report_failure("descriptor", error)
 
     def run(self) -> None:
-        """Turns until `running` is cleared."""
+        """Run turns until `running` is cleared."""
         while self.running:
             self.turn()
 
 
 class UrgentDescriptors:
-    """A few descriptors of the loop that are owed an answer soon: served in the middle of a long turn too.
+    """Descriptors that are also served in the middle of a long turn, as their requests need a fast answer.
 
-    It stands in for the loop where a channel is given one.
+    It has the loop's methods that a channel needs, and is passed to channels in its place.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -205,17 +203,17 @@
 
     @property
     def now(self) -> float:
-        """When this turn of the loop began."""
+        """Time at which the present turn of the loop began."""
         return self.loop.now
 
-    def watch(self, fd: int, events: int, call: Callable[[int], None] | None) -> None:
-        """As `Loop.watch`."""
-        known = self.loop.watched.get(fd)
-        update_epoll(self.epoll, fd, known[0] if known else 0, events if call else 0)
-        self.loop.watch(fd, events, call)
+    def watch(self, fd: int, events: int, callback: Callable[[int], None] | None) -> None:
+        """Watch as `Loop.watch` does."""
+        registered = self.loop.watched.get(fd)
+        update_epoll(self.epoll, fd, registered[0] if registered else 0, events if callback else 0)
+        self.loop.watch(fd, events, callback)
 
     def serve_ready(self) -> None:
-        """Calls the callbacks of those that are ready, if the turn has gone on for long."""
+        """Call the callbacks of ready descriptors, if the interval has passed since the last call or turn."""
         now = time.monotonic()
         if now - max(self.served_at, self.loop.now) >= URGENT_INTERVAL_SECONDS:
             self.served_at = now
