--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from peers import CALLS, PLAIN, ProxyOnLoopback
+from peers import CALLS, DEFAULT_SETTINGS, ProxyOnLoopback
 
 from onyxhollow.interface import AttemptOutcome, Endpoint, EndpointListKind, EndpointState
 from onyxhollow.policy import Balancer
@@ -55,7 +55,7 @@
 
 @pytest.fixture
 def start():
-    return lambda seed=1, **changes: FakeHost(replace(PLAIN, **changes), seed)
+    return lambda seed=1, **changes: FakeHost(replace(DEFAULT_SETTINGS, **changes), seed)
 
 
 @pytest.fixture
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,12 +1,12 @@
-"""The other ends of a proxy under test, all on loopback and turned by hand: no thread, no sleep.
+"""A proxy under test with its clients, endpoints and list service, all on loopback in one thread.
 
-Hooks that stories use:
+The test runs the proxy's event loop itself:
 
-- `ProxyOnLoopback.until(seen)` turns the proxy's loop until `seen()` is true, and returns what it gave;
-- `ProxyOnLoopback.run_for(seconds)` turns it for a time in which nothing is to happen;
-- `ScriptedServer.connection(count)` is one connection to an endpoint or the list service, once it has sent
-  something: a test answers on it by `Peer.send`;
-- `ProxyOnLoopback.config` is what the next reload reads.
+- `ProxyOnLoopback.until(condition)` runs the loop until `condition()` is true, and returns its value.
+- `ProxyOnLoopback.run_for(duration)` runs the loop for a time, for example to show that nothing happens.
+- `ScriptedServer.connection(number)` returns a connection to an endpoint or the list service once it has sent
+  data; the test answers with `Peer.send`.
+- `ProxyOnLoopback.config` is the configuration that the next reload reads.
 """
 
 import contextlib
@@ -21,13 +21,13 @@
 from onyxhollow.wire.endpoint_list import decode_endpoint_list
 from onyxhollow.wire.remote_clock import RemoteClock
 
-# Each worker of a test run has a loopback address of its own: a process of another test goes on dialling
-# the ports of servers that it has lost, and the system may give one of them to a server of this test.
+# Each worker of a test run has its own loopback address. A process of another test keeps connecting to the
+# ports of servers that have ended, and the kernel may assign one of those ports to a server of this test.
 WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
 HOST = f"127.7.{WORKER % 250}.1"
 
 CALLS = Listener("calls", handshake_objective=0.3, attempt_timeout=2.0, message_objective=0.1)
-PLAIN = Settings(
+DEFAULT_SETTINGS = Settings(
     listeners={"calls": CALLS},
     tenants={},
     list_is_polled=False,
@@ -40,23 +40,23 @@
 
 
 class Peer:
-    """The far end of one connection, read without waiting."""
+    """The test's end of one connection; reads do not block."""
 
     def __init__(self, sock):
         sock.setblocking(False)
         self.sock = sock
-        self.received = b""  # all so far; a test clears it
-        self.end = ""  # how the other side has ended it: "closed" or "reset"
+        self.received = b""  # all bytes until a test clears it
+        self.end = ""  # how the proxy has ended the connection: "closed" or "reset"
 
     def send(self, data):
-        """Sends all of it at once."""
+        """Send all the data at once."""
         self.sock.sendall(data)
 
     def read(self):
-        """Reads what has come, and returns all that was received so far."""
+        """Read the available bytes, and return all bytes received so far."""
         try:
-            while not self.end and (more := self.sock.recv(65536)):
-                self.received += more
+            while not self.end and (chunk := self.sock.recv(65536)):
+                self.received += chunk
             self.end = self.end or "closed"
         except BlockingIOError:
             pass
@@ -66,28 +66,28 @@
 
 
 class ScriptedServer:
-    """A listening socket whose connections a test answers: an endpoint, or the list service."""
+    """A listening socket for an endpoint or the list service; the test answers on its connections."""
 
     def __init__(self):
         self.sock = socket.create_server((HOST, 0))
         self.sock.setblocking(False)
         self.port = self.sock.getsockname()[1]
-        self.peers = []  # all connections so far
+        self.peers = []  # all accepted connections
 
     def accept(self):
-        """The next connection, or None."""
+        """Accept the next connection and return it, or None if there is none."""
         with contextlib.suppress(BlockingIOError):
             self.peers.append(Peer(self.sock.accept()[0]))
             return self.peers[-1]
 
-    def connection(self, count=1):
-        """The connection of that number, counted from 1, once it is there and has sent something."""
+    def connection(self, number=1):
+        """Return the connection of that number, counted from 1, once it has sent data; else a false value."""
         self.accept()
-        return len(self.peers) >= count and self.peers[count - 1].read() and self.peers[count - 1]
+        return len(self.peers) >= number and self.peers[number - 1].read() and self.peers[number - 1]
 
 
 class ProxyOnLoopback:
-    """One proxy on loopback among scripted servers, turned by hand."""
+    """One proxy on loopback with scripted servers; the test runs its loop."""
 
     def __init__(
         self,
@@ -101,9 +101,9 @@
     ):
         self.endpoints = {name: ScriptedServer() for name in servers}
         self.list_service = ScriptedServer()
-        self.opened = 0  # sessions
+        self.session_count = 0
         records = [self.list_record(name) for name in servers] if has_cached_list else []
-        settings = replace(PLAIN, **{"max_attempts": 2, "list_is_polled": True, **changes})
+        settings = replace(DEFAULT_SETTINGS, **{"max_attempts": 2, "list_is_polled": True, **changes})
         document = {"seq": 7, "whole": True, "hosts": records}
         self.config = Config(
             "n0",
@@ -122,84 +122,86 @@
         os.set_blocking(writer, False)
         os.set_blocking(self.log_reader, False)
         self.proxy = Proxy(self.config, writer, lambda: self.config, inherited_listener, handover)
-        self.proxy.discovery.rng.uniform = lambda low, high: (low + high) / 2  # polls of the middle length
+        self.proxy.discovery.rng.uniform = lambda low, high: (low + high) / 2  # no jitter of the polls' waits
         self.counts = self.proxy.counters.counts
 
-    def list_record(self, name, health="active", **more):
-        """An endpoint as the list service writes it."""
+    def list_record(self, name, health="active", **fields):
+        """Return an endpoint in the list service's format."""
         dial = f"{HOST}:{self.endpoints[name].port}"
-        return {"host": name, "dial": dial, "site": "z", "block": 0, "health": health, "share": 1.0, **more}
+        return {"host": name, "dial": dial, "site": "z", "block": 0, "health": health, "share": 1.0, **fields}
 
-    def until(self, seen, within=3.0):
-        """Turns the loop until `seen` returns something true, which it returns; fails after that time."""
-        end = time.monotonic() + within
-        while not (found := seen()):
-            assert time.monotonic() < end, f"not seen; {dict(self.counts)}"
+    def until(self, condition, within=3.0):
+        """Run the loop until `condition` returns a true value, and return it; fail after `within` seconds."""
+        deadline = time.monotonic() + within
+        while not (result := condition()):
+            assert time.monotonic() < deadline, f"condition not met; counters: {dict(self.counts)}"
             self.proxy.loop.turn(0.005)
-        return found
+        return result
 
-    def run_for(self, span):
-        """Turns the loop for so many seconds."""
-        end = time.monotonic() + span
+    def run_for(self, duration):
+        """Run the loop for so many seconds."""
+        end = time.monotonic() + duration
         while time.monotonic() < end:
             self.proxy.loop.turn(0.005)
 
     def connect_client(self, data=b""):
-        """A client's new connection, which has sent that."""
+        """Open a client connection, and send the data on it."""
         peer = Peer(socket.create_connection(self.proxy.listener.getsockname()))
         if data:
             peer.send(data)
         return peer
 
     def connect_operator(self, data=b""):
-        """An operator's new connection, which has sent that."""
+        """Open a connection to the management API, and send the data on it."""
         peer = Peer(socket.create_connection(self.proxy.management.listener.getsockname()))
         peer.send(data)
         return peer
 
     def call_management(self, target, method="GET"):
-        """Makes an operator's call; returns status and body."""
+        """Make a call of the management API; return its status and body."""
         peer = self.connect_operator(f"{method} /control/{target} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         self.until(lambda: peer.read() and peer.end)
         assert peer.end == "closed"
         head, _, body = peer.received.partition(b"\r\n\r\n")
         return int(head.split()[1]), body.decode()
 
-    def open_session(self, listener="calls", wait=2000):
-        """A client that has sent its OPEN line, with a wait in milliseconds."""
-        self.opened += 1  # an id is new with every connection
-        return self.connect_client(b"OPEN 9b1f%d 7f3a c=%s,d=%d\r\n" % (self.opened, listener.encode(), wait))
+    def open_session(self, listener="calls", wait_ms=2000):
+        """Open a client connection and send an OPEN line; `wait_ms` is the client's timeout."""
+        self.session_count += 1  # each connection needs a new session id
+        return self.connect_client(
+            b"OPEN 9b1f%d 7f3a c=%s,d=%d\r\n" % (self.session_count, listener.encode(), wait_ms)
+        )
 
     def establish(self, name="a"):
-        """A client and its endpoint with the connection up; nothing received stands on either."""
+        """Open a session and accept it at the endpoint; return both peers without received bytes."""
         client = self.open_session()
-        count = len(self.endpoints[name].peers) + 1
-        server = self.until(lambda: self.endpoints[name].connection(count))
+        number = len(self.endpoints[name].peers) + 1
+        server = self.until(lambda: self.endpoints[name].connection(number))
         server.send(b"UP r1\r\n")
         self.until(lambda: client.read() == b"UP r1\r\n")
         client.received = server.received = b""
         return client, server
 
     def first_attempt(self):
-        """The first connection to one of two endpoints, and the other endpoint."""
+        """Return the first connection to one of two endpoints, and the other endpoint."""
         endpoints = self.endpoints.values()
-        first = self.until(lambda: next(filter(None, (one.connection() for one in endpoints)), None))
-        return first, next(one for one in endpoints if first not in one.peers)
+        first = self.until(lambda: next(filter(None, (server.connection() for server in endpoints)), None))
+        return first, next(server for server in endpoints if first not in server.peers)
 
     def switch_list_service(self, server):
-        """The file names another list service, and SIGHUP comes."""
+        """Configure another list service and reload, as on SIGHUP."""
         self.config = replace(self.config, discovery=(HOST, server.port))
         self.proxy.reloader.reload()
 
-    def answer_list(self, body, status=b"200 OK", count=1, server=None):
-        """Answers the list service's newest poll on its connection of that number."""
-        peer = self.until(lambda: (server or self.list_service).connection(count))
+    def answer_list(self, body, status=b"200 OK", number=1, server=None):
+        """Answer the latest poll on the list service's connection of that number."""
+        peer = self.until(lambda: (server or self.list_service).connection(number))
         peer.received = b""
         peer.send(b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
         return peer
 
     def close(self):
-        """Ends the proxy's watches: what the test leaves open goes with the garbage."""
+        """Stop watching all descriptors; sockets that the test leaves open are garbage collected."""
         for fd in list(self.proxy.loop.watched):
             self.proxy.loop.watch(fd, 0, None)
         self.proxy.loop.epoll.close()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -93,7 +93,7 @@
 def test_an_endpoint_that_drains_during_the_connect_gets_nothing_and_another_one_is_used(start_proxy):
     # Guards against an OPEN line to a draining endpoint: the notice came 0.25 s before the line was written.
     proxy = start_proxy()
-    client = proxy.open_session(wait=4000)
+    client = proxy.open_session(wait_ms=4000)
     wait_for_connect(proxy)
     send_delta(proxy, 9, ("a", "leaving"), ("b",))
     proxy.endpoints["a"].empty_queue()
@@ -107,7 +107,7 @@
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_nothing_is_sent_for_a_client_that_leaves_during_the_connect(start_proxy, client_action, cancelling):
     proxy = start_proxy("a", cancellation=cancelling)
-    client = proxy.open_session(wait=4000)
+    client = proxy.open_session(wait_ms=4000)
     wait_for_connect(proxy)
     if client_action == "half-close":
         client.sock.shutdown(socket.SHUT_WR)
@@ -145,7 +145,7 @@
 def test_a_shutdown_between_selection_and_write_rejects_and_sends_nothing(loopback, monkeypatch):
     # Guards against sending the OPEN line: a non-idempotent session then fails instead of being rejected.
     proxy = loopback(listeners={"calls": replace(SLOW_CALLS, idempotency=Idempotency.NON_IDEMPOTENT)})
-    client = proxy.open_session(wait=4000)
+    client = proxy.open_session(wait_ms=4000)
     on_ready = Channel.on_ready
 
     def stop_sessions_on_connect(channel, events):
@@ -169,7 +169,7 @@
     )
     proxy = start_proxy("ab", listeners={"calls": keyed})
     send_delta(proxy, 9, ("a", "leaving"), ("b",))
-    client = proxy.open_session(wait=4000)
+    client = proxy.open_session(wait_ms=4000)
     first = proxy.until(lambda: proxy.endpoints["b"].connection())
     send_delta(proxy, 10, ("a",), ("b", "leaving"))
     first.send(ERR_LINE)
@@ -184,7 +184,7 @@
     # Guards against sending the OPEN line past the client's deadline after a further short delay.
     monkeypatch.setattr("onyxhollow.policy.retry.MIN_SECONDS_LEFT", 1.0)  # the connect takes a second
     proxy = start_proxy("a")
-    client = proxy.open_session(wait=1900)
+    client = proxy.open_session(wait_ms=1900)
     wait_for_connect(proxy).endpoints["a"].empty_queue()
     proxy.until(lambda: client.read() and client.end)
     assert client.received == BUSY_LINE and has_received_nothing(proxy, proxy.endpoints["a"])
@@ -327,7 +327,7 @@
     clients, stop_listening = [], ClientAcceptor.stop_listening
 
     def open_sessions_and_stop(acceptor, *values):
-        clients.extend(proxy.open_session(wait=300) for _ in range(150))
+        clients.extend(proxy.open_session(wait_ms=300) for _ in range(150))
         return stop_listening(acceptor, *values)
 
     monkeypatch.setattr(ClientAcceptor, "stop_listening", open_sessions_and_stop)
@@ -383,7 +383,7 @@
     assert all(
         1.0 < later - earlier < 1.9 for earlier, later in zip(poll_times, poll_times[1:], strict=False)
     )
-    proxy.answer_list(EMPTY_DELTA, count=4)
+    proxy.answer_list(EMPTY_DELTA, number=4)
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
 
 
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from peers import PLAIN
+from peers import DEFAULT_SETTINGS
 
 from onyxhollow.interface import (
     Endpoint,
@@ -116,14 +116,14 @@
     # A load reported under sizes was carried on by all connections at the first live weight.
     host = start(group_affinity=True)
     a, b = host.servers("a", "b", weight=4.0, machine_type="m")
-    sess, live = host.take(), replace(PLAIN, group_affinity=True, live_weights=True)
+    sess, live = host.take(), replace(DEFAULT_SETTINGS, group_affinity=True, live_weights=True)
     host.loads(a=0.4, b=0.2)
     host.balancer.reconfigure(live)
     host.servers("a", "b", weight=0.4, machine_type="m")
     host.servers("b", kind=EndpointListKind.DELTA, weight=4.0, machine_type="m")
     assert host.balancer.load_of(a) == pytest.approx(0.4) and (a.size, a.shared_connections) == (4.0, 9.0)
     host.loads(a=0.5)
-    host.balancer.reconfigure(replace(PLAIN, group_affinity=True))
+    host.balancer.reconfigure(replace(DEFAULT_SETTINGS, group_affinity=True))
     assert not host.balancer.load_calibration and host.balancer.load_of(a) == pytest.approx(0.5)
     host.servers("a", "b", weight=2.0, machine_type="m")
     assert (a.size, a.shared_connections, b.size) == (2.0, 0.0, 2.0)
--- a/tests/test_gossip_estimates.py
+++ b/tests/test_gossip_estimates.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import PLAIN
+from conftest import DEFAULT_SETTINGS
 
 from onyxhollow.counters import Counters
 from onyxhollow.decision_adapter import DecisionAdapter, report_shared
@@ -71,7 +71,7 @@
 
 
 def test_an_endpoint_skipped_at_random_counts_as_having_capacity_and_a_full_one_does_not():
-    settings = replace(PLAIN, **FEW_CONNECTIONS_SETTINGS)
+    settings = replace(DEFAULT_SETTINGS, **FEW_CONNECTIONS_SETTINGS)
     decisions = DecisionAdapter(
         lambda: 100.0, settings, 1, Counters(), lambda line: None, lambda name: None, lambda: None
     )
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -545,7 +545,7 @@
     proxy.until(lambda: proxy.counts["list failures"] == 1)
     proxy.run_for(0.2)
     assert proxy.counts["list calls"] == 1  # the decisions' wait of 0.5 s applies
-    proxy.answer_list(EMPTY_DELTA, count=2)
+    proxy.answer_list(EMPTY_DELTA, number=2)
     proxy.until(lambda: proxy.proxy.discovery.version == 8)
     answered_at = time.monotonic()
     # The next poll is delayed by 0.05 s of the 0.1 s over which the polls are spread.
@@ -554,7 +554,7 @@
     # With 200 proxies the spread was up to 5 s: a change within 0.2 s of an answer counted as notified
     # although no poll was open.
     assert 0.04 < time.monotonic() - answered_at < 0.2
-    proxy.answer_list(EMPTY_DELTA.replace(b"8", b"9"), count=2)
+    proxy.answer_list(EMPTY_DELTA.replace(b"8", b"9"), number=2)
     proxy.until(lambda: proxy.proxy.discovery.version == 9)
     proxy.switch_list_service(new)
     started_at = time.monotonic()
@@ -613,7 +613,7 @@
     first.send(response)
     first.sock.close()
     proxy.until(lambda: proxy.counts["list failures"] == 1)
-    proxy.answer_list(EMPTY_DELTA, count=2)
+    proxy.answer_list(EMPTY_DELTA, number=2)
     proxy.until(lambda: proxy.list_service.peers[1].read().startswith(b"GET /v1/endpoints?index=8&wait=5000"))
     client, _ = proxy.establish()  # the cached list serves meanwhile
     assert not client.end and not proxy.counts["failures"]
@@ -623,7 +623,7 @@
     proxy = loopback(list_is_polled=False)
     first = proxy.until(lambda: proxy.list_service.connection())
     first.sock.close()
-    proxy.answer_list(EMPTY_DELTA, count=2)
+    proxy.answer_list(EMPTY_DELTA, number=2)
     proxy.until(lambda: proxy.list_service.peers[1].read().startswith(b"GET /v1/endpoints?index=8&wait=5000"))
 
 
@@ -741,7 +741,7 @@
         return client, server
 
     established = [open_and_accept() for _ in range(4)]
-    pending = proxy.open_session(wait=5000), accept_attempt()  # an attempt that stays in flight
+    pending = proxy.open_session(wait_ms=5000), accept_attempt()  # an attempt that stays in flight
     source = max(balancer.tracked.values(), key=lambda s: sum(x.established for x in s.connections))
     # Slower than any receiver: otherwise chance on loopback could halve the pace.
     source.handshake_time.value = 9.0
@@ -765,7 +765,7 @@
         peer = proxy.until(lambda n=count: proxy.list_service.connection(n))
         # A snapshot is requested because the meaning of weights has changed.
         assert peer.received.startswith(b"GET /v1/endpoints HTTP")
-        proxy.answer_list(body, count=count)
+        proxy.answer_list(body, number=count)
         proxy.until(lambda n=size: balancer.tracked["b"].size == n)
         assert balancer.tracked["b"].shared_connections == shared
         established.append(open_and_accept())
@@ -824,7 +824,7 @@
     late = proxy.open_session()
     server = proxy.until(lambda: proxy.endpoints["a"].connection(3))
     server.send(b"UP r3\r\n")
-    waiting = proxy.open_session(wait=5000)
+    waiting = proxy.open_session(wait_ms=5000)
     proxy.until(lambda: not proxy.proxy.loop.running, within=3)
     assert [peer.read() for peer in (first, second, late)] == [b"MOVE\r\n", b"MOVE\r\n", b"UP r3\r\nMOVE\r\n"]
     assert waiting.read() == b"BUSY\r\n" and not proxy.proxy.sessions.table.live
@@ -832,7 +832,7 @@
 
 def test_a_shutdown_tears_down_a_non_idempotent_session_that_may_have_run(loopback):
     proxy = loopback(listeners=BOTH_LISTENERS)
-    client = proxy.open_session("once", wait=5000)
+    client = proxy.open_session("once", wait_ms=5000)
     server = proxy.until(lambda: proxy.endpoints["a"].connection())
     proxy.proxy.shutdown.stop_time = 0.6
     proxy.proxy.loop.spawn(proxy.proxy.shutdown.run())
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -190,7 +190,7 @@
 
 def play(proxy, clients=3, within=2.5):
     """Some clients open, say one line each and leave; what each of them got."""
-    servers, peers = Servers(proxy), [proxy.open_session(wait=1500) for _ in range(clients)]
+    servers, peers = Servers(proxy), [proxy.open_session(wait_ms=1500) for _ in range(clients)]
     said, end = set(), time.monotonic() + within
     while time.monotonic() < end:
         proxy.proxy.loop.turn(0.002)
