--- a/onyxhollow/wire/channel.py
+++ b/onyxhollow/wire/channel.py
@@ -26,8 +26,7 @@
 class Channel:
     """One connection, watched by the loop; the constructor raises OSError if the loop can't watch it.
 
-    The owner's `wake` is called after each change. The owner ends the connection by `close`, `reset` or
-    `finish`.
+    The owner's `wake` is called after each change. The owner calls `close`, `reset` or `finish` at the end.
     """
 
     def __init__(
@@ -46,9 +45,7 @@
         self.inbox = LineBuffer(pool)
         self.outgoing = bytearray()  # written bytes that the kernel has not accepted yet
         self.connecting = connecting
-        self.paused = (
-            False  # not read until its lines are consumed, or the receiver of its lines accepts more
-        )
+        self.paused = False  # not read until its lines are consumed or can be forwarded
         self.ended = False  # the peer has shut down its sending side, or the connection has failed
         self.broken = False  # the connection was reset, or a system call on it failed
         self.closed = False
@@ -66,11 +63,7 @@
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             result = sock.connect_ex(address)
-            if result not in (
-                0,
-                errno.EINPROGRESS,
-                errno.EINTR,
-            ):  # after EINTR the kernel continues to connect
+            if result not in (0, errno.EINPROGRESS, errno.EINTR):  # EINTR: the kernel continues to connect
                 raise OSError(result, "connect")  # noqa: TRY301 -- the handler below closes the socket
             return cls(loop, sock, pool, wake, connecting=True)
         except OSError:
@@ -188,11 +181,7 @@
             self.last_read_at = self.loop.now
 
     def line(self) -> memoryview | None:
-        """Return the next whole line, valid until the next read, or None.
-
-        Raises:
-            LineTooLongError: The line exceeds 4 KiB.
-        """
+        """Return the next whole line, valid until the next read; raise LineTooLongError above 4 KiB."""
         return self.inbox.line()
 
     def set_paused(self, paused: bool) -> None:
@@ -241,10 +230,7 @@
         return 0
 
     def on_write_error(self) -> None:
-        """Handle a failed write: mark the connection as broken, but read first.
-
-        Lines that the peer sent before it closed, for example BYE, can still be read.
-        """
+        """Mark the connection as broken, but first read what the peer sent before it closed, such as BYE."""
         if not self.ended and not self.paused:
             self.read()
         self.ended = True
@@ -284,9 +270,7 @@
         """Close the connection gracefully: send pending bytes, and read and ignore what still arrives.
 
         If it were closed with unread bytes, the kernel would reset it, and the peer would lose the last line.
-
-        Args:
-            timeout: Seconds for sending the pending bytes.
+        The pending bytes must be sent within `timeout` seconds.
         """
         if self.closed:
             return
--- a/onyxhollow/wire/health_checks.py
+++ b/onyxhollow/wire/health_checks.py
@@ -19,9 +19,10 @@
     b"ERR": AttemptOutcome.ERROR,
     b"BUSY": AttemptOutcome.OVERLOADED,
 }
+# Outcomes after which the connection may be reused.
 REUSABLE_OUTCOMES = frozenset(
     {AttemptOutcome.OK, AttemptOutcome.ERROR, AttemptOutcome.OVERLOADED, AttemptOutcome.TIMEOUT}
-)  # outcomes after which the connection may be reused
+)
 MAX_PENDING_ANSWERS = 3  # per connection; with more, the endpoint may never have received the requests
 DEFAULT_MAX_CONNECTIONS = 64  # cached; until the configured limits are applied
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -157,9 +157,8 @@
     client, server = proxy.establish()
     values = parse_metrics(proxy.call_management("counters")[1])
     assert values["lb_inflight", None] == values["lb_backend_calls_total", None] == 1
-    proxy.connect_client(
-        b"OPEN zz 7f3a c=nobody,d=2000\r\n"
-    )  # a malformed request is not counted as a session
+    # A malformed request is not counted as a session.
+    proxy.connect_client(b"OPEN zz 7f3a c=nobody,d=2000\r\n")
     server.send(b"BYE\r\n")
     server.sock.close()
     proxy.until(lambda: client.read().endswith(b"BYE\r\n"))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,8 +1,7 @@
-"""Each system call on a socket fails in each documented way, call after call, and the rules hold.
+"""Guards against clients without an answer, double attempts and spinning when a system call fails.
 
-A shim stands between the proxy and its sockets and epoll. The n-th call of one kind fails, once or three
-times;
-what the system would have done with it is left undone.
+The proxy's sockets and epoll are replaced by test doubles. The n-th call of one kind fails with each
+documented error, once or three times in a row, without reaching the kernel.
 """
 
 import contextlib
@@ -19,7 +18,7 @@
 from onyxhollow.wire import channel, listening
 from onyxhollow.wire.system_errors import ErrorCause, classify_connect_error, classify_error
 
-CALLS = {
+ERRORS_BY_CALL = {
     "accept": (
         "ECONNABORTED",
         "EMFILE",
@@ -51,126 +50,126 @@
     "unregister": ("ENOENT",),
     "poll": ("EINTR",),
 }
-CALLS_ONCE = replace(LISTENER, idempotency=Idempotency.NON_IDEMPOTENT)  # its attempts may not run twice
-CASES = [(call, name) for call, names in CALLS.items() for name in names]
-SHORTAGES = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "ENOSPC", "EADDRNOTAVAIL"}
+NON_IDEMPOTENT_LISTENER = replace(LISTENER, idempotency=Idempotency.NON_IDEMPOTENT)
+CASES = [(call, name) for call, names in ERRORS_BY_CALL.items() for name in names]
+SHORTAGE_ERRORS = {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM", "ENOSPC", "EADDRNOTAVAIL"}
 
 
-class Plan:
-    """Which call is to fail, and how often from then on."""
+class FailurePlan:
+    """Determines which calls fail: from the call at an index on, so many calls of one kind."""
 
     def __init__(self):
-        self.kind, self.error, self.left, self.times = "", 0, 0, 0
-        self.hits = 0
+        self.call, self.error, self.calls_before, self.times = "", 0, 0, 0
+        self.failures = 0
 
-    def fail(self, kind, error, index, times=1):
-        self.kind, self.error, self.left, self.times, self.hits = kind, error, index, times, 0
+    def fail(self, call, error, index, times=1):
+        self.call, self.error, self.calls_before, self.times, self.failures = call, error, index, times, 0
 
-    def reach(self, kind):
-        """Raises where the plan says so."""
-        if kind != self.kind:
+    def raise_if_due(self, call):
+        """Raise the planned error if this call has to fail."""
+        if call != self.call:
             return
-        self.left -= 1
-        if self.left < 0 <= self.left + self.times:
-            self.hits += 1
-            raise OSError(self.error, "shim")
+        self.calls_before -= 1
+        if self.calls_before < 0 <= self.calls_before + self.times:
+            self.failures += 1
+            raise OSError(self.error, "planned failure")
 
 
-class ShimSocket(socket.socket):
-    """A socket whose calls go by the plan; sends and reads of one byte where it says so."""
+class FailingSocket(socket.socket):
+    """A socket whose calls fail by the plan; with `one_byte` it sends and receives single bytes."""
 
-    plan = Plan()
-    short = False
+    plan = FailurePlan()
+    one_byte = False
 
     def __init__(self, *values, **named):
         if "fileno" not in named:
-            self.plan.reach("socket")
+            self.plan.raise_if_due("socket")
         super().__init__(*values, **named)
 
     def accept(self):
-        self.plan.reach("accept")
+        self.plan.raise_if_due("accept")
         fd, address = self._accept()
-        return ShimSocket(self.family, self.type, self.proto, fileno=fd), address
+        return FailingSocket(self.family, self.type, self.proto, fileno=fd), address
 
     def connect_ex(self, address):
         try:
-            self.plan.reach("connect_ex")
+            self.plan.raise_if_due("connect_ex")
         except OSError as error:
             if error.errno == errno.EINTR:
-                super().connect_ex(address)  # it goes on by itself
+                super().connect_ex(address)  # the kernel continues to connect
             return error.errno
         return super().connect_ex(address)
 
     def send(self, data, *flags):
-        self.plan.reach("send")
-        return super().send(memoryview(data)[:1] if self.short else data, *flags)
+        self.plan.raise_if_due("send")
+        return super().send(memoryview(data)[:1] if self.one_byte else data, *flags)
 
     def recv_into(self, space, count=0, flags=0):
-        self.plan.reach("recv_into")
-        return super().recv_into(space, 1 if self.short and count else count, flags)
+        self.plan.raise_if_due("recv_into")
+        return super().recv_into(space, 1 if self.one_byte and count else count, flags)
 
     def shutdown(self, how):
-        self.plan.reach("shutdown")
+        self.plan.raise_if_due("shutdown")
         super().shutdown(how)
 
     def setsockopt(self, *values):
-        self.plan.reach("setsockopt")
+        self.plan.raise_if_due("setsockopt")
         super().setsockopt(*values)
 
     def getsockopt(self, *values):
-        self.plan.reach("getsockopt")
+        self.plan.raise_if_due("getsockopt")
         return super().getsockopt(*values)
 
 
-class ShimEpoll:
-    """An epoll whose calls go by the plan."""
+class FailingEpoll:
+    """An epoll whose calls fail by the plan."""
 
     def __init__(self, epoll, plan):
-        self.epoll, self.plan, self.polls = epoll, plan, 0
+        self.epoll, self.plan, self.poll_count = epoll, plan, 0
 
     def __getattr__(self, name):
         call = getattr(self.epoll, name)
         if name == "poll":
-            self.polls += 1
-        if name not in CALLS:
+            self.poll_count += 1
+        if name not in ERRORS_BY_CALL:
             return call
 
-        def reach(*values):
-            self.plan.reach(name)
+        def call_by_plan(*values):
+            self.plan.raise_if_due(name)
             return call(*values)
 
-        return reach
+        return call_by_plan
 
 
 @pytest.fixture
-def shimmed(loopback, monkeypatch):
-    """A proxy on shim sockets, its list heard, and the plan for what fails."""
-    plan = Plan()
-    monkeypatch.setattr(ShimSocket, "plan", plan)
-    monkeypatch.setattr(ShimSocket, "short", False)
+def faulty_proxy(loopback, monkeypatch):
+    """A proxy with two endpoints whose sockets and epoll fail by its `plan`."""
+    plan = FailurePlan()
+    monkeypatch.setattr(FailingSocket, "plan", plan)
+    monkeypatch.setattr(FailingSocket, "one_byte", False)
 
     class Module:
-        socket = ShimSocket
+        socket = FailingSocket
 
         def __getattr__(self, name):
             return getattr(socket, name)
 
     monkeypatch.setattr(channel, "socket", Module())
     monkeypatch.setattr(listening, "socket", Module())
-    proxy = loopback("ab", listeners={"calls": CALLS_ONCE})
-    proxy.proxy.loop.epoll = ShimEpoll(proxy.proxy.loop.epoll, plan)
+    proxy = loopback("ab", listeners={"calls": NON_IDEMPOTENT_LISTENER})
+    proxy.proxy.loop.epoll = FailingEpoll(proxy.proxy.loop.epoll, plan)
     proxy.plan = plan
     return proxy
 
 
-class Servers:
-    """Serves both server servers: UP to each opening line, every later line back; notes what came."""
+class EchoServers:
+    """Answers for both endpoints: UP to each OPEN line, an echo to every other line."""
 
     def __init__(self, proxy):
-        self.proxy, self.openings = proxy, []
-        self.seen = {}
+        self.proxy, self.session_ids = proxy, []
+        self.answered_counts = {}  # lines by peer
 
-    def turn(self):
+    def serve_all(self):
         for server in self.proxy.endpoints.values():
             while server.accept() is not None:
                 pass
@@ -180,24 +179,24 @@
     def serve(self, peer):
         whole, _, _ = peer.read().rpartition(b"\r\n")
         lines = whole.split(b"\r\n") if whole else []
-        for line in lines[self.seen.get(peer, 0) :]:
+        for line in lines[self.answered_counts.get(peer, 0) :]:
             if line.startswith(b"OPEN "):
-                self.openings.append(line.split()[1])
+                self.session_ids.append(line.split()[1])
             with contextlib.suppress(OSError):
                 peer.send(b"UP r1\r\n" if line.startswith(b"OPEN ") else line + b"\r\n")
-        self.seen[peer] = len(lines)
+        self.answered_counts[peer] = len(lines)
 
 
-def play(proxy, clients=3, within=2.5):
-    """Some clients open, say one line each and leave; what each of them got."""
-    servers, peers = Servers(proxy), [proxy.open_session(wait_ms=1500) for _ in range(clients)]
-    said, end = set(), time.monotonic() + within
-    while time.monotonic() < end:
+def run_clients(proxy, clients=3, within=2.5):
+    """Open sessions that send one line each; return the servers and the clients once all have an answer."""
+    servers, peers = EchoServers(proxy), [proxy.open_session(wait_ms=1500) for _ in range(clients)]
+    greeted, deadline = set(), time.monotonic() + within
+    while time.monotonic() < deadline:
         proxy.proxy.loop.turn(0.002)
-        servers.turn()
+        servers.serve_all()
         for peer in peers:
-            if peer.read().startswith(b"UP r1\r\n") and peer not in said and not peer.end:
-                said.add(peer)
+            if peer.read().startswith(b"UP r1\r\n") and peer not in greeted and not peer.end:
+                greeted.add(peer)
                 with contextlib.suppress(OSError):
                     peer.send(b"hello\r\n")
         if all(peer.end or b"hello\r\n" in peer.received for peer in peers):
@@ -205,68 +204,70 @@
     return servers, peers
 
 
-def check(proxy, servers, peers, whose):
-    """One final answer to each client at the most, none left without but by a fault of its own connection;
-    nothing runs twice; no failure of the program; no spinning."""
+def assert_answers(proxy, servers, peers, cause):
+    """Assert that each client has one final answer, unless its own connection failed.
+
+    No request ran twice, and the proxy had no exception and broke no invariant.
+    """
     for peer in peers:
         first = peer.received.split(b"\r\n")[0]
         assert first in (b"UP r1", b"BUSY", b"ERR", b"") and (peer.received or peer.end), peer.received
         assert peer.received.count(b"BUSY") + peer.received.count(b"ERR") + peer.received.count(b"UP") <= 1
-        if whose is ErrorCause.SHORTAGE or whose is ErrorCause.NOT_READY:
-            assert first != b"", "a shortage of this machine frees no request of its answer"
-    assert len(set(servers.openings)) == len(servers.openings)
+        if cause is ErrorCause.SHORTAGE or cause is ErrorCause.NOT_READY:
+            assert first != b"", "a client has no answer after a shortage of this machine"
+    assert len(set(servers.session_ids)) == len(servers.session_ids)
     assert not proxy.counts["failures"] and not [name for name in proxy.counts if name.startswith("broken")]
 
 
 @pytest.mark.parametrize("call, name", CASES, ids=[f"{call}-{name}" for call, name in CASES])
 @pytest.mark.parametrize("times", [1, 3])
-def test_each_call_fails_in_turn_and_every_client_has_its_answer(shimmed, call, name, times):
+def test_every_client_is_answered_whichever_system_call_fails(faulty_proxy, call, name, times):
     error = getattr(errno, name)
-    whose = (
+    cause = (
         classify_error(OSError(error, ""))
         if call != "connect_ex"
         else classify_connect_error(OSError(error, ""))
     )
     if call in ("accept", "poll", "unregister", "register", "modify", "setsockopt", "getsockopt", "socket"):
-        whose = ErrorCause.SHORTAGE  # whatever it says: no client is at fault
-    balancer = shimmed.proxy.decisions.balancer
+        cause = ErrorCause.SHORTAGE  # a failure of this call concerns no client's connection
+    balancer = faulty_proxy.proxy.decisions.balancer
     index = 0
     while True:
-        shimmed.plan.fail(call, error, index, times)
+        faulty_proxy.plan.fail(call, error, index, times)
         for server in balancer.tracked.values():
             server.recorded_score, server.overloaded_at = 0.0, -1e9
-        before = shimmed.proxy.loop.epoll.polls
-        servers, peers = play(shimmed)
+        polls_before = faulty_proxy.proxy.loop.epoll.poll_count
+        servers, peers = run_clients(faulty_proxy)
         for peer in peers:
             peer.sock.close()
-        shimmed.until(lambda: not shimmed.proxy.sessions.table.live)
-        hit = shimmed.plan.hits
-        shimmed.plan.fail("", 0, 0)
-        if name in SHORTAGES or name in ("EINTR", "EAGAIN"):
-            assert not [s for s in balancer.tracked.values() if s.recorded_score], (
-                "a shortage is held against a server"
+        faulty_proxy.until(lambda: not faulty_proxy.proxy.sessions.table.live)
+        failure_count = faulty_proxy.plan.failures
+        faulty_proxy.plan.fail("", 0, 0)
+        if name in SHORTAGE_ERRORS or name in ("EINTR", "EAGAIN"):
+            assert not [server for server in balancer.tracked.values() if server.recorded_score], (
+                "a shortage of this machine counts as evidence against an endpoint"
             )
-        check(shimmed, servers, peers, whose)
-        assert shimmed.proxy.loop.epoll.polls - before < 2500
+        assert_answers(faulty_proxy, servers, peers, cause)
+        assert faulty_proxy.proxy.loop.epoll.poll_count - polls_before < 2500
         index += 1
-        if not hit or index > 12:
+        if not failure_count or index > 12:
             break
     assert index > 1 or call in ("modify", "getsockopt", "shutdown")
 
 
-def test_reads_and_writes_of_one_byte_change_nothing(shimmed, monkeypatch):
-    monkeypatch.setattr(ShimSocket, "short", True)
-    servers, peers = play(shimmed, within=8.0)
-    assert [peer.received for peer in peers] == [b"UP r1\r\nhello\r\n"] * 3 and len(servers.openings) == 3
+def test_reads_and_writes_of_one_byte_change_nothing(faulty_proxy, monkeypatch):
+    monkeypatch.setattr(FailingSocket, "one_byte", True)
+    servers, peers = run_clients(faulty_proxy, within=8.0)
+    assert [peer.received for peer in peers] == [b"UP r1\r\nhello\r\n"] * 3 and len(servers.session_ids) == 3
 
 
-def test_a_connection_that_cant_be_set_up_is_refused_and_not_dropped(shimmed):
-    shimmed.answer_list(b'{"seq": 8, "whole": false, "hosts": []}')
-    shimmed.until(lambda: shimmed.proxy.discovery.version == 8)
-    shimmed.plan.fail("register", errno.ENOSPC, 0, times=1000)
-    client = shimmed.open_session()
-    shimmed.until(lambda: client.read() and client.end)
+def test_a_connection_that_the_loop_cant_watch_is_answered_with_busy(faulty_proxy):
+    faulty_proxy.answer_list(b'{"seq": 8, "whole": false, "hosts": []}')
+    faulty_proxy.until(lambda: faulty_proxy.proxy.discovery.version == 8)
+    faulty_proxy.plan.fail("register", errno.ENOSPC, 0, times=1000)
+    client = faulty_proxy.open_session()
+    faulty_proxy.until(lambda: client.read() and client.end)
     assert (client.received, client.end) == (b"BUSY\r\n", "closed")
-    assert shimmed.counts["connections refused for want of room"] == 1 and isinstance(client, Peer)
-    shimmed.plan.fail("", 0, 0)
-    assert play(shimmed)[1][0].received.startswith(b"UP r1")
+    assert faulty_proxy.counts["connections refused for want of room"] == 1 and isinstance(client, Peer)
+    faulty_proxy.plan.fail("", 0, 0)
+    assert run_clients(faulty_proxy)[1][0].received.startswith(b"UP r1")
