--- a/onyxhollow/fleet/shared_addresses/announcer_task.py
+++ b/onyxhollow/fleet/shared_addresses/announcer_task.py
@@ -11,12 +11,12 @@
 import orjson
 
 from onyxhollow.addresses.announcer import Announcer, GuardedRoute, GuardState
-from onyxhollow.addresses.file import AddressesFile, Site, read_address
+from onyxhollow.addresses.file import AddressesFile, Site, parse_host_port
 from onyxhollow.addresses.messages import DrainRequest, RouteAssignment, paginate
 from onyxhollow.addresses.routes import Preference
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
-from onyxhollow.fleet.leader_tasks import STALE_TERM_STATUS, CallingTask
+from onyxhollow.fleet.leader_tasks import STALE_TERM_STATUS, HttpRequestTask
 from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
 from onyxhollow.wire.discovery_connection import DiscoveryConnection, DiscoveryStatusError
 from onyxhollow.wire.endpoint_list import EndpointListError
@@ -42,7 +42,7 @@
     return GuardedRoute(Preference(int(row["wanted"])), None if installed is None else Preference(installed))
 
 
-class AnnouncerTask(CallingTask):
+class AnnouncerTask(HttpRequestTask):
     """Calls the route guard while this process holds the site's lease.
 
     Attributes:
@@ -62,7 +62,7 @@
         self.core: Announcer | None = None
         self.last_progress_at = member.loop.now
         self.superseded = False
-        self.address = read_address(site.route_guard, "gate")
+        self.address = parse_host_port(site.route_guard, "gate")
 
     def start(self, term: int, lease_held: Callable[[], bool]) -> None:
         """Begins a term; `lease_held` is called before each call to the guard."""
--- a/onyxhollow/lifecycle/operator_pages.py
+++ b/onyxhollow/lifecycle/operator_pages.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from onyxhollow.counters import ACCEPTED, REFUSED, TORN_DOWN, Counters
+from onyxhollow.counters import ACCEPTED, FAILED, REJECTED, Counters
 from onyxhollow.decision_adapter import DecisionAdapter
 from onyxhollow.management import metrics
-from onyxhollow.management.api import PLAIN, Answer
+from onyxhollow.management.api import PLAIN_TEXT, Answer
 from onyxhollow.service_state import ServiceState
 from onyxhollow.wire.session_registry import SessionRegistry
 
@@ -28,8 +28,8 @@
     def ready(self, _: str) -> Answer:
         """200 while this process takes clients, else 503 with its phase."""
         if not self.service.ready:
-            return 503, f"{self.service.phase.value}\n".encode(), PLAIN
-        return 200, b"ready\n", PLAIN
+            return 503, f"{self.service.phase.value}\n".encode(), PLAIN_TEXT
+        return 200, b"ready\n", PLAIN_TEXT
 
     def metrics(self, _: str) -> Answer:
         """All metrics in the Prometheus text format."""
@@ -44,10 +44,10 @@
             ("reconfig_ok_total", counts["reloads"] - refused),
             ("reconfig_failed_total", refused),
         )
-        ends = self.counters.ends
+        ends = self.counters.final_answers
         by_tier = (
             ("success_total", ends[ACCEPTED]),
-            ("busy_total", ends[REFUSED]),
-            ("failure_total", ends[TORN_DOWN]),
+            ("busy_total", ends[REJECTED]),
+            ("failure_total", ends[FAILED]),
         )
-        return 200, metrics.render(by_tier, values), metrics.TEXT
+        return 200, metrics.render(by_tier, values), metrics.CONTENT_TYPE
--- a/onyxhollow/wire/session_core.py
+++ b/onyxhollow/wire/session_core.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from onyxhollow.counters import REFUSED, TORN_DOWN
+from onyxhollow.counters import FAILED, REJECTED
 from onyxhollow.decision_adapter import SessionHandle
 from onyxhollow.loop import Task
 from onyxhollow.wire.channel import Channel
@@ -86,7 +86,7 @@
         """Answer invalid input with ERR and end the connection, even if an attempt is in flight."""
         self.registry.report_malformed(reason, line)
         self.end(ConnectionEvent.MALFORMED, "malformed")
-        self.count_outcome(TORN_DOWN)
+        self.count_outcome(FAILED)
         self.client.write(b"ERR\r\n")
         self.client.finish(ERROR_FLUSH_TIMEOUT_SECONDS)
 
@@ -94,7 +94,7 @@
         """Count the outcome of a session, once per session that has a request."""
         if self.request is not None and not self.outcome_counted:
             self.outcome_counted = True
-            self.counters.ended(outcome, self.request.listener)
+            self.counters.count_final_answer(outcome, self.request.listener)
 
     def end_without_endpoint(self, handle: SessionHandle, rejected: bool) -> None:
         """End a session that gets no further attempt because its client has left or the proxy stops."""
@@ -118,7 +118,7 @@
     def answer(self, rejected: bool, retry_after: float = 0.0) -> None:
         """Give the session its one final answer: rejected (BUSY, nothing ran) or torn down (ERR)."""
         self.counters.add("sessions refused" if rejected else "sessions torn down")
-        self.count_outcome(REFUSED if rejected else TORN_DOWN)
+        self.count_outcome(REJECTED if rejected else FAILED)
         self.end(ConnectionEvent.ANSWERED, "refused" if rejected else "torn down")
         self.write_answer(rejected, retry_after)
 
--- a/onyxhollow/wire/session_registry.py
+++ b/onyxhollow/wire/session_registry.py
@@ -90,7 +90,7 @@
         self.active_count = 0  # sessions with a valid request that have not ended
         self.connection_limit = DEFAULT_CONNECTION_LIMIT  # idle connections are closed from here on
         self.adoption_deadline = self.loop.now + ADOPTION_PERIOD_SECONDS
-        self.counters.open_listeners(settings.listeners)
+        self.counters.add_listeners(settings.listeners)
 
     def apply_settings(self, settings: SessionSettings) -> None:
         """Apply settings to new sessions; earlier sessions keep their listener's settings.
@@ -105,7 +105,7 @@
                 served[name] = (listener, now + REMOVED_LISTENER_GRACE_SECONDS)
         self.removed_listeners = served
         self.settings = settings
-        self.counters.open_listeners(settings.listeners)
+        self.counters.add_listeners(settings.listeners)
         self.attempts.apply_settings(settings.load_field, settings.connect_timeout)
 
     def find_listener(self, name: str) -> Listener | None:
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -24,8 +24,8 @@
 from onyxhollow.interface import Idempotency
 from onyxhollow.lifecycle import replacement
 from onyxhollow.lifecycle.config import read_config
-from onyxhollow.lifecycle.handover import Handover, decode_state, encode_state, given_socket
-from onyxhollow.lifecycle.limits import STOP_MARGIN
+from onyxhollow.lifecycle.handover import Handover, decode_state, encode_state, open_inherited_socket
+from onyxhollow.lifecycle.limits import STOP_MARGIN_SECONDS
 from onyxhollow.lifecycle.proxy import Proxy
 from onyxhollow.topology import logs, snapshot_file
 from onyxhollow.wire.connection_handoff import ConnectionHandoff
@@ -123,7 +123,9 @@
 def server_told(s, proxy):
     """What the decisions know of one server."""
     b, now = proxy.decisions.balancer, proxy.loop.now
-    figures = [(f.value, now - f.at) if f.value else None for f in (s.handshake_time, s.message_delay)]
+    figures = [
+        (f.value, now - f.updated_at) if f.value else None for f in (s.handshake_time, s.message_delay)
+    ]
     tokens = b.slow_start.tokens[s][0] if s in b.slow_start.tokens else None
     return (
         (s.state.value, s.zone, s.cell, s.machine_type, s.size, s.started_at, proxy.addresses.find(s.name)),
@@ -138,7 +140,7 @@
     """What all decisions know."""
     b, now = proxy.decisions.balancer, proxy.loop.now
     return {
-        "setting_up": (b.handshake_time.value, now - b.handshake_time.at),
+        "setting_up": (b.handshake_time.value, now - b.handshake_time.updated_at),
         "taken": (b.slow_start.rate(now), now - b.slow_start.since),
         "seq": proxy.discovery.version,
         "servers": {name: server_told(s, proxy) for name, s in b.tracked.items()},
@@ -168,7 +170,7 @@
     def __init__(self, folder, clock):
         self.folder, self.clock = folder, clock
         self.old = Handover(str(folder))
-        listener = given_socket(str(os.dup(socket.create_server(("127.0.0.1", 0)).detach())))
+        listener = open_inherited_socket(str(os.dup(socket.create_server(("127.0.0.1", 0)).detach())))
         self.proxy = make_proxy(read_recorded_config(), listener, Handover(str(folder)))
 
     def until(self, seen, within=3.0):
@@ -215,7 +217,7 @@
         return (self.folder / "onyxhollow-state").read_bytes()
 
     def pass_on(self, path):
-        until = self.proxy.loop.now + 5.0 - STOP_MARGIN
+        until = self.proxy.loop.now + 5.0 - STOP_MARGIN_SECONDS
         self.proxy.loop.spawn(self.proxy.replacement.hand_off_connections(path, until))
 
     def close(self):
@@ -248,8 +250,8 @@
     monkeypatch.setattr(time, "monotonic", clock)
     monkeypatch.setattr(time, "monotonic_ns", lambda: int(TOKEN.partition("-")[2]))
     monkeypatch.setattr(os, "getpid", lambda: int(TOKEN.partition("-")[0]))
-    monkeypatch.setattr(replacement, "LIST_TIMEOUT", 0.2)  # nobody tells the list here
-    monkeypatch.setattr(replacement, "STATE_TIMEOUT", 2.0)
+    monkeypatch.setattr(replacement, "LIST_TIMEOUT_SECONDS", 0.2)  # nobody tells the list here
+    monkeypatch.setattr(replacement, "STATE_TIMEOUT_SECONDS", 2.0)
     for name in [name for name in os.environ if name.startswith("LB_")]:
         monkeypatch.delenv(name)
     made = Successor(tmp_path, clock)
