--- a/onyxhollow/fleet/lease_service.py
+++ b/onyxhollow/fleet/lease_service.py
@@ -211,7 +211,7 @@
         if min(now - self.last_fault_at, now - runner.leading_since) < stability_period:
             return
         preferred = self.context.find_member(order[0])
-        if preferred and now - preferred.since >= stability_period:
+        if preferred and now - preferred.state_since >= stability_period:
             self._hand_over(runner, "preferred", order[0])
 
     def _hand_over_after_failure(self, runner: LeaseRunner, cause: str, now: float) -> None:
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -158,7 +158,7 @@
             "zone": member.zone,
             "address": f"{member.address[0]}:{member.address[1]}",
             "incarnation": member.incarnation,
-            "for": round(now - member.since, 1),
+            "for": round(now - member.state_since, 1),
             "votes": bool(member.flags & VOTES),
             "holds": bool(member.flags & MAY_HOLD_ROLES),
             "damped": self.context.membership.flap_damping.is_damped(member.name, now),
--- a/onyxhollow/membership/member_table.py
+++ b/onyxhollow/membership/member_table.py
@@ -42,7 +42,7 @@
     address: Address
     zone: str
     flags: int
-    since: float  # when it took its state, seconds
+    state_since: float  # when it took its state, seconds
     deadline: float = math.inf  # when a suspect is declared dead, seconds
     suspected_by: set[str] = field(default_factory=set)
 
@@ -131,7 +131,7 @@
             update.address,
             update.zone,
             update.flags,
-            since=now,
+            state_since=now,
         )
         self.members[member.key] = member
         self.live[member.key] = member
@@ -154,7 +154,7 @@
         member.incarnation = incarnation
         if state is not before:
             member.state = state
-            member.since = now
+            member.state_since = now
             self._index(member)
             if state is MemberState.DEAD:
                 self.flap_damping.record_failure(member.name, now)
@@ -166,7 +166,7 @@
     def forget_gone(self, now: float, retention: float) -> None:
         """Remove members that have been dead or gone for longer than `retention` seconds."""
         for key, member in list(self.members.items()):
-            if not member.is_live and now - member.since > retention:
+            if not member.is_live and now - member.state_since > retention:
                 del self.members[key]
 
     def digest(self) -> int:
@@ -189,7 +189,7 @@
         gone = [member for member in self.members.values() if not member.is_live]
         if not gone:
             return False
-        del self.members[min(gone, key=lambda member: member.since).key]
+        del self.members[min(gone, key=lambda member: member.state_since).key]
         return True
 
 
--- a/onyxhollow/membership/state_rules.py
+++ b/onyxhollow/membership/state_rules.py
@@ -93,7 +93,7 @@
         else:
             member.suspected_by = {by}
             self._transition(member, MemberState.SUSPECT, incarnation, now, f"by {by}")
-        member.deadline = member.since + self.suspicion_timeout(len(member.suspected_by) - 1)
+        member.deadline = member.state_since + self.suspicion_timeout(len(member.suspected_by) - 1)
         self.timer.due_by(max(now, member.deadline))
 
     def suspicion_timeout(self, confirmations: int) -> float:
--- a/tests/test_role_ranking.py
+++ b/tests/test_role_ranking.py
@@ -1,6 +1,6 @@
 """Tests of the order of candidates for a role."""
 
-from membership_network import Net
+from membership_network import MembershipNetwork
 
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.identity import MAY_HOLD_ROLES
@@ -10,9 +10,9 @@
 def test_damped_members_rank_last_but_stay_candidates(monkeypatch):
     # Guards against a role without any candidate, which happened when damped members were excluded and
     # a hundred consecutive faults had caused every member to be damped.
-    net = Net(5)
+    net = MembershipNetwork(5)
     net.run(8.0)
-    membership = net.swims["m0~1"]
+    membership = net.members["m0~1"]
     monkeypatch.setattr(clock, "now", lambda: net.now)
     for member in membership.live_members():
         member.flags = MAY_HOLD_ROLES
