--- a/onyxhollow/membership/__init__.py
+++ b/onyxhollow/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the fleet: the SWIM protocol as a pure core, its messages and their authentication."""
+"""Fleet membership: the SWIM protocol without I/O, its messages and their authentication."""
--- a/onyxhollow/membership/anti_entropy.py
+++ b/onyxhollow/membership/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Anti-entropy: members compare digests of all they know now and then, and exchange what differs.
+"""Anti-entropy: members periodically compare digests of the member table and exchange their members.
 
-It repairs what dissemination has missed (Demers et al., 1987), joins by seeds, and heals partitions: the dead
-and the seeds are contacted too, so that two halves of a fleet find each other again.
+This repairs updates that dissemination has missed (Demers et al., 1987), joins a fleet through its seeds, and
+heals partitions: dead members and seeds are contacted too, so that two separated halves merge again.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from onyxhollow.membership.messages import Address, MemberState, Sync, encode
 from onyxhollow.membership.outbox import MAX_MESSAGE_BYTES, Outbox, OutgoingDatagram
 
-MAX_PAGES_JOINING = 16  # datagrams of one answer to a joining member
-MAX_PAGES = 3  # datagrams of one answer to another one: the next exchange brings more
-CONTACT_LOST_SHARE = 0.5  # of exchanges, while there are dead members or seeds to contact
+MAX_PAGES_JOINING = 16  # datagrams in one answer to a joining member
+MAX_PAGES_ESTABLISHED = 3  # datagrams in any other answer; later exchanges send the rest
+CONTACT_LIVE_PROBABILITY = 0.5  # if there are unreachable addresses too
 
 
 class AntiEntropy:
-    """Begins exchanges at random intervals and answers those of others."""
+    """Starts exchanges at random intervals and answers those of other members."""
 
     def __init__(
         self,
@@ -36,60 +36,60 @@
         self.table = table
         self.outbox = outbox
         self.seeds = seeds
-        self.next_sync_at = now  # seconds; at once, to join
+        self.next_sync_at = now  # seconds; the first exchange, which joins the fleet, is due at once
 
     def sync(self, now: float) -> None:
-        """Begin an exchange with a live member, or with one that is lost; without any, with all seeds."""
+        """Start an exchange with a live member or an unreachable address; with all of these if alone."""
         live = list(self.table.live.values())
         self.table.joined = self.table.joined or bool(live)
         self.next_sync_at = now + self.config.sync_interval * self.rng.uniform(0.5, 1.0)
-        lost = self._lost_addresses()
+        unreachable = self._unreachable_addresses()
         request = encode(Sync(self.table.digest(), joining=not live))
         messages = [encode(self.table.local), request]
-        if live and (not lost or self.rng.random() < CONTACT_LOST_SHARE):
+        if live and (not unreachable or self.rng.random() < CONTACT_LIVE_PROBABILITY):
             member = self.rng.choice(live)
             self.outbox.send_plain(member.address, member.epoch, messages)
-        elif lost:
-            for address in [self.rng.choice(lost)] if live else lost:
+        elif unreachable:
+            for address in [self.rng.choice(unreachable)] if live else unreachable:
                 self.outbox.send_plain(address, 0, messages)
         if not live:
             self.next_sync_at = now + self.config.period * self.rng.uniform(0.5, 1.0)
 
     def on_sync(self, request: Sync, sender: Member, now: float) -> None:
-        """Answer with the members known here, in as many datagrams as the limit allows."""
+        """Answer with the members known here if the digests differ, up to a limit of datagrams."""
         if request.digest == self.table.digest():
             return
-        limit = MAX_PAGES_JOINING if request.joining else MAX_PAGES
+        limit = MAX_PAGES_JOINING if request.joining else MAX_PAGES_ESTABLISHED
         for page in self._pages(sender, limit):
             self.outbox.reply(OutgoingDatagram(sender.address, sender.epoch, page), now)
-        if not request.joining:  # and the other way round
-            back = [encode(Sync(self.table.digest(), joining=True))]
-            self.outbox.reply(OutgoingDatagram(sender.address, sender.epoch, back), now)
+        if not request.joining:  # request the sender's members in turn
+            reverse_request = [encode(Sync(self.table.digest(), joining=True))]
+            self.outbox.reply(OutgoingDatagram(sender.address, sender.epoch, reverse_request), now)
 
-    def _lost_addresses(self) -> list[Address]:
-        """Return addresses of the dead without a successor, and of seeds that are not known as live."""
-        lost = [
+    def _unreachable_addresses(self) -> list[Address]:
+        """Return addresses of dead members without a live successor, and of seeds that are not live."""
+        unreachable = [
             member.address
             for member in self.table.members.values()
             if member.state is MemberState.DEAD and self.table.newest(member.name) is None
         ]
         live = {member.address for member in self.table.live.values()}
-        lost += [seed for seed in self.seeds if seed not in live and seed != self.table.local.address]
-        return lost
+        unreachable += [seed for seed in self.seeds if seed not in live and seed != self.table.local.address]
+        return unreachable
 
     def _pages(self, receiver: Member, limit: int) -> list[list[bytes]]:
-        """Return encoded rows of the live members by datagram, in random order, this member's first."""
-        rows = [encode(member.update()) for member in self.table.live.values() if member is not receiver]
-        self.rng.shuffle(rows)
+        """Return encoded updates by datagram: first this process, then the live members in random order."""
+        updates = [encode(member.update()) for member in self.table.live.values() if member is not receiver]
+        self.rng.shuffle(updates)
         local = encode(self.table.local)
         pages = [[local]]
         size = len(local)
-        for row in rows:
-            if size + len(row) > MAX_MESSAGE_BYTES:
+        for update in updates:
+            if size + len(update) > MAX_MESSAGE_BYTES:
                 if len(pages) == limit:
                     break
                 pages.append([])
                 size = 0
-            pages[-1].append(row)
-            size += len(row)
+            pages[-1].append(update)
+            size += len(update)
         return pages
--- a/onyxhollow/membership/config.py
+++ b/onyxhollow/membership/config.py
@@ -1,4 +1,4 @@
-"""Settings of the membership protocol, each with its trade-off."""
+"""Settings of the membership protocol and their trade-offs."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ProtocolConfig:
-    """Settings of SWIM and Lifeguard. Times are seconds unless said otherwise."""
+    """Settings of SWIM and Lifeguard. Times are in seconds unless noted otherwise."""
 
     period: float = 1.0
-    """From probe to probe. Shorter finds failures sooner and sends more datagrams."""
+    """Time between probes. A shorter period detects failures sooner but sends more datagrams."""
     timeout: float = 0.3
-    """For a direct answer, before indirect probes are sent. At least the round trip of a healthy link."""
+    """Wait for a direct answer before indirect probes are sent. At least a healthy link's round-trip time."""
     indirect_probes: int = 3
-    """Members that probe for this one. More are less often misled by one bad link and send more datagrams."""
+    """Relays per indirect probe. More relays tolerate more bad links but send more datagrams."""
     retransmit_multiplier: float = 3.0
-    """Times log10 of the fleet's size: how many members each change is sent to by each member."""
+    """Each member sends a change to this many members times log10 of the fleet's size."""
     suspicion_multiplier: float = 4.0
-    """Periods times log10 of the fleet's size: shortest time from suspect to dead."""
+    """Minimum time from suspect to dead, in periods times log10 of the fleet's size."""
     max_suspicion_multiplier: float = 3.0
-    """Times the shortest suspicion timeout while no other member shares the suspicion (Lifeguard)."""
+    """Factor on the minimum suspicion timeout if no other member confirms the suspicion (Lifeguard)."""
     max_health_score: int = 8
-    """Steps by which a member that is slow itself waits longer and probes less often (Lifeguard)."""
+    """Limit of the health score by which a slow process extends its timeouts and periods (Lifeguard)."""
     sync_interval: float = 10.0
-    """Between anti-entropy exchanges. They repair what dissemination has missed, and partitions."""
+    """Maximum time between anti-entropy exchanges, which repair missed updates and partitions."""
     dead_retention: float = 300.0
-    """The dead are remembered so long, and contacted: a partition that lasts longer heals by seeds alone."""
+    """Time for which dead members are kept and contacted. A longer partition heals through seeds only."""
--- a/onyxhollow/membership/datagram_authenticator.py
+++ b/onyxhollow/membership/datagram_authenticator.py
@@ -1,8 +1,8 @@
-"""Authentication of the fleet's datagrams: a keyed hash over each, and protection against replay.
+"""Authentication of the fleet's datagrams: a keyed hash and replay protection.
 
-The hash is HMAC-SHA256 (RFC 2104) cut to 16 bytes. Replay protection is a sliding window of sequence numbers
-as in IPsec (RFC 4303, 3.4.3): reordered datagrams pass, repeated ones do not. A datagram that fails is
-dropped and counted by its reason.
+The hash is HMAC-SHA256 (RFC 2104), truncated to 16 bytes. Replay protection uses a sliding window of sequence
+numbers as in IPsec (RFC 4303, section 3.4.3), which accepts reordered datagrams and rejects repeated ones.
+Rejected datagrams are dropped and counted by reason.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 )
 
 AUTHENTICATION_CODE_BYTES = 16
-REPLAY_WINDOW = 1024  # sequence numbers below the highest whose arrival is remembered
-MAX_SENDERS = 8192  # with a replay window; past them the one received from longest ago is forgotten
+REPLAY_WINDOW = 1024  # sequence numbers up to the highest one received; older ones are rejected
+MAX_SENDERS = 8192  # with a replay window; beyond this, the least recently active sender is evicted
 MIN_KEY_BYTES = 16
-MAX_KEYS = 2  # the new and the old one while a key is being replaced
+MAX_KEYS = 2  # the new and the old key during a key rotation
 
 SenderKey = tuple[str, int]  # name and epoch
 
 
 class KeyFileError(Exception):
-    """A key file cannot be used; the text names it, what was expected and what was found."""
+    """A key file cannot be used; the message names the file and what was expected."""
 
 
 class DropReason(Enum):
-    """Why a datagram was dropped. The values are names in `/control/fleet`."""
+    """Why a datagram was dropped. The values are counter names in `/control/fleet`."""
 
     SIZE = "size"
     AUTHENTICATION = "seal"
@@ -48,12 +48,12 @@
 
 
 def read_keys(path: str) -> list[bytes]:
-    """Read the fleet's keys: one a line in hex, empty lines and lines that begin with `#` left out.
+    """Read the fleet's keys, one per line in hexadecimal; skip empty lines and lines that start with `#`.
 
-    The first key signs, each of them verifies: a key is replaced by listing both for a while.
+    The first key signs, and all keys verify. To rotate a key, list the new and the old one for a while.
 
     Raises:
-        KeyFileError: The file cannot be read, is not hex, or holds no key, too many or too short ones.
+        KeyFileError: The file cannot be read, is not hexadecimal, or has no, too many or too short keys.
     """
     try:
         with open(path, encoding="ascii") as file:
@@ -62,7 +62,9 @@
     except OSError as error:
         raise KeyFileError(f"{path}: {error.strerror}") from None
     except ValueError:
-        raise KeyFileError(f"{path}: expected keys in hex, one a line, got something else") from None
+        raise KeyFileError(
+            f"{path}: expected one key per line in hexadecimal, got other characters"
+        ) from None
     if not 1 <= len(keys) <= MAX_KEYS or min(map(len, keys)) < MIN_KEY_BYTES:
         got = f"{len(keys)} of {', '.join(str(len(key)) for key in keys) or 'no'} bytes"
         raise KeyFileError(f"{path}: expected one or two keys of {MIN_KEY_BYTES} bytes or more, got {got}")
@@ -70,31 +72,31 @@
 
 
 class ReplayWindow:
-    """Which sequence numbers of one sender have arrived."""
+    """Sequence numbers received from one sender."""
 
-    __slots__ = ("arrived", "highest")
+    __slots__ = ("accepted_bits", "highest")
 
     def __init__(self) -> None:
         self.highest = 0
-        self.arrived = 0  # bit n: `highest - n` has arrived
+        self.accepted_bits = 0  # bit n: sequence number `highest - n`
 
     def accept(self, sequence: int) -> bool:
-        """Record a sequence number; return whether it is the first datagram with it."""
+        """Record a sequence number; return whether it is new and within the window."""
         if sequence > self.highest:
             shift = min(sequence - self.highest, REPLAY_WINDOW)
-            self.arrived = ((self.arrived << shift) | 1) & ((1 << REPLAY_WINDOW) - 1)
+            self.accepted_bits = ((self.accepted_bits << shift) | 1) & ((1 << REPLAY_WINDOW) - 1)
             self.highest = sequence
             return True
         distance = self.highest - sequence
         bit = 1 << distance
-        if distance >= REPLAY_WINDOW or self.arrived & bit:
+        if distance >= REPLAY_WINDOW or self.accepted_bits & bit:
             return False
-        self.arrived |= bit
+        self.accepted_bits |= bit
         return True
 
 
 class DatagramAuthenticator:
-    """Signs outgoing datagrams of one member and verifies incoming ones."""
+    """Signs the outgoing datagrams of this process and verifies incoming ones."""
 
     def __init__(self, fleet: str, name: str, epoch: int, keys: list[bytes]) -> None:
         self.fleet = fleet
@@ -106,26 +108,26 @@
         self.dropped: Counter[str] = Counter()  # by the value of a DropReason
 
     def sign(self, messages: list[bytes], receiver_epoch: int) -> bytes:
-        """Return the datagram that holds these messages, which are encoded already."""
+        """Return a signed datagram with these encoded messages."""
         self.sequence += 1
         raw = [msgspec.Raw(message) for message in messages]
         body = encode((self.fleet, self.name, self.epoch, self.sequence, receiver_epoch, raw))
-        return self._code(self.keys[0], body) + body
+        return self._authentication_code(self.keys[0], body) + body
 
     def verify(self, datagram: bytes) -> Packet | None:
-        """Return the packet of a genuine datagram; otherwise count the reason and return None."""
-        found = self._read(datagram)
-        if isinstance(found, DropReason):
-            self.dropped[found.value] += 1
+        """Return the packet of a valid datagram; otherwise count the reason and return None."""
+        result = self._decode(datagram)
+        if isinstance(result, DropReason):
+            self.dropped[result.value] += 1
             return None
-        return found
+        return result
 
-    def _read(self, datagram: bytes) -> Packet | DropReason:
+    def _decode(self, datagram: bytes) -> Packet | DropReason:
         if not AUTHENTICATION_CODE_BYTES < len(datagram) <= MAX_DATAGRAM_BYTES:
             return DropReason.SIZE
         code = datagram[:AUTHENTICATION_CODE_BYTES]
         body = datagram[AUTHENTICATION_CODE_BYTES:]
-        if not any(hmac.compare_digest(self._code(key, body), code) for key in self.keys):
+        if not any(hmac.compare_digest(self._authentication_code(key, body), code) for key in self.keys):
             return DropReason.AUTHENTICATION
         try:
             packet = PACKET_DECODER.decode(body)
@@ -141,7 +143,7 @@
         if (packet.name, packet.epoch) == (self.name, self.epoch):
             return DropReason.OWN
         if packet.receiver_epoch not in (0, self.epoch):
-            return DropReason.OTHER_RECEIVER  # the process before this one: nothing of it may count here
+            return DropReason.OTHER_RECEIVER  # meant for an earlier process of this name
         if not self._is_first(packet):
             return DropReason.REPLAYED
         return None
@@ -156,5 +158,5 @@
         return first
 
     @staticmethod
-    def _code(key: bytes, body: bytes) -> bytes:
+    def _authentication_code(key: bytes, body: bytes) -> bytes:
         return hmac.digest(key, body, hashlib.sha256)[:AUTHENTICATION_CODE_BYTES]
--- a/onyxhollow/membership/local_health.py
+++ b/onyxhollow/membership/local_health.py
@@ -1,13 +1,13 @@
-"""Local health after Lifeguard (Dadgar, Phillips, Currey, 2018).
+"""Local health score of Lifeguard (Dadgar, Phillips, Currey, 2018).
 
-A member that is slow itself waits longer for others before it suspects them.
+A process that is slow itself uses longer timeouts before it suspects other members.
 """
 
 from __future__ import annotations
 
 
 class LocalHealth:
-    """A score from 0, healthy, to a maximum; timeouts and periods are multiplied by one more than it."""
+    """Score from 0 (healthy) to `max_score`. Timeouts and probe periods are multiplied by score + 1."""
 
     def __init__(self, max_score: int) -> None:
         self.max_score = max_score
@@ -15,13 +15,13 @@
 
     @property
     def multiplier(self) -> int:
-        """Factor of timeouts and probe periods."""
+        """Factor for timeouts and probe periods."""
         return self.score + 1
 
     def degrade(self) -> None:
-        """Record a sign that this member is slow, or that its messages do not arrive."""
+        """Record a sign that this process is slow or that its messages are lost."""
         self.score = min(self.max_score, self.score + 1)
 
     def recover(self) -> None:
-        """Record a probe that was answered in time."""
+        """Record that a probe of this process was answered in time."""
         self.score = max(0, self.score - 1)
--- a/onyxhollow/membership/member_table.py
+++ b/onyxhollow/membership/member_table.py
@@ -1,7 +1,7 @@
-"""The member table: each known process, its state, and the transitions between states.
+"""The member table: known processes, their states, and the transitions between states.
 
-A member is one process: its name and its epoch. Two processes of one name, as at a replacement, are two
-members.
+A member is one process, identified by its name and epoch. Two processes with the same name, such as a
+predecessor and its replacement, are two members.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from onyxhollow.membership.messages import Address, MemberState, MemberUpdate, encode
 
 MemberKey = tuple[str, int]  # name and epoch
-MAX_MEMBERS = 4096  # the dead included; a further one is refused unless a dead one can be forgotten
+MAX_MEMBERS = 4096  # when full, a new member replaces the oldest dead or left one, else is refused
 
 ALLOWED_TRANSITIONS: Mapping[MemberState, frozenset[MemberState]] = {
-    # ALIVE to ALIVE and SUSPECT to SUSPECT take a higher incarnation.
+    # ALIVE to ALIVE and SUSPECT to SUSPECT require a higher incarnation.
     MemberState.ALIVE: frozenset(MemberState),
     MemberState.SUSPECT: frozenset(MemberState),
-    MemberState.DEAD: frozenset({MemberState.ALIVE}),  # it has refuted with a higher incarnation
-    MemberState.LEFT: frozenset(),  # the process has ended: its epoch does not come back
+    MemberState.DEAD: frozenset({MemberState.ALIVE}),  # refuted with a higher incarnation
+    MemberState.LEFT: frozenset(),  # final: a restarted process has a new epoch
 }
 
 
 class InvalidTransitionError(Exception):
-    """A member was to take a state that its present state does not lead to: a fault of the caller."""
+    """The caller requested a transition that `ALLOWED_TRANSITIONS` does not contain."""
 
 
 @dataclass(slots=True)
 class Member:
-    """One known process and its state as this member sees it."""
+    """One known process and its state as this process sees it."""
 
     name: str
     epoch: int
@@ -42,9 +42,9 @@
     address: Address
     zone: str
     flags: int
-    state_since: float  # when it took its state, seconds
-    deadline: float = math.inf  # when a suspect is declared dead, seconds
-    suspected_by: set[str] = field(default_factory=set)
+    state_since: float  # time of the last state change, seconds
+    deadline: float = math.inf  # time at which a suspect is declared dead, seconds
+    suspected_by: set[str] = field(default_factory=set)  # names of members
 
     @property
     def key(self) -> MemberKey:
@@ -53,16 +53,16 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether it counts as a member: alive or suspected."""
+        """Whether the member is alive or suspect."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     def can_become(self, state: MemberState) -> bool:
-        """Whether the table of transitions has a row for this state."""
+        """Return whether `ALLOWED_TRANSITIONS` contains this transition."""
         return state in ALLOWED_TRANSITIONS[self.state]
 
     def update(self) -> MemberUpdate:
-        """Return the message that describes this member."""
-        suspected = self.state is MemberState.SUSPECT
+        """Return the update message for this member."""
+        is_suspect = self.state is MemberState.SUSPECT
         return MemberUpdate(
             self.name,
             self.epoch,
@@ -71,32 +71,32 @@
             self.address,
             self.zone,
             self.flags,
-            min(self.suspected_by, default="") if suspected else "",
+            min(self.suspected_by, default="") if is_suspect else "",
         )
 
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A member that is new or has taken another state."""
+    """A member that is new or has changed its state."""
 
     member: Member
-    before: MemberState | None  # None: new here
+    previous_state: MemberState | None  # None: the member is new
     cause: str = ""
 
 
 class MemberTable:
-    """The other members, and this member's own state."""
+    """The other members and the state of this process."""
 
     def __init__(self, local: MemberUpdate) -> None:
         self.local = local
         self.members: dict[MemberKey, Member] = {}
-        # Parts of `members`, stored beside it: with hundreds of members a scan of all for each datagram takes
-        # more time than everything else together.
+        # Indexes of `members`: with hundreds of members, a full scan for each datagram took more time than
+        # all other work.
         self.live: dict[MemberKey, Member] = {}
         self.suspects: dict[MemberKey, Member] = {}
         self.changes: list[MemberChange] = []
         self.flap_damping = FlapDamping()
-        self.joined = False  # another member was known at a sync
+        self.joined = False  # whether another member was live at some anti-entropy exchange
 
     @property
     def local_key(self) -> MemberKey:
@@ -105,23 +105,23 @@
 
     @property
     def live_count(self) -> int:
-        """Number of live members, this one included."""
+        """Number of live members, including this process."""
         return 1 + len(self.live)
 
     def newest(self, name: str) -> Member | None:
-        """Return the live process of a name; of two the later one."""
-        found = [member for member in self.live.values() if member.name == name]
-        return max(found, key=lambda member: member.epoch, default=None)
+        """Return the live process with this name and the highest epoch, or None."""
+        processes = [member for member in self.live.values() if member.name == name]
+        return max(processes, key=lambda member: member.epoch, default=None)
 
     def older_processes(self, newer: Member) -> list[Member]:
-        """Return the live processes of the same name with an earlier epoch."""
+        """Return the live processes with the same name and a lower epoch."""
         return [
             older for older in self.live.values() if older.name == newer.name and older.epoch < newer.epoch
         ]
 
     def add(self, update: MemberUpdate, now: float) -> Member | None:
-        """Insert a member as alive; return None if the table is full of live members."""
-        if len(self.members) >= MAX_MEMBERS and not self._forget_oldest_gone():
+        """Add a member in the state ALIVE; return None if the table is full of live members."""
+        if len(self.members) >= MAX_MEMBERS and not self._evict_oldest_ended():
             return None
         member = Member(
             update.name,
@@ -140,61 +140,61 @@
     def transition(
         self, member: Member, state: MemberState, incarnation: int, now: float, cause: str = ""
     ) -> None:
-        """Give a member a state and an incarnation, and record the change if the state is another one.
+        """Set a member's state and incarnation, and record a change if the state differs.
 
         Raises:
-            InvalidTransitionError: `ALLOWED_TRANSITIONS` does not lead to this state.
+            InvalidTransitionError: `ALLOWED_TRANSITIONS` does not contain this transition.
         """
         if not member.can_become(state):
             raise InvalidTransitionError(
                 f"member {member.name}~{member.epoch}: expected one of the states that follow "
                 f"{member.state.name}, got {state.name}"
             )
-        before = member.state
+        previous_state = member.state
         member.incarnation = incarnation
-        if state is not before:
+        if state is not previous_state:
             member.state = state
             member.state_since = now
-            self._index(member)
+            self._update_indexes(member)
             if state is MemberState.DEAD:
                 self.flap_damping.record_failure(member.name, now)
-            self.changes.append(MemberChange(member, before, cause))
+            self.changes.append(MemberChange(member, previous_state, cause))
         if state is not MemberState.SUSPECT:
             member.deadline = math.inf
             member.suspected_by = set()
 
-    def forget_gone(self, now: float, retention: float) -> None:
-        """Remove members that have been dead or gone for longer than `retention` seconds."""
+    def remove_expired(self, now: float, retention: float) -> None:
+        """Remove members that have been dead or left for longer than `retention` seconds."""
         for key, member in list(self.members.items()):
             if not member.is_live and now - member.state_since > retention:
                 del self.members[key]
 
     def digest(self) -> int:
-        """Return a digest of the live members, this one included, whatever their order."""
-        rows = [(member.name, member.epoch, member.incarnation) for member in self.live.values()]
-        rows.append((self.local.name, self.local.epoch, self.local.incarnation))
-        return _xor_of_hashes(rows)
+        """Return a digest of the live members and this process that does not depend on their order."""
+        entries = [(member.name, member.epoch, member.incarnation) for member in self.live.values()]
+        entries.append((self.local.name, self.local.epoch, self.local.incarnation))
+        return _xor_of_hashes(entries)
 
-    def _index(self, member: Member) -> None:
-        for part, belongs in (
+    def _update_indexes(self, member: Member) -> None:
+        for index, is_included in (
             (self.live, member.is_live),
             (self.suspects, member.state is MemberState.SUSPECT),
         ):
-            if belongs:
-                part[member.key] = member
+            if is_included:
+                index[member.key] = member
             else:
-                part.pop(member.key, None)
+                index.pop(member.key, None)
 
-    def _forget_oldest_gone(self) -> bool:
-        gone = [member for member in self.members.values() if not member.is_live]
-        if not gone:
+    def _evict_oldest_ended(self) -> bool:
+        ended = [member for member in self.members.values() if not member.is_live]
+        if not ended:
             return False
-        del self.members[min(gone, key=lambda member: member.state_since).key]
+        del self.members[min(ended, key=lambda member: member.state_since).key]
         return True
 
 
-def _xor_of_hashes(rows: Iterable[tuple[str, int, int]]) -> int:
+def _xor_of_hashes(entries: Iterable[tuple[str, int, int]]) -> int:
     digest = 0
-    for row in rows:
-        digest ^= xxhash.xxh3_64_intdigest(encode(row))
+    for entry in entries:
+        digest ^= xxhash.xxh3_64_intdigest(encode(entry))
     return digest
--- a/onyxhollow/membership/messages.py
+++ b/onyxhollow/membership/messages.py
@@ -1,9 +1,9 @@
-"""Messages of the membership protocol, their encoding and their bounds.
+"""Messages of the membership protocol, their encoding and size limits.
 
-One datagram is an authentication code of 16 bytes (datagram_authenticator.py) and one `Packet` in
-MessagePack, encoded by msgspec. Structs are encoded as arrays: the order of their fields is the format, their
-names cost no bytes. Names of the messages are those of SWIM (Das, Gupta, Motivala, 2002) where the paper has
-one.
+A datagram consists of a 16-byte authentication code (datagram_authenticator.py) and one `Packet` in
+MessagePack, encoded by msgspec. Structs are encoded as arrays, so the order of the fields defines the format
+and field names are not sent. Messages are named as in SWIM (Das, Gupta, Motivala, 2002) where the paper
+names them.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import msgspec
 
-MAX_DATAGRAM_BYTES = 1200  # fits any path's MTU without fragments
+MAX_DATAGRAM_BYTES = 1200  # below the MTU of any path, so never fragmented
 MAX_NAME_CHARACTERS = 64  # of a member's name or zone
 
 Address = tuple[str, int]  # host and UDP port
@@ -28,11 +28,11 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    """Base of all messages within a packet."""
+    """Base of all messages in a packet."""
 
 
 class Ping(Message, frozen=True, tag=1):
-    """A direct probe: the receiver answers with an `Ack` of the same nonce."""
+    """A direct probe. The receiver answers with an `Ack` that has the same nonce."""
 
     nonce: int
 
@@ -44,7 +44,7 @@
 
 
 class PingRequest(Message, frozen=True, tag=3):
-    """An indirect probe (ping-req): the receiver pings the named member for the sender."""
+    """An indirect probe (ping-req). The receiver pings the named member on behalf of the sender."""
 
     nonce: int
     name: str
@@ -55,14 +55,14 @@
 class Nack(Message, frozen=True, tag=4):
     """The answer to a `PingRequest` whose target did not answer in time (Lifeguard).
 
-    It shows the requester that its own link to the relay works.
+    It shows the requester that the link between it and the relay works.
     """
 
     nonce: int
 
 
 class MemberUpdate(Message, frozen=True, tag=5):
-    """State of one member. A member is one process: a name and an epoch, which is new at each start."""
+    """State of one member. A member is one process: its name and the epoch of its start."""
 
     name: str
     epoch: int
@@ -71,18 +71,18 @@
     address: Address
     zone: str
     flags: int
-    suspected_by: str = ""  # name of the member whose suspicion this is
+    suspected_by: str = ""  # name of a member that suspects it
 
 
 class Sync(Message, frozen=True, tag=6):
-    """An anti-entropy request: the receiver answers with its members if its digest differs."""
+    """An anti-entropy request. The receiver answers with its members if its digest differs."""
 
-    digest: int  # over all live members the sender knows
-    joining: bool = False  # the sender wants all members and no comparison in the other direction
+    digest: int  # of the live members known to the sender
+    joining: bool = False  # longer answer, and the receiver sends no `Sync` back
 
 
 class Broadcast(Message, frozen=True, tag=7):
-    """An event for all members, disseminated with the member updates and delivered once to each."""
+    """An event disseminated with the member updates and delivered once to each member."""
 
     name: str
     epoch: int
@@ -92,7 +92,7 @@
 
 
 class Payload(Message, frozen=True, tag=8):
-    """A message from one member to another for a service above membership."""
+    """A message to one member for a service that uses membership."""
 
     kind: int
     body: bytes
@@ -107,8 +107,8 @@
     fleet: str
     name: str
     epoch: int
-    sequence: int  # increases with each datagram of this sender
-    receiver_epoch: int  # the receiver's epoch as far as the sender knows it; 0: unknown
+    sequence: int  # increases with each datagram of the sender
+    receiver_epoch: int  # 0: not known to the sender
     messages: list[Messages]
 
 
--- a/onyxhollow/membership/swim.py
+++ b/onyxhollow/membership/swim.py
@@ -1,13 +1,12 @@
 """SWIM membership (Das, Gupta, Motivala, 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey, 2018).
 
-A pure core: it is given the time and the packets received, draws from the generator it was given, and leaves
-datagrams to send, changes of members and messages for other services in lists that its shell takes. Times are
-seconds on one clock.
-
-Its parts, each in a file of its own: the failure detector (probes and indirect probes), the rules by which
-reported states change the member table (incarnations, suspicion and refutation), the dissemination queue
-(changes that piggyback on datagrams), anti-entropy (comparison of all that is known), flap damping and link
-statistics. This file puts them together, and is all that other packages call.
+The protocol does no I/O. The caller passes in the current time, received packets and a random generator. It
+collects datagrams to send, member changes and messages for other services with the `take_*` methods. Times
+are seconds on one clock.
+
+The parts are in separate modules: failure detector (direct and indirect probes), state rules (incarnations,
+suspicion and refutation), dissemination queue (piggybacked changes), anti-entropy (exchange of full state),
+flap damping and link statistics. `SwimMembership` combines them and is the interface for other packages.
 """
 
 from __future__ import annotations
@@ -46,14 +45,14 @@
 from onyxhollow.membership.outbox import Outbox, OutgoingDatagram
 from onyxhollow.membership.state_rules import StateRules, Timer
 
-MAX_SEEN_BROADCASTS = 4096  # remembered so that each is delivered once; past them the oldest are forgotten
-LEAVE_FANOUT = 2  # times the indirect probes: members that a leaving one notifies
-STALL_SHARE = 0.5  # of a period by which a tick is late if this process has stalled
-PRUNE_SHARE = 0.25  # of the retention of the dead, between searches for those to forget
+MAX_SEEN_BROADCASTS = 4096  # keys stored to deliver each broadcast once; the oldest are evicted
+LEAVE_FANOUT_FACTOR = 2  # a leaving member notifies this many times `indirect_probes` members
+STALL_THRESHOLD_PERIODS = 0.5  # a tick delayed for longer counts as a stall of this process
+PRUNE_INTERVAL_SHARE = 0.25  # of `dead_retention`, between removals of expired members
 
 Item = TypeVar("Item")
 
-# Counters, by their names in /control/fleet.
+# Counter names in /control/fleet.
 STALLS = "stalls"
 PAYLOADS_TO_UNKNOWN_EPOCH = "carried to an unknown epoch"
 
@@ -78,7 +77,7 @@
         self._outbox = Outbox(self.table, self.dissemination_queue, self.counters, now)
         self.timer = Timer(now)
         self.failure_detector = FailureDetector(
-            config, rng, self.table, self._outbox, self.local_health, self._suspect_unanswered
+            config, rng, self.table, self._outbox, self.local_health, self._suspect_unresponsive
         )
         self.state_rules = StateRules(
             config, self.table, self._outbox, self.failure_detector, self.timer, self.counters
@@ -89,40 +88,40 @@
         self.received_payloads: list[tuple[Member, Payload]] = []
         self.seen_broadcasts: OrderedDict[BroadcastKey, None] = OrderedDict()
         self.broadcast_sequence = 0
-        self.next_prune_at = now + config.dead_retention * PRUNE_SHARE
+        self.next_prune_at = now + config.dead_retention * PRUNE_INTERVAL_SHARE
         self.has_left = False
-        self.stalled_seconds = 0.0  # for which this process has stood still, in sum
+        self.stalled_seconds = 0.0  # total duration of this process's stalls
         self.last_stall_at: float | None = None
 
-    # The view of the fleet.
+    # State of the fleet.
 
     @property
     def next_due(self) -> float:
-        """When `tick` is to be called next, seconds."""
-        return self.timer.due
+        """Time of the next call to `tick`, seconds."""
+        return self.timer.due_at
 
     @next_due.setter
     def next_due(self, due: float) -> None:
-        self.timer.due = due
+        self.timer.due_at = due
 
     @property
     def local(self) -> MemberUpdate:
-        """This member's own state, as others are sent it."""
+        """State of this process as sent to other members."""
         return self.table.local
 
     @property
     def members(self) -> dict[MemberKey, Member]:
-        """All other members that are known, the dead included."""
+        """All other known members, including dead ones."""
         return self.table.members
 
     @property
     def links(self) -> dict[MemberKey, Link]:
-        """What was measured on the links to other members."""
+        """Measurements of the links to other members."""
         return self.failure_detector.link_statistics.links
 
     @property
     def flap_damping(self) -> FlapDamping:
-        """Penalties of members that come and go."""
+        """Penalties of members that fail repeatedly."""
         return self.table.flap_damping
 
     @property
@@ -132,60 +131,61 @@
 
     @property
     def changes(self) -> list[MemberChange]:
-        """Changes of members not taken yet."""
+        """Member changes not yet returned by `take_changes`."""
         return self.table.changes
 
     def live_members(self) -> Iterator[Member]:
-        """Iterate over the other members that are alive or suspected."""
+        """Iterate over the other members that are alive or suspect."""
         return iter(self.table.live.values())
 
     def newest(self, name: str) -> Member | None:
-        """Return the live process of a name; of two the later one."""
+        """Return the live process with this name and the highest epoch, or None."""
         return self.table.newest(name)
 
     def live_count(self) -> int:
-        """Return the number of live members, this one included."""
+        """Return the number of live members, including this process."""
         return self.table.live_count
 
-    # What the shell takes.
+    # Results for the caller.
 
     def take_outbox(self) -> list[OutgoingDatagram]:
-        """Return the datagrams to send, and forget them."""
-        return _take(self._outbox.datagrams)
+        """Return and clear the datagrams to send."""
+        return _drain(self._outbox.datagrams)
 
     def take_changes(self) -> list[MemberChange]:
-        """Return the changes of members since the last call."""
-        return _take(self.table.changes)
+        """Return and clear the member changes."""
+        return _drain(self.table.changes)
 
     def take_payloads(self) -> list[tuple[Member, Payload]]:
-        """Return messages received for other services, with their senders."""
-        return _take(self.received_payloads)
+        """Return and clear the received messages for other services, with their senders."""
+        return _drain(self.received_payloads)
 
     def take_broadcasts(self) -> list[Broadcast]:
-        """Return broadcasts received for other services."""
-        return _take(self.received_broadcasts)
+        """Return and clear the received broadcasts for other services."""
+        return _drain(self.received_broadcasts)
 
-    # Calls of the shell.
+    # Input from the caller.
 
     def compensate_for_stall(self, now: float) -> None:
-        """Make up for a tick that comes late: this process stood still, the others were not silent.
+        """Extend suspicion deadlines and discard probes after a stall of this process.
 
-        Called before anything else that the time or a packet leads to.
+        A late tick shows that this process did not run, so missing answers are no evidence against other
+        members. Must run before anything else acts on the new time or on a packet.
         """
-        late = now - self.next_due
-        if late <= self.config.period * STALL_SHARE:
+        delay = now - self.next_due
+        if delay <= self.config.period * STALL_THRESHOLD_PERIODS:
             return
-        self.stalled_seconds += late
+        self.stalled_seconds += delay
         self.last_stall_at = now
         self.counters[STALLS] += 1
         self.local_health.degrade()
         for member in self.table.suspects.values():
-            member.deadline += late
+            member.deadline += delay
         self.failure_detector.void_probes()
         self.next_due = now
 
     def tick(self, now: float) -> None:
-        """Do what is due, and set `next_due`."""
+        """Run all actions that are due, then set `next_due`."""
         self.compensate_for_stall(now)
         if self.has_left:
             self.next_due = math.inf
@@ -201,32 +201,34 @@
         self.next_due = self.next_event_at()
 
     def next_event_at(self) -> float:
-        """Return when something is due next."""
+        """Return the time of the next action, seconds."""
         times = [self.anti_entropy.next_sync_at, self.next_prune_at]
         times += self.failure_detector.due_times()
         times += [member.deadline for member in self.table.suspects.values()]
         return min(times)
 
     def set_flags(self, flags: int) -> None:
-        """Publish other flags of this member."""
+        """Publish new flags of this process."""
         if flags != self.local.flags:
             self.state_rules.renew_local(self.local.incarnation + 1, flags)
 
     def leave(self) -> None:
-        """Notify a few members that this process ends; they pass it on."""
+        """Notify a few members that this process is leaving; they disseminate it."""
         self.has_left = True
         self.next_due = math.inf
         update = encode(replace(self.local, state=MemberState.LEFT))
-        others = list(self.live_members())
-        for member in self.rng.sample(others, min(len(others), LEAVE_FANOUT * self.config.indirect_probes)):
+        live = list(self.live_members())
+        for member in self.rng.sample(
+            live, min(len(live), LEAVE_FANOUT_FACTOR * self.config.indirect_probes)
+        ):
             self._outbox.send_plain(member.address, member.epoch, [update])
 
     def send_payload(self, member: Member, kind: int, body: bytes) -> None:
-        """Send a message of another service to one member: unreliable, at most once."""
+        """Send a message of another service to one member, at most once and without retransmission."""
         self._outbox.send(member, Payload(kind, body))
 
     def broadcast(self, kind: int, body: bytes) -> None:
-        """Disseminate a message of another service; it arrives within some periods, once at each member."""
+        """Disseminate a message of another service, delivered once to each member within a few periods."""
         self.broadcast_sequence += 1
         message = Broadcast(self.local.name, self.local.epoch, self.broadcast_sequence, kind, body)
         key = message.name, message.epoch, message.sequence
@@ -236,7 +238,10 @@
     # Receiving.
 
     def on_message(self, now: float, packet: Packet, source: Address) -> None:
-        """Take an authenticated packet. The updates in it go first: they may introduce its sender."""
+        """Process an authenticated packet.
+
+        Its member updates are applied first because they may add the sender to the member table.
+        """
         self.compensate_for_stall(now)
         if self.has_left:
             return
@@ -249,25 +254,25 @@
             self._outbox.reply(OutgoingDatagram(source, packet.epoch, request), now)
             return
         if not sender.is_live:
-            if sender.state is MemberState.DEAD:  # informed of it, it refutes that
-                row = [encode(sender.update())]
-                self._outbox.reply(OutgoingDatagram(source, packet.epoch, row), now)
+            if sender.state is MemberState.DEAD:  # send its state back so that it can refute it
+                update = [encode(sender.update())]
+                self._outbox.reply(OutgoingDatagram(source, packet.epoch, update), now)
             return
-        self.failure_detector.link_statistics.received(sender.key, now)
+        self.failure_detector.link_statistics.record_datagram(sender.key, now)
         for message in packet.messages:
-            self._on_message_of(sender, message, now, packet.receiver_epoch)
+            self._dispatch(sender, message, now, packet.receiver_epoch)
 
-    def _on_message_of(self, sender: Member, message: Message, now: float, receiver_epoch: int) -> None:
+    def _dispatch(self, sender: Member, message: Message, now: float, receiver_epoch: int) -> None:
         match message:
             case Ping():
-                answer = self._outbox.piggybacked(sender, [Ack(message.nonce)])
-                self._outbox.reply(answer, now)
+                reply = self._outbox.build_datagram(sender, [Ack(message.nonce)])
+                self._outbox.reply(reply, now)
             case Ack():
                 self.failure_detector.on_ack(message, sender, now)
             case PingRequest():
-                overdue_at = self.failure_detector.on_ping_request(message, sender, now)
-                if overdue_at is not None:
-                    self.timer.due_by(overdue_at)
+                expires_at = self.failure_detector.on_ping_request(message, sender, now)
+                if expires_at is not None:
+                    self.timer.schedule_by(expires_at)
             case Nack():
                 self.failure_detector.on_nack(message)
             case Sync():
@@ -277,7 +282,7 @@
             case Payload():
                 if receiver_epoch == self.local.epoch:
                     self.received_payloads.append((sender, message))
-                else:  # it may be a replay from an earlier process of this name
+                else:  # possibly a datagram replayed from the time of an earlier process of this name
                     self.counters[PAYLOADS_TO_UNKNOWN_EPOCH] += 1
 
     def _on_broadcast(self, message: Broadcast) -> None:
@@ -290,16 +295,16 @@
         self.received_broadcasts.append(message)
         self.dissemination_queue.enqueue(key, message)
 
-    def _suspect_unanswered(self, member: Member, now: float) -> None:
+    def _suspect_unresponsive(self, member: Member, now: float) -> None:
         self.state_rules.suspect(member, member.incarnation, self.local.name, now)
 
     def _prune(self, now: float) -> None:
-        self.next_prune_at = now + self.config.dead_retention * PRUNE_SHARE
-        self.table.forget_gone(now, self.config.dead_retention)
+        self.next_prune_at = now + self.config.dead_retention * PRUNE_INTERVAL_SHARE
+        self.table.remove_expired(now, self.config.dead_retention)
         self.failure_detector.link_statistics.prune(self.members)
 
 
-def _take(items: list[Item]) -> list[Item]:
+def _drain(items: list[Item]) -> list[Item]:
     taken = items.copy()
     items.clear()
     return taken
