--- a/onyxhollow/gossip/__init__.py
+++ b/onyxhollow/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip of load reports, connection counts and failures between the members of a fleet: a pure core."""
+"""Gossip of loads, connection counts and failures between fleet members, without I/O."""
--- a/onyxhollow/gossip/auditor.py
+++ b/onyxhollow/gossip/auditor.py
@@ -1,7 +1,7 @@
-"""Audits: now and then a member polls an endpoint that it does not own, and compares the owner's report.
+"""Audits: members occasionally poll endpoints that they do not own and compare the owners' reports.
 
-An owner whose report is far off twice in a row is quarantined for that endpoint for a while. Once is not
-enough: loads do jump between a report and a poll.
+An owner whose report differs too much twice in a row is quarantined for that endpoint for a while. A single
+difference is not enough because the load may change between a report and a poll.
 """
 
 from __future__ import annotations
@@ -11,19 +11,25 @@
 from random import Random
 
 from onyxhollow.gossip.config import GossipConfig
-from onyxhollow.gossip.evidence_table import MAX_REPORT_AGE, STALE_LOAD_POLLS, EvidenceTable, OwnedBy
+from onyxhollow.gossip.evidence_table import (
+    MAX_REPORT_AGE_SECONDS,
+    STALE_LOAD_AFTER_POLL_INTERVALS,
+    EndpointOwner,
+    EvidenceTable,
+)
 from onyxhollow.gossip.messages import LOAD_UNITS
 from onyxhollow.gossip.ownership import MAX_ENDPOINTS, Ownership
 
-TOLERANCE = 0.25  # load, ...
-TOLERANCE_SHARE = 0.3  # ... and share of the higher one, by which report and poll may differ
-MIN_POLL_SHARE = 0.5  # of the poll interval between two audits of one endpoint
+# A reported and a polled load may differ by this load plus this share of the higher one.
+LOAD_TOLERANCE = 0.25
+LOAD_TOLERANCE_SHARE = 0.3
+MIN_AUDIT_POLL_INTERVALS = 0.5  # between two audits of one endpoint
 
-REPORTS_FAR_OFF = "rows far off what was seen"  # counter of /control/fleet
+REPORTS_FAR_OFF = "rows far off what was seen"  # counter name in /control/fleet
 
 
 class Auditor:
-    """Chooses endpoints to audit and judges what the polls return."""
+    """Selects endpoints to audit and compares polled with reported loads."""
 
     def __init__(
         self,
@@ -32,48 +38,53 @@
         ownership: Ownership,
         table: EvidenceTable,
         counters: Counter[str],
-        audit_at: float,
+        next_audit_at: float,
     ) -> None:
         self.config = config
         self.rng = rng
         self.ownership = ownership
         self.table = table
         self.counters = counters
-        self.audit_at = audit_at
-        self.started: dict[str, float] = {}  # audits under way: endpoint, since when
-        self.recheck_at: dict[OwnedBy, float] = {}  # far off once: when to poll again
+        self.next_audit_at = next_audit_at
+        self.started_at: dict[str, float] = {}  # audits in progress, by endpoint
+        self.recheck_at: dict[EndpointOwner, float] = {}  # time of the second audit after a difference
 
     def tick(self, now: float) -> list[str]:
-        """Return the endpoints to poll now."""
-        chosen = []
-        if now >= self.audit_at:
-            chosen += self._random_audit(now)
+        """Start the audits that are due; return the endpoints to poll."""
+        polls = []
+        if now >= self.next_audit_at:
+            polls += self._start_random_audit(now)
         for endpoint, _ in [owner for owner, at in self.recheck_at.items() if at <= now]:
-            chosen += self.begin(endpoint, now)
-        return chosen
+            polls += self.start_audit(endpoint, now)
+        return polls
 
-    def begin(self, endpoint: str, now: float) -> list[str]:
-        """Begin an audit of an endpoint; return it if it is to be polled, nothing if it was just now."""
-        if now - self.started.get(endpoint, -math.inf) < self.config.poll_interval * MIN_POLL_SHARE:
+    def start_audit(self, endpoint: str, now: float) -> list[str]:
+        """Start an audit of an endpoint and return it, or return nothing if an audit has just started."""
+        if (
+            now - self.started_at.get(endpoint, -math.inf)
+            < self.config.poll_interval * MIN_AUDIT_POLL_INTERVALS
+        ):
             return []
-        self.started[endpoint] = now
+        self.started_at[endpoint] = now
         return [endpoint]
 
-    def on_poll_result(self, endpoint: str, load: float | None, now: float) -> None:
-        """Compare the load of an endpoint under audit with its owner's report; None: no answer."""
-        since = self.started.pop(endpoint, None)
-        if since is not None and load is not None:
-            self._compare(endpoint, load, now)
+    def on_poll_result(self, endpoint: str, polled_load: float | None, now: float) -> None:
+        """Compare the load from a poll with the owner's report; None if the poll failed."""
+        started_at = self.started_at.pop(endpoint, None)
+        if started_at is not None and polled_load is not None:
+            self._compare(endpoint, polled_load, now)
 
-    def _compare(self, endpoint: str, load: float, now: float) -> None:
-        known = self.table.evidence.get(endpoint)
-        if known is None or known.report.load < 0:
+    def _compare(self, endpoint: str, polled_load: float, now: float) -> None:
+        evidence = self.table.evidence.get(endpoint)
+        if evidence is None or evidence.report.load < 0:
             return
-        if now - known.load_at > STALE_LOAD_POLLS * self.config.poll_interval:
+        if now - evidence.load_reported_at > STALE_LOAD_AFTER_POLL_INTERVALS * self.config.poll_interval:
             return
-        reported = known.report.load / LOAD_UNITS
-        owner = endpoint, known.report.owner
-        if abs(reported - load) <= TOLERANCE + TOLERANCE_SHARE * max(reported, load):
+        reported_load = evidence.report.load / LOAD_UNITS
+        owner = endpoint, evidence.report.owner
+        if abs(reported_load - polled_load) <= LOAD_TOLERANCE + LOAD_TOLERANCE_SHARE * max(
+            reported_load, polled_load
+        ):
             self.recheck_at.pop(owner, None)
         elif owner not in self.recheck_at and len(self.recheck_at) < MAX_ENDPOINTS:
             self.recheck_at[owner] = now + self.config.poll_interval
@@ -82,12 +93,16 @@
             self.recheck_at.pop(owner, None)
             self.table.quarantine(owner, now)
 
-    def _random_audit(self, now: float) -> list[str]:
-        members = 1 + len(self.ownership.members)
-        span = self.config.audit_interval * members / max(1, len(self.ownership.endpoints))
-        self.audit_at = now + span * self.rng.uniform(0.5, 1.5)
+    def _start_random_audit(self, now: float) -> list[str]:
+        member_count = 1 + len(self.ownership.members)
+        mean_interval = self.config.audit_interval * member_count / max(1, len(self.ownership.endpoints))
+        self.next_audit_at = now + mean_interval * self.rng.uniform(0.5, 1.5)
         self.table.expire_quarantine(now)
-        self.started = {name: at for name, at in self.started.items() if now - at < MAX_REPORT_AGE}
-        self.recheck_at = {owner: at for owner, at in self.recheck_at.items() if now - at < MAX_REPORT_AGE}
-        others = [endpoint for endpoint in self.table.evidence if endpoint not in self.ownership.owned]
-        return self.begin(self.rng.choice(others), now) if others else []
+        self.started_at = {
+            name: at for name, at in self.started_at.items() if now - at < MAX_REPORT_AGE_SECONDS
+        }
+        self.recheck_at = {
+            owner: at for owner, at in self.recheck_at.items() if now - at < MAX_REPORT_AGE_SECONDS
+        }
+        candidates = [endpoint for endpoint in self.table.evidence if endpoint not in self.ownership.owned]
+        return self.start_audit(self.rng.choice(candidates), now) if candidates else []
--- a/onyxhollow/gossip/config.py
+++ b/onyxhollow/gossip/config.py
@@ -7,17 +7,17 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipConfig:
-    """Settings of load gossip, with their trade-offs. Times are seconds."""
+    """Settings of load gossip and their trade-offs. Times are in seconds."""
 
     push_interval: float = 0.25
-    """From one push of reports to the next. Shorter spreads them sooner and sends more datagrams."""
+    """Time between pushes of reports. A shorter interval spreads them sooner but sends more datagrams."""
     fanout: int = 2
-    """Members that each push goes to."""
+    """Number of members that each push is sent to."""
     poll_interval: float = 6.0
-    """From poll to poll of an owned endpoint. Shorter knows loads better and costs endpoints more."""
+    """Time between polls of an owned endpoint. Shorter gives newer loads but costs endpoints more work."""
     report_interval: float = 1.0
-    """From report to report on an owned endpoint."""
+    """Time between reports on an owned endpoint."""
     count_refresh_interval: float = 5.0
-    """After which counts are sent again that have not changed: lost ones are missing so long at the most."""
+    """Time after which unchanged counts are sent again, which limits how long a lost count is missing."""
     audit_interval: float = 30.0
-    """In which each endpoint is polled about once by a member that does not own it."""
+    """Mean time between audits of an endpoint by members that do not own it."""
--- a/onyxhollow/gossip/connection_counts.py
+++ b/onyxhollow/gossip/connection_counts.py
@@ -1,4 +1,4 @@
-"""Connection counts: each member sends its own to the owners of the endpoints, who add them up."""
+"""Connection counts: each member sends its own counts to the owners of the endpoints, which sum them."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 from onyxhollow.gossip.config import GossipConfig
 from onyxhollow.gossip.failure_log import FailureLog
 from onyxhollow.gossip.messages import (
-    COUNT_BYTES,
+    MAX_COUNT_BYTES,
     MAX_MESSAGE_BYTES,
     ConnectionCounts,
     EndpointCount,
     ReportPage,
 )
-from onyxhollow.gossip.ownership import MAX_ENDPOINTS, OWNERS, Ownership
+from onyxhollow.gossip.ownership import MAX_ENDPOINTS, OWNERS_PER_ENDPOINT, Ownership
 
-MAX_MEMBER_COUNT = 100_000  # connections or failures of one member at one endpoint; more is no count
-EXPIRY_REFRESHES = 3  # refresh intervals after which a member's count is forgotten
-PLAUSIBLE_FACTOR = 8.0  # times the other members' mean, ...
-PLAUSIBLE_MARGIN = 8.0  # ... and so many more: a member's count beyond is cut to it
-MIN_COUNTS_TO_COMPARE = 3  # members: fewer do not show what is plausible
+MAX_MEMBER_COUNT = 100_000  # connections or failures of one member at one endpoint; more is invalid
+EXPIRY_REFRESH_INTERVALS = 3  # a count not refreshed for this long is removed
+# A member's count is limited to the mean of the other members' counts times the factor, plus the margin.
+PLAUSIBLE_FACTOR = 8.0
+PLAUSIBLE_MARGIN = 8.0
+MIN_COUNTS_TO_COMPARE = 3  # with fewer counts, none is limited
 
-# Counters, by their names in /control/fleet.
+# Counter names in /control/fleet.
 COUNTS_OF_NON_MEMBER = "counts of one who is not there"
 COUNTS_INVALID = "counts absurd, or of too many servers"
 COUNTS_CUT = "counts cut to what is likely"
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingMessage:
-    """A message to the member of an epoch."""
+    """A message and the epoch of the member to send it to."""
 
     receiver: int
     message: ReportPage | ConnectionCounts
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedCount:
-    """What one member has sent of an endpoint."""
+    """Latest counts received from one member for an endpoint."""
 
     connections: int
     failures: int
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionTotal:
-    """What all members hold at an endpoint."""
+    """Sums over all members for an endpoint."""
 
     connections: int = 0
     failing_members: int = 0
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentCount:
-    """What this member has sent of an endpoint, and to which owners."""
+    """Counts that this process last sent for an endpoint, and the owners it sent them to."""
 
     connections: int
     failures: int
@@ -65,19 +66,19 @@
 
 
 class CountAggregator:
-    """Adds up the members' counts of the endpoints owned here."""
+    """Sums the members' counts for the endpoints owned by this process."""
 
     def __init__(
-        self, config: GossipConfig, ownership: Ownership, failures: FailureLog, counters: Counter[str]
+        self, config: GossipConfig, ownership: Ownership, failure_log: FailureLog, counters: Counter[str]
     ) -> None:
         self.config = config
         self.ownership = ownership
-        self.failures = failures
+        self.failure_log = failure_log
         self.counters = counters
         self.received: dict[str, dict[int, ReceivedCount]] = {}  # by endpoint and epoch
 
     def on_counts(self, epoch: int, message: ConnectionCounts, now: float) -> None:
-        """Take the counts of a member, also of endpoints not owned yet: rankings differ in time."""
+        """Store a member's counts, also for endpoints not owned yet, since rankings differ in time."""
         if epoch not in self.ownership.members:
             self.counters[COUNTS_OF_NON_MEMBER] += 1
             return
@@ -90,67 +91,67 @@
             if epoch not in by_member or by_member[epoch].sequence < message.sequence:
                 by_member[epoch] = ReceivedCount(count.connections, count.failures, message.sequence, now)
 
-    def total(self, endpoint: str, own: int, now: float) -> ConnectionTotal:
-        """Return the sum of all members' connections, each cut to what the others make plausible."""
+    def total(self, endpoint: str, own_connections: int, now: float) -> ConnectionTotal:
+        """Return the sums over all members, with each member's connections limited to a plausible number."""
         by_member = self.received.get(endpoint, {})
         self._expire(by_member, now)
-        sizes = [count.connections for count in by_member.values()]
-        total = own + sum(self._plausible(size, sizes) for size in sizes)
-        failing = sum(count.failures > 0 for count in by_member.values())
-        return ConnectionTotal(total, failing + bool(self.failures.count(endpoint, now)))
+        counts = [received.connections for received in by_member.values()]
+        total = own_connections + sum(self._limit_to_plausible(count, counts) for count in counts)
+        failing_members = sum(received.failures > 0 for received in by_member.values())
+        return ConnectionTotal(total, failing_members + bool(self.failure_log.count(endpoint, now)))
 
     def retain(self, endpoints: Container[str]) -> None:
-        """Forget the counts of endpoints that are not owned here."""
+        """Remove the counts for endpoints not in `endpoints`."""
         self.received = {name: counts for name, counts in self.received.items() if name in endpoints}
 
     def _expire(self, by_member: dict[int, ReceivedCount], now: float) -> None:
-        oldest = now - EXPIRY_REFRESHES * self.config.count_refresh_interval
+        expired_before = now - EXPIRY_REFRESH_INTERVALS * self.config.count_refresh_interval
         for epoch, count in list(by_member.items()):
-            if count.received_at < oldest or epoch not in self.ownership.members:
+            if count.received_at < expired_before or epoch not in self.ownership.members:
                 del by_member[epoch]
 
-    def _plausible(self, size: int, sizes: list[int]) -> int:
-        if len(sizes) < MIN_COUNTS_TO_COMPARE:
-            return size
-        others = (sum(sizes) - size) / max(1, len(sizes) - 1)
-        if size <= PLAUSIBLE_FACTOR * others + PLAUSIBLE_MARGIN:
-            return size
+    def _limit_to_plausible(self, count: int, counts: list[int]) -> int:
+        if len(counts) < MIN_COUNTS_TO_COMPARE:
+            return count
+        mean_of_others = (sum(counts) - count) / max(1, len(counts) - 1)
+        if count <= PLAUSIBLE_FACTOR * mean_of_others + PLAUSIBLE_MARGIN:
+            return count
         self.counters[COUNTS_CUT] += 1
-        return round(PLAUSIBLE_FACTOR * others + PLAUSIBLE_MARGIN)
+        return round(PLAUSIBLE_FACTOR * mean_of_others + PLAUSIBLE_MARGIN)
 
 
 class CountPublisher:
-    """Sends this member's counts to the owners: when they change, and again now and then."""
+    """Sends this process's counts to the owners after changes and at regular intervals."""
 
     def __init__(
         self,
         config: GossipConfig,
         ownership: Ownership,
-        failures: FailureLog,
+        failure_log: FailureLog,
         sequence: Iterator[int],
         refresh_at: float,
     ) -> None:
         self.config = config
         self.ownership = ownership
-        self.failures = failures
+        self.failure_log = failure_log
         self.sequence = sequence
         self.refresh_at = refresh_at
-        self.sent: dict[str, SentCount] = {}
+        self.last_sent: dict[str, SentCount] = {}
 
     def messages(self, connections: Mapping[str, int], now: float) -> list[OutgoingMessage]:
-        """Return what is to be sent, given this member's open connections by endpoint."""
+        """Return the messages to send, given this process's open connections by endpoint."""
         refresh = now >= self.refresh_at
         if refresh:
             self.refresh_at = now + self.config.count_refresh_interval
         by_owner: dict[int, list[EndpointCount]] = {}
-        for endpoint in {*connections, *self.sent, *self.failures.failures}:
-            owners = self.ownership.owners.get(endpoint, ())[:OWNERS]
-            count = SentCount(connections.get(endpoint, 0), self.failures.count(endpoint, now), owners)
+        for endpoint in {*connections, *self.last_sent, *self.failure_log.failure_times}:
+            owners = self.ownership.owners.get(endpoint, ())[:OWNERS_PER_ENDPOINT]
+            count = SentCount(connections.get(endpoint, 0), self.failure_log.count(endpoint, now), owners)
             if not count.failures:
-                self.failures.forget(endpoint)
-            if count == self.sent.get(endpoint) and not refresh:
+                self.failure_log.clear(endpoint)
+            if count == self.last_sent.get(endpoint) and not refresh:
                 continue
-            self._note_sent(endpoint, count)
+            self._record_sent(endpoint, count)
             for owner in owners:
                 if owner != self.ownership.local.epoch:
                     row = EndpointCount(endpoint, count.connections, count.failures)
@@ -160,19 +161,19 @@
             for owner, rows in by_owner.items()
         ]
 
-    def _note_sent(self, endpoint: str, count: SentCount) -> None:
+    def _record_sent(self, endpoint: str, count: SentCount) -> None:
         if count.connections or count.failures:
-            self.sent[endpoint] = count
+            self.last_sent[endpoint] = count
         else:
-            self.sent.pop(endpoint, None)
+            self.last_sent.pop(endpoint, None)
 
 
 def _first_page(rows: list[EndpointCount]) -> list[EndpointCount]:
-    """Return what fits one message: an owner of more endpoints receives the rest with the next refresh."""
+    """Return the first rows that fit one message; the rest is left to the next refresh."""
     space = MAX_MESSAGE_BYTES
     page = []
     for row in rows:
-        space -= len(row.endpoint.encode()) + COUNT_BYTES
+        space -= len(row.endpoint.encode()) + MAX_COUNT_BYTES
         if space < 0:
             break
         page.append(row)
--- a/onyxhollow/gossip/evidence_table.py
+++ b/onyxhollow/gossip/evidence_table.py
@@ -1,8 +1,8 @@
-"""The newest report on each endpoint, which reports are accepted, and how they spread.
+"""Stores the newest accepted report on each endpoint and selects the reports for push gossip.
 
-Reports spread by push gossip (Demers et al., 1987): the least often sent and newest first, a bounded number
-of datagrams a second whatever the fleet's size. What is received is evidence, not truth: a report counts if
-its sender is one of the first few owners of the endpoint, and values out of range are dropped.
+Push gossip (Demers et al., 1987) sends the reports that were sent least often and are newest first. The
+number of datagrams per second does not depend on the fleet's size. Reports are not trusted: a report must
+come from one of the highest-ranked owners of the endpoint, and reports with values out of range are dropped.
 """
 
 from __future__ import annotations
@@ -17,63 +17,63 @@
 from onyxhollow.gossip.messages import (
     LOAD_UNITS,
     MAX_MESSAGE_BYTES,
-    MILLISECONDS,
-    REPORT_BYTES,
+    MAX_REPORT_BYTES,
+    MILLISECONDS_PER_SECOND,
     EndpointReport,
     ReportPage,
 )
-from onyxhollow.gossip.ownership import MAX_LOAD, Ownership
+from onyxhollow.gossip.ownership import MAX_LOAD_UNITS, Ownership
 from onyxhollow.gossip.surge_detector import SurgeDetector
 
-MAX_REPORT_AGE = 15.0  # seconds past which a report is dropped
-MAX_CONNECTIONS = 10_000_000  # of all members at one endpoint; more is no count
-STALE_REPORTS = 4  # report intervals after which a report answers no health check
-STALE_LOAD_POLLS = 1.5  # poll intervals after which a load answers no health check
-QUARANTINE_SPAN = 30.0  # seconds for which an owner found far off is ignored, for that endpoint
-MIN_FAILING_MEMBERS = 2  # one member, or one link, is no evidence against an endpoint
-SCORE_PER_FAILING_MEMBER = 0.5  # outlier score
-MAX_SHARED_SCORE = 1.5  # outlier score: below what ejects an endpoint, which takes own failures too
-MIN_SENDS = 2  # of each report, and one more with each doubling of the fleet
-
-# Counters, by their names in /control/fleet.
+MAX_REPORT_AGE_SECONDS = 15.0  # older reports are dropped
+MAX_TOTAL_CONNECTIONS = 10_000_000  # of all members at one endpoint; more is invalid
+STALE_AFTER_REPORT_INTERVALS = 4  # an older report answers no health check
+STALE_LOAD_AFTER_POLL_INTERVALS = 1.5  # an older load answers no health check
+QUARANTINE_SECONDS = 30.0  # an owner whose report fails two audits is ignored for that endpoint
+MIN_FAILING_MEMBERS = 2  # failures of one member may be caused by its own link
+SCORE_PER_FAILING_MEMBER = 0.5  # in the outlier score
+MAX_SHARED_SCORE = 1.5  # below the ejection threshold, so that ejection requires own failures too
+BASE_SENDS = 2  # per report; each doubling of the fleet adds one
+
+# Counter names in /control/fleet.
 REPORTS_OF_NON_OWNER = "rows of none that keeps the server"
 REPORTS_INVALID = "rows absurd or old"
 
-OwnedBy = tuple[str, int]  # an endpoint and the epoch of one of its owners
+EndpointOwner = tuple[str, int]  # endpoint and the epoch of one of its owners
 
 
 @dataclass(slots=True)
 class EndpointEvidence:
-    """A report as it is stored here. Times are seconds on this process's clock."""
+    """A stored report. Times are seconds on this process's clock."""
 
     report: EndpointReport
-    at: float  # when it was put together
-    load_at: float  # when the endpoint reported its load
+    created_at: float  # time at which the owner created it
+    load_reported_at: float  # time at which the endpoint reported its load
     sends: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEstimate:
-    """What the members know together of an endpoint, for the balancing decisions. Ages are seconds."""
+    """The members' combined data on an endpoint, for the balancing decisions. Ages are in seconds."""
 
     endpoint: str
-    load: float | None  # over capacity; None: no load report is known
+    load: float | None  # as a share of capacity; None: no load report
     load_age: float
     connections: int  # of all members
     connections_age: float
-    outlier_score: float  # that the failures of the members are worth
+    outlier_score: float  # derived from the number of members with failures
 
 
 @dataclass(frozen=True, slots=True)
 class LoadEstimate:
-    """A load over capacity, and the seconds since it was reported."""
+    """A load as a share of capacity, and the seconds since it was reported."""
 
     load: float
     age: float
 
 
 class EvidenceTable:
-    """The newest accepted report by endpoint."""
+    """Newest accepted report by endpoint."""
 
     def __init__(
         self, config: GossipConfig, ownership: Ownership, surge: SurgeDetector, counters: Counter[str]
@@ -83,11 +83,11 @@
         self.surge = surge
         self.counters = counters
         self.evidence: dict[str, EndpointEvidence] = {}
-        self.quarantined: dict[OwnedBy, float] = {}  # until when, seconds
-        self.estimates: list[EndpointEstimate] = []  # until the shell takes them
+        self.quarantined_until: dict[EndpointOwner, float] = {}  # seconds
+        self.estimates: list[EndpointEstimate] = []  # not yet returned by `LoadGossip.take_estimates`
 
     def on_report(self, report: EndpointReport, now: float) -> None:
-        """Accept a report of another member if it is valid and newer than what is known."""
+        """Accept a report of another member if it is valid and newer than the stored one."""
         owners = self.ownership.owners.get(report.endpoint)
         if owners is None or report.owner not in owners:
             self.counters[REPORTS_OF_NON_OWNER] += 1
@@ -97,90 +97,94 @@
         if not _is_valid(report):
             self.counters[REPORTS_INVALID] += 1
             return
-        if self.quarantined.get((report.endpoint, report.owner), -math.inf) > now:
+        if self.quarantined_until.get((report.endpoint, report.owner), -math.inf) > now:
             return
-        at = now - report.age / MILLISECONDS
-        if self._is_newer(report, at, now):
-            self.store(report, at, now)
-
-    def store(self, report: EndpointReport, at: float, now: float) -> None:
-        """Store a report that was put together at a time, and pass it on to the decisions."""
-        known = EndpointEvidence(report, at, at - report.load_age / MILLISECONDS)
-        self.evidence[report.endpoint] = known
+        created_at = now - report.age / MILLISECONDS_PER_SECOND
+        if self._is_newer(report, created_at, now):
+            self.store(report, created_at, now)
+
+    def store(self, report: EndpointReport, created_at: float, now: float) -> None:
+        """Store a report and append its estimate, except during a surge."""
+        evidence = EndpointEvidence(
+            report, created_at, created_at - report.load_age / MILLISECONDS_PER_SECOND
+        )
+        self.evidence[report.endpoint] = evidence
         if not self.surge.active:
-            self._estimate(known, now)
+            self._append_estimate(evidence, now)
 
-    def estimate_all(self, now: float) -> None:
-        """Pass all reports on to the decisions again: a surge has begun or ended."""
-        for known in self.evidence.values():
-            self._estimate(known, now)
+    def append_all_estimates(self, now: float) -> None:
+        """Append estimates of all reports, after a surge has started or ended."""
+        for evidence in self.evidence.values():
+            self._append_estimate(evidence, now)
 
     def load_estimate(self, endpoint: str, now: float) -> LoadEstimate | None:
-        """Return the load if it is known well enough to do without a health check, else None."""
-        known = self.evidence.get(endpoint)
-        if self.surge.active or known is None or known.report.load < 0:
+        """Return the load if it is recent enough to replace a health check, else None."""
+        evidence = self.evidence.get(endpoint)
+        if self.surge.active or evidence is None or evidence.report.load < 0:
             return None
-        if now - known.at > STALE_REPORTS * self.config.report_interval:
+        if now - evidence.created_at > STALE_AFTER_REPORT_INTERVALS * self.config.report_interval:
             return None
-        age = now - known.load_at
-        if age > STALE_LOAD_POLLS * self.config.poll_interval:
+        age = now - evidence.load_reported_at
+        if age > STALE_LOAD_AFTER_POLL_INTERVALS * self.config.poll_interval:
             return None
-        return LoadEstimate(known.report.load / LOAD_UNITS, age)
+        return LoadEstimate(evidence.report.load / LOAD_UNITS, age)
 
-    def quarantine(self, owner: OwnedBy, now: float) -> None:
-        """Ignore an owner's reports on an endpoint for a while, the stored one included."""
-        self.quarantined[owner] = now + QUARANTINE_SPAN
+    def quarantine(self, owner: EndpointOwner, now: float) -> None:
+        """Ignore an owner's reports on an endpoint for a while, and remove the stored one."""
+        self.quarantined_until[owner] = now + QUARANTINE_SECONDS
         del self.evidence[owner[0]]
 
     def expire_quarantine(self, now: float) -> None:
-        """End quarantines that are over."""
-        self.quarantined = {owner: until for owner, until in self.quarantined.items() if until > now}
-
-    def retain_listed(self) -> list[str]:
-        """Forget endpoints that have left the list; return their names."""
-        gone = self.evidence.keys() - self.ownership.endpoints.keys()
-        for endpoint in gone:
+        """Remove expired quarantines."""
+        self.quarantined_until = {
+            owner: until for owner, until in self.quarantined_until.items() if until > now
+        }
+
+    def remove_unlisted(self) -> list[str]:
+        """Remove endpoints that are no longer in the endpoint list; return their names."""
+        removed = self.evidence.keys() - self.ownership.endpoints.keys()
+        for endpoint in removed:
             del self.evidence[endpoint]
-        return list(gone)
+        return list(removed)
 
     def next_page(self, now: float) -> ReportPage | None:
-        """Return the reports of the next push, the least often sent and newest first; None without any."""
+        """Return the reports of the next push, least often sent and newest first; None if there are none."""
         if not self.ownership.members or not self.evidence:
             return None
-        max_sends = MIN_SENDS + math.ceil(math.log2(len(self.ownership.members) + 1))
-        fresh = [
-            known
-            for known in self.evidence.values()
-            if known.sends < max_sends and now - known.at < MAX_REPORT_AGE
+        max_sends = BASE_SENDS + math.ceil(math.log2(len(self.ownership.members) + 1))
+        sendable = [
+            evidence
+            for evidence in self.evidence.values()
+            if evidence.sends < max_sends and now - evidence.created_at < MAX_REPORT_AGE_SECONDS
         ]
-        if not fresh:
+        if not sendable:
             return None
-        fresh.sort(key=lambda known: (known.sends, -known.at))
+        sendable.sort(key=lambda evidence: (evidence.sends, -evidence.created_at))
         reports = []
         space = MAX_MESSAGE_BYTES
-        for known in fresh:
-            space -= len(known.report.endpoint.encode()) + REPORT_BYTES
+        for evidence in sendable:
+            space -= len(evidence.report.endpoint.encode()) + MAX_REPORT_BYTES
             if space < 0:
                 break
-            known.sends += self.config.fanout
-            age = round(MILLISECONDS * (now - known.at))
-            reports.append(replace(known.report, age=age))
+            evidence.sends += self.config.fanout
+            age = round(MILLISECONDS_PER_SECOND * (now - evidence.created_at))
+            reports.append(replace(evidence.report, age=age))
         return ReportPage(reports)
 
-    def _is_newer(self, report: EndpointReport, at: float, now: float) -> bool:
-        known = self.evidence.get(report.endpoint)
-        if known is None:
+    def _is_newer(self, report: EndpointReport, created_at: float, now: float) -> bool:
+        evidence = self.evidence.get(report.endpoint)
+        if evidence is None:
             return True
-        if known.report.owner != report.owner:
-            return at > known.at + self.config.push_interval
-        # Past this age any number counts: no forged number blocks genuine reports for longer.
-        recent = now - known.at < STALE_REPORTS * self.config.report_interval
-        return report.sequence > known.report.sequence or not recent
-
-    def _estimate(self, known: EndpointEvidence, now: float) -> None:
-        """Append an estimate; in a surge as an old one, by which nothing is decided."""
-        report = known.report
-        extra_age = MAX_REPORT_AGE if self.surge.active else 0.0
+        if evidence.report.owner != report.owner:
+            return created_at > evidence.created_at + self.config.push_interval
+        # Any sequence number is accepted after this time, so a forged one cannot block reports for longer.
+        is_recent = now - evidence.created_at < STALE_AFTER_REPORT_INTERVALS * self.config.report_interval
+        return report.sequence > evidence.report.sequence or not is_recent
+
+    def _append_estimate(self, evidence: EndpointEvidence, now: float) -> None:
+        """Append an estimate; during a surge with ages so high that the decisions ignore it."""
+        report = evidence.report
+        extra_age = MAX_REPORT_AGE_SECONDS if self.surge.active else 0.0
         score = 0.0
         if report.failing_members >= MIN_FAILING_MEMBERS:
             score = min(MAX_SHARED_SCORE, SCORE_PER_FAILING_MEMBER * report.failing_members)
@@ -188,9 +192,9 @@
             EndpointEstimate(
                 report.endpoint,
                 report.load / LOAD_UNITS if report.load >= 0 else None,
-                now - known.load_at + extra_age,
+                now - evidence.load_reported_at + extra_age,
                 report.connections,
-                now - known.at + extra_age,
+                now - evidence.created_at + extra_age,
                 score,
             )
         )
@@ -198,9 +202,9 @@
 
 def _is_valid(report: EndpointReport) -> bool:
     return (
-        0 <= report.age <= MAX_REPORT_AGE * MILLISECONDS
-        and -1 <= report.load <= MAX_LOAD
+        0 <= report.age <= MAX_REPORT_AGE_SECONDS * MILLISECONDS_PER_SECOND
+        and -1 <= report.load <= MAX_LOAD_UNITS
         and report.load_age >= 0
-        and 0 <= report.connections <= MAX_CONNECTIONS
+        and 0 <= report.connections <= MAX_TOTAL_CONNECTIONS
         and report.failing_members >= 0
     )
--- a/onyxhollow/gossip/failure_log.py
+++ b/onyxhollow/gossip/failure_log.py
@@ -1,26 +1,28 @@
-"""Failures that this member has seen itself: evidence for the owners of the endpoints."""
+"""Log of failures at endpoints seen by this process, which it reports to the owners of the endpoints."""
 
 from __future__ import annotations
 
-FAILURE_LIFETIME = 5.0  # seconds for which a failure counts
-MAX_FAILURES = 8  # counted for one endpoint
+FAILURE_LIFETIME_SECONDS = 5.0  # older failures are not counted
+MAX_FAILURES_PER_ENDPOINT = 8  # older ones are dropped
 
 
 class FailureLog:
     """Times of recent failures by endpoint."""
 
     def __init__(self) -> None:
-        self.failures: dict[str, list[float]] = {}
+        self.failure_times: dict[str, list[float]] = {}
 
     def record(self, endpoint: str, now: float) -> None:
-        """Record that an attempt or a health check has failed."""
-        recent = [at for at in self.failures.get(endpoint, []) if now - at < FAILURE_LIFETIME]
-        self.failures[endpoint] = [*recent, now][-MAX_FAILURES:]
+        """Record a failed attempt or health check."""
+        recent_times = [
+            at for at in self.failure_times.get(endpoint, []) if now - at < FAILURE_LIFETIME_SECONDS
+        ]
+        self.failure_times[endpoint] = [*recent_times, now][-MAX_FAILURES_PER_ENDPOINT:]
 
     def count(self, endpoint: str, now: float) -> int:
-        """Return the number of failures that still count."""
-        return sum(now - at < FAILURE_LIFETIME for at in self.failures.get(endpoint, ()))
+        """Return the number of recent failures at an endpoint."""
+        return sum(now - at < FAILURE_LIFETIME_SECONDS for at in self.failure_times.get(endpoint, ()))
 
-    def forget(self, endpoint: str) -> None:
-        """Remove the failures of an endpoint."""
-        self.failures.pop(endpoint, None)
+    def clear(self, endpoint: str) -> None:
+        """Remove the failures at an endpoint."""
+        self.failure_times.pop(endpoint, None)
--- a/onyxhollow/gossip/load_gossip.py
+++ b/onyxhollow/gossip/load_gossip.py
@@ -1,12 +1,12 @@
-"""Load gossip: each endpoint is owned by one member and a deputy; reports on it spread to all members.
+"""Load gossip: each endpoint has an owner and a deputy among the members, and all members get their reports.
 
-A pure core: it is given the time, the live members and the messages received, draws from the generator it was
-given, and leaves messages to send, endpoints to poll and estimates for the balancing decisions in lists that
-its shell takes. Times are seconds on one clock; between members only ages travel.
+This module does no I/O. The caller passes in the current time, the live members, received messages and a
+random generator. It collects messages to send, endpoints to poll and estimates for the balancing decisions
+with the `take_*` methods. Times are seconds on one clock; messages contain ages only.
 
-Its parts, each in a file of its own: ownership (rendezvous hashing), connection counts (sent to the owners
-and added up), the endpoint reporter (what an owner does), the evidence table (which reports count, and push
-gossip), audits of owners, surge detection.
+The parts are in separate modules: ownership (rendezvous hashing), connection counts (sent to the owners, who
+sum them), endpoint reporter (the owner's polls and reports), evidence table (accepted reports and push
+gossip), auditor (checks of the owners) and surge detector.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from onyxhollow.gossip.ownership import GossipMember, Ownership
 from onyxhollow.gossip.surge_detector import SurgeDetector
 
-SURGES = "rushes"  # counter of /control/fleet
+SURGES = "rushes"  # counter name in /control/fleet
 
 
 class LoadGossip:
-    """Load gossip of one member."""
+    """Load gossip of this process."""
 
     def __init__(self, local: GossipMember, config: GossipConfig, rng: Random, now: float) -> None:
         self.local = local
@@ -38,71 +38,71 @@
         self.rng = rng
         self.counters: Counter[str] = Counter()
         self.outbox: list[OutgoingMessage] = []
-        self.polls: list[str] = []  # endpoints whose load report is wanted now
-        self.failures = FailureLog()
+        self.polls: list[str] = []  # endpoints to poll
+        self.failure_log = FailureLog()
         self.surge = SurgeDetector()
         self.next_due = now + rng.random() * config.push_interval
         refresh_at = now + rng.random() * config.count_refresh_interval
-        audit_at = now + rng.random() * config.audit_interval
-        sequence = itertools.count(1)  # of reports and counts together
+        next_audit_at = now + rng.random() * config.audit_interval
+        sequence = itertools.count(1)  # shared by reports and counts
         self.ownership = Ownership(local, config, rng, now)
         self.table = EvidenceTable(config, self.ownership, self.surge, self.counters)
-        self.aggregator = CountAggregator(config, self.ownership, self.failures, self.counters)
-        self.publisher = CountPublisher(config, self.ownership, self.failures, sequence, refresh_at)
+        self.aggregator = CountAggregator(config, self.ownership, self.failure_log, self.counters)
+        self.publisher = CountPublisher(config, self.ownership, self.failure_log, sequence, refresh_at)
         self.reporter = EndpointReporter(config, rng, self.ownership, self.table, self.aggregator, sequence)
-        self.auditor = Auditor(config, rng, self.ownership, self.table, self.counters, audit_at)
+        self.auditor = Auditor(config, rng, self.ownership, self.table, self.counters, next_audit_at)
 
     @property
     def evidence(self) -> dict[str, EndpointEvidence]:
-        """The newest accepted report by endpoint."""
+        """Newest accepted report by endpoint."""
         return self.table.evidence
 
-    # What the shell takes.
+    # Results for the caller.
 
     def take_outbox(self) -> list[OutgoingMessage]:
-        """Return the messages to send, and forget them."""
+        """Return and clear the messages to send."""
         taken = self.outbox
         self.outbox = []
         return taken
 
     def take_polls(self) -> list[str]:
-        """Return the endpoints to poll, and forget them."""
+        """Return and clear the endpoints to poll."""
         taken = self.polls
         self.polls = []
         return taken
 
     def take_estimates(self) -> list[EndpointEstimate]:
-        """Return the estimates that are new, and forget them."""
+        """Return and clear the new estimates."""
         taken = self.table.estimates
         self.table.estimates = []
         return taken
 
-    # Calls of the shell.
+    # Input from the caller.
 
     def set_members(self, members: Iterable[GossipMember]) -> None:
-        """Replace the live members, as often as they change; this member may be among them."""
+        """Replace the live members, which may include this process."""
         self.ownership.set_members(members)
 
     def set_endpoints(self, endpoints: Mapping[str, str]) -> None:
-        """Replace the endpoints in service, with their zones."""
+        """Replace the endpoints in service, given as zones by endpoint name."""
         if self.ownership.set_endpoints(endpoints):
-            for endpoint in self.table.retain_listed():
-                self.failures.forget(endpoint)
+            for endpoint in self.table.remove_unlisted():
+                self.failure_log.clear(endpoint)
 
     def record_failure(self, endpoint: str, now: float) -> None:
-        """Record that an attempt or a health check of this member has failed."""
+        """Record a failed attempt or health check of this process."""
         if endpoint in self.ownership.endpoints:
-            self.failures.record(endpoint, now)
+            self.failure_log.record(endpoint, now)
 
     def on_poll_result(self, endpoint: str, load: float | None, now: float) -> None:
-        """Take what an endpoint has answered to this member's own poll; None: it has failed."""
+        """Process the load from a poll by this process; None if the poll failed."""
         if load is None:
             self.record_failure(endpoint, now)
         self.reporter.on_poll_result(endpoint, load, now)
         self.auditor.on_poll_result(endpoint, load, now)
 
     def on_message(self, sender: int, message: ReportPage | ConnectionCounts, now: float) -> None:
-        """Take a message of the member of an epoch."""
+        """Process a message from the member with the epoch `sender`."""
         if isinstance(message, ConnectionCounts):
             self.aggregator.on_counts(sender, message, now)
             return
@@ -110,20 +110,20 @@
             self.table.on_report(report, now)
 
     def load_estimate(self, endpoint: str, now: float) -> LoadEstimate | None:
-        """Return the load if it is known well enough to do without a health check, else None."""
+        """Return the load if it is recent enough to replace a health check, else None."""
         return self.table.load_estimate(endpoint, now)
 
     def audit(self, endpoint: str, now: float) -> None:
-        """Poll an endpoint to compare its owner's report, unless that was done just now."""
-        self.polls += self.auditor.begin(endpoint, now)
+        """Poll an endpoint to check its owner's report, unless an audit has just started."""
+        self.polls += self.auditor.start_audit(endpoint, now)
 
     def tick(self, connections: Mapping[str, int], now: float) -> None:
-        """Do what is due, given this member's open connections by endpoint, and set `next_due`."""
+        """Run all actions that are due, given the open connections by endpoint, and set `next_due`."""
         self.next_due = now + self.config.push_interval
         if self.surge.update(connections, now):
             if self.surge.active:
                 self.counters[SURGES] += 1
-            self.table.estimate_all(now)
+            self.table.append_all_estimates(now)
         if self.ownership.rank_if_due(now):
             self.aggregator.retain(self.ownership.owned)
         self.polls += self.reporter.tick(connections, now)
--- a/onyxhollow/gossip/messages.py
+++ b/onyxhollow/gossip/messages.py
@@ -1,31 +1,31 @@
-"""Messages of load gossip, in MessagePack by msgspec with structs as arrays; each fits one datagram.
+"""Messages of load gossip in MessagePack, encoded by msgspec. Each message fits one datagram.
 
-The order of the fields is the format: names cost no bytes.
+Structs are encoded as arrays, so the order of the fields defines the format and field names are not sent.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-MAX_MESSAGE_BYTES = 940  # a datagram less authentication code, names and piggybacked changes
-REPORT_BYTES = 26  # of a report besides its endpoint's name, at the most
-COUNT_BYTES = 14  # of a count besides its endpoint's name, at the most
-MILLISECONDS = 1000  # in a second
-LOAD_UNITS = 1000  # of a load of one, the capacity
-NO_LOAD = -1  # in place of a load that is not known
+MAX_MESSAGE_BYTES = 940  # a datagram minus authentication code, names and piggybacked changes
+MAX_REPORT_BYTES = 26  # encoded report without the endpoint's name
+MAX_COUNT_BYTES = 14  # encoded count without the endpoint's name
+MILLISECONDS_PER_SECOND = 1000
+LOAD_UNITS = 1000  # encoded loads are in thousandths of the capacity
+NO_LOAD = -1  # encoded load if none is known
 
 
 class EndpointReport(msgspec.Struct, array_like=True, frozen=True):
-    """What the owner of an endpoint has put together of it."""
+    """The owner's report on an endpoint."""
 
     endpoint: str
-    owner: int  # epoch of the member that owns it
-    sequence: int  # increases with each message of that member
-    age: int  # milliseconds since it was put together
-    load: int  # thousandths of capacity, as the endpoint reported; NO_LOAD: no load report
-    load_age: int  # milliseconds since that was reported, as of `age` ago
-    connections: int  # open connections of all members in sum
-    failing_members: int  # members whose attempts or health checks failed there lately
+    owner: int  # epoch of the owner
+    sequence: int  # increases with each message of the owner
+    age: int  # milliseconds since the report was created
+    load: int  # thousandths of capacity, as reported by the endpoint; NO_LOAD: no load report
+    load_age: int  # milliseconds between the load report and the creation of this report
+    connections: int  # open connections of all members
+    failing_members: int  # members with recent failed attempts or health checks at the endpoint
 
 
 class ReportPage(msgspec.Struct, array_like=True, frozen=True, tag=1):
@@ -35,7 +35,7 @@
 
 
 class EndpointCount(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """One member's own connections and recent failures at an endpoint."""
+    """The sender's own connections and recent failures at an endpoint."""
 
     endpoint: str
     connections: int
@@ -43,7 +43,7 @@
 
 
 class ConnectionCounts(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """One member's own counts, for the owner of these endpoints or its deputy."""
+    """The sender's own counts, sent to the owner or deputy of the endpoints."""
 
     sequence: int
     counts: list[EndpointCount]
--- a/onyxhollow/gossip/surge_detector.py
+++ b/onyxhollow/gossip/surge_detector.py
@@ -1,7 +1,7 @@
-"""Surges: many connections arrive at once, and reports a second or two old mislead.
+"""Detects surges: so many new connections at once that reports of one or two seconds' age are misleading.
 
-Members that all choose by the same reports would all choose the same endpoints, and counts of members that
-have just died are still among them. During a surge each member goes by its own measurements, as without
+Members that select by the same reports would all select the same endpoints, and the reports may still include
+counts of members that have just died. During a surge each member uses its own measurements only, as without
 gossip.
 """
 
@@ -10,28 +10,32 @@
 from collections import deque
 from collections.abc import Mapping
 
-SURGE_SHARE = 0.15  # of the own connections that arrive within the window
-MIN_SURGE = 2  # connections beyond that share
-WINDOW = 4.0  # seconds
+# A surge adds more than this share of the own connections, plus this number, within the window.
+MIN_SURGE_SHARE = 0.15
+MIN_SURGE_CONNECTIONS = 2
+WINDOW_SECONDS = 4.0
 
 
 class SurgeDetector:
-    """Whether a large part of this member's connections has arrived just now."""
+    """Detects when a large share of this process's connections is new."""
 
     def __init__(self) -> None:
         self.active = False
-        self.previous: Mapping[str, int] = {}  # connections by endpoint at the last update
-        self.arrivals: deque[tuple[float, int]] = deque()  # time, connections more than at the update before
+        self.previous_connections: Mapping[str, int] = {}  # by endpoint, at the last update
+        self.additions: deque[tuple[float, int]] = deque()  # time and number of added connections per update
 
     def update(self, connections: Mapping[str, int], now: float) -> bool:
-        """Take this member's open connections by endpoint; return whether a surge has begun or ended."""
-        more = sum(max(0, count - self.previous.get(endpoint, 0)) for endpoint, count in connections.items())
-        self.arrivals.append((now, more if self.previous else 0))
-        while now - self.arrivals[0][0] > WINDOW:
-            self.arrivals.popleft()
-        self.previous = dict(connections)
-        arrived = sum(count for _, count in self.arrivals)
-        active = arrived > MIN_SURGE + SURGE_SHARE * sum(connections.values())
-        changed = active is not self.active
-        self.active = active
-        return changed
+        """Update with the open connections by endpoint; return whether a surge has started or ended."""
+        added = sum(
+            max(0, count - self.previous_connections.get(endpoint, 0))
+            for endpoint, count in connections.items()
+        )
+        self.additions.append((now, added if self.previous_connections else 0))
+        while now - self.additions[0][0] > WINDOW_SECONDS:
+            self.additions.popleft()
+        self.previous_connections = dict(connections)
+        added_in_window = sum(count for _, count in self.additions)
+        is_active = added_in_window > MIN_SURGE_CONNECTIONS + MIN_SURGE_SHARE * sum(connections.values())
+        has_changed = is_active is not self.active
+        self.active = is_active
+        return has_changed
--- a/tests/test_fleet_gossip.py
+++ b/tests/test_fleet_gossip.py
@@ -1,4 +1,4 @@
-"""Load gossip on real processes, with faults between them; each member's table is read over HTTP."""
+"""Tests of load gossip between real processes with faults. The gossip status is read over HTTP."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from onyxhollow.lab.fleet.traffic import Client, EchoServer
 
 GOSSIP = {"on": True, "every": 0.2, "renew": 0.5, "report": 1.0, "audit": 10.0}
-ASKED = {
+SETTINGS = {
     "ceilings": {"mostDials": 3, "probes": True, "cancelling": True, "connectTimeoutNs": 250000000},
     "report": {"how": "probe", "fields": ["x0"]},
     "extra": {"reportX0": "load asked of the server over what it can do", "tellsLoad": True},
@@ -15,80 +15,83 @@
 
 @pytest.fixture
 def gossip(tmp_path):
-    made = []
+    started = []
 
     def make(members, servers, **values):
         rig = Rig(
-            tmp_path / f"rig{len(made)}",
+            tmp_path / f"rig{len(started)}",
             members=members,
             zones=("a", "b"),
             servers=servers,
             duties=[],
-            settings=ASKED,
+            settings=SETTINGS,
             more={"sharing": GOSSIP},
             **values,
         )
         echo = [EchoServer(rig.loop, base=0.1 * (number + 1)) for number in range(servers)]
         for number, server in enumerate(echo):
             rig.list.rows[f"s{number}"]["dial"] = f"{server.address[0]}:{server.address[1]}"
-        made.append((rig, echo, []))
+        started.append((rig, echo, []))
         rig.start()
         rig.wait_members()
         rig.wait_lists()
-        return made[-1]
+        return started[-1]
 
     yield make
-    for rig, echo, clients in made:
-        for one in [*clients, *echo]:
-            one.close()
+    for rig, echo, clients in started:
+        for closable in [*clients, *echo]:
+            closable.close()
         rig.close()
 
 
-def reports(rig, name):
+def gossip_rows(rig, name):
     return {row["server"]: row for row in rig.ask(name)["sharing"]["rows"]}
 
 
-def wait_all(rig, names, wanted, within, what):
-    """Wait until each of these members has reports for which `wanted` is true."""
-    rig.wait(lambda: all(wanted(reports(rig, name)) for name in names), within, what)
+def wait_for_rows(rig, names, condition, within, what):
+    """Wait until `condition` is true for the gossip rows of each of these members."""
+    rig.wait(lambda: all(condition(gossip_rows(rig, name)) for name in names), within, what)
 
 
-def loads_right(echo):
-    def right(table):
+def has_current_loads(echo):
+    def check(table):
         return len(table) == len(echo) and all(
             table[f"s{n}"]["load"] is not None
-            and abs(table[f"s{n}"]["load"] - one.base - one.each * one.open) < 0.02
-            for n, one in enumerate(echo)
+            and abs(table[f"s{n}"]["load"] - server.base - server.each * server.open) < 0.02
+            for n, server in enumerate(echo)
         )
 
-    return right
+    return check
 
 
-def sums_right(echo):
+def has_current_counts(echo):
     return lambda table: (
-        len(table) == len(echo) and all(table[f"s{n}"]["held"] == one.open for n, one in enumerate(echo))
+        len(table) == len(echo)
+        and all(table[f"s{n}"]["held"] == server.open for n, server in enumerate(echo))
     )
 
 
-def test_members_share_loads_and_connections_through_stalls_partitions_and_kills(gossip):
+def test_members_share_loads_and_connection_counts_despite_stalls_partitions_and_kills(gossip):
     rig, echo, clients = gossip(6, 3)
     clients += [Client(rig.loop, rig.listen[rig.names[n % 6]], n) for n in range(24)]
     rig.wait(lambda: all(client.echoes > 2 for client in clients), 15, "sessions that echo")
-    wait_all(rig, rig.names, loads_right(echo), 20, "all know each server's load")
-    wait_all(rig, rig.names, sums_right(echo), 20, "all know each server's connections")
+    wait_for_rows(rig, rig.names, has_current_loads(echo), 20, "all members have current loads")
+    wait_for_rows(rig, rig.names, has_current_counts(echo), 20, "all members have current counts")
 
-    # Each is polled by one member, and now and then audited by another, instead of by six.
-    before = [one.questions for one in echo]
-    saved = sum(rig.ask(name)["counts"].get("sharing: probes saved", 0) for name in rig.names)
-    polled = zip(echo, before, strict=True)
+    # Each endpoint is polled by one member and occasionally audited by another, instead of polled by all six.
+    polls_before = [server.questions for server in echo]
+    saved_before = sum(rig.ask(name)["counts"].get("sharing: probes saved", 0) for name in rig.names)
+    polled = zip(echo, polls_before, strict=True)
     rig.wait(
-        lambda polled=list(polled): all(one.questions >= count + 6 for one, count in polled), 25, "polled"
+        lambda polled=list(polled): all(server.questions >= count + 6 for server, count in polled),
+        25,
+        "six more polls of each endpoint",
     )
-    more = sum(rig.ask(name)["counts"].get("sharing: probes saved", 0) for name in rig.names) - saved
-    owner = reports(rig, "n0")["s0"]["by"]
-    assert more > 0 and "s0" in rig.ask(owner)["sharing"]["keeps"]
+    saved = sum(rig.ask(name)["counts"].get("sharing: probes saved", 0) for name in rig.names) - saved_before
+    owner = gossip_rows(rig, "n0")["s0"]["by"]
+    assert saved > 0 and "s0" in rig.ask(owner)["sharing"]["keeps"]
 
-    # Its owner stalls: the deputy reports, and the owner again once it goes on.
+    # The owner stalls: the deputy reports until the owner has resumed.
     others = [name for name in rig.names if name != owner]
     rig.stop(owner)
     echo[0].base = 0.5
@@ -96,60 +99,67 @@
     def deputy_reports(table):
         return table["s0"]["by"] != owner and (table["s0"]["load"] or 0.0) >= 0.5
 
-    wait_all(rig, others, deputy_reports, 25, "the deputy reports")
+    wait_for_rows(rig, others, deputy_reports, 25, "reports by the deputy")
     rig.go_on(owner)
-    # Resumed, it may send its old report once more; members that know better ignore it for half a minute.
-    wait_all(rig, rig.names, lambda table: table["s0"]["by"] == owner, 60, "the owner again")
+    # The resumed owner may send its old report again, and members that audit it quarantine it for 30 s.
+    wait_for_rows(rig, rig.names, lambda table: table["s0"]["by"] == owner, 60, "reports by the owner")
 
-    # A partition between the zones: each knows the loads all the same, and its own connections.
+    # Partition the zones: each still has all loads, but only the connections of its own members.
     sides = {zone: [name for name in rig.names if rig.zones[name] == zone] for zone in "ab"}
     rules = rig.cut(sides["a"], sides["b"])
-    rig.wait(lambda: all(rig.there(rig.now_by[name]) == 3 for name in rig.names), 40, "halves")
+    rig.wait(
+        lambda: all(rig.there(rig.now_by[name]) == 3 for name in rig.names),
+        40,
+        "members see only their own zone",
+    )
     echo[1].base = 0.6
-    wait_all(rig, rig.names, loads_right(echo), 30, "both halves know the loads")
-    total = sum(one.open for one in echo)
-    halves = [sum(row["held"] for row in reports(rig, side[0]).values()) for side in sides.values()]
+    wait_for_rows(rig, rig.names, has_current_loads(echo), 30, "current loads in both zones")
+    total = sum(server.open for server in echo)
+    halves = [sum(row["held"] for row in gossip_rows(rig, side[0]).values()) for side in sides.values()]
     assert all(0 < half < total for half in halves)
     rig.mend(rules)
     rig.wait_members(within=60)
-    wait_all(rig, rig.names, sums_right(echo), 30, "whole again")
+    wait_for_rows(rig, rig.names, has_current_counts(echo), 30, "current counts after the partition")
 
-    # Half of them killed at once: their connections no longer count, and others own their servers.
-    gone = rig.names[:3]
+    # Kill half of the members at once: their connections are no longer counted and their endpoints get new
+    # owners.
+    killed = rig.names[:3]
     survivors = rig.names[3:]
-    rig.kill(*gone)
-    lost = [client for client in clients if rig.names[client.number % 6] in gone]
+    rig.kill(*killed)
+    lost = [client for client in clients if rig.names[client.number % 6] in killed]
     for client in lost:
         client.close()
 
     def owned_by_survivors(table):
-        return sums_right(echo)(table) and {row["by"] for row in table.values()} <= set(survivors)
+        return has_current_counts(echo)(table) and {row["by"] for row in table.values()} <= set(survivors)
 
-    wait_all(rig, survivors, owned_by_survivors, 40, "owned and counted by those left")
-    rig.start(*gone)
+    wait_for_rows(rig, survivors, owned_by_survivors, 40, "owners and counts of the survivors only")
+    rig.start(*killed)
     rig.wait_members(within=60)
-    wait_all(rig, rig.names, loads_right(echo), 30, "new ones have the loads")
-    assert not [one.odd for one in clients if one.wrong or (one.lost and one not in lost)]
+    wait_for_rows(rig, rig.names, has_current_loads(echo), 30, "current loads on the restarted members")
+    assert not [client.odd for client in clients if client.wrong or (client.lost and client not in lost)]
     assert not rig.crashes and not rig.failures
     assert not [line.told for line in rig.lines if line.event == "failure"]
 
 
-def test_a_silent_server_is_avoided_by_all_and_members_poll_for_themselves_when_cut_off(gossip):
+def test_all_members_avoid_a_silent_endpoint_and_isolated_members_poll_by_themselves(gossip):
     rig, echo, clients = gossip(4, 3)
-    wait_all(rig, rig.names, loads_right(echo), 20, "all know each server's load")
+    wait_for_rows(rig, rig.names, has_current_loads(echo), 20, "all members have current loads")
     echo[2].silent = True
-    wait_all(rig, rig.names, lambda table: table["s2"]["doubters"] >= 2, 25, "two have seen it fail")
+    wait_for_rows(
+        rig, rig.names, lambda table: table["s2"]["doubters"] >= 2, 25, "failures reported by two members"
+    )
     clients += [Client(rig.loop, rig.listen[rig.names[n % 4]], n) for n in range(12)]
-    rig.wait(lambda: all(client.echoes > 2 for client in clients), 20, "sessions go elsewhere")
+    rig.wait(lambda: all(client.echoes > 2 for client in clients), 20, "sessions on the other endpoints")
     assert not echo[2].open
     echo[2].silent = False
-    wait_all(rig, rig.names, loads_right(echo), 25, "it is healthy again")
-    # Every link is cut: each polls for itself, as without a fleet.
+    wait_for_rows(rig, rig.names, has_current_loads(echo), 25, "current loads after the recovery")
+    # Cut every link: each member polls all endpoints itself, as without a fleet.
     rig.cut(rig.names, rig.names)
-    rig.wait(lambda: all(rig.there(rig.now_by[name]) == 1 for name in rig.names), 60, "each alone")
+    rig.wait(lambda: all(rig.there(rig.now_by[name]) == 1 for name in rig.names), 60, "isolated members")
     echo[0].base = 0.45
-    wait_all(rig, rig.names, loads_right(echo), 30, "each has polled for itself")
+    wait_for_rows(rig, rig.names, has_current_loads(echo), 30, "current loads on each isolated member")
     rig.mend()
     rig.wait_members(within=60)
-    wait_all(rig, rig.names, sums_right(echo), 30, "together again")
+    wait_for_rows(rig, rig.names, has_current_counts(echo), 30, "current counts after the isolation")
     assert not rig.crashes and not rig.failures
