--- a/onyxhollow/gossip/connection_counts.py
+++ b/onyxhollow/gossip/connection_counts.py
@@ -169,7 +169,7 @@
 
 
 def _first_page(rows: list[EndpointCount]) -> list[EndpointCount]:
-    """Return the first rows that fit one message; the rest is left to the next refresh."""
+    """Return the first rows that fit one message; the others wait for a later refresh."""
     space = MAX_MESSAGE_BYTES
     page = []
     for row in rows:
--- a/onyxhollow/membership/anti_entropy.py
+++ b/onyxhollow/membership/anti_entropy.py
@@ -39,7 +39,10 @@
         self.next_sync_at = now  # seconds; the first exchange, which joins the fleet, is due at once
 
     def sync(self, now: float) -> None:
-        """Start an exchange with a live member or an unreachable address; with all of these if alone."""
+        """Start an exchange with a live member or an unreachable address, selected at random.
+
+        If no other member is live, start one with every unreachable address, and retry sooner.
+        """
         live = list(self.table.live.values())
         self.table.joined = self.table.joined or bool(live)
         self.next_sync_at = now + self.config.sync_interval * self.rng.uniform(0.5, 1.0)
