--- a/onyxhollow/addresses/health.py
+++ b/onyxhollow/addresses/health.py
@@ -83,7 +83,7 @@
         """
         if not ready:
             return Assessment(0.0, "accepts no clients")
-        assessments = [Assessment(1.0, "healthy")]
+        assessments = [Assessment(1.0, "well")]
         if endpoints:
             health = min(1.0, CAPACITY_FACTOR * with_capacity / endpoints)
             assessments.append(
--- a/onyxhollow/fleet/address_commands.py
+++ b/onyxhollow/fleet/address_commands.py
@@ -1,7 +1,7 @@
-"""The command `addresses`: what is advertised where and why, and overrides, from a running process.
+"""The `addresses` command: shows routes and their reasons, and sets overrides, through a running process.
 
-Exit codes: 0 done; 2 the process could not be reached, or the arguments are wrong; 3 an override that is not
-yet stored by a majority; 4 a plan that something forbids.
+Exit codes: 0 success; 2 the process could not be reached, or the arguments are invalid; 3 the override is not
+yet stored by a majority of the voters; 4 a rule forbids a change of the plan.
 """
 
 from __future__ import annotations
@@ -20,92 +20,93 @@
 from onyxhollow.fleet.address_tables import JsonObject, describe_route, history_table, view_table
 from onyxhollow.fleet.commands import CallError, call
 
-ANSWER_TIMEOUT = 4.0  # seconds for the controller's answer, or for an override to be stored
-POLL_INTERVAL = 0.1  # seconds
-WATCH_INTERVAL = 1.0  # seconds
-PIPED_WIDTH = 160  # columns where the output is no terminal
+TIMEOUT_SECONDS = 4.0  # for the controller's response, or for an override to be stored
+POLL_INTERVAL_SECONDS = 0.1
+WATCH_INTERVAL_SECONDS = 1.0
+NON_TERMINAL_COLUMNS = 160  # width of output that is not a terminal
 ROOT = "/control/addresses"
 OVERRIDE_VERBS = ("drain", "undrain", "pin", "unpin", "exclude", "include")
 
 
 class ExitCode(IntEnum):
-    """What the command ends with."""
+    """Exit codes of the command."""
 
-    DONE = 0
+    SUCCESS = 0
     FAILED = 2
     NOT_STORED = 3
-    HINDERED = 4
+    FORBIDDEN = 4
     INTERRUPTED = 130
 
 
-# calls
+# Calls to the process
 
 
-def fetch(at: str, path: str, **query: str) -> JsonObject:
-    """A query that another member may have to answer: repeated until it has.
+def fetch(management_address: str, path: str, **query: str) -> JsonObject:
+    """Send a query that another member may have to answer, and poll until the response arrives.
 
     Raises:
-        CallError: no answer in time, or a refusal.
+        CallError: there is no response in time, or the query is rejected.
     """
-    query_id = json.loads(call(at, "GET", path, root=ROOT, **query))["id"]
-    until = time.monotonic() + ANSWER_TIMEOUT
-    while time.monotonic() < until:
-        answer: JsonObject = json.loads(call(at, "GET", path, root=ROOT, id=query_id))
+    query_id = json.loads(call(management_address, "GET", path, root=ROOT, **query))["id"]
+    deadline = time.monotonic() + TIMEOUT_SECONDS
+    while time.monotonic() < deadline:
+        answer: JsonObject = json.loads(call(management_address, "GET", path, root=ROOT, id=query_id))
         if "id" not in answer:
             return answer
-        time.sleep(POLL_INTERVAL)
+        time.sleep(POLL_INTERVAL_SECONDS)
     raise CallError(
-        f"{at}: expected an answer of the keeper or a voter within {ANSWER_TIMEOUT:g} s, got none"
+        f"{management_address}: expected a response of the controller or a voter "
+        f"within {TIMEOUT_SECONDS:g} s, got none"
     )
 
 
 def override_query(args: argparse.Namespace, verb: str) -> dict[str, str]:
-    """The parameters of an override, or of its plan."""
-    who = args.who or os.environ.get("SUDO_USER") or getpass.getuser()
-    query = {"verb": verb, "site": args.site, "address": args.address or "", "who": who, "why": args.why}
+    """Return the query parameters of an override or its plan."""
+    operator = args.who or os.environ.get("SUDO_USER") or getpass.getuser()
+    query = {"verb": verb, "site": args.site, "address": args.address or "", "who": operator, "why": args.why}
     return query | ({"until": str(args.until)} if args.until else {})
 
 
-# commands
+# Commands
 
 
-def give_override(args: argparse.Namespace, _: Console) -> int:
-    """Gives an override, and waits until a majority has stored it."""
-    query = override_query(args, args.part)
+def set_override(args: argparse.Namespace, _: Console) -> int:
+    """Set an override, and wait until a majority of the voters has stored it."""
+    query = override_query(args, args.command)
     override_id = json.loads(call(args.at, "POST", "/order", root=ROOT, **query))["id"]
-    until = time.monotonic() + ANSWER_TIMEOUT
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     state: JsonObject = {}
-    while time.monotonic() < until:
+    while time.monotonic() < deadline:
         state = json.loads(call(args.at, "GET", "/order", root=ROOT, id=override_id))
         if state["done"]:
-            text = f"{override_id}: kept by {state['kept']} voters, in force"
+            text = f"{override_id}: stored by {state['kept']} voters, in force"
             print(json.dumps(state) if args.json else text)
-            return ExitCode.DONE
-        time.sleep(POLL_INTERVAL)
+            return ExitCode.SUCCESS
+        time.sleep(POLL_INTERVAL_SECONDS)
     stored = state.get("kept", 0)
     needed = state.get("needed", "?")
     sys.stderr.write(
-        f"onyxhollow: order {override_id}: kept by {stored} voters, expected {needed}; "
-        f"{args.at} goes on trying\n"
+        f"onyxhollow: override {override_id}: stored by {stored} voters, expected {needed}; "
+        f"{args.at} keeps retrying\n"
     )
     return ExitCode.NOT_STORED
 
 
 def show_plan(args: argparse.Namespace, console: Console) -> int:
-    """What an override would do."""
+    """Show what an override would change."""
     answer = fetch(args.at, "/plan", **override_query(args, args.verb))
     if args.json:
         print(json.dumps(answer))
     else:
         print_plan(answer, console)
-    return ExitCode.HINDERED if answer["hindered"] else ExitCode.DONE
+    return ExitCode.FORBIDDEN if answer["hindered"] else ExitCode.SUCCESS
 
 
 def print_plan(answer: JsonObject, console: Console) -> None:
-    """A plan in words."""
+    """Print a plan as text."""
     for row in answer["would"]:
         moves = ", ".join(f"{count:.0f} to {site}" for site, count in row["goes_to"].items())
-        sessions = f"{row['load']:.0f} sessions there" + (f", of them {moves}" if moves else "")
+        sessions = f"{row['load']:.0f} sessions at the site" + (f", moving: {moves}" if moves else "")
         console.print(f"{row['address']} at {row['site']}: {row['standing']}; {sessions} ({row['why']})")
     for row in answer["hindered"]:
         console.print(f"{row['address']} at {row['site']}: stays, {row['why']}")
@@ -114,38 +115,38 @@
 
 
 def show_history(args: argparse.Namespace, console: Console) -> int:
-    """The last decisions and overrides."""
+    """Show the latest decisions and overrides."""
     answer = fetch(args.at, "/history")
     if args.json:
         console.print_json(data=answer)
     else:
         console.print(history_table(answer))
-    return ExitCode.DONE
+    return ExitCode.SUCCESS
 
 
 def show_reasons(args: argparse.Namespace, _: Console) -> int:
-    """Why an address is announced as it is at a site."""
+    """Show why an address has its preference at a site."""
     answer = fetch(args.at, "")
     print(json.dumps(answer) if args.json else describe_route(answer, args.name, args.site))
-    return ExitCode.DONE
+    return ExitCode.SUCCESS
 
 
 def show_routes(args: argparse.Namespace, console: Console) -> int:
-    """All routes, or those of one address; once, or live until interrupted."""
+    """Show all routes or those of one address, once or continuously until interrupted."""
     answer = fetch(args.at, "")
-    name = args.name if args.part == "show" else ""
+    name = args.name if args.command == "show" else ""
     if name and not any(row["address"] == name for row in answer["rows"]):
-        raise CallError(f"show: expected an address of the file, got {name}")
+        raise CallError(f"show: expected an address of the addresses file, got {name}")
     if args.watch:
         with Live(view_table(answer, name), console=console, auto_refresh=False) as live:
             while True:
-                time.sleep(WATCH_INTERVAL)
+                time.sleep(WATCH_INTERVAL_SECONDS)
                 live.update(view_table(fetch(args.at, ""), name), refresh=True)
     if args.json:
         console.print_json(data=answer)
     else:
         console.print(view_table(answer, name))
-    return ExitCode.DONE
+    return ExitCode.SUCCESS
 
 
 COMMANDS = {
@@ -154,65 +155,69 @@
     "why": show_reasons,
     "history": show_history,
     "plan": show_plan,
-    **dict.fromkeys(OVERRIDE_VERBS, give_override),
+    **dict.fromkeys(OVERRIDE_VERBS, set_override),
 }
 
 
-# arguments
+# Arguments
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """The parser of the arguments."""
+    """Return the parser of the command line."""
     parser = argparse.ArgumentParser(prog="onyxhollow addresses")
-    parts = parser.add_subparsers(dest="part", required=True)
-    add_watch(add_part(parts, "list", "every address at every site"))
-    show = add_part(parts, "show", "one address at every site")
+    commands = parser.add_subparsers(dest="command", required=True)
+    add_watch(add_command(commands, "list", "show every address at every site"))
+    show = add_command(commands, "show", "show one address at every site")
     add_watch(show)
     show.add_argument("name")
-    reasons = add_part(parts, "why", "why an address stands as it does at a site")
+    reasons = add_command(commands, "why", "show why an address is announced as it is at a site")
     reasons.add_argument("name")
     reasons.add_argument("site")
-    add_part(parts, "history", "the last decisions and orders, with their evidence")
-    does = "a dry run: what an order would do, and where its sessions would go"
-    plan = add_part(parts, "plan", does)
+    add_command(commands, "history", "show the latest decisions and overrides, with their evidence")
+    help_text = "dry run: show what an override would change, and where sessions would move"
+    plan = add_command(commands, "plan", help_text)
     plan.add_argument("verb", choices=OVERRIDE_VERBS)
     add_override(plan, "a plan")
     for verb in OVERRIDE_VERBS:
-        add_override(add_part(parts, verb, f"order: {verb} a site's addresses, or one of them"), None)
+        add_override(
+            add_command(commands, verb, f"override: {verb} a site's addresses, or one of them"), None
+        )
     return parser
 
 
-def add_part(
-    parts: argparse._SubParsersAction[argparse.ArgumentParser], name: str, does: str
+def add_command(
+    commands: argparse._SubParsersAction[argparse.ArgumentParser], name: str, help_text: str
 ) -> argparse.ArgumentParser:
-    """A part of the command, with the arguments that all have."""
-    part = parts.add_parser(name, help=does)
+    """Add a subcommand with the common arguments, and return its parser."""
+    command = commands.add_parser(name, help=help_text)
     management = os.environ.get("LB_MANAGEMENT", "")
-    part.add_argument("--at", default=management, help="HOST:PORT; else $LB_MANAGEMENT")
-    part.add_argument("--json", action="store_true", help="as the process tells it")
-    return part
+    command.add_argument("--at", default=management, help="HOST:PORT of the process; default: $LB_MANAGEMENT")
+    command.add_argument("--json", action="store_true", help="print the response as JSON")
+    return command
 
 
-def add_watch(part: argparse.ArgumentParser) -> None:
-    """The argument of parts that may go on."""
-    part.add_argument("--watch", action="store_true", help="a live screen, until ended by hand")
+def add_watch(command: argparse.ArgumentParser) -> None:
+    """Add the argument of subcommands that can update their output continuously."""
+    command.add_argument("--watch", action="store_true", help="update the output until interrupted")
 
 
-def add_override(part: argparse.ArgumentParser, default_reason: str | None) -> None:
-    """The arguments of an override; its reason is required if there is no default."""
-    part.add_argument("site")
-    part.add_argument("address", nargs="?", help="else all")
-    part.add_argument("--why", required=default_reason is None, default=default_reason)
-    part.add_argument("--who", help="else the user's name")
-    part.add_argument("--until", type=float, metavar="SECONDS", help="it ends by itself then")
+def add_override(command: argparse.ArgumentParser, default_reason: str | None) -> None:
+    """Add the arguments of an override; its reason is required if there is no default."""
+    command.add_argument("site")
+    command.add_argument("address", nargs="?", help="default: all addresses")
+    command.add_argument("--why", required=default_reason is None, default=default_reason)
+    command.add_argument("--who", help="operator; default: the user's name")
+    command.add_argument(
+        "--until", type=float, metavar="SECONDS", help="the override expires after this time"
+    )
 
 
-def main(words: list[str]) -> int:
-    """Runs the command; the exit code."""
-    args = make_parser().parse_args(words)
-    console = Console() if sys.stdout.isatty() else Console(width=PIPED_WIDTH)
+def main(arguments: list[str]) -> int:
+    """Run the command and return the exit code."""
+    args = make_parser().parse_args(arguments)
+    console = Console() if sys.stdout.isatty() else Console(width=NON_TERMINAL_COLUMNS)
     try:
-        return COMMANDS[args.part](args, console)
+        return COMMANDS[args.command](args, console)
     except CallError as error:
         sys.stderr.write(f"onyxhollow: {error}\n")
         return ExitCode.FAILED
--- a/onyxhollow/fleet/address_tables.py
+++ b/onyxhollow/fleet/address_tables.py
@@ -1,4 +1,4 @@
-"""Texts and tables of the command `addresses`, from the answers of /control/addresses."""
+"""Texts and tables of the `addresses` command, made from the responses of /control/addresses."""
 
 from __future__ import annotations
 
@@ -10,35 +10,43 @@
 from onyxhollow.fleet.commands import CallError
 
 VIEW_COLUMNS = ("address", "site", "standing", "for", "health", "sessions", "of", "flaps", "notes")
-PREFERENCES = ("withdrawn", "lesser", "advertised")  # by number; the core would load the fleet's libraries
+PREFERENCES = (
+    "withdrawn",
+    "lesser",
+    "advertised",
+)  # by number; importing Preference would load the fleet's libraries
 HISTORY_COLUMNS = ("when", "what", "address", "site", "why", "evidence")
-JsonObject = dict[str, Any]  # an answer, whose keys docs/addresses.md gives
+JsonObject = dict[str, Any]  # a response; docs/addresses.md lists the keys
 
 
 def describe_time(unix: float) -> str:
-    """Local time; empty for 0."""
+    """Return a Unix time as local time; empty for 0."""
     return datetime.datetime.fromtimestamp(unix).strftime("%Y-%m-%d %H:%M:%S") if unix else ""
 
 
 def describe_health(row: JsonObject, unknown: str) -> str:
-    """Health with two digits."""
+    """Return the health with two decimals, or `unknown` if there is none."""
     return unknown if row["health"] is None else f"{row['health']:.2f}"
 
 
 def describe_notes(row: JsonObject) -> str:
-    """Overrides, what is not done yet, and why a change is not made."""
+    """Return the overrides in force, whether the route is installed, and why a change is suppressed."""
     notes = [f"{kind}: {row[kind]}" for kind in ("pin", "exclude", "drain") if row[kind]]
     if not row["reached"]:
-        notes.append("not reached")
+        notes.append("site unreachable")
     elif not row["carried"]:
-        notes.append("not carried out yet")
+        notes.append("not installed yet")
     if row["stays"]:
         notes.append(f"stays, {row['stays']}")
     return "; ".join(notes)
 
 
 def describe_route(answer: JsonObject, name: str, site: str) -> str:
-    """Why an address is announced as it is at a site; CallError if there is no such route."""
+    """Return why an address has its preference at a site.
+
+    Raises:
+        CallError: there is no such route.
+    """
     for row in answer["rows"]:
         if (row["address"], row["site"]) == (name, site):
             cause = f", cause {row['cause']}" if row["cause"] else ""
@@ -48,13 +56,13 @@
             ]
             notes = describe_notes(row)
             return "\n".join([*lines, notes] if notes else lines)
-    raise CallError(f"why: expected an address and a site of the file, got {name} {site}")
+    raise CallError(f"why: expected an address and a site of the addresses file, got {name} {site}")
 
 
 def view_table(answer: JsonObject, name: str = "") -> Table:
-    """All routes, or those of one address."""
-    pending = "" if answer["ready"] else ", still listening"
-    caption = f"keeper {answer['keeper']}, term {answer['term']}{pending}"
+    """Return a table of all routes, or of those of one address."""
+    pending = "" if answer["ready"] else ", not ready to decide yet"
+    caption = f"controller {answer['keeper']}, term {answer['term']}{pending}"
     table = Table(box=None, caption=caption, caption_justify="left")
     for head in VIEW_COLUMNS:
         table.add_column(head, overflow="fold")
@@ -65,7 +73,7 @@
 
 
 def view_row(row: JsonObject) -> tuple[str, ...]:
-    """One route of the view."""
+    """Return the table row of one route."""
     cause = f" ({row['cause']})" if row["cause"] else ""
     return (
         row["address"],
@@ -81,26 +89,26 @@
 
 
 def history_table(answer: JsonObject) -> Table:
-    """Decisions and overrides, in the order of time."""
+    """Return a table of decisions and overrides in chronological order."""
     table = Table(box=None)
     for head in HISTORY_COLUMNS:
         table.add_column(head, overflow="fold")
     rows = [decision_row(row) for row in answer["decided"]]
     rows += [override_row(row) for row in answer["orders"]]
-    for at, *rest in sorted(rows):
-        table.add_row(describe_time(at), *rest)
+    for unix_time, *columns in sorted(rows):
+        table.add_row(describe_time(unix_time), *columns)
     return table
 
 
 def decision_row(row: JsonObject) -> tuple[float, str, str, str, str, str]:
-    """A decision: Unix time, and the columns after it."""
-    what = PREFERENCES[row["standing"]]
+    """Return a decision as Unix time and the other columns."""
+    preference = PREFERENCES[row["standing"]]
     evidence = f"term {row['term']}; {row['evidence']}"
-    return row["at"], what, row["address"], row["site"], row["why"], evidence
+    return row["at"], preference, row["address"], row["site"], row["why"], evidence
 
 
 def override_row(row: JsonObject) -> tuple[float, str, str, str, str, str]:
-    """An override: Unix time, and the columns after it."""
+    """Return an override as Unix time and the other columns."""
     until = f" until {describe_time(row['until'])}" if row["until"] else ""
     reason = f"{row['who']}: {row['why']}{until}"
     return row["given"], f"order: {row['verb']}", row["address"] or "all", row["site"], reason, row["id"]
--- a/onyxhollow/fleet/route_guard.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -1,24 +1,27 @@
-"""The route guard: fences writes to a site's routing daemon, which knows no terms.
+"""The route guard: fences writes to a site's routing daemon, which does not support terms itself.
 
     python -m onyxhollow route-guard --config gate.toml
 
-It alone uses the daemon's local socket. An announcer calls it by HTTP with the term of its lease; a call
-under a lower term than one seen before is refused with 409, and terms are on disk before they are answered.
-A command goes out complete or not at all: it is made here from a call that has been read to its end, so a
-holder stopped in the middle of a write leaves half a call, which is nothing. The route table is on disk,
-and sent again whenever the daemon or its connection has come back. If no announcer calls any more, as at a
-site that is cut off from the voters, the guard withdraws what the members there see as dead, or all if the
-site's file says so or if no member reports either, unless an address is among the last.
-
-    POST /claim?term=T&member=M                     take over; answered with the state
-    POST /set?term=T&number=N&keeper=K&name=A&as=S  an address is to be withdrawn (0), lowered (1), advertised
-                                                    (2); N rises under T, an overtaken call changes nothing
-    POST /alive?term=T&last=A,B                     the announcer is there; these are among the last
-    POST /seen?member=M&A=HEALTH&B=HEALTH           what a member sees; counts without an announcer
-    GET  /routes                                    the state, for anyone
-
-Each answers with JSON: term, keeper (the controller's term), speaker (whether the daemon is connected), and
-of each address what is wanted and what the daemon has taken (`told`; null: not known).
+Only the guard uses the daemon's local socket. An announcer calls the guard over HTTP with the term of its
+lease. A call with a lower term than an earlier call is rejected with status 409; a term is stored on disk
+before the call is answered. Commands are sent to the daemon whole or not at all: the guard builds a command
+only after it has read the whole call, so a call cut short by a stopped announcer has no effect. The route
+table is stored on disk and sent again whenever the connection to the daemon has been re-established.
+
+Without calls of an announcer, for example at a site that is cut off from the voters, the guard withdraws the
+addresses that are dead according to the members of the site. It withdraws all addresses if the site has
+`cut_off = "withdraw"`, or if no member reports either. Addresses that are advertised at too few other sites
+(`last`) are not withdrawn.
+
+    POST /claim?term=T&member=M                     claim the route table; returns the state
+    POST /set?term=T&number=N&keeper=K&name=A&as=S  set an address to withdrawn (0), lowered (1) or advertised
+                                                    (2); N increases within T, late calls have no effect
+    POST /alive?term=T&last=A,B                     heartbeat of the announcer; A and B must not be withdrawn
+    POST /seen?member=M&A=HEALTH&B=HEALTH           health report of a member, used without an announcer
+    GET  /routes                                    the state
+
+The response is JSON: `term`, `keeper` (the controller's term), `speaker` (whether the daemon is connected),
+and for each address the preference set (`wanted`) and that confirmed by the daemon (`told`; null: unknown).
 """
 
 from __future__ import annotations
@@ -51,27 +54,27 @@
 from onyxhollow.management.api import PLAIN, Answer, Management
 from onyxhollow.wire.listening import ListenError
 
-CHECK_INTERVAL = 0.2  # seconds between checks whether an announcer still calls
-MIN_EVIDENCE_AGE = 3.0  # seconds for which a member's report counts, at the least
-MAX_RECORDS = 512  # in the store; past them it is rewritten
-MAX_NUMBER_DIGITS = 18  # of a number in a query
-MAX_TRACE = 1000  # characters of a traceback in the log
+CHECK_INTERVAL_SECONDS = 0.2  # between checks for orphaned routes
+MIN_EVIDENCE_AGE_SECONDS = 3.0  # lower limit of the time for which a member's report is valid
+MAX_RECORDS = 512  # the store is rewritten before it exceeds this number
+MAX_NUMBER_DIGITS = 18  # in a query parameter
+MAX_TRACEBACK_CHARACTERS = 1000  # in a log line
 JSON = "application/json"
 
 
 def read_number(query: dict[str, list[str]], name: str) -> int:
-    """A whole number of a query; -1 if it is missing or something else."""
+    """Return a non-negative integer parameter of a query; -1 if it is missing or invalid."""
     text = query.get(name, [""])[0]
     return int(text) if text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else -1
 
 
 def read_text(query: dict[str, list[str]], name: str) -> str:
-    """A text of a query; empty if it is missing."""
+    """Return a text parameter of a query; empty if it is missing."""
     return query.get(name, [""])[0]
 
 
 class RouteGuard:
-    """One site's route guard: its route table, the store, the HTTP calls and the routing daemon's client."""
+    """A site's route guard: the route table, its store, the HTTP API and the routing daemon's client."""
 
     def __init__(
         self, config: RouteGuardConfig, addresses: AddressesFile, site: Site, folder: str, log_fd: int
@@ -85,7 +88,7 @@
         self.records = AppendLog(folder, "gate")
         self.table.restore([RECORDS.decode(row) for row in self.records.bodies])
         self.table.announcer_seen_at = clock.now()
-        self.health = HealthAggregator(max(MIN_EVIDENCE_AGE, addresses.policy.max_evidence_age))
+        self.health = HealthAggregator(max(MIN_EVIDENCE_AGE_SECONDS, addresses.policy.max_evidence_age))
         self.dead_since: dict[str, float] = {}  # by address
         self.member_seen_at = clock.now()  # the last report of any member
         self.management = Management(
@@ -103,28 +106,28 @@
         self.daemon = RoutingDaemonClient(
             self.loop, parse_host_port(config.speaker, "speaker"), self.table, self.log_event, self.counters
         )
-        self.loop.spawn(self.watch_for_orphans())
+        self.loop.spawn(self.check_orphaned_routes())
         preferences = {name: int(preference) for name, preference in self.table.preferences.items()}
         self.log_event("route guard", term=self.table.term, cut=self.records.torn_tail, stands=preferences)
 
     def log_event(self, event: str, **values: Any) -> None:
-        """Writes one line to the log, with the monotonic time in `at`."""
+        """Write one line to the log, with the monotonic time in `at`."""
         self.log.event(event, at=round(time.monotonic(), 4), **values)
 
     def on_failure(self, where: str, error: BaseException) -> None:
-        """A coroutine of the loop has failed: it is logged, and the guard goes on."""
-        trace = "".join(traceback.format_exception(error))[-MAX_TRACE:]
+        """Log a failed coroutine of the event loop; the guard continues."""
+        trace = "".join(traceback.format_exception(error))[-MAX_TRACEBACK_CHARACTERS:]
         self.log_event("failure", where=where, error=repr(error)[:200], trace=trace)
 
     def close(self) -> None:
-        """Closes the store and the listener."""
+        """Close the store and the listener."""
         self.records.close()
         self.management.listener.close()
 
-    # answers
+    # Responses
 
     def answer_state(self, status: int = 200) -> Answer:
-        """The answer to every call that was understood."""
+        """Return the guard's state, the response to every valid call."""
         rows = {
             name: {"wanted": int(preference), "told": self.daemon.installed[name]}
             for name, preference in self.table.preferences.items()
@@ -139,22 +142,22 @@
         return status, orjson.dumps(state, option=orjson.OPT_APPEND_NEWLINE), JSON
 
     def answer_stale_term(self, error: StaleTermError) -> Answer:
-        """The answer to a call under an old term."""
+        """Count, log and answer a call with a stale term."""
         self.counters.add("calls of an older term")
         self.log_event("stale term", seen=error.expected)
         return self.answer_state(409)
 
     def answer_stored(self, records: list[GuardRecord], before: RouteTable) -> Answer:
-        """Stores what a call has changed, then answers; without the disk nothing of the call counts."""
+        """Store the changes of a call and answer it; if storing fails, revert the changes."""
         if records and not self.store(records):
             self.table.revert(before)
-            return 503, b"the disk fails\n", PLAIN
+            return 503, b"disk failure: the change was not stored\n", PLAIN
         if records:
             self.daemon.wake()
         return self.answer_state()
 
     def store(self, records: list[GuardRecord]) -> bool:
-        """Whether the records are on disk; nothing is answered or sent to the daemon before."""
+        """Store records and return whether they are on disk; a call is answered only afterwards."""
         try:
             if len(self.records.bodies) + len(records) > MAX_RECORDS:
                 self.records.rewrite([encode(record) for record in self.table.records()])
@@ -165,15 +168,15 @@
             return False
         return True
 
-    # calls of announcers
+    # Calls of announcers
 
     def claim(self, query: str) -> Answer:
-        """POST /claim."""
+        """Handle POST /claim."""
         parameters = parse_qs(query)
         term = read_number(parameters, "term")
         member = read_text(parameters, "member")
         if term < 1 or not member:
-            return 400, b"claim: expected term and member\n", PLAIN
+            return 400, b"claim: expected parameters term (from 1) and member\n", PLAIN
         before = self.table.copy()
         try:
             records = self.table.claim(term, member, clock.now())
@@ -184,16 +187,20 @@
         return self.answer_stored(records, before)
 
     def set_preference(self, query: str) -> Answer:
-        """POST /set."""
+        """Handle POST /set."""
         parameters = parse_qs(query)
         term = read_number(parameters, "term")
         number = read_number(parameters, "number")
         controller_term = read_number(parameters, "keeper")
         preference = read_number(parameters, "as")
         name = read_text(parameters, "name")
-        known = preference in (0, 1, 2) and name in self.table.preferences
-        if min(term, number) < 1 or controller_term < 0 or not known:
-            return 400, b"set: expected term, number, keeper, a known name, as from 0 to 2\n", PLAIN
+        is_valid = preference in (0, 1, 2) and name in self.table.preferences
+        if min(term, number) < 1 or controller_term < 0 or not is_valid:
+            return (
+                400,
+                b"set: expected parameters term, number, keeper, name (a known address) and as (0 to 2)\n",
+                PLAIN,
+            )
         before = self.table.copy()
         try:
             records = self.table.set_preference(
@@ -206,7 +213,7 @@
         return self.answer_stored(records, before)
 
     def heartbeat(self, query: str) -> Answer:
-        """POST /alive."""
+        """Handle POST /alive."""
         parameters = parse_qs(query)
         last_addresses = set(read_text(parameters, "last").split(","))
         try:
@@ -215,10 +222,10 @@
             return self.answer_stale_term(error)
         return self.answer_state()
 
-    # without an announcer
+    # Operation without an announcer
 
     def report_health(self, query: str) -> Answer:
-        """POST /seen: a member's health report."""
+        """Handle POST /seen, a member's health report."""
         parameters = dict(parse_qsl(query))
         member = parameters.pop("member", "")
         rows = []
@@ -227,13 +234,13 @@
                 if name in self.table.preferences:
                     rows.append(AddressHealth(name, float(text), "", 0.0, 0.0))
         if not member or not rows:
-            return 400, b"seen: expected member, and addresses with their health\n", PLAIN
+            return 400, b"seen: expected parameters member and ADDRESS=HEALTH\n", PLAIN
         self.member_seen_at = clock.now()
         self.health.record(member, HealthReport(self.config.site, rows), self.member_seen_at)
         return self.answer_state()
 
     def dead_addresses(self, now: float) -> set[str]:
-        """What the members here have seen as dead for long enough."""
+        """Return the addresses that have been dead for `dead_for` seconds according to the site's members."""
         for name in self.table.preferences:
             health = self.health.assess(self.config.site, name, now).health
             if health is None or health >= self.policy.dead_below:
@@ -242,29 +249,31 @@
                 self.dead_since.setdefault(name, now)
         return {name for name, since in self.dead_since.items() if now - since >= self.policy.dead_for}
 
-    def watch_for_orphans(self) -> Generator[float, None, None]:
-        """Withdraws what nobody looks after, as the file and the members say; forever."""
+    def check_orphaned_routes(self) -> Generator[float, None, None]:
+        """Check for orphaned routes periodically; runs forever."""
         while True:
             self.withdraw_orphaned(clock.now())
-            yield self.loop.now + CHECK_INTERVAL
+            yield self.loop.now + CHECK_INTERVAL_SECONDS
 
     def withdraw_orphaned(self, now: float) -> None:
-        """One check."""
+        """Withdraw routes that no announcer controls, as `RouteTable.withdraw_orphaned` decides."""
         max_age = max(self.policy.max_evidence_age, self.policy.dead_for)
         silent_for = now - self.member_seen_at
         dead = self.dead_addresses(now)
         withdrawn = self.table.withdraw_orphaned(self.config.orphaned_after, dead, now, silent_for, max_age)
         if not withdrawn:
             return
-        alone_for = round(now - self.table.announcer_seen_at, 2)
+        announcer_silent_for = round(now - self.table.announcer_seen_at, 2)
         for row in withdrawn:
-            self.log_event("orphaned", name=row.name, after=alone_for, members_silent=round(silent_for, 2))
-        self.store([*withdrawn])  # withdrawn without the disk too: nobody is there to try again
+            self.log_event(
+                "orphaned", name=row.name, after=announcer_silent_for, members_silent=round(silent_for, 2)
+            )
+        self.store([*withdrawn])  # withdrawn even if storing fails, since no announcer would retry
         self.daemon.wake()
 
 
 def main(path: str) -> int:
-    """Runs a route guard until a signal; the exit code, 2 if it cannot start."""
+    """Run a route guard until a signal, and return the exit code: 2 if it cannot start."""
     try:
         config, addresses, site = read_guard_config(path)
         folder = os.path.join(os.path.dirname(os.path.abspath(path)), config.folder)
@@ -273,7 +282,7 @@
         sys.stderr.write(f"onyxhollow: {error}\n")
         return 2
     except msgspec.DecodeError as error:
-        sys.stderr.write(f"onyxhollow: {path}: folder: expected a gate's records, got {error}\n")
+        sys.stderr.write(f"onyxhollow: {path}: folder: expected records of a route guard, got {error}\n")
         return 2
 
     def stop(*_: Any) -> None:
--- a/onyxhollow/fleet/route_guard_config.py
+++ b/onyxhollow/fleet/route_guard_config.py
@@ -1,4 +1,4 @@
-"""The route guard's file: TOML, beside the addresses file that it names."""
+"""The route guard's configuration file, in TOML; it names the addresses file."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 )
 
 MAX_AS_NUMBER = (1 << 32) - 1
-MIN_ORPHANED_AFTER = 0.5  # seconds
-MAX_ORPHANED_AFTER = 3600  # seconds
+MIN_ORPHANED_AFTER_SECONDS = 0.5
+MAX_ORPHANED_AFTER_SECONDS = 3600
 
 
 class RouteGuardConfig(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The keys of the file."""
+    """The contents of the route guard's file."""
 
-    addresses: str  # the addresses file, relative to this one
+    addresses: str  # path of the addresses file, relative to this file
     site: str
-    listen: str  # HOST:PORT where announcers call
-    speaker: str  # HOST:PORT of the routing daemon's local socket
-    folder: str  # of the store, relative to this file
+    listen: str  # HOST:PORT for the calls of announcers and members
+    speaker: str  # HOST:PORT of the routing daemon's API
+    folder: str  # path of the store, relative to this file
     own_as: int = 64512
-    orphaned_after: float = 15.0  # seconds without an announcer after which the site's file counts
+    orphaned_after: float = 15.0  # seconds without an announcer until the guard withdraws routes itself
 
 
 def read_guard_config(path: str) -> tuple[RouteGuardConfig, AddressesFile, Site]:
-    """Reads and checks a route guard's file and its addresses file; also the site that it names.
+    """Read and check a route guard's file and its addresses file, and return both with the guard's site.
 
     Raises:
-        AddressesError: one of them cannot be read or used; one line that names the file.
+        AddressesError: a file cannot be read or is invalid; a one-line message that names the file.
     """
     with one_line_errors(path), open(path, "rb") as file:
         config = msgspec.toml.decode(file.read(), type=RouteGuardConfig, strict=True)
@@ -47,18 +47,26 @@
 
 
 def check(config: RouteGuardConfig) -> None:
-    """Raises AddressesError for a value that types alone do not forbid."""
+    """Check the constraints that the types do not express.
+
+    Raises:
+        AddressesError: a value is out of range, or an address is malformed.
+    """
     parse_host_port(config.listen, "listen")
     parse_host_port(config.speaker, "speaker")
     if not 0 < config.own_as <= MAX_AS_NUMBER:
         raise AddressesError(f"own_as: expected 1 to {MAX_AS_NUMBER}, got {config.own_as}")
-    if not MIN_ORPHANED_AFTER <= config.orphaned_after <= MAX_ORPHANED_AFTER:
-        limits = f"{MIN_ORPHANED_AFTER} to {MAX_ORPHANED_AFTER}"
+    if not MIN_ORPHANED_AFTER_SECONDS <= config.orphaned_after <= MAX_ORPHANED_AFTER_SECONDS:
+        limits = f"{MIN_ORPHANED_AFTER_SECONDS} to {MAX_ORPHANED_AFTER_SECONDS}"
         raise AddressesError(f"orphaned_after: expected {limits}, got {config.orphaned_after:g}")
 
 
 def find_site(addresses: AddressesFile, name: str) -> Site:
-    """The site of that name; raises AddressesError if there is none."""
+    """Return the site with this name.
+
+    Raises:
+        AddressesError: there is no such site.
+    """
     for site in addresses.sites:
         if site.name == name:
             return site
--- a/tests/test_fleet_addresses.py
+++ b/tests/test_fleet_addresses.py
@@ -228,7 +228,7 @@
     other = next(name for name in sites.members("c") if name not in rig.voters)
     rules = rig.cut([other], [name for name in rig.names if name != other])
     code, out = run("drain", "b", "addr1", "--why", "short", "--who", "op", "--until", "12", name=other)
-    assert code == 3 and "kept by 0 voters" in out
+    assert code == 3 and "stored by 0 voters" in out
     rig.mend(rules)
     rig.wait(lambda: sites.standing("b") == [2, 0], 30, "it is applied")
     rig.wait(lambda: sites.standing("b") == [2, 2], 40, "it is over")
