--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -130,7 +130,7 @@
 
     def _join_proxy(self, authenticator: DatagramAuthenticator) -> None:
         proxy = self.proxy
-        proxy.parts.append(self)
+        proxy.extensions.append(self)
         status = StatusApi(
             self,
             self.leasing,
@@ -222,7 +222,7 @@
     def _something_waits(self) -> bool:
         membership = self.membership
         return bool(
-            self.leasing.messenger.local
+            self.leasing.messenger.local_messages
             or membership.changes
             or membership.received_payloads
             or membership.received_broadcasts
--- a/onyxhollow/fleet/route_guard.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -51,7 +51,7 @@
 from onyxhollow.fleet.routing_daemon import RoutingDaemonClient
 from onyxhollow.lifecycle.log import Log
 from onyxhollow.loop import Loop
-from onyxhollow.management.api import PLAIN, Answer, Management
+from onyxhollow.management.api import PLAIN_TEXT, Answer, Management
 from onyxhollow.wire.listening import ListenError
 
 CHECK_INTERVAL_SECONDS = 0.2  # between checks for orphaned routes
@@ -151,7 +151,7 @@
         """Store the changes of a call and answer it; if storing fails, revert the changes."""
         if records and not self.store(records):
             self.table.revert(before)
-            return 503, b"disk failure: the change was not stored\n", PLAIN
+            return 503, b"disk failure: the change was not stored\n", PLAIN_TEXT
         if records:
             self.daemon.wake()
         return self.answer_state()
@@ -176,7 +176,7 @@
         term = read_number(parameters, "term")
         member = read_text(parameters, "member")
         if term < 1 or not member:
-            return 400, b"claim: expected parameters term (from 1) and member\n", PLAIN
+            return 400, b"claim: expected parameters term (from 1) and member\n", PLAIN_TEXT
         before = self.table.copy()
         try:
             records = self.table.claim(term, member, clock.now())
@@ -199,7 +199,7 @@
             return (
                 400,
                 b"set: expected parameters term, number, keeper, name (a known address) and as (0 to 2)\n",
-                PLAIN,
+                PLAIN_TEXT,
             )
         before = self.table.copy()
         try:
@@ -234,7 +234,7 @@
                 if name in self.table.preferences:
                     rows.append(AddressHealth(name, float(text), "", 0.0, 0.0))
         if not member or not rows:
-            return 400, b"seen: expected parameters member and ADDRESS=HEALTH\n", PLAIN
+            return 400, b"seen: expected parameters member and ADDRESS=HEALTH\n", PLAIN_TEXT
         self.member_seen_at = clock.now()
         self.health.record(member, HealthReport(self.config.site, rows), self.member_seen_at)
         return self.answer_state()
