--- a/onyxhollow/addresses/file.py
+++ b/onyxhollow/addresses/file.py
@@ -49,16 +49,16 @@
     route_guard: str = field(name="gate")  # HOST:PORT
     next_hop: str = "self"
     capacity: Positive = 1000.0  # open sessions that the site can serve
-    med: Annotated[int, Meta(ge=0, le=1000)] = field(
-        default=100, name="preference"
-    )  # BGP MED: lower is preferred
+    # BGP MED: a lower value is preferred.
+    med: Annotated[int, Meta(ge=0, le=1000)] = field(default=100, name="preference")
     cut_off: Literal["keep", "withdraw"] = "keep"  # after `cut_off_after` without a controller
 
 
 class Policy(TomlTable, frozen=True):
     """Thresholds for withdrawing and restoring routes; health is from 0 to 1, times are in seconds."""
 
-    min_sites: Annotated[int, Meta(ge=1)] = field(default=1, name="least")  # sites that advertise an address
+    # Minimum number of sites that advertise an address.
+    min_sites: Annotated[int, Meta(ge=1)] = field(default=1, name="least")
     # Limit of sites withdrawn for health within `withdrawal_window`.
     max_concurrent_withdrawals: Annotated[int, Meta(ge=1)] = field(default=1, name="most_at_once")
     withdrawal_window: Positive = field(default=30.0, name="window")
@@ -73,9 +73,8 @@
     recovery_step: NotNegative = field(default=5.0, name="step")  # at the lowered preference during a restore
     max_utilization: Ratio = field(default=0.9, name="fill")  # of a site's capacity, including moved sessions
     drain_for: Positive = 60.0  # a drain ends with a withdrawal after this time at the latest
-    drained_ratio: Ratio = field(
-        default=0.1, name="drained"
-    )  # share of the arrival rate before the drain at which it is complete
+    # A drain is complete when the arrival rate has fallen to this share of the rate before the drain.
+    drained_ratio: Ratio = field(default=0.1, name="drained")
     cut_off_after: Positive = 10.0  # without an assignment from a controller
     max_evidence_age: Positive = field(default=3.0, name="fresh")
 
@@ -87,9 +86,7 @@
     sites: list[Site] = field(name="site")
     policy: Policy = Policy()
     interval: Positive = field(default=0.5, name="every")  # seconds between messages
-    probe_interval: NotNegative = field(
-        default=2.0, name="synthetic"
-    )  # seconds between probe sessions; 0: none
+    probe_interval: NotNegative = field(default=2.0, name="synthetic")  # seconds; 0: no probe sessions
 
 
 def parse_host_port(text: str, key: str) -> tuple[str, int]:
