--- a/onyxhollow/fleet/__init__.py
+++ b/onyxhollow/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet on a proxy: file, datagrams, leases and leader tasks, list replication, gossip, commands."""
+"""Fleet member in a proxy: fleet file, datagrams, leases, leader tasks, list replication, gossip."""
--- a/onyxhollow/fleet/clock.py
+++ b/onyxhollow/fleet/clock.py
@@ -1,25 +1,26 @@
-"""The clock that leases run on.
+"""Clock of the leases.
 
-It counts while the machine sleeps too, and no step of the wall clock moves it.
+It advances while the machine is suspended and is not affected by changes of the wall clock.
 """
 
 from __future__ import annotations
 
 import time
 
-EPOCH_SHIFT = 12  # bits of an epoch below its milliseconds
-NANOSECONDS_A_MILLISECOND = 1_000_000
+EPOCH_CLOCK_BITS = 12  # low bits of an epoch, taken from the monotonic clock
+NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
 def now() -> float:
-    """Seconds since the machine's start; only differences on one machine mean anything."""
+    """Return seconds since the machine's boot; not comparable between machines."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def new_epoch() -> int:
-    """The incarnation of a process: Unix milliseconds, and bits that tell two starts in one of them apart.
+    """Return the epoch of a new process: Unix milliseconds and 12 bits of the monotonic clock.
 
-    A later process of the same name has a higher one where the wall clock was not set back in between.
+    The low bits distinguish two starts in the same millisecond. A later process of the same name has a higher
+    epoch unless the wall clock was set back between the two starts.
     """
-    milliseconds = time.time_ns() // NANOSECONDS_A_MILLISECOND
-    return (milliseconds << EPOCH_SHIFT) | (time.monotonic_ns() & ((1 << EPOCH_SHIFT) - 1))
+    milliseconds = time.time_ns() // NANOSECONDS_PER_MILLISECOND
+    return (milliseconds << EPOCH_CLOCK_BITS) | (time.monotonic_ns() & ((1 << EPOCH_CLOCK_BITS) - 1))
--- a/onyxhollow/fleet/context.py
+++ b/onyxhollow/fleet/context.py
@@ -1,8 +1,8 @@
-"""What a part of a fleet member may use of that member.
+"""Interface through which the parts of a fleet member use the member.
 
-The endpoint list, the shared addresses and the gossip of loads each run inside one member and use its socket,
-clock and log. They depend on this protocol; only `onyxhollow.fleet.node`, which assembles the member, knows
-all parts. So no part imports the assembly that imports it.
+List replication, shared addresses and load gossip run inside one member and use its socket, clock and log.
+They depend on this protocol instead of `onyxhollow.fleet.node`, which imports all parts. This avoids import
+cycles.
 """
 
 from __future__ import annotations
@@ -20,62 +20,62 @@
 
 
 class MemberContext(Protocol):
-    """One member, as its parts see it. All attributes are read only for them."""
+    """Member that a part belongs to. Parts must not assign any attribute."""
 
     @property
     def proxy(self) -> Proxy:
-        """The proxy that this member is a part of."""
+        """Proxy that runs this member."""
 
     @property
     def fleet(self) -> FleetConfig:
-        """The fleet file, checked and read."""
+        """Validated contents of the fleet file."""
 
     @property
     def loop(self) -> Loop:
-        """The proxy's loop; its `now` is the time of everything that does not concern leases."""
+        """Event loop of the proxy. Its `now` is the time for everything except leases."""
 
     @property
     def name(self) -> str:
-        """The member's name; a successor process has the same."""
+        """Name of the member, shared by its successor process."""
 
     @property
     def zone(self) -> str:
-        """The zone of the proxy's settings."""
+        """Zone from the proxy's settings."""
 
     @property
     def epoch(self) -> int:
-        """The incarnation of this process: higher for a later process of the same name."""
+        """Epoch of this process: higher for a later process of the same name."""
 
     @property
     def process_id(self) -> str:
-        """Name and epoch, joined by `~`: one process, as roles' leases name their holder."""
+        """Name and epoch joined by `~`, which identify the holder of a lease."""
 
     @property
     def rng(self) -> Random:
-        """The member's only source of chance, seeded from the proxy's seed and the epoch."""
+        """Only random generator of the member, seeded from the proxy's seed and the epoch."""
 
     @property
     def voters(self) -> VoterSet:
-        """The newest voter set that this member knows of."""
+        """Newest voter set that this member has received."""
 
     @property
     def membership(self) -> SwimMembership:
-        """Live members, payloads to one of them, and broadcasts to all."""
+        """Membership protocol: live members, payloads to one member and broadcasts to all."""
 
     @property
     def counts(self) -> Counter[str]:
-        """Counters shown by `/control/fleet`."""
+        """Counters that `/control/fleet` reports."""
 
     @property
     def task(self) -> Task:
-        """The member's coroutine; `task.wake()` makes it do what is due."""
+        """Coroutine of the member; `task.wake()` makes it run its next step at once."""
 
     @property
     def closed(self) -> bool:
-        """Whether the member has ended; its parts' coroutines end then."""
+        """Whether the member is closed. Coroutines of its parts must then return."""
 
     def log_event(self, event: str, **values: Any) -> None:
-        """Writes one line to the proxy's log, with the monotonic time in `at`."""
+        """Write an event to the proxy's log, with the monotonic time in `at`."""
 
     def find_member(self, process: str) -> Member | None:
-        """The member of that process id; None if it is not known."""
+        """Return the member entry of a process id; None if it is unknown."""
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -1,6 +1,6 @@
-"""The fleet file: TOML, typed by msgspec, checked as a whole.
+"""Fleet file: TOML, decoded into msgspec structs and validated as a whole.
 
-The keys are those of docs/fleet.md; `msgspec.field(name=...)` joins a key to the name that the code uses.
+The keys are documented in docs/fleet.md; `msgspec.field(name=...)` gives the key where it differs.
 """
 
 from __future__ import annotations
@@ -23,38 +23,38 @@
 
 VOTER_COUNTS = (3, 5, 7)
 MAX_PORT = 65535
-QUOTED = 80  # characters of a wrong value that an error shows
+MAX_QUOTED_CHARS = 80  # of an invalid value in an error message
 
 
 class FleetFileError(ValueError):
-    """The fleet file can't be used; the text says where, what was expected and what was found."""
+    """Invalid or unreadable fleet file. The text has the place, the expected and the actual value."""
 
 
 class TaskKind(Enum):
-    """What the holder of a role does."""
+    """Kind of leader task that the holder of a role runs."""
 
-    LIST = "list"  # polls the list service and publishes the endpoint list
-    CALL = "call"  # calls an address over and over
+    LIST = "list"  # polls the list service and publishes the endpoint list to the other members
+    CALL = "call"  # calls an HTTP address at intervals
 
 
 class RoleScope(Enum):
-    """How many holders a role has at a time."""
+    """Scope in which a role has one holder."""
 
-    FLEET = "fleet"  # one
-    ZONE = "zone"  # one in each zone
+    FLEET = "fleet"  # one holder in the fleet
+    ZONE = "zone"  # one holder in each zone
 
 
 class FileTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A table of the file; a key that it does not know is an error."""
+    """Table of the file; an unknown key is an error."""
 
 
 class MembershipTable(FileTable, frozen=True):
-    """Membership protocol; all in seconds.
+    """Timing of the membership protocol, in seconds.
 
     Attributes:
-        period: From probe to probe.
-        timeout: For an answer to a probe.
-        sync_interval: Between comparisons of all that two members know.
+        period: Time between two probes.
+        timeout: Time that a probed member has for its answer.
+        sync_interval: Time between two anti-entropy exchanges with another member.
     """
 
     period: float = 1.0
@@ -63,13 +63,14 @@
 
 
 class LeasesTable(FileTable, frozen=True):
-    """Leases; seconds but for `rate_bound`.
+    """Timing of leases, in seconds except `rate_bound`.
 
     Attributes:
-        duration: Of a lease.
-        rate_bound: Fraction by which any clock's rate may be off.
-        stability_period: How long a member has to be alive, and the fleet without faults, to get a role back.
-        progress_timeout: Without progress for so long, a task's holder gives the role up.
+        duration: Duration of a lease.
+        rate_bound: Largest relative error of any member's clock rate.
+        stability_period: Time that the preferred member must be alive, and the fleet without faults, before
+            a role is handed back to it.
+        progress_timeout: Time without progress of its task after which a holder gives up the role.
     """
 
     duration: float = msgspec.field(default=3.0, name="lease")
@@ -79,7 +80,7 @@
 
 
 class SharingTable(FileTable, frozen=True):
-    """Gossip of load reports; `onyxhollow.gossip.config.GossipConfig` says what each value means."""
+    """Gossip of load reports; `onyxhollow.gossip.config.GossipConfig` describes the values."""
 
     enabled: bool = msgspec.field(default=False, name="on")
     push_interval: float = msgspec.field(default=0.25, name="every")
@@ -90,16 +91,16 @@
 
 
 class RoleTable(FileTable, frozen=True):
-    """A role that one member at a time holds.
+    """Role that one member of the scope holds at a time.
 
     Attributes:
-        name: Of the role; in scope ZONE, the zone's name is added to it.
-        task: What its holder does.
-        scope: One holder a fleet or a zone.
-        call_address: For CALL: the HOST:PORT that is called.
-        path: For CALL: the path that is called.
-        service: For LIST: one name for a list service that members reach by different addresses.
-        interval: For CALL, seconds from call to call; for LIST, from heartbeat to heartbeat.
+        name: Name of the role; for scope ZONE, the name of the zone is appended to it.
+        task: Kind of task that the holder runs.
+        scope: Whether the role has one holder in the fleet or one in each zone.
+        call_address: HOST:PORT that a CALL task calls.
+        path: Path that a CALL task calls.
+        service: For LIST, a common name of the list service if members reach it at different addresses.
+        interval: Seconds between two calls (CALL) or two heartbeats (LIST).
     """
 
     name: str
@@ -112,22 +113,22 @@
 
 
 class FleetFile(FileTable, frozen=True):
-    """The file as it is written.
+    """Decoded fleet file.
 
     Attributes:
-        fleet: Name of the fleet; datagrams of another one are dropped.
-        key_file: Path of the keys, seen from the file's folder.
+        fleet: Name of the fleet; datagrams of other fleets are dropped.
+        key_file: Path of the key file, relative to the folder of the fleet file.
         listen: HOST:PORT of the member's socket.
-        voters: Names of the members that are voters at the start.
-        advertise: HOST:PORT at which others reach `listen`, if that differs.
-        folder: Of a voter's records; a member without it is no voter.
-        seeds: HOST:PORT of members that a new one joins by.
+        voters: Names of the members of the initial voter set.
+        advertise: HOST:PORT at which other members reach this one, if it differs from `listen`.
+        folder: Folder of the voter log; a member without it is not a voter.
+        seeds: HOST:PORT of the members that a starting member contacts to join the fleet.
         membership: Timing of the membership protocol.
         leases: Timing of leases.
-        roles: What one member at a time does.
-        addresses: Path of the file of shared addresses; "" without any.
+        roles: Roles of the fleet.
+        addresses: Path of the file of shared addresses; empty if there are none.
         sharing: Gossip of load reports.
-        log_renewals: Log each renewal of a lease: for trials.
+        log_renewals: Whether each renewal of a lease is logged; intended for tests.
     """
 
     fleet: str
@@ -145,12 +146,12 @@
     log_renewals: bool = msgspec.field(default=False, name="record")
 
     def protocol_config(self) -> ProtocolConfig:
-        """The configuration of the membership protocol."""
+        """Return the configuration of the membership protocol."""
         table = self.membership
         return ProtocolConfig(period=table.period, timeout=table.timeout, sync_interval=table.sync_interval)
 
     def gossip_config(self) -> GossipConfig | None:
-        """The configuration of the gossip of load reports; None if it is off."""
+        """Return the configuration of the gossip of load reports; None if it is disabled."""
         table = self.sharing
         if not table.enabled:
             return None
@@ -163,21 +164,21 @@
         )
 
     def lease_timing(self) -> LeaseTiming:
-        """The timing of leases."""
+        """Return the timing of leases."""
         return LeaseTiming(self.leases.duration, self.leases.rate_bound)
 
 
 class FleetConfig(msgspec.Struct, frozen=True):
-    """A fleet file, checked, with all that it names read and resolved.
+    """Validated fleet file, with the files that it names read and its addresses parsed.
 
     Attributes:
-        file: The file as it is written.
-        keys: One or two keys; the first authenticates what is sent.
-        listen: Of the member's socket.
-        advertise: Where others reach it.
-        seeds: Members that a new one joins by.
-        folder: Of a voter's records; "" if this member is no voter.
-        addresses: The file of shared addresses; None without any.
+        file: Decoded fleet file.
+        keys: One or two keys; the first one authenticates sent datagrams.
+        listen: Address of the member's socket.
+        advertise: Address at which other members reach this one.
+        seeds: Addresses of the members that a starting member contacts to join the fleet.
+        folder: Folder of the voter log; empty if this member is not a voter.
+        addresses: File of shared addresses; None if there are none.
     """
 
     file: FleetFile
@@ -190,15 +191,15 @@
 
 
 def read_fleet(path: str, environment: Callable[[str], str | None] = os.environ.get) -> FleetConfig:
-    """Reads a fleet file and the files that it names.
+    """Read and validate a fleet file and the files that it names.
 
     Args:
-        path: Of the file.
-        environment: $LB_FLEET_LISTEN goes before the file's `listen`, and replaces `advertise` too: so one
-            file serves all members.
+        path: Path of the fleet file.
+        environment: Returns the value of an environment variable. $LB_FLEET_LISTEN overrides both `listen`
+            and `advertise`, so that all members can use the same file.
 
     Raises:
-        FleetFileError: One of the files can't be read or used.
+        FleetFileError: One of the files is invalid or cannot be read.
     """
     try:
         with open(path, "rb") as file:
@@ -210,7 +211,7 @@
     except msgspec.ValidationError as error:
         raise FleetFileError(f"{path}: {explain_validation_error(error)}") from None
     except msgspec.DecodeError as error:
-        raise FleetFileError(f"{path}: expected TOML, got something else: {error}") from None
+        raise FleetFileError(f"{path}: expected TOML, got a file that does not parse: {error}") from None
     except AddressesError as error:
         raise FleetFileError(str(error)) from None
     except (FleetFileError, KeyFileError) as error:
@@ -219,15 +220,15 @@
 
 def _resolve(path: str, file: FleetFile, listen: str | None) -> FleetConfig:
     folder = os.path.dirname(os.path.abspath(path))
-    own = _read_address(listen or file.listen, "$LB_FLEET_LISTEN" if listen else "listen")
-    advertise = own
+    listen_address = _read_address(listen or file.listen, "$LB_FLEET_LISTEN" if listen else "listen")
+    advertise = listen_address
     if file.advertise and not listen:
         advertise = _read_address(file.advertise, "advertise")
-    seeds = [_read_address(seed, f"seeds[{place}]") for place, seed in enumerate(file.seeds)]
+    seeds = [_read_address(seed, f"seeds[{index}]") for index, seed in enumerate(file.seeds)]
     addresses = read_addresses(os.path.join(folder, file.addresses)) if file.addresses else None
     keys = read_keys(os.path.join(folder, file.key_file))
-    records_folder = os.path.join(folder, file.folder) if file.folder else ""
-    return FleetConfig(file, keys, own, advertise, seeds, records_folder, addresses)
+    voter_folder = os.path.join(folder, file.folder) if file.folder else ""
+    return FleetConfig(file, keys, listen_address, advertise, seeds, voter_folder, addresses)
 
 
 def _read_address(text: str, key: str) -> Address:
@@ -238,16 +239,20 @@
 
 
 def explain_validation_error(error: msgspec.ValidationError) -> str:
-    """The key's path, what was expected, what was found: one line."""
-    what, _, where = str(error).partition(" - at `$")
-    where = where.strip("`").lstrip(".") or "top"
-    key = where.rpartition(".")[2]
-    kinds = {field.encode_name: field.type for field in msgspec.structs.fields(RoleTable)}
-    kind = kinds.get(key)
-    if what.startswith("Invalid enum value ") and isinstance(kind, type) and issubclass(kind, Enum):
-        one_of = ", ".join(choice.value for choice in kind)
-        what = f"expected one of {one_of}, got {what.removeprefix('Invalid enum value ')}"
-    return f"{where}: {re.sub(r'^Expected', 'expected', what)}"
+    """Return one line with the path of the key, the expected and the actual value."""
+    problem, _, key_path = str(error).partition(" - at `$")
+    key_path = key_path.strip("`").lstrip(".") or "top"
+    key = key_path.rpartition(".")[2]
+    field_types = {field.encode_name: field.type for field in msgspec.structs.fields(RoleTable)}
+    field_type = field_types.get(key)
+    if (
+        problem.startswith("Invalid enum value ")
+        and isinstance(field_type, type)
+        and issubclass(field_type, Enum)
+    ):
+        values = ", ".join(member.value for member in field_type)
+        problem = f"expected one of {values}, got {problem.removeprefix('Invalid enum value ')}"
+    return f"{key_path}: {re.sub(r'^Expected', 'expected', problem)}"
 
 
 def _check(file: FleetFile) -> None:
@@ -255,20 +260,21 @@
     _check_voters(file)
     _check_roles(file)
     _check_ranges(file)
-    for place, role in enumerate(file.roles):
-        _check_range(f"duty[{place}].every", role.interval, 0.02, 60.0)
+    for index, role in enumerate(file.roles):
+        _check_range(f"duty[{index}].every", role.interval, 0.02, 60.0)
         if role.task is TaskKind.CALL:
-            _check_call(f"duty[{place}]", role)
+            _check_call(f"duty[{index}]", role)
 
 
 def _check_names(file: FleetFile) -> None:
     names: dict[str, str] = {"fleet": file.fleet}
-    names |= {f"voters[{place}]": name for place, name in enumerate(file.voters)}
-    names |= {f"duty[{place}].name": role.name for place, role in enumerate(file.roles)}
+    names |= {f"voters[{index}]": name for index, name in enumerate(file.voters)}
+    names |= {f"duty[{index}].name": role.name for index, role in enumerate(file.roles)}
     for key, name in names.items():
         if not 0 < len(name) <= MAX_NAME_CHARACTERS or not name.isprintable():
             raise FleetFileError(
-                f"{key}: expected 1 to {MAX_NAME_CHARACTERS} printable characters, got {name[:QUOTED]!r}"
+                f"{key}: expected 1 to {MAX_NAME_CHARACTERS} printable characters, "
+                f"got {name[:MAX_QUOTED_CHARS]!r}"
             )
 
 
@@ -283,10 +289,11 @@
     names = [role.name for role in file.roles]
     if len(set(names)) != len(names) or VOTERS_ROLE in names or len(names) >= MAX_ROLES:
         raise FleetFileError(
-            f"duty: expected different names, none of them {VOTERS_ROLE!r}, got {', '.join(names)[:200]}"
+            f"duty: expected fewer than {MAX_ROLES} different names, none of them {VOTERS_ROLE!r}, "
+            f"got {', '.join(names)[:200]}"
         )
     if sum(role.task is TaskKind.LIST for role in file.roles) > 1:
-        raise FleetFileError("duty: expected one whose work is 'list', got several")
+        raise FleetFileError("duty: expected at most one duty with work = 'list', got several")
 
 
 def _check_ranges(file: FleetFile) -> None:
@@ -307,12 +314,14 @@
     _check_range("sharing.audit", sharing.audit_interval, 1.0, 3600.0)
 
 
-def _check_range(key: str, value: float, low: float, high: float) -> None:
-    if not low <= value <= high:
-        raise FleetFileError(f"{key}: expected {low:g} to {high:g}, got {value:g}")
+def _check_range(key: str, value: float, minimum: float, maximum: float) -> None:
+    if not minimum <= value <= maximum:
+        raise FleetFileError(f"{key}: expected {minimum:g} to {maximum:g}, got {value:g}")
 
 
 def _check_call(key: str, role: RoleTable) -> None:
     _read_address(role.call_address, f"{key}.call")
     if not role.path.startswith("/") or not role.path.isprintable() or " " in role.path:
-        raise FleetFileError(f"{key}.path: expected a path that begins with /, got {role.path[:QUOTED]!r}")
+        raise FleetFileError(
+            f"{key}.path: expected a path that begins with /, got {role.path[:MAX_QUOTED_CHARS]!r}"
+        )
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -1,8 +1,8 @@
-"""One member of the fleet: the assembly of its parts on the proxy's loop.
+"""Fleet member: creates its parts and runs them on the event loop of the proxy.
 
-A datagram comes in by the transport, is decoded by the membership protocol, and its payload becomes a call on
-the part that it is for; what the parts leave to be sent goes out at the end of each step. Only this module
-knows all parts; they know `onyxhollow.fleet.context.MemberContext`.
+The transport receives and authenticates datagrams, the membership protocol decodes them, and this module
+passes each payload to the part that handles its kind. Datagrams that the parts queue are sent at the end of
+each step. Only this module imports all parts. The parts depend on `onyxhollow.fleet.context.MemberContext`.
 """
 
 from __future__ import annotations
@@ -34,19 +34,19 @@
 from onyxhollow.membership.messages import MemberState, MemberUpdate
 from onyxhollow.membership.swim import SwimMembership
 
-CHECK_INTERVAL = 0.1  # seconds between checks of what changes outside: the service state, a task's progress
-STALL_LOGGED = 0.5  # seconds of standing still from which it is logged
-SHORTEST_WAIT = 0.001  # seconds between two steps of the member's coroutine
+CHECK_INTERVAL_SECONDS = 0.1  # between checks of state that changes without a message
+MIN_LOGGED_STALL_SECONDS = 0.5
+MIN_STEP_INTERVAL_SECONDS = 0.001  # between two steps of the member's coroutine
 
 
 class Node:
-    """One member. Implements `MemberContext` for its parts, and is itself a part of the proxy."""
+    """Fleet member of this process: the `MemberContext` of its parts and an extension of the proxy."""
 
     def __init__(self, proxy: Proxy, fleet: FleetConfig) -> None:
-        """Puts a member on a proxy.
+        """Create the member and register it with the proxy.
 
         Raises:
-            ListenError: The fleet's address can't be bound.
+            ListenError: The fleet's listen address cannot be bound.
         """
         self.proxy = proxy
         self.fleet = fleet
@@ -62,9 +62,9 @@
         self.transport = DatagramTransport(fleet.listen, authenticator, self.counts)
         now = clock.now()
         self.membership = self._make_membership(now)
-        self._logged_stalls = 0.0
-        self._check_at = now
-        self.leasing = Leasing(self, self.may_hold_roles, self._on_holder, now)
+        self._logged_stall_seconds = 0.0
+        self._check_due_at = now
+        self.leasing = Leasing(self, self.may_hold_roles, self._on_holder_announced, now)
         gossip_config = fleet.file.gossip_config()
         self.list_replication: ListReplication | None = None
         self.load_gossip = GossipService(self, gossip_config) if gossip_config else None
@@ -74,31 +74,31 @@
 
     @property
     def voters(self) -> VoterSet:
-        """The newest voter set that this member knows of."""
+        """Newest voter set that this member has received."""
         return self.leasing.voter_sets.voter_set
 
     def log_event(self, event: str, **values: Any) -> None:
-        """Writes one line to the proxy's log, with the monotonic time in `at`."""
+        """Write an event to the proxy's log, with the monotonic time in `at`."""
         self.proxy.log.event(event, at=round(time.monotonic(), 4), **values)
 
     def find_member(self, process: str) -> Member | None:
-        """The member of that process id; None if it is not known."""
-        key = split_process_id(process)
-        return self.membership.members.get(key) if key else None
+        """Return the member entry of a process id; None if it is unknown."""
+        member_key = split_process_id(process)
+        return self.membership.members.get(member_key) if member_key else None
 
     def may_hold_roles(self) -> bool:
-        """Whether this process may hold roles: it serves clients, and no successor does."""
+        """Return whether this process may hold roles: it serves clients and has no successor."""
         service = self.proxy.service
         return service.ready and not service.replaced and not self.closed
 
-    # Assembly.
+    # Construction.
 
     def _make_membership(self, now: float) -> SwimMembership:
         fleet = self.fleet
         local = MemberUpdate(self.name, self.epoch, 0, MemberState.ALIVE, fleet.advertise, self.zone, 0)
         return SwimMembership(local, fleet.file.protocol_config(), self.rng, fleet.seeds, now)
 
-    def _on_holder(self, role: str, term: int, process_id: str) -> None:
+    def _on_holder_announced(self, role: str, term: int, process_id: str) -> None:
         if self.addresses:
             self.addresses.learn_holder(role, term, process_id)
 
@@ -119,14 +119,16 @@
             self.list_replication = ListReplication(self, name, zone, role.interval, role.service)
             task = self.list_replication
         else:
-            task = self._make_webhook(name, role)
+            task = self._make_webhook_task(name, role)
         self.leasing.leases.add(name, zone, task)
 
-    def _make_webhook(self, name: str, role: RoleTable) -> WebhookTask:
+    def _make_webhook_task(self, name: str, role: RoleTable) -> WebhookTask:
         host, _, port = role.call_address.rpartition(":")
-        count = self.proxy.counters.add
+        add_to_counter = self.proxy.counters.add
         address = host, int(port)
-        return WebhookTask(self.loop, address, role.path, name, self.process_id, role.interval, count)
+        return WebhookTask(
+            self.loop, address, role.path, name, self.process_id, role.interval, add_to_counter
+        )
 
     def _join_proxy(self, authenticator: DatagramAuthenticator) -> None:
         proxy = self.proxy
@@ -152,7 +154,7 @@
             version=__version__,
         )
 
-    # The loop.
+    # Event loop.
 
     def _on_readable(self, _: int) -> None:
         now = clock.now()
@@ -164,32 +166,32 @@
         while not self.closed:
             try:
                 self._step()
-            # Leases run out by themselves; membership and the other roles must go on.
+            # A failed step must not stop membership or the other roles. Leases expire by their timeout.
             except Exception as error:  # noqa: BLE001
                 self.proxy.report_failure("fleet", error)
-                yield self.loop.now + CHECK_INTERVAL
-            yield self.loop.now + max(SHORTEST_WAIT, self._next_due() - clock.now())
+                yield self.loop.now + CHECK_INTERVAL_SECONDS
+            yield self.loop.now + max(MIN_STEP_INTERVAL_SECONDS, self._next_due() - clock.now())
 
     def _next_due(self) -> float:
-        times = [self.membership.next_due, self._check_at, self.leasing.next_due()]
+        due_times = [self.membership.next_due, self._check_due_at, self.leasing.next_due()]
         if self.list_replication:
-            times.append(self.list_replication.next_due())
+            due_times.append(self.list_replication.next_due())
         if self.load_gossip:
-            times.append(self.load_gossip.next_due)
+            due_times.append(self.load_gossip.next_due)
         if self.addresses:
-            times.append(self.addresses.next_due())
-        return min(times)
+            due_times.append(self.addresses.next_due())
+        return min(due_times)
 
     def _step(self) -> None:
-        """Does all that is due, and all that follows from it."""
+        """Run expired timers, then process queued changes and messages until none is left."""
         if self.closed:
             return
         now = clock.now()
         self._tick(now)
-        while self._something_waits():
-            self._take_membership_changes(now)
-            self._take_payloads(now)
-            self._take_broadcasts(now)
+        while self._has_pending_input():
+            self._process_membership_changes(now)
+            self._process_payloads(now)
+            self._process_broadcasts(now)
             self.leasing.router.route_local(now)
         self.leasing.leases.apply_transitions(now)
         self._flush()
@@ -198,9 +200,9 @@
         if now >= self.membership.next_due:
             self.membership.tick(now)
             self._log_stalls()
-        if now >= self._check_at:
-            self._check_at = now + CHECK_INTERVAL
-            self._check(now)
+        if now >= self._check_due_at:
+            self._check_due_at = now + CHECK_INTERVAL_SECONDS
+            self._check_state(now)
         self.leasing.tick(now)
         if self.list_replication:
             self.list_replication.tick(now)
@@ -209,8 +211,8 @@
         if self.addresses:
             self.addresses.tick(now)
 
-    def _check(self, now: float) -> None:
-        """Checks what changes without a message."""
+    def _check_state(self, now: float) -> None:
+        """Update the flags of this member and check the lease services."""
         flags = (MAY_HOLD_ROLES if self.may_hold_roles() else 0) | (
             VOTES if self.leasing.voter_service.voter else 0
         )
@@ -219,7 +221,7 @@
             self.leasing.ranking.clear()
         self.leasing.check(now)
 
-    def _something_waits(self) -> bool:
+    def _has_pending_input(self) -> bool:
         membership = self.membership
         return bool(
             self.leasing.messenger.local_messages
@@ -228,7 +230,7 @@
             or membership.received_broadcasts
         )
 
-    def _take_membership_changes(self, now: float) -> None:
+    def _process_membership_changes(self, now: float) -> None:
         for change in self.membership.take_changes():
             member = change.member
             self.leasing.ranking.clear()
@@ -245,7 +247,7 @@
                 there=self.membership.live_count(),
             )
 
-    def _take_payloads(self, now: float) -> None:
+    def _process_payloads(self, now: float) -> None:
         for member, payload in self.membership.take_payloads():
             self._on_payload(member, payload.kind, payload.body, now)
 
@@ -262,7 +264,7 @@
         else:
             self.leasing.router.on_payload(member, body, now)
 
-    def _take_broadcasts(self, now: float) -> None:
+    def _process_broadcasts(self, now: float) -> None:
         for broadcast in self.membership.take_broadcasts():
             self._on_broadcast(broadcast.kind, broadcast.body, now)
 
@@ -278,22 +280,22 @@
 
     def _log_stalls(self) -> None:
         stalled = self.membership.stalled_seconds
-        if stalled - self._logged_stalls >= STALL_LOGGED:
-            self.log_event("stalled", seconds=round(stalled - self._logged_stalls, 3))
-            self._logged_stalls = stalled
+        if stalled - self._logged_stall_seconds >= MIN_LOGGED_STALL_SECONDS:
+            self.log_event("stalled", seconds=round(stalled - self._logged_stall_seconds, 3))
+            self._logged_stall_seconds = stalled
 
     def _flush(self) -> None:
         self.transport.send_all(self.membership.take_outbox())
 
-    # A part of the proxy.
+    # Extension of the proxy.
 
     def on_endpoint_list(self, kind: EndpointListKind, _: list[Endpoint]) -> None:
-        """The proxy's own endpoint list has changed."""
+        """Pass a new endpoint list of the proxy to the list replication."""
         if self.list_replication:
             self.list_replication.on_own_list(kind)
 
     def close(self) -> None:
-        """The process ends: its leases are handed over at once."""
+        """Hand over all leases, leave the fleet and close the socket and the voter log."""
         if self.closed:
             return
         self.leasing.leases.hand_over_all("stopped")
@@ -309,9 +311,9 @@
 
 
 def attach(fleet: FleetConfig) -> Callable[[Proxy], None]:
-    """A function that puts a member of this fleet on a proxy."""
+    """Return a function that creates a member of this fleet in a proxy."""
 
-    def put_on(proxy: Proxy) -> None:
+    def create_member(proxy: Proxy) -> None:
         Node(proxy, fleet)
 
-    return put_on
+    return create_member
