--- a/onyxhollow/fleet/datagram_transport.py
+++ b/onyxhollow/fleet/datagram_transport.py
@@ -1,4 +1,4 @@
-"""The member's socket: receives and checks datagrams, and sends them at a limited rate."""
+"""UDP socket of a member: authenticates received datagrams and sends at a limited rate."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from onyxhollow.membership.outbox import OutgoingDatagram
 from onyxhollow.wire.listening import ListenError
 
-RECEIVE_BUFFER = 1 << 20  # bytes
-MAX_RECEIVES = 64  # datagrams in one turn of the loop
-SEND_RATE = 1500.0  # datagrams a second; past it they are dropped and counted
-SEND_BURST = 3000.0  # datagrams at once
+RECEIVE_BUFFER_BYTES = 1 << 20
+MAX_RECEIVED_DATAGRAMS = 64  # in one iteration of the event loop
+SEND_RATE = 1500.0  # datagrams per second; datagrams above this rate are dropped and counted
+SEND_BURST = 3000.0  # datagrams; capacity of the token bucket
 
-# Counters, by their names in /control/fleet.
+# Names of the counters in /control/fleet.
 DATAGRAMS_IN = "datagrams in"
 BYTES_IN = "bytes in"
 DATAGRAMS_OUT = "datagrams out"
@@ -28,27 +28,27 @@
 
 
 class DatagramTransport:
-    """Owns the UDP socket; `close` closes it.
+    """Owner of the UDP socket.
 
-    Sending is bounded by a token bucket: loss is what the protocols above are made for, and a member that
-    floods its fleet costs everyone.
+    A token bucket limits the send rate. Dropped datagrams are acceptable because the protocols above tolerate
+    loss, whereas a member without a limit could overload the whole fleet.
 
     Attributes:
-        counts: Datagrams and bytes each way, and what was not sent, by reason.
+        counts: Datagrams and bytes received and sent, and datagrams not sent, by reason.
     """
 
     def __init__(self, listen: Address, authenticator: DatagramAuthenticator, counts: Counter[str]) -> None:
-        """Binds the socket.
+        """Create and bind the socket.
 
         Raises:
-            ListenError: The address can't be bound.
+            ListenError: The address cannot be bound.
         """
         self.authenticator = authenticator
         self.counts = counts
-        kind = socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC
-        self._socket = socket.socket(socket.AF_INET, kind)
+        socket_type = socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC
+        self._socket = socket.socket(socket.AF_INET, socket_type)
         try:
-            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
             self._socket.bind(listen)
         except OSError as error:
             self._socket.close()
@@ -60,18 +60,18 @@
 
     @property
     def descriptor(self) -> int:
-        """The socket's descriptor, for the loop."""
+        """Descriptor of the socket."""
         return self._socket.fileno()
 
     def receive(self) -> Iterator[tuple[Packet, Address]]:
-        """The packets that wait and are authentic, with their sources: a bounded number."""
-        for _ in range(MAX_RECEIVES):
+        """Receive a limited number of datagrams and yield the authentic packets with their sources."""
+        for _ in range(MAX_RECEIVED_DATAGRAMS):
             try:
                 datagram, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 break
             except OSError:
-                continue  # a refusal of something sent before
+                continue  # an error caused by a datagram sent earlier
             self.counts[DATAGRAMS_IN] += 1
             self.counts[BYTES_IN] += len(datagram)
             packet = self.authenticator.verify(datagram)
@@ -79,29 +79,29 @@
                 yield packet, (source[0], source[1])
 
     def send_all(self, outbox: Iterable[OutgoingDatagram]) -> None:
-        """Sends as many as the rate allows; the others are dropped and counted."""
+        """Send datagrams up to the rate limit; drop and count the others."""
         now = clock.now()
         self._tokens = min(SEND_BURST, self._tokens + (now - self._refilled_at) * SEND_RATE)
         self._refilled_at = now
-        for out in outbox:
+        for outgoing in outbox:
             if self._tokens < 1.0:
                 self.counts[RATE_EXCEEDED] += 1
                 continue
             self._tokens -= 1.0
-            self._send(out)
+            self._send(outgoing)
 
     def close(self) -> None:
-        """Closes the socket."""
+        """Close the socket."""
         self._socket.close()
 
-    def _send(self, out: OutgoingDatagram) -> None:
-        datagram = self.authenticator.sign(out.messages, out.receiver_epoch)
-        if len(datagram) > MAX_DATAGRAM_BYTES:  # it would be dropped there, and nobody here would know
+    def _send(self, outgoing: OutgoingDatagram) -> None:
+        datagram = self.authenticator.sign(outgoing.messages, outgoing.receiver_epoch)
+        if len(datagram) > MAX_DATAGRAM_BYTES:  # the receiver would drop it silently
             self.counts[TOO_LARGE] += 1
             return
         self.counts[DATAGRAMS_OUT] += 1
         self.counts[BYTES_OUT] += len(datagram)
         try:
-            self._socket.sendto(datagram, out.address)
-        except OSError:  # full, or nobody is there
+            self._socket.sendto(datagram, outgoing.address)
+        except OSError:  # for example, the send buffer is full or the host is unreachable
             self.counts[REFUSED_BY_SYSTEM] += 1
--- a/onyxhollow/fleet/drain_broadcast.py
+++ b/onyxhollow/fleet/drain_broadcast.py
@@ -1,4 +1,4 @@
-"""Broadcasts of draining endpoints: all members must know of them at once, whoever publishes to them."""
+"""Broadcasts of draining endpoints, which all members need at once, even if their publisher is behind."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class DrainBroadcast:
-    """Finds the drains that this member has not broadcast yet."""
+    """Creates broadcasts for draining endpoints that this member has not broadcast yet."""
 
     def __init__(self, role: str) -> None:
         self.role = role
-        self.sent: set[tuple[str, Any]] = set()  # name and state of endpoints
+        self.sent: set[tuple[str, Any]] = set()  # name and health state of endpoints
 
     def updates(self, records: Iterable[Record], source: str, version: int) -> list[ListUpdate]:
-        """Return the broadcasts for what the list service has answered this member itself."""
+        """Return the broadcasts for new drains in the records that the list service sent to this member."""
         draining = draining_records(records)
-        fresh = [record for record in draining if _state(record) not in self.sent]
-        self.sent = {_state(record) for record in draining}
+        new_drains = [record for record in draining if _drain_key(record) not in self.sent]
+        self.sent = {_drain_key(record) for record in draining}
         updates = []
-        for start in range(0, len(fresh), DRAINS_PER_BROADCAST):
-            bodies = encode_records(fresh[start : start + DRAINS_PER_BROADCAST])
-            if len(bodies) == 1:  # a larger one fits no broadcast: these come with the publisher's update
+        for start in range(0, len(new_drains), DRAINS_PER_BROADCAST):
+            bodies = encode_records(new_drains[start : start + DRAINS_PER_BROADCAST])
+            if len(bodies) == 1:  # more parts do not fit a broadcast; the publisher's update carries them
                 updates.append(ListUpdate(self.role, 0, source, version, 0, 0, 1, bodies[0]))
         return updates
 
 
-def _state(record: Record) -> tuple[str, Any]:
+def _drain_key(record: Record) -> tuple[str, Any]:
     return record["host"], record.get("health")
--- a/onyxhollow/fleet/list_messages.py
+++ b/onyxhollow/fleet/list_messages.py
@@ -1,7 +1,7 @@
-"""Messages by which one proxy of a zone replicates the endpoint list to the others.
+"""Messages with which one proxy of a zone replicates the endpoint list to the others.
 
-Structs are encoded as arrays in MessagePack: the order of the fields is the format. The list's records are
-those of the list service, as JSON compressed by zlib and cut into parts that fit a datagram.
+Structs are encoded as MessagePack arrays, so the order of their fields defines the wire format. Records have
+the list service's JSON form. They are compressed with zlib and split into parts that fit into a datagram.
 """
 
 from __future__ import annotations
@@ -13,47 +13,47 @@
 import msgspec
 import orjson
 
-MAX_PART_BYTES = 880  # of compressed records in one datagram
-MAX_LIST_BYTES = 4 * 1024 * 1024  # of one list, not compressed
+MAX_PART_BYTES = 880  # of compressed records per datagram
+MAX_LIST_BYTES = 4 * 1024 * 1024  # of a decompressed list
 MAX_PARTS = 64
-COMPRESSION_LEVEL = 6  # of zlib
+ZLIB_COMPRESSION_LEVEL = 6
 
-Record = dict[str, Any]  # one endpoint in the list service's form; "host" is its name
+Record = dict[str, Any]  # an endpoint in the list service's JSON form; "host" is its name
 
 
 class ListMessage(msgspec.Struct, array_like=True, frozen=True):
-    """Base of all messages: whose they are, and of which list service they speak."""
+    """Base of all messages: role, term and list service that they concern."""
 
     role: str
     term: int  # of the publisher's lease
-    source: str  # the list service
+    source: str  # name or address of the list service
 
 
 class Heartbeat(ListMessage, frozen=True, tag=1):
-    """The publisher is alive and has this version."""
+    """Current version of the publisher, sent at intervals."""
 
     version: int
-    disconnected: bool  # it cannot follow the list service itself at present
+    disconnected: bool  # whether the publisher has lost its watch of the list service
 
 
 class ListUpdate(ListMessage, frozen=True, tag=2):
-    """One part of a snapshot or a delta."""
+    """Part of a snapshot or a delta."""
 
     version: int
-    base: int  # the version that these records are a delta to; SNAPSHOT_BASE: they are the whole list
+    base: int  # version that a delta applies to; SNAPSHOT_BASE for a snapshot
     part: int
     parts: int
     body: bytes
 
 
 class ResyncRequest(ListMessage, frozen=True, tag=3):
-    """The sender has missed an update and needs a snapshot."""
+    """Request for a snapshot by a subscriber that has missed an update."""
 
     known_version: int
 
 
 class Suspicion(ListMessage, frozen=True, tag=4):
-    """The list service has sent a newer version than the publisher has, for a while."""
+    """Report that the list service has had a newer version than the publisher for some time."""
 
     version: int
 
@@ -65,33 +65,33 @@
 
 
 class ListRecordsError(Exception):
-    """The bodies of an update are no records of a list; the text gives the reason."""
+    """Bodies of an update that do not contain valid records; the text gives the reason."""
 
 
 def encode_records(records: list[Record]) -> list[bytes]:
-    """Return the bodies of the parts that hold these records."""
-    text = zlib.compress(orjson.dumps(records), COMPRESSION_LEVEL)
-    return [text[start : start + MAX_PART_BYTES] for start in range(0, len(text), MAX_PART_BYTES)]
+    """Return the bodies of the parts that contain the records."""
+    compressed = zlib.compress(orjson.dumps(records), ZLIB_COMPRESSION_LEVEL)
+    return [compressed[start : start + MAX_PART_BYTES] for start in range(0, len(compressed), MAX_PART_BYTES)]
 
 
 def decode_records(bodies: list[bytes]) -> list[Record]:
-    """Return the records that these parts hold together.
+    """Return the records that the bodies of all parts contain.
 
     Raises:
-        ListRecordsError: They are not compressed JSON, or not a list of objects that have a `host`.
+        ListRecordsError: The bodies are not compressed JSON, or not a list of objects that have a `host`.
     """
     try:
-        reader = zlib.decompressobj()
-        records = orjson.loads(reader.decompress(b"".join(bodies), MAX_LIST_BYTES))
+        decompressor = zlib.decompressobj()
+        records = orjson.loads(decompressor.decompress(b"".join(bodies), MAX_LIST_BYTES))
     except (zlib.error, ValueError) as error:
         raise ListRecordsError(str(error)) from None
     if not isinstance(records, list) or not all(_is_record(record) for record in records):
-        raise ListRecordsError("not a list of rows")
+        raise ListRecordsError("expected a list of objects with a host, got other JSON")
     return records
 
 
 def draining_records(records: Iterable[Record]) -> list[Record]:
-    """Return the records of endpoints that take nothing new: these count whoever sends them."""
+    """Return the records of draining or drained endpoints, which are accepted from any member."""
     return [record for record in records if record.get("health") in ("leaving", "left")]
 
 
--- a/onyxhollow/fleet/list_publisher.py
+++ b/onyxhollow/fleet/list_publisher.py
@@ -1,6 +1,6 @@
-"""Publisher of the endpoint list: the member of a zone that follows the list service for all.
+"""Publisher of the endpoint list: the member of a zone that watches the list service for all members.
 
-A pure core: it sends nothing itself, and reads no clock.
+Pure logic: it neither sends messages nor reads a clock.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
     encode_records,
 )
 
-NO_VERSION = -1  # no list is known
+NO_VERSION = -1  # no list has been received
 
 
 class Publisher:
-    """What the holder of the list's role sends: an update at each change, and its version at intervals."""
+    """Creates the messages of a publisher: updates after changes of the list, and periodic heartbeats."""
 
     def __init__(self, role: str, term: int, source: str) -> None:
         self.role = role
@@ -29,36 +29,36 @@
         self.source = source
         self.records: dict[str, Record] = {}
         self.version = NO_VERSION
-        self.disconnected = False  # the list service does not answer
+        self.disconnected = False  # whether the list service fails to answer
         self.next_heartbeat_at = -math.inf  # seconds
-        self.suspected_version = NO_VERSION  # the newest one that a subscriber has instead
+        self.suspected_version = NO_VERSION  # newest version reported in a Suspicion of a subscriber
 
     def heartbeat(self) -> Heartbeat:
-        """Return the heartbeat of the present version."""
+        """Return a heartbeat with the current version."""
         return Heartbeat(self.role, self.term, self.source, self.version, self.disconnected)
 
     def update(self, records: Mapping[str, Record], version: int) -> list[ListUpdate]:
-        """Take the list as the list service has answered; return what the subscribers need.
+        """Replace the list and return the updates that subscribers need.
 
-        That is a delta, or a snapshot if endpoints have gone or versions do not rise.
+        The updates are a delta, or a snapshot if endpoints were removed or the version has not increased.
         """
-        before = self.version
+        previous_version = self.version
         changed = [record for name, record in records.items() if self.records.get(name) != record]
-        gone = self.records.keys() - records.keys()
+        removed = self.records.keys() - records.keys()
         self.disconnected = False
         self.records = dict(records)
         self.version = version
-        if version == before and not changed and not gone:
+        if version == previous_version and not changed and not removed:
             return []
-        if before < 0 or gone or version <= before:
+        if previous_version < 0 or removed or version <= previous_version:
             return self.snapshot()
-        return self._parts(changed, before)
+        return self._update_parts(changed, previous_version)
 
     def snapshot(self) -> list[ListUpdate]:
-        """Return the whole list, for a subscriber that has missed something; nothing without a list."""
-        return self._parts(list(self.records.values()), SNAPSHOT_BASE) if self.version >= 0 else []
+        """Return the parts of a snapshot for a subscriber that missed an update; empty without a list."""
+        return self._update_parts(list(self.records.values()), SNAPSHOT_BASE) if self.version >= 0 else []
 
-    def _parts(self, records: list[Record], base: int) -> list[ListUpdate]:
+    def _update_parts(self, records: list[Record], base: int) -> list[ListUpdate]:
         bodies = encode_records(records)[:MAX_PARTS]
         return [
             ListUpdate(self.role, self.term, self.source, self.version, base, part, len(bodies), body)
--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -1,7 +1,7 @@
-"""Replication of the endpoint list within a zone: one member follows the list service for the others.
+"""Replication of the endpoint list within a zone: one member watches the list service for the others.
 
-The publisher is the holder of a role's lease (a leader task); every member is a subscriber. This file
-connects both cores to the datagrams and to the proxy's own watch of the list service.
+Publishing is the leader task of a role, so the publisher is the lease holder; every member is a subscriber.
+This module connects both to the membership protocol and to the proxy's watch of the list service.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
 from onyxhollow.membership.member_table import Member
 from onyxhollow.wire.endpoint_list import EndpointListError, decode_endpoint_list
 
-LIST_PAYLOAD = 2  # kind of a membership payload, and of a broadcast
-MIN_SNAPSHOT_INTERVAL = 0.2  # seconds between two snapshots for one member
-RESUME_DELAY_SHARE = 0.25  # of the longest poll interval: the longest random wait before polling again
+LIST_PAYLOAD = 2  # kind of payloads and broadcasts that carry a list message
+MIN_SNAPSHOT_INTERVAL_SECONDS = 0.2  # between two snapshots for the same member
+MAX_RESUME_DELAY_FRACTION = 0.25  # limits the random delay before polling; of the maximum poll interval
 MAX_LOGGED_HOSTS = 24
 
-# Counters, by their names in /control/fleet.
+# Names of the counters in /control/fleet.
 MALFORMED = "list: rubbish"
 VERSIONS_RECEIVED = "list: told versions"
 DROPPED_QUEUE_FULL = "list: not sent, too much waits"
@@ -49,18 +49,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Publication:
-    """A term in which this member is the publisher."""
+    """Publisher of a term in which this member holds the lease."""
 
     publisher: Publisher
     lease_held: Callable[[], bool]
 
 
 class ListReplication:
-    """Publisher, while this member has the lease, and subscriber of one zone's endpoint list.
+    """Subscriber of one zone's endpoint list, and its publisher while this member holds the lease.
 
     Attributes:
-        last_progress_at: When the list service last answered, seconds on the loop's clock.
-        superseded: Another member has published under a newer term.
+        last_progress_at: Time of the list service's last answer, on the loop's clock.
+        superseded: Whether another member has published under a newer term.
     """
 
     def __init__(
@@ -72,29 +72,29 @@
         self.heartbeat_interval = heartbeat_interval
         self.service = service
         self.watch = context.proxy.discovery
-        self.service_address = self.watch.address  # `service` names this address, and none of a later reload
-        max_resume_delay = context.proxy.config.settings.max_poll_interval * RESUME_DELAY_SHARE
+        self.service_address = self.watch.address  # `service` names this address, not one set by a reload
+        max_resume_delay = context.proxy.config.settings.max_poll_interval * MAX_RESUME_DELAY_FRACTION
         self.subscriber = Subscriber(role, self.source, heartbeat_interval, max_resume_delay, context.rng)
         self.publication: Publication | None = None
         self.sender = PacedSender(self._send_if_current)
         self.last_progress_at = context.loop.now
         self.superseded = False
-        self.snapshot_sent_at: dict[str, float] = {}  # by member name, seconds
-        self.drains = DrainBroadcast(role)
-        self.is_applying = False  # a change received from the fleet is given to the watch
+        self.snapshot_sent_at: dict[str, float] = {}  # time by member name
+        self.drain_broadcast = DrainBroadcast(role)
+        self.is_applying = False  # whether the watch is applying a change received from another member
 
     @property
     def source(self) -> str:
-        """The list service that is followed: versions of two mean nothing to each other."""
-        address = self.watch.next_address or self.watch.address  # the next one is named by a reload
+        """Name or address of the current list service; versions of different services are not comparable."""
+        address = self.watch.next_address or self.watch.address  # a reload sets next_address
         if self.service and address == self.service_address:
             return self.service
         return ":".join(map(str, address))
 
-    # The leader task.
+    # Leader task.
 
     def start(self, term: int, lease_held: Callable[[], bool], /) -> None:
-        """Publish from now on; `lease_held` is called before each message."""
+        """Start to publish under a term; `lease_held` is called before each message."""
         self.last_progress_at = self.context.loop.now
         publisher = Publisher(self.role, term, self.source)
         self.publication = Publication(publisher, lease_held)
@@ -106,13 +106,13 @@
         self.context.task.wake()
 
     def stop(self) -> None:
-        """Publish no more."""
+        """Stop publishing."""
         self.publication = None
 
-    # Answers of the list service to this proxy.
+    # Answers of the list service to this member.
 
-    def on_own_list(self, kind: EndpointListKind) -> None:
-        """Take note that the list service has answered this proxy, or has failed to."""
+    def on_endpoint_list(self, kind: EndpointListKind) -> None:
+        """Process an answer, or a failure, of the list service."""
         if kind is EndpointListKind.CACHED or self.is_applying:
             return
         failed = kind is EndpointListKind.FAILED
@@ -126,13 +126,13 @@
             self.publication.publisher.disconnected = True
             self.publication.publisher.next_heartbeat_at = clock.now()
         else:
-            self._publish()
+            self._publish_list()
         self.context.task.wake()
 
-    def _publish(self) -> None:
+    def _publish_list(self) -> None:
         publication = self.publication
         assert publication is not None
-        if publication.publisher.source != self.source:  # another list service, after a reload
+        if publication.publisher.source != self.source:  # a reload has changed the list service
             term = publication.publisher.term
             publication = Publication(Publisher(self.role, term, self.source), publication.lease_held)
             self.publication = publication
@@ -141,13 +141,15 @@
                 self._enqueue(receiver, update)
 
     def _broadcast_drains(self) -> None:
-        for update in self.drains.updates(self.watch.records.values(), self.source, self.watch.version):
+        for update in self.drain_broadcast.updates(
+            self.watch.records.values(), self.source, self.watch.version
+        ):
             self.context.membership.broadcast(LIST_PAYLOAD, encode(update))
 
-    # Messages of other members.
+    # Messages from other members.
 
     def on_message(self, sender: Member, body: bytes, now: float) -> None:
-        """Take a payload of another member; a malformed one is counted and dropped."""
+        """Process a payload of another member; count and drop a malformed one."""
         try:
             message = MESSAGE_DECODER.decode(body)
         except msgspec.DecodeError:
@@ -163,10 +165,13 @@
             if message.term > self.publication.publisher.term:
                 self.superseded = True
             return
-        self._on_publication(sender, message, now)
+        self._on_publisher_message(sender, message, now)
 
     def on_broadcast(self, body: bytes) -> None:
-        """Apply drains of any member at once; the version stays, since other changes may be missing."""
+        """Apply the drains that another member has broadcast.
+
+        The version of the list does not change, because other changes of that version may be missing.
+        """
         try:
             update = MESSAGE_DECODER.decode(body)
             if not isinstance(update, ListUpdate) or update.source != self.source:
@@ -177,13 +182,13 @@
             return
         if not update.version > self.watch.version >= 0:
             return
-        fresh = [record for record in drains if self._is_new_drain(record)]
-        if fresh and self._apply(ListChange(fresh, None, is_snapshot=False)):
-            hosts = [record["host"] for record in fresh][:MAX_LOGGED_HOSTS]
+        new_drains = [record for record in drains if self._is_new_drain(record)]
+        if new_drains and self._apply(ListChange(new_drains, None, is_snapshot=False)):
+            hosts = [record["host"] for record in new_drains][:MAX_LOGGED_HOSTS]
             self.context.log_event("drains received", hosts=hosts, version=update.version)
 
     def _on_request(self, sender: Member, request: ResyncRequest | Suspicion, now: float) -> None:
-        """Answer as the publisher, if this member is it."""
+        """Answer a subscriber's request if this member is the publisher."""
         if self.publication is None or not self.publication.lease_held():
             return
         publisher = self.publication.publisher
@@ -192,13 +197,13 @@
                 publisher.suspected_version = request.version
                 self.watch.switch_to(self.watch.address, resync=True)
             return
-        if now - self.snapshot_sent_at.get(sender.name, -math.inf) >= MIN_SNAPSHOT_INTERVAL:
+        if now - self.snapshot_sent_at.get(sender.name, -math.inf) >= MIN_SNAPSHOT_INTERVAL_SECONDS:
             self.snapshot_sent_at[sender.name] = now
             for update in publisher.snapshot():
                 self._enqueue(sender, update)
 
-    def _on_publication(self, sender: Member, message: Heartbeat | ListUpdate, now: float) -> None:
-        """Take a publisher's message as a subscriber."""
+    def _on_publisher_message(self, sender: Member, message: Heartbeat | ListUpdate, now: float) -> None:
+        """Process a message of the publisher as a subscriber."""
         subscriber = self.subscriber
         was_suspended = subscriber.polling_suspended
         answer: ListChange | ResyncRequest | None
@@ -215,7 +220,7 @@
             if self._apply(answer):
                 self.context.counts[VERSIONS_RECEIVED] += 1
             else:
-                subscriber.reject_publisher(now, "rows")
+                subscriber.reject_publisher(now, "malformed records")
         if subscriber.polling_suspended and not was_suspended:
             self.watch.set_suspended(True)
             self.context.log_event(
@@ -227,7 +232,7 @@
         return known is not None and known.get("health") not in (record["health"], "left")
 
     def _apply(self, change: ListChange) -> bool:
-        """Give a change to the watch as if the list service had sent it; return whether it could be read."""
+        """Apply a change to the watch like an answer of the list service; return whether it was valid."""
         answer = {
             "seq": self.watch.version if change.version is None else change.version,
             "whole": change.is_snapshot,
@@ -258,7 +263,7 @@
             self.context.counts[DROPPED_QUEUE_FULL] += 1
 
     def _send_if_current(self, receiver: Member, update: ListUpdate) -> None:
-        """Send a queued update unless its term has ended."""
+        """Send a queued update unless its term or lease has ended."""
         publication = self.publication
         if publication and update.term == publication.publisher.term and publication.lease_held():
             self._send(receiver, update)
@@ -273,22 +278,21 @@
                 break
             self._send(receiver, publisher.heartbeat())
         if self.watch.connection is not None and not publisher.disconnected:
-            self.last_progress_at = self.context.loop.now  # its watch is open
+            self.last_progress_at = self.context.loop.now  # an open watch counts as progress
 
-    # Time.
+    # Timers.
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Send due heartbeats and queued updates, and resume polling if it is due."""
         if self.publication:
             self._send_heartbeats(self.publication, now)
         self.sender.tick(now)
-        if self.subscriber.source != self.source:  # a reload names another list service
+        if self.subscriber.source != self.source:  # a reload has changed the list service
             self.subscriber.follow_source(self.source)
             self.watch.set_suspended(False)
         if self.subscriber.tick(now):
-            self.watch.answer_at_once = (
-                self.subscriber.audit_running
-            )  # answered at once: no watch is left open
+            # For an audit the list service answers at once, so that no watch stays open.
+            self.watch.answer_at_once = self.subscriber.audit_running
             self.watch.set_suspended(False)
             self.context.log_event(
                 "list polling resumed",
@@ -298,12 +302,12 @@
             )
 
     def next_due(self) -> float:
-        """Return when `tick` is to be called next, seconds."""
+        """Return the time at which `tick` must be called next."""
         heartbeat_at = self.publication.publisher.next_heartbeat_at if self.publication else math.inf
         return min(heartbeat_at, self.sender.next_due, self.subscriber.next_due())
 
     def status(self) -> dict[str, Any]:
-        """Return the state for `/control/fleet`."""
+        """Return the state that `/control/fleet` reports."""
         return {
             "duty": self.role,
             "version": self.watch.version,
--- a/onyxhollow/fleet/list_subscriber.py
+++ b/onyxhollow/fleet/list_subscriber.py
@@ -1,9 +1,10 @@
-"""The subscriber of the endpoint list: a member that takes the list from its zone's publisher. A pure core.
+"""Subscriber of the endpoint list: a member that receives the list from the publisher of its zone.
 
-It suspends its own polling while it receives heartbeats of its own version, under a term that is not older
-than one seen before. It polls for itself again when the publisher is silent, has lost the list service, or
-sends what cannot be read; after a random wait, since all members of a zone do so at once. Now and then one
-member polls all the same, and reports a publisher that is behind (an audit).
+Pure logic: it neither sends messages nor reads a clock. A subscriber suspends its own polling of the list
+service while it receives heartbeats with its own version and a term that is not outdated. It resumes polling
+when the publisher is silent, has lost the list service, or sends an invalid update. It does so after a random
+delay, because all members of a zone would otherwise resume at the same time. Periodically one member polls
+although the publisher works (an audit), and reports a publisher whose list is outdated.
 """
 
 from __future__ import annotations
@@ -23,10 +24,10 @@
     decode_records,
 )
 
-AUDIT_RATE = 0.2  # audits a second by all members of a zone together
-MAX_PUBLISHER_LAG = 2.0  # seconds after which a publisher that is behind the list service is rejected
-MISSED_HEARTBEATS = 3  # after so many intervals without a message the publisher counts as silent
-SILENCE_MARGIN = 0.001  # seconds past the limit, so that a timer does not come just before it
+ZONE_AUDIT_RATE = 0.2  # audits per second by all members of a zone together
+MAX_PUBLISHER_LAG_SECONDS = 2.0  # a publisher that is behind the list service for longer is rejected
+MAX_MISSED_HEARTBEATS = 3  # a publisher without a message for more intervals counts as silent
+SILENCE_MARGIN_SECONDS = 0.001  # added to the timer, so that it does not expire just before the limit
 MAX_CAUSE_CHARACTERS = 120
 
 CAUSE_DISCONNECTED = "the publisher has lost the list"
@@ -37,16 +38,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """Records to be applied as if the list service had sent them."""
+    """Records to apply in the same way as an answer of the list service."""
 
     records: list[Record]
-    version: int | None  # None: some records of a newer version, whose other changes may be missing
+    version: int | None  # None: records of a newer version whose other changes may be missing
     is_snapshot: bool
 
 
 @dataclass(frozen=True, slots=True)
 class UpdateId:
-    """Which update parts belong to."""
+    """Identity of the update that a part belongs to."""
 
     version: int
     base: int
@@ -54,7 +55,7 @@
 
 
 class Subscriber:
-    """Decides when this member polls the list service itself. Times are seconds."""
+    """Decides when this member polls the list service itself. All times are in seconds."""
 
     def __init__(
         self,
@@ -69,44 +70,44 @@
         self.heartbeat_interval = heartbeat_interval
         self.max_resume_delay = max_resume_delay
         self.rng = rng
-        self.term = 0  # the highest seen
-        self.received_at = -math.inf  # when the publisher's last message came
+        self.term = 0  # highest term received
+        self.received_at = -math.inf  # time of the publisher's last message
         self.polling_suspended = False
-        self.resume_at = math.inf  # when to poll again
+        self.resume_at = math.inf  # time at which to resume polling
         self.resume_cause = ""
         self.audit_at = math.inf
         self.audit_running = False
-        self.parts: dict[int, bytes] = {}  # of an update that is not complete
-        self.parts_of: UpdateId | None = None
-        self.behind_since = math.inf
-        self.rejected_term = 0  # of a publisher that sent what cannot be read, or was behind
+        self.parts: dict[int, bytes] = {}  # bodies of an incomplete update, by part number
+        self.parts_update_id: UpdateId | None = None
+        self.behind_since = math.inf  # time since which the publisher's version is outdated
+        self.rejected_term = 0  # term of a publisher that sent an invalid update or was outdated
 
     @property
     def silence_limit(self) -> float:
         """Seconds without a message after which the publisher counts as silent."""
-        return MISSED_HEARTBEATS * self.heartbeat_interval
+        return MAX_MISSED_HEARTBEATS * self.heartbeat_interval
 
     def on_heartbeat(
         self, heartbeat: Heartbeat, now: float, version: int, members: int
     ) -> ResyncRequest | None:
-        """Take a heartbeat, given the version known here; return a request if the publisher has a newer one.
+        """Process a heartbeat; return a request for a snapshot if the publisher has a newer version.
 
         Args:
-            heartbeat: The message.
-            now: The time, seconds.
-            version: The version known here; negative: none.
-            members: Number of live members of the zone, this one included.
+            heartbeat: Received heartbeat.
+            now: Current time.
+            version: Version of this member's list; negative if it has none.
+            members: Number of live members of the zone, including this one.
         """
         if not self._accepts(heartbeat):
             return None
         self.received_at = now
         if heartbeat.disconnected or heartbeat.version < 0:
-            self._schedule_polling(now, CAUSE_DISCONNECTED)
+            self._schedule_resume(now, CAUSE_DISCONNECTED)
             return None
         if heartbeat.version > version or version < 0:
             return self._resync_request(version)
         if heartbeat.version < version:
-            self._on_lag(heartbeat.term, now)
+            self._on_outdated_heartbeat(heartbeat.term, now)
             return None
         self.behind_since = math.inf
         if not self.audit_running:
@@ -114,43 +115,48 @@
         return None
 
     def on_update(self, update: ListUpdate, now: float, version: int) -> ListChange | ResyncRequest | None:
-        """Take a part of an update, given the version known here.
+        """Process a part of an update.
+
+        Args:
+            update: Received part.
+            now: Current time.
+            version: Version of this member's list; negative if it has none.
 
         Returns:
-            A change once all parts are there, a request if the update builds on a version that is missing
-            here, else None.
+            A change once all parts have been received, a request for a snapshot if the update is a delta to
+            another version than `version`, else None.
         """
-        if not self._accepts(update) or not _has_valid_place(update):
+        if not self._accepts(update) or not _has_valid_part_number(update):
             return None
         self.received_at = now
         if update.version <= version and version >= 0:
             return None
         if update.base >= 0 and update.base != version:
             return self._resync_request(version)
-        bodies = self._collect(update)
+        bodies = self._add_part(update)
         return None if bodies is None else self._decode(update, bodies, now)
 
     def reject_publisher(self, now: float, cause: str) -> None:
-        """Ignore the publisher of this term: what it has sent cannot be read."""
+        """Ignore the publisher for the rest of its term because it sent an invalid update."""
         self.rejected_term = self.term
-        self._schedule_polling(now, f"an update can't be read: {cause}"[:MAX_CAUSE_CHARACTERS])
+        self._schedule_resume(now, f"invalid update: {cause}"[:MAX_CAUSE_CHARACTERS])
 
     def on_own_answer(self) -> None:
-        """Take note that the list service has answered this member: the next heartbeat ends an audit."""
+        """End an audit after an answer of the list service; the next heartbeat may suspend polling again."""
         self.audit_running = False
         self.audit_at = math.inf
 
     def follow_source(self, source: str) -> None:
-        """Follow another list service, as a reload names it: nothing received of the old one counts."""
+        """Change to the list service that a reload has configured; ignore messages about the former one."""
         self.source = source
         self.polling_suspended = False
 
     def tick(self, now: float) -> bool:
-        """Return whether this member polls for itself from now on."""
+        """Run expired timers and return whether this member must resume polling now."""
         if not self.polling_suspended:
             return False
         if now - self.received_at > self.silence_limit:
-            self._schedule_polling(now, CAUSE_SILENT)
+            self._schedule_resume(now, CAUSE_SILENT)
         if now >= self.audit_at and self.resume_at == math.inf:
             self.audit_running = True
             self.resume_at = now
@@ -162,13 +168,18 @@
         return True
 
     def next_due(self) -> float:
-        """Return when `tick` is to be called next, seconds."""
+        """Return the time at which `tick` must be called next."""
         if not self.polling_suspended:
             return math.inf
-        return min(self.resume_at, self.audit_at, self.received_at + self.silence_limit + SILENCE_MARGIN)
+        return min(
+            self.resume_at, self.audit_at, self.received_at + self.silence_limit + SILENCE_MARGIN_SECONDS
+        )
 
     def _accepts(self, message: ListMessage) -> bool:
-        """Whether a message is of the list service that is followed, and of no outdated or rejected term."""
+        """Return whether a message is for the current list service and a valid term.
+
+        Outdated and rejected terms are invalid. A newer term discards the parts of the former one.
+        """
         if message.source != self.source or message.term < self.term:
             return False
         if message.term == self.rejected_term:
@@ -182,24 +193,24 @@
     def _resync_request(self, version: int) -> ResyncRequest:
         return ResyncRequest(self.role, self.term, self.source, version)
 
-    def _on_lag(self, term: int, now: float) -> None:
-        """Take note of a publisher that is behind: this member polls on until it has caught up."""
+    def _on_outdated_heartbeat(self, term: int, now: float) -> None:
+        """Reject a publisher whose version has been outdated for too long; until then continue polling."""
         self.behind_since = min(self.behind_since, now)
-        if now - self.behind_since > MAX_PUBLISHER_LAG:
+        if now - self.behind_since > MAX_PUBLISHER_LAG_SECONDS:
             self.rejected_term = term
-            self._schedule_polling(now, CAUSE_BEHIND)
+            self._schedule_resume(now, CAUSE_BEHIND)
 
     def _suspend_polling(self, now: float, members: int) -> None:
         self.resume_at = math.inf
         if not self.polling_suspended:
             self.polling_suspended = True
-            self.audit_at = now + self.rng.uniform(0.5, 1.5) * max(1, members) / AUDIT_RATE
+            self.audit_at = now + self.rng.uniform(0.5, 1.5) * max(1, members) / ZONE_AUDIT_RATE
 
-    def _collect(self, update: ListUpdate) -> list[bytes] | None:
-        """Store a part; return all of them, in order, once they are there."""
+    def _add_part(self, update: ListUpdate) -> list[bytes] | None:
+        """Store a part; return the bodies of all parts, in order, once the update is complete."""
         update_id = UpdateId(update.version, update.base, update.parts)
-        if self.parts_of != update_id:
-            self.parts_of = update_id
+        if self.parts_update_id != update_id:
+            self.parts_update_id = update_id
             self.parts = {}
         self.parts[update.part] = update.body
         if len(self.parts) < update.parts:
@@ -215,13 +226,13 @@
             self.reject_publisher(now, str(error))
             return None
 
-    def _schedule_polling(self, now: float, cause: str) -> None:
-        """Poll again after a random wait."""
+    def _schedule_resume(self, now: float, cause: str) -> None:
+        """Schedule the end of the suspension after a random delay."""
         self.audit_running = False
         if self.polling_suspended and self.resume_at == math.inf:
             self.resume_at = now + self.rng.random() * self.max_resume_delay
             self.resume_cause = cause
 
 
-def _has_valid_place(update: ListUpdate) -> bool:
+def _has_valid_part_number(update: ListUpdate) -> bool:
     return 0 < update.parts <= MAX_PARTS and 0 <= update.part < update.parts
--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -292,7 +292,7 @@
     def on_endpoint_list(self, kind: EndpointListKind, _: list[Endpoint]) -> None:
         """Pass a new endpoint list of the proxy to the list replication."""
         if self.list_replication:
-            self.list_replication.on_own_list(kind)
+            self.list_replication.on_endpoint_list(kind)
 
     def close(self) -> None:
         """Hand over all leases, leave the fleet and close the socket and the voter log."""
--- a/onyxhollow/fleet/paced_sender.py
+++ b/onyxhollow/fleet/paced_sender.py
@@ -1,4 +1,4 @@
-"""Paced sending: a snapshot of the list for a whole zone is thousands of datagrams."""
+"""Rate-limited sending of list updates; a snapshot for a whole zone needs thousands of datagrams."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from onyxhollow.fleet.list_messages import ListUpdate
 from onyxhollow.membership.member_table import Member
 
-GROUP_INTERVAL = 0.02  # seconds from one group of datagrams to the next
+GROUP_INTERVAL_SECONDS = 0.02  # between two groups of datagrams
 GROUP_SIZE = 24  # datagrams
-MAX_QUEUED = 16384  # datagrams; further ones are dropped, and their receivers request a snapshot
+MAX_QUEUED = 16384  # datagrams; further ones are dropped and their receivers request a snapshot
 
 
 class PacedSender:
-    """A queue of updates that is sent a few at a time."""
+    """Queue of updates that are sent in small groups at fixed intervals."""
 
     def __init__(self, send: Callable[[Member, ListUpdate], None]) -> None:
         self.send = send
@@ -23,7 +23,7 @@
         self.next_due = math.inf  # seconds
 
     def enqueue(self, receiver: Member, update: ListUpdate, now: float) -> bool:
-        """Queue an update; return False if the queue is full."""
+        """Queue an update and return True, or return False if the queue is full."""
         if len(self.queue) >= MAX_QUEUED:
             return False
         self.queue.append((receiver, update))
@@ -33,7 +33,7 @@
     def tick(self, now: float) -> None:
         """Send the next group if it is due."""
         if self.queue and now >= self.next_due:
-            self.next_due = now + GROUP_INTERVAL
+            self.next_due = now + GROUP_INTERVAL_SECONDS
             for _ in range(min(GROUP_SIZE, len(self.queue))):
                 self.send(*self.queue.popleft())
         if not self.queue:
--- a/tests/test_list_replication.py
+++ b/tests/test_list_replication.py
@@ -6,8 +6,8 @@
 from onyxhollow.fleet.drain_broadcast import DRAINS_PER_BROADCAST, DrainBroadcast
 from onyxhollow.fleet.list_messages import Heartbeat, ListUpdate, ResyncRequest, decode_records
 from onyxhollow.fleet.list_publisher import Publisher
-from onyxhollow.fleet.list_subscriber import MAX_PUBLISHER_LAG, Subscriber
-from onyxhollow.fleet.paced_sender import GROUP_INTERVAL, GROUP_SIZE, PacedSender
+from onyxhollow.fleet.list_subscriber import MAX_PUBLISHER_LAG_SECONDS, Subscriber
+from onyxhollow.fleet.paced_sender import GROUP_INTERVAL_SECONDS, GROUP_SIZE, PacedSender
 
 
 def make_publisher():
@@ -50,14 +50,14 @@
             subscriber.on_update(ListUpdate("list", 3, "s", 8, 7, 0, 1, b"x"), 0.1, 7)
         elif fault == "behind":
             subscriber.on_heartbeat(publisher.heartbeat(), 0.1, 8, 4)
-            subscriber.on_heartbeat(publisher.heartbeat(), 0.1 + MAX_PUBLISHER_LAG + 0.1, 8, 4)
+            subscriber.on_heartbeat(publisher.heartbeat(), 0.1 + MAX_PUBLISHER_LAG_SECONDS + 0.1, 8, 4)
         else:
             subscriber.on_heartbeat(Heartbeat("list", 4, "s", 7, False), 0.1, 7, 4)
             # Under the newer term it would be a ResyncRequest.
             assert subscriber.on_heartbeat(publisher.heartbeat(), 0.2, 6, 4) is None
             assert subscriber.received_at == 0.1
             continue
-        assert subscriber.resume_at <= 0.1 + MAX_PUBLISHER_LAG + 0.1 + 2.0, fault
+        assert subscriber.resume_at <= 0.1 + MAX_PUBLISHER_LAG_SECONDS + 0.1 + 2.0, fault
         assert subscriber.tick(subscriber.resume_at)
 
 
@@ -80,8 +80,8 @@
     assert not sender.enqueue("member", "one too many", 1.0)
     assert sender.next_due == 1.0
     sender.tick(1.0)
-    sender.tick(1.0 + GROUP_INTERVAL / 2)
+    sender.tick(1.0 + GROUP_INTERVAL_SECONDS / 2)
     assert [update for _, update in sent] == list(range(GROUP_SIZE))
-    sender.tick(1.0 + GROUP_INTERVAL)
+    sender.tick(1.0 + GROUP_INTERVAL_SECONDS)
     assert [update for _, update in sent] == list(range(2 * GROUP_SIZE))
     assert sender.next_due == float("inf")
