--- a/onyxhollow/fleet/command_tables.py
+++ b/onyxhollow/fleet/command_tables.py
@@ -1,6 +1,6 @@
-"""The tables that the commands `members`, `duties` and `voters` print.
+"""Tables that the commands `members`, `duties` and `voters` print.
 
-Each function takes the decoded JSON of a management path; its keys are those of the operators' pages.
+Each function formats the decoded JSON answer of a path of the management API.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from onyxhollow.fleet.identity import member_name
 
 
-def format_table(heads: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
-    """Columns as wide as their widest cell; None is an empty cell."""
-    cells = [list(heads), *([str("" if value is None else value) for value in row] for row in rows)]
-    widths = [max(len(row[column]) for row in cells) for column in range(len(heads))]
+def format_table(headings: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
+    """Return a table whose columns are as wide as their widest cell; None gives an empty cell."""
+    cells = [list(headings), *([str("" if value is None else value) for value in row] for row in rows)]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(headings))]
     return "\n".join(
         "  ".join(value.ljust(width) for value, width in zip(row, widths, strict=True)).rstrip()
         for row in cells
@@ -22,7 +22,7 @@
 
 
 def format_members(fleet: dict[str, Any]) -> str:
-    """Who is alive, for how long, who votes and who may hold roles."""
+    """Return the table of members: state and its duration, zone, address, voter, eligibility for roles."""
     rows = [
         (
             member["name"],
@@ -36,13 +36,13 @@
         )
         for member in fleet["members"]
     ]
-    seen = f"{fleet['me']} sees {fleet['there']} there, itself included"
-    head = f"{seen}; its own lateness: {fleet['health']} of 8"
-    return f"{head}\n{format_table(('member', 'life', 'seconds', 'zone', 'address', 'votes', '', ''), rows)}"
+    live_members = f"{fleet['me']} sees {fleet['there']} live members, including itself"
+    title = f"{live_members}; its local health score: {fleet['health']} of 8 (0 is best)"
+    return f"{title}\n{format_table(('member', 'life', 'seconds', 'zone', 'address', 'votes', '', ''), rows)}"
 
 
 def format_roles(fleet: dict[str, Any]) -> str:
-    """Who holds which role, under which term, and who is next."""
+    """Return the table of roles: holder, term, state at this process, remaining lease and candidates."""
     rows = [
         (
             role["duty"],
@@ -58,23 +58,23 @@
 
 
 def format_voters(fleet: dict[str, Any]) -> str:
-    """The voter set, and which voters are alive and vote."""
+    """Return the voter set with the membership state of each voter and whether it votes."""
     members = {member["name"]: member for member in fleet["members"]}
-    here = member_name(fleet["me"])
+    own_name = member_name(fleet["me"])
     rows: list[tuple[str, str, str]] = []
     for name in fleet["voters"]["names"]:
-        if name == here:
+        if name == own_name:
             rows.append((name, "here", _own_voter_state(fleet["voter"])))
             continue
-        known = members.get(name)
-        state = known["life"] if known else "unknown"
-        rows.append((name, state, "votes" if known and known["votes"] else "no"))
-    head = f"voters, version {fleet['voters']['version']}"
-    return f"{head}\n{format_table(('member', 'life', 'voter'), rows)}"
+        member = members.get(name)
+        state = member["life"] if member else "unknown"
+        rows.append((name, state, "votes" if member and member["votes"] else "no"))
+    title = f"voters, version {fleet['voters']['version']}"
+    return f"{title}\n{format_table(('member', 'life', 'voter'), rows)}"
 
 
 def format_history(rows: list[dict[str, Any]]) -> str:
-    """The last changes of holders."""
+    """Return the table of the latest changes of holders."""
     return format_table(
         ("seconds", "duty", "term", "holder"),
         [(row["t"], row["duty"], row["term"], row["who"]) for row in rows],
@@ -83,6 +83,6 @@
 
 def _own_voter_state(voter: dict[str, Any] | None) -> str:
     if not voter:
-        return "no folder"
+        return "no voter folder"
     state = "no memory yet" if voter["blank"] else "votes"
-    return state if voter["disk"] else f"{state}, disk fails"
+    return state if voter["disk"] else f"{state}, disk failing"
--- a/onyxhollow/fleet/commands.py
+++ b/onyxhollow/fleet/commands.py
@@ -1,4 +1,4 @@
-"""The commands `members`, `duties` and `voters`: they call a running process at its management address."""
+"""Commands `members`, `duties` and `voters`, which call the management API of a running process."""
 
 from __future__ import annotations
 
@@ -12,32 +12,33 @@
 
 from onyxhollow.fleet.command_tables import format_history, format_members, format_roles, format_voters
 
-CALL_TIMEOUT = 3.0  # seconds for the process to answer
-WATCH_INTERVAL = 1.0  # seconds
+CALL_TIMEOUT_SECONDS = 3.0
+WATCH_INTERVAL_SECONDS = 1.0
 EXIT_FAILED = 2
 EXIT_INTERRUPTED = 130
-FORMATS = {"members": format_members, "duties": format_roles, "voters": format_voters}
+FORMATTERS = {"members": format_members, "duties": format_roles, "voters": format_voters}
 
 
 class CallError(Exception):
-    """The process could not be called, or refused; the text says which, and what was expected."""
+    """Failed or refused call of a process. The text has the address, the expected and the actual result."""
 
 
 def call(address: str, method: str, path: str, /, root: str = "/control/fleet", **query: str) -> bytes:
-    """Calls a management path.
+    """Call a path of the management API.
 
     Args:
         address: HOST:PORT of the process.
-        method: Of the request.
-        path: Below `root`.
-        root: Of the paths of the subsystem.
-        query: Names and values behind the `?`.
+        method: HTTP method.
+        path: Path below `root`.
+        root: Root path of the subsystem.
+        query: Query parameters.
 
     Returns:
         The body of an answer with status 200 or 202.
 
     Raises:
-        CallError: The address is none, nobody answers in time, or the status is another one.
+        CallError: The address is invalid, the process does not answer in time, or its answer has another
+            status.
     """
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
@@ -45,15 +46,15 @@
     target = f"{root}{path}" + (f"?{urlencode(query)}" if query else "")
     status, body = _request(address, host, int(port), method, target)
     if status == http.HTTPStatus.NOT_FOUND and body == b"no such path\n":
-        what = "addresses in its fleet file" if root.endswith("addresses") else "a fleet file"
-        raise CallError(f"{address}: expected a process with {what}, got one without")
+        requirement = "addresses in its fleet file" if root.endswith("addresses") else "a fleet file"
+        raise CallError(f"{address}: expected a process with {requirement}, got one without")
     if status not in (http.HTTPStatus.OK, http.HTTPStatus.ACCEPTED):
         raise CallError(f"{address}: {body.decode(errors='replace').strip()}")
     return body
 
 
 def _request(address: str, host: str, port: int, method: str, target: str) -> tuple[int, bytes]:
-    connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT)
+    connection = http.client.HTTPConnection(host, port, timeout=CALL_TIMEOUT_SECONDS)
     try:
         connection.request(method, target)
         answer = connection.getresponse()
@@ -65,48 +66,52 @@
 
 
 def make_parser(name: str) -> argparse.ArgumentParser:
-    """The command line of the command of that name."""
+    """Return the parser for the command line of a command."""
     parser = argparse.ArgumentParser(prog=f"onyxhollow {name}")
-    address = os.environ.get("LB_MANAGEMENT", "")
-    parser.add_argument("--at", default=address, help="HOST:PORT; else $LB_MANAGEMENT")
-    parser.add_argument("--json", action="store_true", help="as the process tells it")
-    parser.add_argument("--watch", action="store_true", help="again each second, until ended by hand")
+    default_address = os.environ.get("LB_MANAGEMENT", "")
+    parser.add_argument(
+        "--at", default=default_address, help="management address HOST:PORT (default: $LB_MANAGEMENT)"
+    )
+    parser.add_argument("--json", action="store_true", help="print the JSON answer of the process")
+    parser.add_argument("--watch", action="store_true", help="repeat every second until interrupted")
     if name == "duties":
-        _add_role_parts(parser)
+        _add_role_subcommands(parser)
     elif name == "voters":
-        _add_voter_parts(parser)
+        _add_voter_subcommands(parser)
     return parser
 
 
-def _add_role_parts(parser: argparse.ArgumentParser) -> None:
-    parts = parser.add_subparsers(dest="part")
-    parts.add_parser("show", help="who holds what")
-    parts.add_parser("history", help="the last changes that this process heard of")
-    hand_over = parts.add_parser("hand-over", help="to another member, at once")
+def _add_role_subcommands(parser: argparse.ArgumentParser) -> None:
+    subparsers = parser.add_subparsers(dest="subcommand")
+    subparsers.add_parser("show", help="show roles and lease holders (default)")
+    subparsers.add_parser("history", help="show the latest changes of holders that the process received")
+    hand_over = subparsers.add_parser("hand-over", help="hand a role over to another member at once")
     hand_over.add_argument("name")
     hand_over.add_argument("--to", required=True, metavar="MEMBER")
-    release = parts.add_parser(
-        "release", help="the holder lets go of it, and leaves it to others for a while"
+    release = subparsers.add_parser(
+        "release", help="release a role; its holder does not compete for it for a while"
     )
     release.add_argument("name")
 
 
-def _add_voter_parts(parser: argparse.ArgumentParser) -> None:
-    parts = parser.add_subparsers(dest="part")
-    parts.add_parser("show", help="who votes")
-    replace = parts.add_parser("replace", help="one voter by another member, granted by the present ones")
+def _add_voter_subcommands(parser: argparse.ArgumentParser) -> None:
+    subparsers = parser.add_subparsers(dest="subcommand")
+    subparsers.add_parser("show", help="show the voter set (default)")
+    replace = subparsers.add_parser(
+        "replace", help="replace a voter with another member, granted by the current voters"
+    )
     replace.add_argument("remove", metavar="OLD")
     replace.add_argument("add", metavar="NEW")
 
 
-def main(name: str, words: list[str]) -> int:
-    """Runs a command; returns its exit status.
+def main(name: str, argv: list[str]) -> int:
+    """Run a command and return its exit status.
 
     Args:
         name: `members`, `duties` or `voters`.
-        words: What follows it on the command line.
+        argv: Arguments after the name of the command.
     """
-    arguments = make_parser(name).parse_args(words)
+    arguments = make_parser(name).parse_args(argv)
     try:
         if _send_command(arguments):
             return 0
@@ -120,13 +125,13 @@
 
 
 def _send_command(arguments: argparse.Namespace) -> bool:
-    """Sends what changes something; False if the command line names nothing of that kind."""
-    part = getattr(arguments, "part", None)
-    if part == "hand-over":
+    """Send the command that changes a role or voter; return False if the arguments contain none."""
+    subcommand = getattr(arguments, "subcommand", None)
+    if subcommand == "hand-over":
         answer = call(arguments.at, "POST", "/hand-over", name=arguments.name, to=arguments.to)
-    elif part == "release":
+    elif subcommand == "release":
         answer = call(arguments.at, "POST", "/release", name=arguments.name)
-    elif part == "replace":
+    elif subcommand == "replace":
         answer = call(arguments.at, "POST", "/voters", remove=arguments.remove, add=arguments.add)
     else:
         return False
@@ -135,16 +140,16 @@
 
 
 def _show(name: str, arguments: argparse.Namespace) -> None:
-    """Prints the state, with --watch until it is interrupted."""
-    history = getattr(arguments, "part", None) == "history"
+    """Print the state; with --watch, repeat until interrupted."""
+    show_history = getattr(arguments, "subcommand", None) == "history"
     while True:
-        body = call(arguments.at, "GET", "/history" if history else "")
+        body = call(arguments.at, "GET", "/history" if show_history else "")
         if arguments.json:
             text = body.decode().strip()
         else:
             decoded = json.loads(body)
-            text = format_history(decoded) if history else FORMATS[name](decoded)
+            text = format_history(decoded) if show_history else FORMATTERS[name](decoded)
         print(text, flush=True)
         if not arguments.watch:
             return
-        time.sleep(WATCH_INTERVAL)
+        time.sleep(WATCH_INTERVAL_SECONDS)
--- a/onyxhollow/fleet/status_api.py
+++ b/onyxhollow/fleet/status_api.py
@@ -1,4 +1,4 @@
-"""The answers under /control/fleet: state, history, and the operators' commands."""
+"""Management API under /control/fleet: state, history and operators' commands."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 from onyxhollow.policy.tracked import TrackedEndpoint
 
 JSON = "application/json"
-LOAD_SHOWN_FOR = 60.0  # seconds after which a load is no longer shown
-LONGEST_AGE = 1e6  # seconds; means "never"
-QUOTED = 80  # characters of a wrong value that an error shows
-SHOWN_CANDIDATES = 3  # of a role's order
+MAX_SHOWN_LOAD_AGE_SECONDS = 60.0
+MAX_SHOWN_AGE_SECONDS = 1e6  # reported for an event that has never occurred
+MAX_QUOTED_CHARS = 80  # of an invalid value in an error message
+MAX_SHOWN_CANDIDATES = 3  # per role
 
 
 class StatusApi:
-    """Answers of one member. The JSON keys are those of the operators' pages.
+    """Handlers of one member. The JSON keys are part of the documented API.
 
     Attributes:
-        context: The member.
-        messenger: Carries operators' commands to the holder.
-        leases: Roles and holders.
-        voter_service: This member's voter.
-        dropped: Datagrams that were not authentic, by reason.
-        list_replication: None without the role of the list.
-        load_gossip: None if it is off.
+        context: State shared by the parts of the member.
+        messenger: Sends operators' commands to the lease holder.
+        leases: Candidates, leader tasks and known holders.
+        voter_service: Voter of this member.
+        dropped: Number of datagrams that failed authentication, by reason.
+        list_replication: Replication of the endpoint list; None if the fleet has no role for it.
+        load_gossip: Gossip of load reports; None if it is disabled.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self.load_gossip = load_gossip
 
     def routes(self) -> dict[str, dict[str, Callable[[str], Answer]]]:
-        """By path and method."""
+        """Return the handlers by path and method."""
         return {
             "/control/fleet": {"GET": self.show_fleet},
             "/control/fleet/history": {"GET": self.show_history},
@@ -69,7 +69,7 @@
         }
 
     def show_fleet(self, _: str) -> Answer:
-        """All that this process knows of the fleet."""
+        """Return the state of the fleet as this process sees it."""
         now = clock.now()
         context = self.context
         membership = context.membership
@@ -84,15 +84,15 @@
             "stalled_ago": None if last_stall_at is None else round(now - last_stall_at, 2),
             "version": __version__,
             "service": context.proxy.service.phase.value,
-            "links": self._links(now),
-            "servers": self._endpoints(),
+            "links": self._link_rows(now),
+            "servers": self._endpoint_rows(),
             "members": [
-                self._member(member, now)
+                self._member_row(member, now)
                 for member in sorted(membership.members.values(), key=lambda member: member.key)
             ],
-            "duties": self._roles(now),
+            "duties": self._role_rows(now),
             "voters": {"version": context.voters.version, "names": context.voters.names},
-            "voter": self._voter(),
+            "voter": self._voter_state(),
             "list": self.list_replication.status() if self.list_replication else None,
             "sharing": self.load_gossip.status(now) if self.load_gossip else None,
             "counts": dict(context.counts + membership.counters),
@@ -101,7 +101,7 @@
         return 200, orjson.dumps(answer, option=orjson.OPT_APPEND_NEWLINE), JSON
 
     def show_history(self, query: str) -> Answer:
-        """The last changes of holders; `name=ROLE` for one role alone."""
+        """Return the latest changes of holders, with `name=ROLE` only those of one role."""
         role = dict(parse_qsl(query)).get("name")
         rows = [
             {"duty": change.role, "term": change.term, "who": change.process_id, "t": change.known_at}
@@ -111,46 +111,60 @@
         return 200, orjson.dumps(rows, option=orjson.OPT_APPEND_NEWLINE), JSON
 
     def hand_over(self, query: str) -> Answer:
-        """hand-over?name=ROLE&to=MEMBER, release?name=ROLE: passed on to the holder."""
-        words = dict(parse_qsl(query))
-        role = words.get("name", "")
-        target = words.get("to", "")
+        """Send a hand-over command to the holder of a role.
+
+        Handles hand-over?name=ROLE&to=MEMBER and release?name=ROLE.
+        """
+        parameters = dict(parse_qsl(query))
+        role = parameters.get("name", "")
+        target = parameters.get("to", "")
         if role not in self.leases.runners and role not in self.leases.known_holders:
-            return 404, f"name: expected a duty, got {role[:QUOTED]!r}\n".encode(), PLAIN_TEXT
+            return 404, f"name: expected a duty, got {role[:MAX_QUOTED_CHARS]!r}\n".encode(), PLAIN_TEXT
         if target and not self._is_live(target):
-            return 404, f"to: expected a member that is there, got {target[:QUOTED]!r}\n".encode(), PLAIN_TEXT
+            return (
+                404,
+                f"to: expected a live member, got {target[:MAX_QUOTED_CHARS]!r}\n".encode(),
+                PLAIN_TEXT,
+            )
         holder = self.leases.holder(role)
         if not holder:
-            return 409, f"{role}: no holder is known\n".encode(), PLAIN_TEXT
-        return self._send(holder, HandOverCommand(role, target))
+            return 409, f"{role}: expected a known holder, got none\n".encode(), PLAIN_TEXT
+        return self._send_command(holder, HandOverCommand(role, target))
 
     def replace_voter(self, query: str) -> Answer:
-        """voters?remove=NAME&add=NAME: passed on to the holder of VOTERS_ROLE."""
-        words = dict(parse_qsl(query))
-        remove = words.get("remove", "")
-        add = words.get("add", "")
+        """Send the replacement of a voter to the holder of VOTERS_ROLE.
+
+        Handles voters?remove=NAME&add=NAME.
+        """
+        parameters = dict(parse_qsl(query))
+        remove = parameters.get("remove", "")
+        add = parameters.get("add", "")
         names = self.context.voters.names
         if remove not in names:
             expected = ", ".join(names)
-            return 404, f"remove: expected one of {expected}, got {remove[:QUOTED]!r}\n".encode(), PLAIN_TEXT
+            return (
+                404,
+                f"remove: expected one of {expected}, got {remove[:MAX_QUOTED_CHARS]!r}\n".encode(),
+                PLAIN_TEXT,
+            )
         if add in names or not self._is_live(add):
-            expected = "a member that is there and no voter"
-            return 404, f"add: expected {expected}, got {add[:QUOTED]!r}\n".encode(), PLAIN_TEXT
+            expected = "a live member that is not a voter"
+            return 404, f"add: expected {expected}, got {add[:MAX_QUOTED_CHARS]!r}\n".encode(), PLAIN_TEXT
         holder = self.leases.holder(VOTERS_ROLE)
         if not holder:
-            return 409, b"no holder of the duty of changing voters is known\n", PLAIN_TEXT
-        return self._send(holder, ReplaceVoterCommand(remove, add))
+            return 409, b"voters: expected a known holder, got none\n", PLAIN_TEXT
+        return self._send_command(holder, ReplaceVoterCommand(remove, add))
 
-    def _send(self, holder: str, command: HandOverCommand | ReplaceVoterCommand) -> Answer:
+    def _send_command(self, holder: str, command: HandOverCommand | ReplaceVoterCommand) -> Answer:
         self.messenger.send_to_process(holder, command)
         self.context.task.wake()
-        return 200, f"told {holder}\n".encode(), PLAIN_TEXT
+        return 200, f"sent to {holder}\n".encode(), PLAIN_TEXT
 
     def _is_live(self, name: str) -> bool:
         live = self.context.membership.live_members()
         return name == self.context.name or any(member.name == name for member in live)
 
-    def _member(self, member: Member, now: float) -> dict[str, Any]:
+    def _member_row(self, member: Member, now: float) -> dict[str, Any]:
         return {
             "name": member.name,
             "epoch": member.epoch,
@@ -164,28 +178,28 @@
             "damped": self.context.membership.flap_damping.is_damped(member.name, now),
         }
 
-    def _roles(self, now: float) -> list[dict[str, Any]]:
-        rows = [self._role(role, runner, now) for role, runner in sorted(self.leases.runners.items())]
-        for role, known in sorted(self.leases.known_holders.items()):
+    def _role_rows(self, now: float) -> list[dict[str, Any]]:
+        rows = [self._role_row(role, runner, now) for role, runner in sorted(self.leases.runners.items())]
+        for role, known_term in sorted(self.leases.known_holders.items()):
             if role not in self.leases.runners:
-                rows.append({"duty": role, "term": known.term, "holder": known.holder})
+                rows.append({"duty": role, "term": known_term.term, "holder": known_term.holder})
         return rows
 
-    def _role(self, role: str, runner: LeaseRunner, now: float) -> dict[str, Any]:
+    def _role_row(self, role: str, runner: LeaseRunner, now: float) -> dict[str, Any]:
         candidate = runner.candidate
-        known = self.leases.known_holders.get(role, KnownTerm(0, ""))
-        left = round(max(0.0, candidate.expires_at - now), 3) if candidate.holds(now) else None
-        order = self.leases.candidate_order(runner)[:SHOWN_CANDIDATES]
+        known_term = self.leases.known_holders.get(role, KnownTerm(0, ""))
+        remaining = round(max(0.0, candidate.expires_at - now), 3) if candidate.holds(now) else None
+        order = self.leases.candidate_order(runner)[:MAX_SHOWN_CANDIDATES]
         return {
             "duty": role,
-            "term": known.term,
-            "holder": known.holder,
+            "term": known_term.term,
+            "holder": known_term.holder,
             "here": candidate.state.value,
-            "left": left,
+            "left": remaining,
             "order": [member_name(process_id) for process_id in order],
         }
 
-    def _voter(self) -> dict[str, Any] | None:
+    def _voter_state(self) -> dict[str, Any] | None:
         voter = self.voter_service.voter
         if voter is None:
             return None
@@ -196,31 +210,31 @@
             "changing": voter.pending is not None,
         }
 
-    def _links(self, now: float) -> list[dict[str, Any]]:
-        """What this process has measured of the ways to others and back."""
+    def _link_rows(self, now: float) -> list[dict[str, Any]]:
+        """Return the message loss and round-trip time that this process measured to other members."""
         return [
             {
                 "to": name,
                 "epoch": epoch,
-                "heard": round(min(LONGEST_AGE, now - link.received_at), 2),
+                "heard": round(min(MAX_SHOWN_AGE_SECONDS, now - link.received_at), 2),
                 "asked": link.probes,
-                "asked_ago": round(min(LONGEST_AGE, now - link.probed_at), 2),
+                "asked_ago": round(min(MAX_SHOWN_AGE_SECONDS, now - link.probed_at), 2),
                 "lost": round(link.loss_rate, 3),
                 "rtt_ms": round(1000 * link.round_trip_time, 2),
             }
             for (name, epoch), link in sorted(self.context.membership.links.items())
         ]
 
-    def _endpoints(self) -> list[dict[str, Any]]:
-        """What this process knows of the endpoints: own connections, load and how old that is."""
+    def _endpoint_rows(self) -> list[dict[str, Any]]:
+        """Return the state of the endpoints at this proxy: connections, load and age of the load."""
         balancer = self.context.proxy.decisions.balancer
         endpoints = sorted(balancer.tracked.values(), key=lambda endpoint: endpoint.name)
-        return [self._endpoint(endpoint) for endpoint in endpoints]
+        return [self._endpoint_row(endpoint) for endpoint in endpoints]
 
-    def _endpoint(self, endpoint: TrackedEndpoint) -> dict[str, Any]:
+    def _endpoint_row(self, endpoint: TrackedEndpoint) -> dict[str, Any]:
         now = self.context.loop.now
         age = now - endpoint.load_reported_at
-        load_known = age < LOAD_SHOWN_FOR
+        load_known = age < MAX_SHOWN_LOAD_AGE_SECONDS
         return {
             "name": endpoint.name,
             "zone": endpoint.zone,
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -273,7 +273,7 @@
     rig.wait_holder(other_than=other)
     assert commands.main("duties", ["--at", at, "hand-over", "ledger", "--to", "nobody"]) == 2
     assert commands.main("members", ["--at", "127.0.0.1:1"]) == 2
-    assert "expected a member that is there" in capfd.readouterr().err
+    assert "expected a live member" in capfd.readouterr().err
     assert rig.ask(first, "/hand-over?name=nothing", "POST").startswith("name: expected a duty")
     clean(rig)
 
