--- a/onyxhollow/fleet/node.py
+++ b/onyxhollow/fleet/node.py
@@ -22,7 +22,7 @@
 from onyxhollow.fleet.leader_tasks import LeaderTask, WebhookTask
 from onyxhollow.fleet.leasing import Leasing
 from onyxhollow.fleet.list_replication import LIST_PAYLOAD, ListReplication
-from onyxhollow.fleet.shared_addresses.messenger import ADDRESSES
+from onyxhollow.fleet.shared_addresses.messenger import ADDRESS_PAYLOAD
 from onyxhollow.fleet.shared_addresses.service import SharedAddresses
 from onyxhollow.fleet.status_api import StatusApi
 from onyxhollow.interface import Endpoint, EndpointListKind
@@ -100,7 +100,7 @@
 
     def _on_holder(self, role: str, term: int, process_id: str) -> None:
         if self.addresses:
-            self.addresses.learn_holder(role, term, process_id)
+            self.addresses.record_holder(role, term, process_id)
 
     def _add_roles(self) -> None:
         self.leasing.leases.add(VOTERS_ROLE, None, None)
@@ -256,7 +256,7 @@
         elif kind == GOSSIP_PAYLOAD:
             if self.load_gossip:
                 self.load_gossip.on_message(member, body, now)
-        elif kind == ADDRESSES:
+        elif kind == ADDRESS_PAYLOAD:
             if self.addresses:
                 self.addresses.on_message(member, body, now)
         else:
@@ -270,7 +270,7 @@
         if kind == LIST_PAYLOAD:
             if self.list_replication:
                 self.list_replication.on_broadcast(body)
-        elif kind == ADDRESSES:
+        elif kind == ADDRESS_PAYLOAD:
             if self.addresses:
                 self.addresses.on_broadcast(body)
         else:
--- a/onyxhollow/fleet/shared_addresses/announcer_task.py
+++ b/onyxhollow/fleet/shared_addresses/announcer_task.py
@@ -145,12 +145,12 @@
         if report is None:
             return
         for rows in paginate(report.rows):
-            self.messenger.to_controller(msgspec.structs.replace(report, rows=rows))
+            self.messenger.send_to_controller(msgspec.structs.replace(report, rows=rows))
 
     def request_drains(self, core: Announcer) -> None:
         """Has the site's members move the connections of what an override has withdrawn."""
         for addresses in paginate(core.drained_addresses()):
-            self.messenger.to_zone(self.site.name, DrainRequest(self.site.name, addresses))
+            self.messenger.send_to_zone(self.site.name, DrainRequest(self.site.name, addresses))
 
     def on_assignment(self, assignment: RouteAssignment, now: float) -> None:
         """Takes in an assignment and answers it; a change goes to the guard at once."""
--- a/onyxhollow/fleet/shared_addresses/controller_task.py
+++ b/onyxhollow/fleet/shared_addresses/controller_task.py
@@ -69,7 +69,7 @@
         if now >= self.announce_at:
             self.announce_at = now + ANNOUNCE_INTERVAL
             announcement = ControllerAnnouncement(core.term, self.member.process_id)
-            self.messenger.learn_controller(announcement.term, announcement.process_id)
+            self.messenger.record_controller(announcement.term, announcement.process_id)
             self.messenger.broadcast(announcement)
         self.send(core)
 
@@ -96,7 +96,7 @@
             if not self.holds_lease():
                 return
             if isinstance(outgoing, ToVoter):
-                self.messenger.to_name(outgoing.voter, outgoing.message)
+                self.messenger.send_to_name(outgoing.voter, outgoing.message)
             else:
                 self.send_to_site(core, outgoing)
 
@@ -106,9 +106,9 @@
         Who announces may not be known here.
         """
         if core.has_answered_recently(outgoing.site, clock.now()):
-            self.messenger.to_announcer(outgoing.site, outgoing.message)
+            self.messenger.send_to_announcer(outgoing.site, outgoing.message)
         else:
-            self.messenger.to_zone(outgoing.site, outgoing.message)
+            self.messenger.send_to_zone(outgoing.site, outgoing.message)
 
     def log_decision(self, record: DecisionRecord) -> None:
         """One line for a decision that a majority of the voters has stored."""
--- a/onyxhollow/fleet/shared_addresses/override_api.py
+++ b/onyxhollow/fleet/shared_addresses/override_api.py
@@ -176,7 +176,7 @@
         message = StoreRequest([pending.override]) if pending.numbered else OverrideQuery(0)
         for voter in self.member.voters.names:
             if voter not in pending.stored_by:
-                self.messenger.to_name(voter, message)
+                self.messenger.send_to_name(voter, message)
 
     def resend(self) -> None:
         """Sends all pending overrides again."""
--- a/onyxhollow/fleet/shared_addresses/override_store.py
+++ b/onyxhollow/fleet/shared_addresses/override_store.py
@@ -142,7 +142,7 @@
         for record in message.rows:
             if isinstance(record, Override):
                 self.overrides.add(record, now, wall)
-        self.messenger.to_process(sender, StoreAcknowledgement(self.member.name, ids))
+        self.messenger.send_to_process(sender, StoreAcknowledgement(self.member.name, ids))
 
     def on_override_query(self, message: OverrideQuery, sender: str) -> None:
         """Sends the overrides to the process `sender`, in pages; none if it has the same."""
@@ -154,7 +154,7 @@
             overrides = []
         for page in paginate(overrides) if overrides else [overrides]:
             response = OverrideResponse(self.member.name, self.overrides.digest, count, page)
-            self.messenger.to_process(sender, response)
+            self.messenger.send_to_process(sender, response)
 
     def close(self) -> None:
         """Closes the store."""
--- a/onyxhollow/fleet/shared_addresses/query_api.py
+++ b/onyxhollow/fleet/shared_addresses/query_api.py
@@ -102,7 +102,7 @@
         self.waiting[query_id] = {}
         while len(self.waiting) > MAX_WAITING:
             self.waiting.popitem(last=False)
-        self.messenger.to_process(process_id, QueryRequest(query_id, kind.value, override))
+        self.messenger.send_to_process(process_id, QueryRequest(query_id, kind.value, override))
         self.member.task.wake()
         return 202, orjson.dumps({"id": query_id}), JSON
 
@@ -139,7 +139,7 @@
         packed = zlib.compress(orjson.dumps(answer))
         parts = [packed[at : at + PART_BYTES] for at in range(0, len(packed), PART_BYTES)]
         for number, part in enumerate(parts):
-            self.messenger.to_process(sender, QueryResponsePart(message.id, number, len(parts), part))
+            self.messenger.send_to_process(sender, QueryResponsePart(message.id, number, len(parts), part))
 
     def find_answer(self, message: QueryRequest, now: float) -> JsonObject | None:
         """The answer; None if this member is not the one to ask."""
--- a/onyxhollow/fleet/shared_addresses/service.py
+++ b/onyxhollow/fleet/shared_addresses/service.py
@@ -115,7 +115,7 @@
         """Takes in a broadcast."""
         message = self.decode(body)
         if isinstance(message, ControllerAnnouncement):
-            self.messenger.learn_controller(message.term, message.process_id)
+            self.messenger.record_controller(message.term, message.process_id)
 
     def decode(self, body: bytes) -> Message | None:
         """The message; None if it cannot be read."""
@@ -130,11 +130,11 @@
         """Hands a message to the part that it concerns; `name` and `process_id` are the sender's."""
         match message:
             case RouteAssignment():
-                self.messenger.learn_controller(message.term, process_id)
+                self.messenger.record_controller(message.term, process_id)
                 if self.announcer:
                     self.announcer.on_assignment(message, now)
             case SiteReport():
-                self.messenger.learn_announcer(message.site, message.announcer_term, process_id)
+                self.messenger.record_announcer(message.site, message.announcer_term, process_id)
                 self.controller.on_message(message, name, now)
             case HealthReport():
                 self.controller.on_message(message, name, now)
@@ -162,9 +162,9 @@
             case QueryResponsePart():
                 self.query_api.on_response_part(message)
 
-    def learn_holder(self, role: str, term: int, process_id: str) -> None:
+    def record_holder(self, role: str, term: int, process_id: str) -> None:
         """Membership names the holder of a role's lease."""
-        self.messenger.learn_holder(role, term, process_id)
+        self.messenger.record_holder(role, term, process_id)
 
     # time
 
@@ -196,7 +196,7 @@
             for row in rows:
                 self.announcer.core.on_local_health(row.address, row.health, now)
         for page in paginate(rows):
-            self.messenger.to_controller(HealthReport(self.site.name, page))
+            self.messenger.send_to_controller(HealthReport(self.site.name, page))
 
     def close(self) -> None:
         """Closes the store."""
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -166,7 +166,7 @@
     "event": members.Broadcast(
         name="m6", epoch=561, sequence=562, kind=list_replication.LIST_PAYLOAD, body=b"event"
     ),
-    "carried": members.Payload(kind=messenger.ADDRESSES, body=b"carried"),
+    "carried": members.Payload(kind=messenger.ADDRESS_PAYLOAD, body=b"carried"),
 }  # fmt: skip
 
 
@@ -344,7 +344,7 @@
         lease_messenger.LEASE_PAYLOAD,
         list_replication.LIST_PAYLOAD,
         gossip_service.GOSSIP_PAYLOAD,
-        messenger.ADDRESSES,
+        messenger.ADDRESS_PAYLOAD,
     ) == (1, 2, 3, 4)
     assert (identity.MAY_HOLD_ROLES, identity.VOTES) == (1, 2)
     life = members.MemberState
@@ -405,7 +405,7 @@
     outgoing = MagicMock()
     queries = QueryApi(MagicMock(), outgoing, MagicMock(), MagicMock(store=store), MagicMock(), MagicMock())
     queries.on_request(addressing.QueryRequest("1f-6", "history"), "m~1", 1000.0)
-    told = b"".join(call.args[1].body for call in outgoing.to_process.call_args_list)
+    told = b"".join(call.args[1].body for call in outgoing.send_to_process.call_args_list)
     assert zlib.decompress(told) == (DATA / "history.json").read_bytes()
     for one in (store, new):
         one.close()
--- a/tests/test_override_api.py
+++ b/tests/test_override_api.py
@@ -35,10 +35,10 @@
         self.sent = []
         self.controller = SimpleNamespace(process_id="c~1")
 
-    def to_name(self, name, message):
+    def send_to_name(self, name, message):
         self.sent.append((name, message))
 
-    def to_process(self, process_id, message):
+    def send_to_process(self, process_id, message):
         self.sent.append((process_id, message))
 
 
