--- a/onyxhollow/decision_adapter.py
+++ b/onyxhollow/decision_adapter.py
@@ -215,10 +215,10 @@
 class DecisionAdapter:
     """The decisions' host in a proxy, and their calls for the network code.
 
-    Its clock is the loop's; its one timer is the caller's, who calls `tick` when `due` has come.
+    Its clock is the loop's; its one timer is the caller's, who calls `tick` at `next_tick_at`.
 
     Attributes:
-        due: when `tick` is to be called next, on the clock.
+        next_tick_at: when `tick` is to be called next, on the clock.
         on_attempt_failed: called with an endpoint's name for each failed attempt, for gossip.
     """
 
@@ -237,7 +237,7 @@
         self.log = log
         self.check_health = check_health
         self.poll_endpoint_list = poll_endpoint_list
-        self.due = math.inf
+        self.next_tick_at = math.inf
         self.on_attempt_failed: Callable[[str], None] = lambda endpoint: None  # noqa: ARG005 - for nobody yet
         self.balancer = Balancer(self, settings, seed)
 
@@ -382,7 +382,7 @@
 
     def set_timer(self, when: float) -> None:
         """Set the one timer."""
-        self.due = when
+        self.next_tick_at = when
 
     def handle_of(self, token: Hashable) -> SessionHandle:
         """Return the handle that a session's token is here."""
--- a/onyxhollow/lifecycle/config.py
+++ b/onyxhollow/lifecycle/config.py
@@ -11,7 +11,15 @@
 import orjson
 
 from onyxhollow.interface import Settings
-from onyxhollow.settings import WireError, read_settings, rows, seconds, section, text, whole
+from onyxhollow.settings import (
+    WireError,
+    check_integer,
+    get_object,
+    get_object_list,
+    get_seconds,
+    get_text,
+    read_settings,
+)
 from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.endpoint_list import (
     EndpointList,
@@ -107,26 +115,28 @@
 
 def decode(document: Mapping[str, Any], environment: Mapping[str, str]) -> Config:
     """Reads a parsed file; WireError or EndpointListError for what can't be used."""
-    options = section(document, "settings", needed=True)
+    options = get_object(document, "settings", required=True)
     settings, _ = read_settings(options)
-    seed = decode_seed(text(document, "seed", "0"))
-    limits = section(document, "limits")
+    seed = decode_seed(get_text(document, "seed", "0"))
+    limits = get_object(document, "limits")
     clock = RemoteClock()
     management = environment.get("LB_MANAGEMENT") or document.get("management")
     known = document.get("known") or {"seq": -1, "hosts": []}
     return Config(
-        name=environment.get("LB_NAME") or text(document, "name", "proxy"),
+        name=environment.get("LB_NAME") or get_text(document, "name", "proxy"),
         listen=decode_address(environment.get("LB_LISTEN") or document.get("listen")),
         discovery=decode_address(environment.get("LB_DISCOVERY") or document.get("discovery")),
         management=decode_address(management) if management else None,
         seed=seed,
-        max_sockets=whole(limits.get("sockets", 1024), "limits: sockets", 64),
-        memory_bytes=whole(limits.get("memory_mb", 64), "limits: memory_mb", 16) << 20,
+        max_sockets=check_integer(limits.get("sockets", 1024), "limits: sockets", 64),
+        memory_bytes=check_integer(limits.get("memory_mb", 64), "limits: memory_mb", 16) << 20,
         known=decode_endpoint_list(known, clock, time.monotonic()),
         clock=clock,
         settings=settings,
-        connect_timeout=seconds(section(options, "ceilings"), "connectTimeoutNs", 1.0) or 1.0,
-        health_check_timeout=min(seconds(row, "handshakeTargetNs") for row in rows(options, "listeners")),
+        connect_timeout=get_seconds(get_object(options, "ceilings"), "connectTimeoutNs", 1.0) or 1.0,
+        health_check_timeout=min(
+            get_seconds(row, "handshakeTargetNs") for row in get_object_list(options, "listeners")
+        ),
         keys=key_paths({name: None if name == "known" else value for name, value in document.items()}),
     )
 
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -209,13 +209,13 @@
     def run_timer(self) -> Generator[float, None, None]:
         """The decisions' one timer. A failure in it is logged, and the timer goes on."""
         while True:
-            while self.loop.now < self.decisions.due:
-                yield self.decisions.due
+            while self.loop.now < self.decisions.next_tick_at:
+                yield self.decisions.next_tick_at
             try:
                 self.decisions.tick()
             except Exception as error:  # noqa: BLE001 -- without its timer the proxy would decide nothing more
                 self.report_failure("tick", error)
-                self.decisions.due = self.loop.now + TIMER_RETRY
+                self.decisions.next_tick_at = self.loop.now + TIMER_RETRY
 
     def report_failure(self, where: str, error: BaseException) -> None:
         """Counts and logs a failure of this program that was caught at the loop's edge."""
--- a/onyxhollow/settings.py
+++ b/onyxhollow/settings.py
@@ -32,7 +32,7 @@
     """A value that is missing, or is not what its setting expects."""
 
 
-def whole(value: Any, what: str, low: int = 0) -> int:
+def check_integer(value: Any, what: str, low: int = 0) -> int:
     """Return an integer from `low`.
 
     Raises:
@@ -43,7 +43,7 @@
     return value
 
 
-def number(values: Mapping[str, Any], name: str, default: float | None = None, low: float = 0.0) -> float:
+def get_number(values: Mapping[str, Any], name: str, default: float | None = None, low: float = 0.0) -> float:
     """Return a finite number from `low`.
 
     Raises:
@@ -59,12 +59,12 @@
     return float(value)
 
 
-def seconds(values: Mapping[str, Any], name: str, default: float | None = None) -> float:
+def get_seconds(values: Mapping[str, Any], name: str, default: float | None = None) -> float:
     """Return a span in seconds, given in nanoseconds; the default is in seconds. Raises SettingError."""
-    return number(values, name, None if default is None else default * NANOSECONDS) / NANOSECONDS
+    return get_number(values, name, None if default is None else default * NANOSECONDS) / NANOSECONDS
 
 
-def section(values: Mapping[str, Any], name: str, needed: bool = False) -> Mapping[str, Any]:
+def get_object(values: Mapping[str, Any], name: str, required: bool = False) -> Mapping[str, Any]:
     """Return an object, empty if it is missing and not needed.
 
     Raises:
@@ -72,7 +72,7 @@
     """
     value = values.get(name)
     if value is None:
-        if needed:
+        if required:
             raise SettingError(f"missing setting {name}: expected an object")
         return {}
     if not isinstance(value, Mapping):
@@ -80,14 +80,14 @@
     return value
 
 
-def rows(values: Mapping[str, Any], name: str, needed: bool = False) -> list[Mapping[str, Any]]:
+def get_object_list(values: Mapping[str, Any], name: str, required: bool = False) -> list[Mapping[str, Any]]:
     """Return a list of objects, empty if it is missing and not needed.
 
     Raises:
         SettingError: it is none, or missing though needed.
     """
     value = values.get(name)
-    if value is None and not needed:
+    if value is None and not required:
         return []
     if not isinstance(value, list) or not all(isinstance(row, Mapping) for row in value):
         got = "nothing" if value is None else f"{value!r:.40}"
@@ -95,7 +95,7 @@
     return value
 
 
-def text(values: Mapping[str, Any], name: str, default: str | None = None) -> str:
+def get_text(values: Mapping[str, Any], name: str, default: str | None = None) -> str:
     """Return a text.
 
     Raises:
@@ -108,36 +108,38 @@
     return value
 
 
-def one_of(values: Mapping[str, Any], name: str, choices: Iterable[str], default: str | None = None) -> str:
+def get_choice(
+    values: Mapping[str, Any], name: str, choices: Iterable[str], default: str | None = None
+) -> str:
     """Return a text that is one of the choices.
 
     Raises:
         SettingError: it is none of them, or missing without a default.
     """
-    value = text(values, name, default)
+    value = get_text(values, name, default)
     known = list(choices)
     if value not in known:
         raise SettingError(f"setting {name}: expected one of {', '.join(known)}, got {value!r}")
     return value
 
 
-def item_of(values: Any, place: int) -> Any:
+def get_item(values: Any, place: int) -> Any:
     """Return the item at that place, None if the values are no list or too short."""
     return values[place] if isinstance(values, list) and place < len(values) else None
 
 
 def read_listener(row: Mapping[str, Any], message_objective: float) -> Listener:
     """Return one listener; the message objective is in seconds. Raises SettingError."""
-    semantics = one_of(row, "semantics", SEMANTICS)
-    scope = one_of(row, "group", (choice.value for choice in DeduplicationScope), "all")
+    semantics = get_choice(row, "semantics", SEMANTICS)
+    scope = get_choice(row, "group", (choice.value for choice in DeduplicationScope), "all")
     return Listener(
-        name=text(row, "name"),
-        handshake_objective=number(row, "handshakeTargetNs", low=1.0) / NANOSECONDS,
-        attempt_timeout=number(row, "dialTimeoutNs", low=1.0) / NANOSECONDS,
-        utility=number(row, "utility", 1.0),
+        name=get_text(row, "name"),
+        handshake_objective=get_number(row, "handshakeTargetNs", low=1.0) / NANOSECONDS,
+        attempt_timeout=get_number(row, "dialTimeoutNs", low=1.0) / NANOSECONDS,
+        utility=get_number(row, "utility", 1.0),
         idempotency=SEMANTICS[semantics],
         deduplication_scope=DeduplicationScope(scope),
-        deduplication_window=seconds(row, "windowNs", 0.0),
+        deduplication_window=get_seconds(row, "windowNs", 0.0),
         message_objective=message_objective,
     )
 
@@ -149,8 +151,8 @@
         SettingError: one is not as expected, or there is none.
     """
     listeners = []
-    for place, row in enumerate(rows(options, "listeners", needed=True)):
-        objective = item_of(extra.get("messageAimNs"), place) or 0
+    for place, row in enumerate(get_object_list(options, "listeners", required=True)):
+        objective = get_item(extra.get("messageAimNs"), place) or 0
         objective = objective / NANOSECONDS if isinstance(objective, int | float) else 0.0
         listeners.append(read_listener(row, objective))
     if not listeners:
@@ -161,9 +163,11 @@
 def read_tenants(options: Mapping[str, Any], extra: Mapping[str, Any]) -> dict[str, Tenant]:
     """Return the tenants by name. Raises SettingError."""
     tenants = []
-    for place, row in enumerate(rows(options, "tenants")):
-        quota = {"quota": item_of(extra.get("tenantQuotaConnections"), place)}
-        tenants.append(Tenant(text(row, "name"), number(row, "share", 0.0), number(quota, "quota", 0.0)))
+    for place, row in enumerate(get_object_list(options, "tenants")):
+        quota = {"quota": get_item(extra.get("tenantQuotaConnections"), place)}
+        tenants.append(
+            Tenant(get_text(row, "name"), get_number(row, "share", 0.0), get_number(quota, "quota", 0.0))
+        )
     return {tenant.name: tenant for tenant in tenants}
 
 
@@ -173,7 +177,7 @@
     Raises:
         SettingError: they are no list of names.
     """
-    fields = section(options, "report").get("fields") or []
+    fields = get_object(options, "report").get("fields") or []
     if not isinstance(fields, list) or not all(isinstance(name, str) for name in fields):
         raise SettingError("setting fields: not a list of names")
     return fields
@@ -187,36 +191,36 @@
     """
     if not isinstance(options, Mapping):
         raise SettingError("settings: expected an object")
-    ceilings = section(options, "ceilings")
-    rules = section(options, "rules", needed=True)
-    extra = section(options, "extra")
-    report = section(options, "report")
+    ceilings = get_object(options, "ceilings")
+    rules = get_object(options, "rules", required=True)
+    extra = get_object(options, "extra")
+    report = get_object(options, "report")
     listeners = read_listeners(options, extra)
     tenants = read_tenants(options, extra)
-    discovery = one_of(options, "discovery", DISCOVERY, "on_request")
-    weights = one_of(options, "weightKind", WEIGHTS, "nominal")
+    discovery = get_choice(options, "discovery", DISCOVERY, "on_request")
+    weights = get_choice(options, "weightKind", WEIGHTS, "nominal")
     fields = read_report_fields(options)
     reports_load = LOAD_FIELD in fields and "over" in str(extra.get("reportX0", ""))
     heeds_retry_after = ceilings.get("retryAfter") is True
     settings = Settings(
         listeners=listeners,
         tenants=tenants,
-        instance_index=int(number(options, "me", 0)),
-        instance_count=int(number(options, "peersTotal", 1, low=1)),
-        zone=text(options, "zone", ""),
+        instance_index=int(get_number(options, "me", 0)),
+        instance_count=int(get_number(options, "peersTotal", 1, low=1)),
+        zone=get_text(options, "zone", ""),
         list_is_polled=discovery == "on_request",
-        max_poll_interval=seconds(rules, "askWithinNs", 10.0),
-        slow_start_share=number(rules, "coldShare", 1.0),
-        slow_start_time=seconds(rules, "coldNs", 0.0),
-        overload_multiple=number(rules, "fallMultiple", 1.0),
-        overload_window=seconds(rules, "fallNs", 1.0),
-        max_attempts=int(number(ceilings, "mostDials", 1, low=1)),
+        max_poll_interval=get_seconds(rules, "askWithinNs", 10.0),
+        slow_start_share=get_number(rules, "coldShare", 1.0),
+        slow_start_time=get_seconds(rules, "coldNs", 0.0),
+        overload_multiple=get_number(rules, "fallMultiple", 1.0),
+        overload_window=get_seconds(rules, "fallNs", 1.0),
+        max_attempts=int(get_number(ceilings, "mostDials", 1, low=1)),
         health_checks=ceilings.get("probes") is True and report.get("how") in REPORTING,
-        health_check_price=number(section(options, "charges"), "probe", 0.0),
-        cross_zone_price=number(section(options, "charges"), "crossZone", 0.0),
+        health_check_price=get_number(get_object(options, "charges"), "probe", 0.0),
+        cross_zone_price=get_number(get_object(options, "charges"), "crossZone", 0.0),
         cancellation=ceilings.get("cancelling") is True,
-        max_retry_after=seconds(ceilings, "maxRetryAfterNs", 0.0) if heeds_retry_after else 0.0,
-        over_quota_utility=number(options, "overageUtility", 1.0),
+        max_retry_after=get_seconds(ceilings, "maxRetryAfterNs", 0.0) if heeds_retry_after else 0.0,
+        over_quota_utility=get_number(options, "overageUtility", 1.0),
         group_affinity=extra.get("groups") is True,
         live_weights=weights == "live",
         load_field=LOAD_FIELD if reports_load else "",
--- a/onyxhollow/simulator_adapter/adapter.py
+++ b/onyxhollow/simulator_adapter/adapter.py
@@ -11,7 +11,7 @@
 from types import TracebackType
 from typing import IO, Any, BinaryIO
 
-from onyxhollow.settings import WireError, whole
+from onyxhollow.settings import WireError, check_integer
 from onyxhollow.simulator_adapter.instance import HANDLERS, Instance
 from onyxhollow.simulator_adapter.wire import decode_message, read_seconds
 
@@ -54,11 +54,11 @@
 
     def _dispatch(self, name: str, values: list[Any], now: float) -> None:
         """Passes a message to the proxy that its first value names; one without that proxy is ignored."""
-        number = whole(values[0] if values else None, "proxy")
+        number = check_integer(values[0] if values else None, "proxy")
         if name == "provision":
             if len(values) < PROVISION_VALUES:
                 raise WireError("provision: too few values")
-            self._guard(number, self._provision, number, whole(values[1], "initSeed"), values[2], now)
+            self._guard(number, self._provision, number, check_integer(values[1], "initSeed"), values[2], now)
         elif name == "killed":
             self.instances.pop(number, None)
         elif name in HANDLERS:
--- a/onyxhollow/simulator_adapter/instance.py
+++ b/onyxhollow/simulator_adapter/instance.py
@@ -8,7 +8,7 @@
 
 from onyxhollow.interface import AttemptOutcome
 from onyxhollow.policy import Balancer, Session
-from onyxhollow.settings import WireError, read_settings, whole
+from onyxhollow.settings import WireError, check_integer, read_settings
 from onyxhollow.simulator_adapter.wire import (
     LIST_KINDS,
     MS_PER_S,
@@ -134,13 +134,13 @@
 
     def on_established(self, token: Any, _attempt: Any, _endpoint: Any, took: Any, *_: Any) -> None:
         """An endpoint has accepted a session; `took` is the time of its set-up."""
-        session = self.sessions.get(whole(token, "corr"))
+        session = self.sessions.get(check_integer(token, "corr"))
         if session is not None:
             session.on_established(read_seconds(took, "tookNs"))
 
     def on_change(self, token: Any, _attempt: Any, _endpoint: Any, kind: Any, value: Any, *_: Any) -> None:
         """The load or the message delay of an established session has changed."""
-        session = self.sessions.get(whole(token, "corr"))
+        session = self.sessions.get(check_integer(token, "corr"))
         if session is None:
             return
         if kind == ChangeKind.LOAD:
@@ -150,7 +150,7 @@
 
     def on_attempt_ended(self, token: Any, took: Any, how: Any, complete: Any, *rest: Any) -> None:
         """An attempt, or with `complete` the session, has ended; the third of `rest` is a load report."""
-        token = whole(token, "corr")
+        token = check_integer(token, "corr")
         if not isinstance(complete, bool):
             raise WireError(f"complete: impossible value {complete!r}")
         session = self.sessions.get(token)
@@ -167,7 +167,7 @@
 
     def on_client_gone(self, token: Any, *_: Any) -> None:
         """The client has left."""
-        token = whole(token, "corr")
+        token = check_integer(token, "corr")
         session = self.sessions.get(token)
         if session is None:
             return
--- a/onyxhollow/simulator_adapter/wire.py
+++ b/onyxhollow/simulator_adapter/wire.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from onyxhollow.interface import AttemptOutcome, Endpoint, EndpointListKind, EndpointState
-from onyxhollow.settings import WireError, whole
+from onyxhollow.settings import WireError, check_integer
 
 NS_PER_S = 1e9
 US_PER_S = 1e6  # an established session's load: microseconds of a core each second
@@ -113,7 +113,7 @@
     Raises:
         WireError: it isn't a whole number of nanoseconds from 0; the error names the field.
     """
-    return whole(value, field) / NS_PER_S
+    return check_integer(value, field) / NS_PER_S
 
 
 def read_outcome(value: Any) -> AttemptOutcome:
@@ -122,7 +122,7 @@
     Raises:
         WireError: it isn't a whole number from 0.
     """
-    return OUTCOMES.get(whole(value, "how"), AttemptOutcome.UNKNOWN)
+    return OUTCOMES.get(check_integer(value, "how"), AttemptOutcome.UNKNOWN)
 
 
 def read_endpoint(row: Any) -> Endpoint:
@@ -136,7 +136,7 @@
     state, name, weight, machine_type, started, zone, cell = _pad(row, ENDPOINT_FIELDS)
     if state not in ENDPOINT_STATES:
         raise WireError(f"readiness: impossible value {state!r}")
-    started_ns = whole(started or 0, "startTimeNs")
+    started_ns = check_integer(started or 0, "startTimeNs")
     return Endpoint(
         weight=1.0 if weight is None else read_amount(weight, "powerHint"),
         name=read_text(name, "server"),
@@ -157,10 +157,10 @@
     token, listener, tenant, _, time_left, work, group, bitmap = _pad(values, SESSION_FIELDS)
     if listener not in listeners:
         raise WireError(f"band: impossible value {listener!r}")
-    bits = whole(bitmap or 0, "bitmap")
+    bits = check_integer(bitmap or 0, "bitmap")
     load = read_amount(work, "workNs") / NS_PER_S if work is not None and bits & COST_IS_KNOWN else None
     left = read_seconds(time_left or 0, "expiresInNs")
-    return SessionRequest(whole(token, "corr"), listener, tenant or None, left, load, group)
+    return SessionRequest(check_integer(token, "corr"), listener, tenant or None, left, load, group)
 
 
 def _pad(values: list[Any], count: int) -> list[Any]:
