--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,59 +13,59 @@
     """Records what it is asked; time passes only when a test says so."""
 
     def __init__(self, settings, seed):
-        self.now, self.wake, self.did, self.taken = 1000.0, [], [], 0
+        self.now, self.timers, self.calls, self.session_count = 1000.0, [], [], 0
         self.balancer = Balancer(self, settings, seed)
 
     def __getattr__(self, name):
         if name.startswith("_"):
             raise AttributeError(name)
-        return lambda *values: self.did.append((name, *values))
+        return lambda *values: self.calls.append((name, *values))
 
     def set_timer(self, when):
-        self.wake.append(when)
+        self.timers.append(when)
 
-    def wait(self, span):
-        end = self.now + span
-        while self.wake and min(self.wake) <= end:
-            self.now = min(self.wake)
-            self.wake.remove(self.now)
+    def advance(self, seconds):
+        end = self.now + seconds
+        while self.timers and min(self.timers) <= end:
+            self.now = min(self.timers)
+            self.timers.remove(self.now)
             self.balancer.tick()
         self.now = end
 
-    def asked(self, name):
-        return [call[1:] for call in self.did if call[0] == name]
+    def calls_to(self, name):
+        return [call[1:] for call in self.calls if call[0] == name]
 
-    def servers(self, *names, kind=EndpointListKind.SNAPSHOT, **values):
+    def list_endpoints(self, *names, kind=EndpointListKind.SNAPSHOT, **values):
         state = values.pop("state", EndpointState.IN_SERVICE)
         self.balancer.on_endpoint_list(kind, [Endpoint(name, state, **values) for name in names])
         return [self.balancer.tracked.get(name) for name in names]
 
-    def loads(self, **reported):
+    def report_loads(self, **reported):
         for name, load in reported.items():
             self.balancer.on_health_check(name, AttemptOutcome.OK, 0.01, load)
 
-    def take(self, listener=CALLS, group=None, stands=True, tenant=None, took=0.01):
-        self.taken += 1
-        token = 10000 + self.taken
-        sess = self.balancer.admit(token, listener, tenant, group, listener.attempt_timeout, None)
-        if stands and sess.attempt_in_flight:
-            sess.on_established(took)
-        return sess
+    def admit(self, listener=CALLS, group=None, established=True, tenant=None, handshake_seconds=0.01):
+        self.session_count += 1
+        token = 10000 + self.session_count
+        session = self.balancer.admit(token, listener, tenant, group, listener.attempt_timeout, None)
+        if established and session.attempt_in_flight:
+            session.on_established(handshake_seconds)
+        return session
 
 
 @pytest.fixture
-def start():
+def make_host():
     return lambda seed=1, **changes: FakeHost(replace(PLAIN, **changes), seed)
 
 
 @pytest.fixture
-def host(start):
-    return start()
+def host(make_host):
+    return make_host()
 
 
 @pytest.fixture
-def lost():
-    return lambda sess, end=AttemptOutcome.RESET: sess.on_attempt_ended(end, False, 0.1)
+def end_attempt():
+    return lambda session, outcome=AttemptOutcome.RESET: session.on_attempt_ended(outcome, False, 0.1)
 
 
 @pytest.fixture
--- a/tests/decision_setups.py
+++ b/tests/decision_setups.py
@@ -22,14 +22,14 @@
 
 def count_placements(host):
     """Attempts by endpoint."""
-    return Counter(server for _, server, _ in host.asked("start_attempt"))
+    return Counter(server for _, server, _ in host.calls_to("start_attempt"))
 
 
 FEW_CONNECTIONS_SETTINGS = {"health_checks": True, "health_check_price": 0.001, "instance_count": 100}
 
 
-def start_without_reports(start, **changes):
+def start_without_reports(make_host, **changes):
     """Four balancers, four servers of size 4; customers may hold 320 connections: own 20 fill a server."""
     quotas = {"tenants": {"acme": Tenant("acme", 1.0, 320.0)}, "instance_count": 4}
-    host = start(**(quotas | changes))
-    return host, host.servers(*"abcd", weight=4.0)
+    host = make_host(**(quotas | changes))
+    return host, host.list_endpoints(*"abcd", weight=4.0)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,67 +13,69 @@
 
 
 def test_while_all_endpoints_are_cold_sessions_are_queued_and_rejected_at_half_time(host):
-    host.servers("a")
-    host.servers("a", kind=EndpointListKind.DELTA, started_at=host.now)
+    host.list_endpoints("a")
+    host.list_endpoints("a", kind=EndpointListKind.DELTA, started_at=host.now)
     host.balancer.slow_start.decayed_count = 0.0
-    sess = host.take()
-    host.wait(0.9)
-    assert not host.asked("start_attempt") and not host.asked("reject")
-    host.wait(0.3)
-    assert host.asked("reject")[0][0] == sess.token
-    host.wait(5.0)
-    assert len(host.asked("reject")) == 1 and not host.asked("start_attempt")
+    sess = host.admit()
+    host.advance(0.9)
+    assert not host.calls_to("start_attempt") and not host.calls_to("reject")
+    host.advance(0.3)
+    assert host.calls_to("reject")[0][0] == sess.token
+    host.advance(5.0)
+    assert len(host.calls_to("reject")) == 1 and not host.calls_to("start_attempt")
 
 
 def test_an_endpoint_is_not_filled_past_its_load_and_own_placements_count_at_once(host):
-    a, b = host.servers("a", "b")
+    a, b = host.list_endpoints("a", "b")
     for _ in range(20):
-        host.take()
-    host.wait(1.0)
-    host.loads(a=0.9, b=0.4)
-    host.wait(0.1)
+        host.admit()
+    host.advance(1.0)
+    host.report_loads(a=0.9, b=0.4)
+    host.advance(0.1)
     before = len(a.connections)
-    waiting = [s for _ in range(40) if (s := host.take()).endpoint is None]
+    waiting = [s for _ in range(40) if (s := host.admit()).endpoint is None]
     assert len(a.connections) == before and waiting and len(b.connections) > 10
-    host.loads(b=0.1)
-    host.wait(0.1)
+    host.report_loads(b=0.1)
+    host.advance(0.1)
     assert waiting[0].endpoint is b
 
 
-def test_overload_admits_by_utility_and_within_the_tenants_quota(start):
+def test_overload_admits_by_utility_and_within_the_tenants_quota(make_host):
     over, within = Tenant("over", connection_quota=1.0), Tenant("within", connection_quota=99.0)
-    host = start(tenants={"over": over, "within": within}, over_quota_utility=0.2)
-    host.servers("a", "b")
+    host = make_host(tenants={"over": over, "within": within}, over_quota_utility=0.2)
+    host.list_endpoints("a", "b")
     for _ in range(6):
-        host.take(tenant=over)
+        host.admit(tenant=over)
     low, high = replace(CALLS, utility=2.0), replace(CALLS, utility=5.0)
-    host.wait(1.0)
-    host.loads(a=0.9, b=0.9)
+    host.advance(1.0)
+    host.report_loads(a=0.9, b=0.9)
     order = [(low, within), (high, over), (high, within)]
-    waiting = [host.take(listener, tenant=who) for listener, who in order]
-    host.loads(a=0.1, b=0.1)
-    host.wait(0.1)
-    assert [token for token, *_ in host.asked("start_attempt")[-3:]] == [waiting[n].token for n in (2, 0, 1)]
+    waiting = [host.admit(listener, tenant=who) for listener, who in order]
+    host.report_loads(a=0.1, b=0.1)
+    host.advance(0.1)
+    assert [token for token, *_ in host.calls_to("start_attempt")[-3:]] == [
+        waiting[n].token for n in (2, 0, 1)
+    ]
 
 
 def test_a_long_queue_keeps_no_session_past_its_attempt_timeout(host):
-    (a,) = host.servers("a")
+    (a,) = host.list_endpoints("a")
     low, high = replace(CALLS, utility=1.0), replace(CALLS, utility=5.0)
     for step in range(40):
         a.overloaded_at = host.now
-        host.take(low if step < 10 else high, stands=False)
-        host.wait(0.1)
-    assert [token for token, _ in host.asked("reject")][:18] == [10001 + n for n in range(18)]
+        host.admit(low if step < 10 else high, established=False)
+        host.advance(0.1)
+    assert [token for token, _ in host.calls_to("reject")][:18] == [10001 + n for n in range(18)]
 
 
 @pytest.mark.parametrize("span", [5.0, 600.0])
 def test_a_clock_that_jumps_ahead_answers_queued_sessions_once_and_goes_on(host, span):
-    host.servers("a", "b", state=EndpointState.DRAINING)
-    waiting = [host.take(stands=False) for _ in range(5)]
-    host.wake.clear()
+    host.list_endpoints("a", "b", state=EndpointState.DRAINING)
+    waiting = [host.admit(established=False) for _ in range(5)]
+    host.timers.clear()
     host.now += span
     host.balancer.tick()
-    assert all(sess.answered for sess in waiting) and len(host.asked("reject")) == 5
-    host.servers("a", "b")
-    host.wait(1.0)
-    assert host.take().established and len(host.asked("reject")) == 5
+    assert all(sess.answered for sess in waiting) and len(host.calls_to("reject")) == 5
+    host.list_endpoints("a", "b")
+    host.advance(1.0)
+    assert host.admit().established and len(host.calls_to("reject")) == 5
--- a/tests/test_gossip_estimates.py
+++ b/tests/test_gossip_estimates.py
@@ -19,14 +19,14 @@
     return [host.balancer.tracked[name] for name in names]
 
 
-def test_with_few_own_connections_near_servers_come_first_unless_they_are_much_fuller(start):
-    host = start(seed=3, **FEW)
+def test_with_few_own_connections_near_servers_come_first_unless_they_are_much_fuller(make_host):
+    host = make_host(seed=3, **FEW)
     servers = zoned(host, **{f"s{n}": "a" if n < 5 else "b" for n in range(20)})
     host.balancer.awaits_load_report = lambda *_: False
     counts = {"a": 0, "b": 0}
     for _ in range(40):
-        host.loads(**{s.name: 0.3 for s in servers})
-        sess = host.take()
+        host.report_loads(**{s.name: 0.3 for s in servers})
+        sess = host.admit()
         counts[sess.endpoint.zone] += 1
         sess.on_attempt_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["a"] >= 35
@@ -34,30 +34,30 @@
         load, connections = (0.6, 60) if server.zone == "a" else (0.2, 20)
         report_shared(host.balancer, EndpointEstimate(server.name, load, 0.0, connections, 0.0, 0.0))
     for _ in range(40):
-        counts[(sess := host.take()).endpoint.zone] += 1
+        counts[(sess := host.admit()).endpoint.zone] += 1
         sess.on_attempt_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["b"] >= 25
 
 
-def test_estimates_replace_load_reports_and_health_checks_return_without_them(start):
-    host = start(**FEW)
+def test_estimates_replace_load_reports_and_health_checks_return_without_them(make_host):
+    host = make_host(**FEW)
     a, b = zoned(host, a="a", b="a")
     for name, load in (("a", 0.5), ("b", 0.1)):
         report_shared(host.balancer, EndpointEstimate(name, load, 1.0, round(load * 100), 0.5, 0.0))
     host.balancer.slow_start.since -= 20.0  # so few come that the room is hardly ever shared out
-    assert host.take().endpoint is b and not host.asked("check_health")
+    assert host.admit().endpoint is b and not host.calls_to("check_health")
     report_shared(
         host.balancer, EndpointEstimate("b", None, 3.0, 40, 0.0, 0.0)
     )  # many have come since that report
     assert host.balancer.load_of(b) == pytest.approx(0.4, abs=0.01)
-    host.wait(9.0)  # nobody tells any more
-    before = len(host.asked("check_health"))
-    host.take(stands=False)
-    assert len(host.asked("check_health")) > before
+    host.advance(9.0)  # nobody tells any more
+    before = len(host.calls_to("check_health"))
+    host.admit(established=False)
+    assert len(host.calls_to("check_health")) > before
 
 
-def test_failures_seen_by_others_divert_traffic_but_do_not_eject_by_themselves(start):
-    host = start(**FEW)
+def test_failures_seen_by_others_divert_traffic_but_do_not_eject_by_themselves(make_host):
+    host = make_host(**FEW)
     a, *_ = zoned(host, a="a", b="a", c="a")
     for _ in range(5):
         report_shared(host.balancer, EndpointEstimate("a", 0.1, 0.0, 10, 0.0, 1.5))
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -10,46 +10,46 @@
 )
 
 
-def test_after_a_restart_among_many_an_endpoint_has_capacity_for_a_share_of_the_tenants_quotas(start):
+def test_after_a_restart_among_many_an_endpoint_has_capacity_for_a_share_of_the_tenants_quotas(make_host):
     quotas = {"tenants": {"acme": Tenant("acme", 1.0, 600.0)}}
     placed = []
     for seed in range(20):
-        host = start(seed, group_affinity=True, **FEW_CONNECTIONS_SETTINGS, **quotas)
-        host.servers(*(f"s{n}" for n in range(12)), weight=4.0)
-        host.loads(**{f"s{n}": 0.5 for n in range(12)})
+        host = make_host(seed, group_affinity=True, **FEW_CONNECTIONS_SETTINGS, **quotas)
+        host.list_endpoints(*(f"s{n}" for n in range(12)), weight=4.0)
+        host.report_loads(**{f"s{n}": 0.5 for n in range(12)})
         host.balancer.refresh_health()
         assert host.balancer.connections_at_capacity == pytest.approx(
             600 / 100 / 48
         )  # nothing open here: the fleet's as the quotas say
-        host.take(group="g", stands=False)
-        placed.append(len(host.asked("start_attempt")))
+        host.admit(group="g", established=False)
+        placed.append(len(host.calls_to("start_attempt")))
     assert sum(placed) > 12  # by own connections alone, none, it would be a few
 
 
-def test_a_load_beyond_all_measure_bars_its_endpoint_and_all_estimates_stay_finite(start):
-    host = start(**FEW_CONNECTIONS_SETTINGS)
-    host.servers("a", "b", weight=4.0)
+def test_a_load_beyond_all_measure_bars_its_endpoint_and_all_estimates_stay_finite(make_host):
+    host = make_host(**FEW_CONNECTIONS_SETTINGS)
+    host.list_endpoints("a", "b", weight=4.0)
     for _ in range(20):
-        host.loads(a=1e308, b=0.1)
-        host.take()
-        host.wait(0.5)
+        host.report_loads(a=1e308, b=0.1)
+        host.admit()
+        host.advance(0.5)
     balancer = host.balancer
     assert set(count_placements(host)) == {"b"} and 0.0 < balancer.connections_at_capacity < math.inf
-    host.loads(a=0.1)
-    host.wait(2.0)
+    host.report_loads(a=0.1)
+    host.advance(2.0)
     assert balancer.eligible(balancer.tracked["a"])
 
 
-def test_without_load_reports_the_own_part_of_the_tenants_quotas_bounds_an_endpoint(start):
+def test_without_load_reports_the_own_part_of_the_tenants_quotas_bounds_an_endpoint(make_host):
     """On 200 proxies without reports a group's endpoint was filled until it threw its connections out."""
-    host, servers = start_without_reports(start, max_retry_after=1.0)
+    host, servers = start_without_reports(make_host, max_retry_after=1.0)
     for _ in range(200):
-        host.take()
+        host.admit()
         host.balancer.refresh_health()
     counts = count_placements(host)
     assert set(counts.values()) == {13} and len(counts) == 4  # 0.65 of 20 each, and nothing past it
-    host.wait(3.0)
-    assert len(host.asked("reject")) == 200 - 52
-    host.loads(a=0.1)  # the first report that comes ends the estimate
+    host.advance(3.0)
+    assert len(host.calls_to("reject")) == 200 - 52
+    host.report_loads(a=0.1)  # the first report that comes ends the estimate
     host.balancer.refresh_health()
     assert not host.balancer.loads_unknown and host.balancer.eligible(servers[0])
--- a/tests/test_migration.py
+++ b/tests/test_migration.py
@@ -23,86 +23,88 @@
 
 
 def test_a_drain_migrates_own_connections_idle_first_and_counts_natural_ends(host):
-    (a,) = host.servers("a")
-    sessions = [host.take() for _ in range(40)]
+    (a,) = host.list_endpoints("a")
+    sessions = [host.admit() for _ in range(40)]
     for load, sess in enumerate(sessions):
         sess.on_load(float(40 - load))
     host.balancer.adopt(7, CALLS, None, None, 0.0, "a")
-    host.servers("b", kind=EndpointListKind.DELTA)
-    host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
-    assert host.take(stands=False).endpoint is not a
-    host.wait(2.2)
-    moved = [token for (token,) in host.asked("migrate")]
+    host.list_endpoints("b", kind=EndpointListKind.DELTA)
+    host.list_endpoints("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
+    assert host.admit(established=False).endpoint is not a
+    host.advance(2.2)
+    moved = [token for (token,) in host.calls_to("migrate")]
     assert moved[:6] == [s.token for s in sessions[:-7:-1]] and 7 not in moved
     sessions[0].on_attempt_ended(AttemptOutcome.OK, True, 9.0)
     assert a.migration.moved == len(moved) + 1
 
 
 def test_a_receiver_slower_than_before_the_notice_halves_the_migration(host):
-    a, b = host.servers("a", "b")
+    a, b = host.list_endpoints("a", "b")
     for _ in range(80):
-        host.take(took=0.01)
-    host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
-    first = len(host.asked("migrate"))
+        host.admit(handshake_seconds=0.01)
+    host.list_endpoints("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
+    first = len(host.calls_to("migrate"))
     b.handshake_time.add(0.1, host.now)
-    host.wait(2.2)
-    assert first and len(host.asked("migrate")) - first <= first
+    host.advance(2.2)
+    assert first and len(host.calls_to("migrate")) - first <= first
 
 
-def test_an_overfull_endpoint_migrates_adopted_connections_too_while_most_others_have_capacity(start):
+def test_an_overfull_endpoint_migrates_adopted_connections_too_while_most_others_have_capacity(make_host):
     # Nearly all of its connections were of that kind: it stayed overfull until it shed or broke.
     for loads, gone in (({"b": 0.3, "c": 0.3}, True), ({"b": 0.8, "c": 0.8}, False), (None, False)):
-        host = start()
-        host.servers("a", "b", "c")
+        host = make_host()
+        host.list_endpoints("a", "b", "c")
         for token in range(20):
             host.balancer.adopt(token, CALLS, None, None, 0.0, "a")
-        host.loads(**loads or {})
-        host.wait(0.6)
+        host.report_loads(**loads or {})
+        host.advance(0.6)
         if loads:
-            host.loads(a=1.3)
+            host.report_loads(a=1.3)
         else:
-            host.servers("a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)  # as in the design
-        host.wait(1.5)
-        assert bool(host.asked("migrate")) is gone
+            host.list_endpoints(
+                "a", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING
+            )  # as in the design
+        host.advance(1.5)
+        assert bool(host.calls_to("migrate")) is gone
 
 
-def test_an_overfull_source_counts_as_slow_where_no_message_delay_is_reported(start):
+def test_an_overfull_source_counts_as_slow_where_no_message_delay_is_reported(make_host):
     # Paced by set-ups from before, which a far receiver always loses, two in four seconds left a sick server.
     moved = []
     for load in (1.3, 0.9):
-        host = start()
-        a, *others = host.servers("a", "b", "c")
+        host = make_host()
+        a, *others = host.list_endpoints("a", "b", "c")
         for _ in range(60):
-            host.take()
+            host.admit()
         for server in others:
             server.handshake_time.add(0.2, host.now)  # far away: twenty times the source's
-        host.loads(b=0.3, c=0.3)
-        host.wait(0.6)
+        host.report_loads(b=0.3, c=0.3)
+        host.advance(0.6)
         a.load, a.load_reported_at, a.connections_at_report = load, host.now, len(a.connections)
         host.balancer.start_migration(a, "for a test")
-        moved.append(len(host.asked("migrate")))
+        moved.append(len(host.calls_to("migrate")))
     assert moved == [2, 0] and len(a.connections) >= 18
 
 
 def test_an_overfull_endpoint_migrates_until_its_load_is_under_its_capacity(host):
-    a, _ = host.servers("a", "b")
+    a, _ = host.list_endpoints("a", "b")
     for _ in range(60):
-        host.take()
-    host.loads(b=0.5, a=1.2)
-    host.wait(20.0)
-    moved = len(host.asked("migrate"))
+        host.admit()
+    host.report_loads(b=0.5, a=1.2)
+    host.advance(20.0)
+    moved = len(host.calls_to("migrate"))
     assert 4 <= moved < 30 and a.migration is None
 
 
 def test_messages_late_for_over_a_second_start_a_migration_until_they_are_not(host):
-    a, *_ = host.servers(*"abcde")
-    mine = next(sess for sess in [host.take() for _ in range(50)] if sess.endpoint is a)
+    a, *_ = host.list_endpoints(*"abcde")
+    mine = next(sess for sess in [host.admit() for _ in range(50)] if sess.endpoint is a)
     mine.on_message_delay(1.0)
-    host.wait(0.5)
-    assert not host.asked("migrate")
-    host.wait(0.5)
+    host.advance(0.5)
+    assert not host.calls_to("migrate")
+    host.advance(0.5)
     mine.on_message_delay(1.0)
-    host.wait(0.1)
-    assert host.asked("migrate")
-    host.wait(5.0)
+    host.advance(0.1)
+    assert host.calls_to("migrate")
+    host.advance(5.0)
     assert a.migration is None and a.connections
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -188,8 +188,8 @@
 
 
 def test_a_server_that_failed_is_down_and_a_full_one_is_not(host):
-    host.servers("a", "b", "c")
-    host.loads(a=0.9)
+    host.list_endpoints("a", "b", "c")
+    host.report_loads(a=0.9)
     for _ in range(3):
         host.balancer.record_failure(host.balancer.tracked["b"], 1.0)
     assert count_avoided(host.balancer) == (3, 1)
@@ -607,36 +607,36 @@
             decode_state(text, token, now)
 
 
-def test_a_load_estimated_below_zero_does_not_cost_the_successor_all_that_is_known(start, lost):
-    old, new = start(), start()
+def test_a_load_estimated_below_zero_does_not_cost_the_successor_all_that_is_known(make_host, end_attempt):
+    old, new = make_host(), make_host()
     for host in (old, new):
-        host.servers("a", "b", "c")
-    sessions = [old.take() for _ in range(30)]
-    old.loads(a=0.1, b=0.1, c=0.1)
+        host.list_endpoints("a", "b", "c")
+    sessions = [old.admit() for _ in range(30)]
+    old.report_loads(a=0.1, b=0.1, c=0.1)
     for session in sessions:
-        lost(session, AttemptOutcome.OK)
+        end_attempt(session, AttemptOutcome.OK)
     assert min(old.balancer.load_of(endpoint) for endpoint in old.balancer.tracked.values()) < 0.0
     common, records = json.loads(json.dumps(take_snapshot(old.balancer)))
     assert restore_snapshot(new.balancer, common, records) == 3
     assert all(endpoint.load == 0.0 for endpoint in new.balancer.tracked.values())
 
 
-def test_a_successor_knows_loads_and_distrust_and_spends_no_cold_budget_twice(start):
+def test_a_successor_knows_loads_and_distrust_and_spends_no_cold_budget_twice(make_host):
     cold = {"instance_count": 1, "slow_start_share": 0.25, "slow_start_time": 10.0, "overload_multiple": 2.0}
-    old, new = start(**cold), start(**cold)
+    old, new = make_host(**cold), make_host(**cold)
     for host in (old, new):
-        host.servers("a", "b", "c")
-        host.loads(a=0.2, b=0.2, c=0.2)
+        host.list_endpoints("a", "b", "c")
+        host.report_loads(a=0.2, b=0.2, c=0.2)
     for _ in range(30):
-        old.take()
+        old.admit()
     for host in (old, new):
         host.now = 1010.0
-    old.servers("a", "b", "c")
-    old.loads(a=0.5, c=0.2)
+    old.list_endpoints("a", "b", "c")
+    old.report_loads(a=0.5, c=0.2)
     for _ in range(3):
         old.balancer.record_failure(old.balancer.tracked["b"], 1.0)
     for host in (old, new):
-        host.servers("d", kind=EndpointListKind.DELTA, started_at=1009.0)
+        host.list_endpoints("d", kind=EndpointListKind.DELTA, started_at=1009.0)
     budget = old.balancer.slow_start
     budget.tokens[old.balancer.tracked["d"]] = (0.1, old.now)  # the rest is spent
     common, records = json.loads(json.dumps(take_snapshot(old.balancer)))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -12,44 +12,46 @@
 )
 
 
-def test_a_cold_endpoint_gets_no_more_than_the_instances_share_of_the_fleets_budget(start):
-    host = start(instance_count=4, instance_index=0)
-    host.servers("a", "b", "c")
+def test_a_cold_endpoint_gets_no_more_than_the_instances_share_of_the_fleets_budget(make_host):
+    host = make_host(instance_count=4, instance_index=0)
+    host.list_endpoints("a", "b", "c")
     for _ in range(40):
-        host.wait(0.25)
-        host.take()
-    host.servers("d", kind=EndpointListKind.DELTA, started_at=host.now)
-    before = len(host.asked("start_attempt"))
+        host.advance(0.25)
+        host.admit()
+    host.list_endpoints("d", kind=EndpointListKind.DELTA, started_at=host.now)
+    before = len(host.calls_to("start_attempt"))
     for _ in range(8):
-        host.wait(0.25)
-        host.take()
-    cold = [s for _, s, _ in host.asked("start_attempt")[before:]].count("d")
+        host.advance(0.25)
+        host.admit()
+    cold = [s for _, s, _ in host.calls_to("start_attempt")[before:]].count("d")
     assert cold <= 2  # a warm server takes 1 a second from this balancer; a quarter of that, twice, for 2 s
     for _ in range(160):
-        host.wait(0.25)
-        host.take()
+        host.advance(0.25)
+        host.admit()
     assert host.balancer.tracked["d"].arrival is None and count_placements(host)["d"] >= 30
 
 
-def test_queued_sessions_go_to_a_warm_arrival_beyond_its_pace_and_not_to_a_cold_one(start):
+def test_queued_sessions_go_to_a_warm_arrival_beyond_its_pace_and_not_to_a_cold_one(make_host):
     # Deploys whose successors were warm: sessions waited a second and were refused beside idle servers.
     for started, least, most in ((None, 12, 12), (999.9, 0, 3)):
-        host = start()
-        host.servers("a")
+        host = make_host()
+        host.list_endpoints("a")
         for _ in range(40):
-            host.take()
-        host.wait(0.6)
-        host.loads(a=0.7)
-        waiting = [host.take(stands=False) for _ in range(12)]
-        host.wait(0.1)
-        host.servers("b", kind=EndpointListKind.DELTA, started_at=started)
-        host.wait(0.2)
+            host.admit()
+        host.advance(0.6)
+        host.report_loads(a=0.7)
+        waiting = [host.admit(established=False) for _ in range(12)]
+        host.advance(0.1)
+        host.list_endpoints("b", kind=EndpointListKind.DELTA, started_at=started)
+        host.advance(0.2)
         assert least <= sum(sess.attempt_in_flight for sess in waiting) <= most
 
 
 def test_an_endpoint_cold_in_the_first_list_starts_slowly(host):
     host.balancer.on_endpoint_list(EndpointListKind.CACHED, [])
-    a, b = host.servers("a", started_at=host.now - 1.0) + host.servers("b", kind=EndpointListKind.DELTA)
+    a, b = host.list_endpoints("a", started_at=host.now - 1.0) + host.list_endpoints(
+        "b", kind=EndpointListKind.DELTA
+    )
     assert (
         a.arrival
         and host.balancer.slow_start.warming_up(a, host.now)
@@ -57,26 +59,28 @@
     )
 
 
-def test_many_instances_together_keep_a_cold_endpoints_budget_and_use_it(start):
-    hosts = [start(seed, instance_count=100, instance_index=seed) for seed in range(100)]
+def test_many_instances_together_keep_a_cold_endpoints_budget_and_use_it(make_host):
+    hosts = [make_host(seed, instance_count=100, instance_index=seed) for seed in range(100)]
     for host in hosts:
-        host.servers(*(f"s{n}" for n in range(20)))
+        host.list_endpoints(*(f"s{n}" for n in range(20)))
         host.balancer.checks_per_session = 0.1
         for _ in range(10):
-            host.take()
-            host.wait(2.0)
-            host.loads(**{f"s{n}": 0.5 for n in range(20)})
-        host.wait(1.0)
-        host.servers("c", "d", kind=EndpointListKind.DELTA, started_at=host.now)
+            host.admit()
+            host.advance(2.0)
+            host.report_loads(**{f"s{n}": 0.5 for n in range(20)})
+        host.advance(1.0)
+        host.list_endpoints("c", "d", kind=EndpointListKind.DELTA, started_at=host.now)
     # 50 connections stand on a warm server at half load: 100 fill it over 10 s, a cold one takes a quarter.
-    before = [len(host.asked("start_attempt")) for host in hosts]
+    before = [len(host.calls_to("start_attempt")) for host in hosts]
     for second in range(1, 11):
         for host in hosts:
-            host.wait(1.0)
-            host.loads(c=0.3, d=0.3)
-            host.take()
+            host.advance(1.0)
+            host.report_loads(c=0.3, d=0.3)
+            host.admit()
         sent = sum(
-            s == "c" for h, n in zip(hosts, before, strict=True) for _, s, _ in h.asked("start_attempt")[n:]
+            s == "c"
+            for h, n in zip(hosts, before, strict=True)
+            for _, s, _ in h.calls_to("start_attempt")[n:]
         )
         warmth = 0.25 * second + 0.75 * second * second / 20.0
         assert sent <= 2.0 * 10.0 * warmth + 5
@@ -84,34 +88,36 @@
 
 
 @pytest.mark.parametrize("count", [1, 3, 30, 200])
-def test_a_burst_after_a_quiet_time_stays_within_what_a_cold_endpoint_bears_from_all_together(start, count):
+def test_a_burst_after_a_quiet_time_stays_within_what_a_cold_endpoint_bears_from_all_together(
+    make_host, count
+):
     # Each balancer kept its turn to send until there was something: after a quiet while 200 sent at once.
     customers = {"acme": Tenant("acme", connection_quota=4000.0)}
-    hosts = [start(n, instance_count=count, instance_index=n, tenants=customers) for n in range(count)]
+    hosts = [make_host(n, instance_count=count, instance_index=n, tenants=customers) for n in range(count)]
     for host in hosts:
-        warm = host.servers(*(f"s{n}" for n in range(20)))
-        host.wait(1.0)
-        host.servers("c", kind=EndpointListKind.DELTA, started_at=host.now)
-        host.wait(5.0)
+        warm = host.list_endpoints(*(f"s{n}" for n in range(20)))
+        host.advance(1.0)
+        host.list_endpoints("c", kind=EndpointListKind.DELTA, started_at=host.now)
+        host.advance(5.0)
         for server in warm:
             server.overloaded_at = math.inf  # nothing else is open: all that comes wants the cold one
     began = hosts[0].now - 5.0
     for step in range(20):
         for host in hosts:
             for _ in range(max(1, 200 // count) if step % 3 == 0 else 0):
-                host.take(stands=False)
-            host.wait(0.1)
-    sent = sum(server == "c" for host in hosts for _, server, _ in host.asked("start_attempt"))
+                host.admit(established=False)
+            host.advance(0.1)
+    sent = sum(server == "c" for host in hosts for _, server, _ in host.calls_to("start_attempt"))
     # 200 connections fill it over 10 s, a quarter at first; twice that for 2 s.
     allowed = 2.0 * 2.0 * 20.0 * (0.25 + 0.75 * (hosts[0].now - began) / 10.0)
     assert 0 < sent <= allowed + 2.0 * math.sqrt(allowed) + 2.0
 
 
 def test_a_rolling_deploy_does_not_swell_the_slow_start_budget(host):
-    host.servers("a", "b", "c", "d")
+    host.list_endpoints("a", "b", "c", "d")
     for _ in range(80):
-        host.take()
+        host.admit()
     host.balancer.rebalance_subset()
     usual = host.balancer.mean_connections
-    host.servers("a", "b", "c", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
+    host.list_endpoints("a", "b", "c", kind=EndpointListKind.DELTA, state=EndpointState.DRAINING)
     assert host.balancer.mean_connections <= 1.2 * usual
