--- a/onyxhollow/interface.py
+++ b/onyxhollow/interface.py
@@ -1,7 +1,7 @@
-"""What the decisions take and what they may ask of their host: value types and the `Host` protocol.
+"""The policy's interface: the value types it is given and the `Host` protocol that it calls.
 
-Times are seconds as floats, on the host's own clock. Session tokens and the names of endpoints, listeners,
-tenants and zones are opaque here: they are only handed back, or compared for being the same.
+Times are floats in seconds, on the host's clock. Session tokens and the names of endpoints, listeners,
+tenants and zones are opaque: the policy only returns them or compares them for equality.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a session may be attempted again after an attempt that may have run."""
+    """Whether a session can be retried after an attempt that may have run on an endpoint."""
 
     IDEMPOTENT = "repeatable"
     KEYED = "referenced"
@@ -21,7 +21,7 @@
 
 
 class DeduplicationScope(Enum):
-    """For keyed listeners: the endpoints that drop repeats of one another's sessions."""
+    """Endpoints that discard duplicates of each other's sessions, for keyed listeners."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,7 +29,7 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt, or the connection that it led to, ended."""
+    """How an attempt, or the connection that it established, ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -43,12 +43,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether the session can't have run on the endpoint."""
+        """Whether the outcome rules out that the session ran on the endpoint."""
         return self in (AttemptOutcome.OVERLOADED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
 class EndpointState(Enum):
-    """Whether an endpoint takes sessions; the values are those of logs and stored snapshots."""
+    """Whether an endpoint accepts sessions. The values appear in logs and stored snapshots."""
 
     IN_SERVICE = "in service"
     DRAINING = "draining"
@@ -56,7 +56,7 @@
 
 
 class EndpointListKind(Enum):
-    """What an answer of the endpoint list holds."""
+    """What an answer of the endpoint list contains."""
 
     CACHED = "cached"
     SNAPSHOT = "full"
@@ -66,17 +66,17 @@
 
 @dataclass(frozen=True)
 class Listener:
-    """What a kind of session needs.
+    """The requirements that all sessions of one listener share.
 
     Attributes:
-        name: as clients ask for it.
-        handshake_objective: seconds in which a session should be established.
-        attempt_timeout: seconds after which its client gives up.
-        utility: of a session, against others.
-        idempotency: whether it may be attempted again.
-        deduplication_scope: for keyed ones, the endpoints that drop repeats.
-        deduplication_window: for keyed ones, the seconds for which they do.
-        message_objective: seconds in which a message should come back; 0: none is stated.
+        name: the name that clients request.
+        handshake_objective: seconds within which a session should be established.
+        attempt_timeout: seconds after which the client stops waiting.
+        utility: value of a session relative to those of other listeners.
+        idempotency: whether a session can be retried.
+        deduplication_scope: endpoints that discard duplicates of a session; for keyed listeners.
+        deduplication_window: seconds for which they discard them.
+        message_objective: seconds within which a message should be echoed; 0 if there is no objective.
     """
 
     name: str
@@ -91,12 +91,12 @@
 
 @dataclass(frozen=True)
 class Tenant:
-    """Whose sessions count against a quota.
+    """A customer whose sessions count against a quota.
 
     Attributes:
-        name: as clients give it.
-        quota_share: of the capacity, from 0 to 1.
-        connection_quota: open connections within its share, over all instances; 0: not known.
+        name: the name that clients send.
+        quota_share: share of the capacity, from 0 to 1.
+        connection_quota: open connections that the share allows, over all instances; 0 if unknown.
     """
 
     name: str
@@ -106,16 +106,16 @@
 
 @dataclass(frozen=True)
 class Endpoint:
-    """One server as the endpoint list has it.
+    """One server of the endpoint list.
 
     Attributes:
-        name: unique in the list.
-        state: whether it takes sessions.
-        weight: its size, or where weights are live, its size lowered by its connections; 0 says nothing.
-        started_at: when it started, on the host's clock; None when long ago.
-        zone: where it stands.
+        name: unique name in the list.
+        state: whether it accepts sessions.
+        weight: its size; with live weights, its size reduced by its open connections; 0 if unknown.
+        started_at: when it started, on the host's clock; None if it started long ago.
+        zone: its zone.
         cell: its deduplication group.
-        machine_type: of its machine.
+        machine_type: type of its machine.
     """
 
     name: str
@@ -129,30 +129,30 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """All that an instance is told at its start, or by a reload.
+    """The settings of one instance, given at its start or by a reload.
 
     Attributes:
-        listeners: by name.
-        tenants: by name.
-        instance_index: which of the instances this is, from 0.
-        instance_count: how many there are.
-        zone: where this instance stands.
-        list_is_polled: whether the endpoint list comes only when asked for.
-        max_poll_interval: seconds from poll to poll at the most.
-        slow_start_share: of its capacity that an endpoint bears as it starts, from 0 to 1.
-        slow_start_time: seconds until it is warm.
-        overload_multiple: of what it bears, from which an endpoint falls over.
-        overload_window: seconds over which that is counted.
-        max_attempts: for a session.
-        health_checks: whether endpoints may be asked for their load.
-        health_check_price: of one, in the result.
-        cross_zone_price: of an attempt in another zone, in the result.
+        listeners: listeners by name.
+        tenants: tenants by name.
+        instance_index: index of this instance, from 0.
+        instance_count: number of instances.
+        zone: zone of this instance.
+        list_is_polled: whether the endpoint list has to be polled; otherwise it is pushed.
+        max_poll_interval: longest time between two polls, in seconds.
+        slow_start_share: share of its capacity that an endpoint has when it starts, from 0 to 1.
+        slow_start_time: seconds until an endpoint has warmed up.
+        overload_multiple: multiple of its sustainable session rate at which an endpoint fails.
+        overload_window: seconds over which that rate is counted.
+        max_attempts: most attempts for one session.
+        health_checks: whether endpoints can be polled for their load.
+        health_check_price: cost of one health check, in units of utility.
+        cross_zone_price: cost of an attempt in another zone, in units of utility.
         cancellation: whether an attempt in flight can be cancelled.
-        max_retry_after: the longest Retry-After that a client heeds, seconds; 0: none is sent.
-        over_quota_utility: factor for the sessions of a tenant over its quota.
+        max_retry_after: longest Retry-After that clients observe, in seconds; 0 if none is sent.
+        over_quota_utility: factor on the utility of sessions of a tenant over its quota.
         group_affinity: whether sessions of a group share work on one endpoint.
-        live_weights: whether the list's weight is lowered the more connections an endpoint has.
-        load_field: the field of a report that holds load over capacity; empty: none does.
+        live_weights: whether the list reduces an endpoint's weight as its connections grow.
+        load_field: field of a load report that holds load over capacity; empty if there is none.
     """
 
     listeners: dict[str, Listener]
@@ -179,35 +179,35 @@
 
 
 class Host(Protocol):
-    """What the decisions may ask of whatever carries them. No call may call back into them at once."""
+    """Actions that the policy requests. An implementation must not call the policy before it returns."""
 
     @property
     def now(self) -> float:
-        """Seconds on the host's clock."""
+        """Current time on the host's clock, in seconds."""
 
     def start_attempt(self, token: Hashable, endpoint: str, timeout: float) -> None:
-        """Attempt a session at an endpoint, for `timeout` seconds at the most."""
+        """Attempt a session at an endpoint, for at most `timeout` seconds."""
 
     def cancel_attempt(self, token: Hashable, attempt: int) -> None:
-        """Cancel a session's attempt of that number, from 0."""
+        """Cancel one attempt of a session; attempts are numbered from 0."""
 
     def reject(self, token: Hashable, retry_after: float) -> None:
-        """Answer a session: not now, come again after that many seconds."""
+        """Reject a session and ask its client to retry after `retry_after` seconds."""
 
     def tear_down(self, token: Hashable) -> None:
-        """Answer a session that may have run and must not be repeated."""
+        """Answer a session with an error; it may have run and must not be retried."""
 
     def migrate(self, token: Hashable) -> None:
-        """Have the client of an open connection reconnect."""
+        """Ask the client of an established connection to reconnect."""
 
     def check_health(self, endpoint: str) -> None:
-        """Ask an endpoint for its load."""
+        """Send a health check to an endpoint to obtain its load."""
 
     def poll_endpoint_list(self) -> None:
-        """Ask for the endpoint list."""
+        """Poll the endpoint list."""
 
     def set_timer(self, when: float) -> None:
-        """Call `tick` at that time, on the host's clock."""
+        """Call `tick` at time `when` on the host's clock."""
 
     def log(self, line: str) -> None:
-        """Write a line for operators."""
+        """Write a log line for operators."""
--- a/onyxhollow/service_state.py
+++ b/onyxhollow/service_state.py
@@ -1,4 +1,4 @@
-"""Whether this process wants clients: the one state that PING, readiness, accepting and migration go by."""
+"""The service phase of this process, which determines PING answers, readiness, accepting and migration."""
 
 from __future__ import annotations
 
@@ -6,46 +6,49 @@
 
 
 class ServicePhase(Enum):
-    """What this process does about clients; the values stand in logs and in the answer of /control/ready."""
+    """How this process handles clients. The values appear in logs and in the answer of /control/ready."""
 
-    STARTING = "starting"  # it has not received the endpoint list yet
+    STARTING = "starting"  # has not received the endpoint list yet
     IN_SERVICE = "in service"
-    DRAINING = "leaving"  # an operator drains it: what still comes is served, open connections are migrated
-    OUT_OF_SERVICE = "out of service"  # that is done: what comes is rejected
-    HANDING_OVER = "making way"  # it stops, and a successor takes the clients
-    STOPPING = "stopping"  # it stops, with no successor
+    DRAINING = "leaving"  # drained by an operator: new sessions are served, open connections are migrated
+    OUT_OF_SERVICE = "out of service"  # drained: new sessions are rejected
+    HANDING_OVER = "making way"  # stopping while a successor serves the clients
+    STOPPING = "stopping"  # stopping without a successor
 
 
 class ServiceState:
-    """The phase of this process, and whether a successor takes the clients."""
+    """The service phase of this process, and whether a successor accepts its clients."""
 
     def __init__(self, phase: ServicePhase) -> None:
         self.phase = phase
-        self.replaced = False  # a successor takes the clients; if it dies, this process does again
+        self.replaced = False  # a successor accepts clients; if it dies, this process accepts them again
 
     def is_any(self, *phases: ServicePhase) -> bool:
-        """Whether the phase is one of these."""
+        """Return whether the phase is one of `phases`."""
         return self.phase in phases
 
     @property
     def ready(self) -> bool:
-        """Whether operators may send clients here.
+        """Whether new clients can be routed to this process.
 
-        A replaced process says yes until its stop: it is still one that can take clients.
+        Stays true for a replaced process until it stops, because it can accept clients again.
         """
         return self.is_any(ServicePhase.IN_SERVICE)
 
     @property
     def answers_pings(self) -> bool:
-        """Whether a PING gets PONG; at a stop too, as the front's connections that still come are served."""
+        """Whether a PING is answered with PONG.
+
+        True while the process stops, because it still serves connections that the front end sends.
+        """
         return not self.is_any(ServicePhase.DRAINING, ServicePhase.OUT_OF_SERVICE)
 
     @property
     def stopping(self) -> bool:
-        """Whether the process ends."""
+        """Whether the process is stopping, with or without a successor."""
         return self.is_any(ServicePhase.STOPPING, ServicePhase.HANDING_OVER)
 
     @property
     def accepts(self) -> bool:
-        """Whether the clients' listening socket is accepted from."""
+        """Whether the process accepts connections on the clients' listening socket."""
         return not self.replaced and not self.is_any(ServicePhase.STARTING)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -887,9 +887,9 @@
     [
         ("{", "not JSON"),
         ("[]", "not an object"),
-        ("{}", "missing setting settings"),
+        ("{}", "setting settings: expected an object, got nothing"),
         (None, "No such file"),
-        ('{"settings":{"rules":{},"listeners":[]}}', "listeners: expected one at least, got none"),
+        ('{"settings":{"rules":{},"listeners":[]}}', "listeners: expected at least one listener, got none"),
         (GOOD % ('"weightKind":"heavy"', "{}"), "expected one of none, nominal, rough, live, got 'heavy'"),
         (GOOD % ('"weightKind":4', "{}"), "setting weightKind: expected text, got 4"),
         (GOOD % ('"discovery":"smoke"', "{}"), "discovery: expected one of on_request, pushed, got 'smoke'"),
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -81,7 +81,7 @@
         ),
         (["order", 3, -9, "calls", None, "s-1", 1, None, None, 0], "line 9: corr: expected a whole number"),
         (["order", 3], "line 9: band: impossible value None"),
-        (["provision", 4, 1, {"listeners": []}], "line 9: missing setting rules: expected an object"),
+        (["provision", 4, 1, {"listeners": []}], "line 9: setting rules: expected an object, got nothing"),
     ],
 )
 def test_a_malformed_line_is_named_and_ends_the_adapter(bad, expected):
