--- a/onyxhollow/simulator_adapter/__init__.py
+++ b/onyxhollow/simulator_adapter/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions on the operators' simulator: its messages become calls, their requests become messages.
+"""Runs the policy on the operators' simulator: translates its messages to calls and requests to messages.
 
-`wire` decodes and checks values, `instance` is one simulated proxy, `adapter` the conversation.
+`wire` decodes and checks values, `instance` is one simulated proxy, `adapter` processes batches of messages.
 """
--- a/onyxhollow/simulator_adapter/__main__.py
+++ b/onyxhollow/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Serves the simulator on standard input and output: `python -m onyxhollow.simulator_adapter`."""
+"""Serve the simulator on standard input and output: `python -m onyxhollow.simulator_adapter`."""
 
 import sys
 
--- a/onyxhollow/simulator_adapter/instance.py
+++ b/onyxhollow/simulator_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One simulated proxy: its decisions, the messages that reach it and the messages it sends."""
+"""One simulated proxy: passes received messages to its policy and sends the policy's requests."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
     read_text,
 )
 
-MIN_TIMEOUT_NS = 1  # the wire has no attempt without time
+MIN_TIMEOUT_NS = 1  # the protocol does not allow an attempt timeout of 0
 
 
 class Instance:
-    """One proxy: the host of its decisions, and the sessions by the id they have on the wire.
+    """One simulated proxy: the host of its policy, and its sessions by their id in the protocol.
 
-    Methods named `on_...` take the values of one message, in its order; further values are ignored. They
-    raise WireError if a value is impossible.
+    Methods named `on_...` are given the values of one message in order and ignore additional values. They
+    raise WireError if a value is invalid.
     """
 
     def __init__(self, number: int, seed: int, options: Any, now: float, output: list[str]) -> None:
-        """A proxy of its own; `now` in seconds, `output` takes the lines it sends.
+        """Create a proxy; `now` is in seconds, and the lines that it sends are appended to `output`.
 
         Raises:
-            WireError: `options` isn't a complete settings object.
+            WireError: `options` is not a complete settings object.
         """
         self.number = number
         self.now = now
@@ -50,61 +50,61 @@
     def _send(self, name: str, *values: object) -> None:
         self.output.append(encode_message(name, self.number, *values))
 
-    # The decisions' requests to their host.
+    # Requests of the policy; see interface.Host.
 
     def start_attempt(self, token: Hashable, endpoint: str, timeout: float) -> None:
-        """Forwards a session to an endpoint; `timeout` in seconds."""
+        """Forward a session to an endpoint; `timeout` is in seconds."""
         self._send("forward", token, endpoint, max(MIN_TIMEOUT_NS, round(timeout * NS_PER_S)))
 
     def cancel_attempt(self, token: Hashable, attempt: int) -> None:
-        """Withdraws an attempt, counted from 0 in its session."""
+        """Cancel one attempt of a session; attempts are numbered from 0."""
         self._send("recall", token, attempt)
 
     def reject(self, token: Hashable, retry_after: float) -> None:
-        """Rejects a session; the client may come back after `retry_after` seconds."""
-        self._forget(token)
+        """Reject a session; its client can retry after `retry_after` seconds."""
+        self._remove_session(token)
         self._send("overloadReply", token, round(retry_after * NS_PER_S))
 
     def tear_down(self, token: Hashable) -> None:
-        """Ends a session with an error."""
-        self._forget(token)
+        """Answer a session with an error."""
+        self._remove_session(token)
         self._send("finishError", token)
 
     def migrate(self, token: Hashable) -> None:
-        """Tells a client to come back, so that its session goes to another endpoint."""
+        """Ask a client to reconnect, so that its session is placed on another endpoint."""
         self._send("relocate", token)
 
     def check_health(self, endpoint: str) -> None:
-        """Sends a health check to an endpoint."""
+        """Send a health check to an endpoint."""
         self._send("soundOut", endpoint)
 
     def poll_endpoint_list(self) -> None:
-        """Polls discovery for the endpoint list."""
+        """Poll discovery for the endpoint list."""
         self._send("observe", True)
 
     def set_timer(self, when: float) -> None:
-        """Sets the only timer; `when` in seconds, rounded up so that it never fires before."""
+        """Set the only timer; `when` is in seconds and rounded up, so that the timer never fires early."""
         self._send("wakeAt", math.ceil(when * NS_PER_S), 0)
 
     def log(self, line: str) -> None:
-        """Writes a line to the simulator's log."""
+        """Write a line to the simulator's log."""
         self._send("print", line)
 
-    def _forget(self, token: Hashable) -> None:
+    def _remove_session(self, token: Hashable) -> None:
         self.sessions.pop(token, None)  # type: ignore[call-overload]
 
-    # What the wire reports.
+    # Messages from the simulator.
 
-    def on_endpoint_list(self, form: Any, _index: Any, rows: Any = None, *_: Any) -> None:
-        """An answer of discovery: a snapshot, a delta, an old copy or a failure."""
-        if form not in LIST_KINDS:
-            raise WireError(f"form: impossible value {form!r}")
+    def on_endpoint_list(self, kind: Any, _index: Any, rows: Any = None, *_: Any) -> None:
+        """Apply an answer of discovery: a snapshot, a delta, a cached copy or a failure."""
+        if kind not in LIST_KINDS:
+            raise WireError(f"form: expected cached, full, delta or failed, got {kind!r}")
         if rows is not None and not isinstance(rows, list):
-            raise WireError(f"membersList: impossible value {rows!r}")
-        self.balancer.on_endpoint_list(LIST_KINDS[form], [read_endpoint(row) for row in rows or []])
+            raise WireError(f"membersList: expected a list, got {rows!r}")
+        self.balancer.on_endpoint_list(LIST_KINDS[kind], [read_endpoint(row) for row in rows or []])
 
     def on_session(self, *values: Any) -> None:
-        """A client requests a session."""
+        """Admit a session that a client requests."""
         request = read_session(list(values), self.settings.listeners)
         session = self.balancer.admit(
             request.token,
@@ -118,7 +118,7 @@
             self.sessions[request.token] = session
 
     def on_existing_session(self, *values: Any) -> None:
-        """A connection that was open at an endpoint before this proxy began."""
+        """Adopt a connection that was open before this proxy started."""
         request = read_session(list(values[:8]), self.settings.listeners)
         endpoint = read_text(values[8] if len(values) > 8 else None, "server")
         session = self.balancer.adopt(
@@ -132,14 +132,14 @@
         if session is not None:
             self.sessions[request.token] = session
 
-    def on_established(self, token: Any, _attempt: Any, _endpoint: Any, took: Any, *_: Any) -> None:
-        """An endpoint has accepted a session; `took` is the time of its set-up."""
+    def on_established(self, token: Any, _attempt: Any, _endpoint: Any, duration_ns: Any, *_: Any) -> None:
+        """Record that an endpoint accepted a session `duration_ns` after the attempt started."""
         session = self.sessions.get(check_integer(token, "corr"))
         if session is not None:
-            session.on_established(read_seconds(took, "tookNs"))
+            session.on_established(read_seconds(duration_ns, "tookNs"))
 
     def on_change(self, token: Any, _attempt: Any, _endpoint: Any, kind: Any, value: Any, *_: Any) -> None:
-        """The load or the message delay of an established session has changed."""
+        """Record a new load or message delay of an established session."""
         session = self.sessions.get(check_integer(token, "corr"))
         if session is None:
             return
@@ -148,25 +148,27 @@
         elif kind == ChangeKind.DELAY:
             session.on_message_delay(read_amount(value, "value") / MS_PER_S)
 
-    def on_attempt_ended(self, token: Any, took: Any, how: Any, complete: Any, *rest: Any) -> None:
-        """An attempt, or with `complete` the session, has ended; the third of `rest` is a load report."""
+    def on_attempt_ended(
+        self, token: Any, duration_ns: Any, outcome_code: Any, complete: Any, *others: Any
+    ) -> None:
+        """Record the end of an attempt, or with `complete` of the session; `others[2]` is a load report."""
         token = check_integer(token, "corr")
         if not isinstance(complete, bool):
-            raise WireError(f"complete: impossible value {complete!r}")
+            raise WireError(f"complete: expected true or false, got {complete!r}")
         session = self.sessions.get(token)
         if session is None:
             return
         if complete:
             del self.sessions[token]
-        outcome = read_outcome(how)
-        load = self._reported_load(rest[2] if len(rest) > 2 else None)
+        outcome = read_outcome(outcome_code)
+        load = self._reported_load(others[2] if len(others) > 2 else None)
         if outcome is AttemptOutcome.CANCELLED and session.established:
-            # This wire does not say whether the endpoint sent the client away or the client left.
+            # The protocol has one code for a client that left and for one that the endpoint disconnected.
             session.on_client_gone()
-        session.on_attempt_ended(outcome, complete, read_seconds(took, "tookNs"), load)
+        session.on_attempt_ended(outcome, complete, read_seconds(duration_ns, "tookNs"), load)
 
     def on_client_gone(self, token: Any, *_: Any) -> None:
-        """The client has left."""
+        """Record that the client of a session left."""
         token = check_integer(token, "corr")
         session = self.sessions.get(token)
         if session is None:
@@ -176,22 +178,24 @@
         session.on_client_gone()
 
     def on_timer(self, *_: Any) -> None:
-        """The timer has fired."""
+        """Run the policy's expired timers."""
         self.balancer.tick()
 
-    def on_health_check(self, endpoint: Any, how: Any, took: Any, report: Any = None, *_: Any) -> None:
-        """A health check has ended."""
-        outcome = read_outcome(how)
-        seconds = read_seconds(took or 0, "tookNs")
+    def on_health_check(
+        self, endpoint: Any, outcome_code: Any, duration_ns: Any, report: Any = None, *_: Any
+    ) -> None:
+        """Record the result of a health check."""
+        outcome = read_outcome(outcome_code)
+        duration = read_seconds(duration_ns or 0, "tookNs")
         self.balancer.on_health_check(
-            read_text(endpoint, "server"), outcome, seconds, self._reported_load(report)
+            read_text(endpoint, "server"), outcome, duration, self._reported_load(report)
         )
 
     def on_peer_message(self, *_: Any) -> None:
-        """A message of another proxy: no decision here depends on one."""
+        """Ignore a message of another proxy; the policy uses none."""
 
     def _reported_load(self, report: Any) -> float | None:
-        """The load in a report, by the field that the settings name; None if the report lacks it."""
+        """Return the load from the report field that the settings name; None if the report lacks it."""
         name = self.settings.load_field
         if not name or not isinstance(report, list) or len(report) != len(self.report_fields):
             return None
--- a/onyxhollow/simulator_adapter/wire.py
+++ b/onyxhollow/simulator_adapter/wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: what its words and numbers mean, and how values of a message are checked.
+"""The simulator's protocol: its names and codes, and the decoding and checking of message values.
 
-A message is one line of JSON: an array of a name and values. Times on the wire are whole nanoseconds, inside
-they are seconds. The wire is the operators'; nothing here may change what is read or written.
+A message is one line of JSON: an array of a name and values. Times are whole nanoseconds in the protocol and
+are decoded to seconds. The operators define the protocol, so this module must not change it.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from onyxhollow.settings import WireError, check_integer
 
 NS_PER_S = 1e9
-US_PER_S = 1e6  # an established session's load: microseconds of a core each second
-MS_PER_S = 1e3  # a message's delay is in milliseconds
-COST_IS_KNOWN = 1  # bit of a session's bitmap: its work field is set
-ENDPOINT_FIELDS = 7
-SESSION_FIELDS = 8
+US_PER_S = 1e6  # a session's load is encoded in core microseconds per second
+MS_PER_S = 1e3  # a message delay is encoded in milliseconds
+WORK_IS_SET = 1  # bit of a session's bitmap: its work field has a value
+ENDPOINT_FIELD_COUNT = 7
+SESSION_FIELD_COUNT = 8
 
 OUTCOMES = {
     0: AttemptOutcome.OK,
@@ -47,7 +47,7 @@
 
 
 class ChangeKind(IntEnum):
-    """What a `change` message reports of an established session."""
+    """The value of an established session that a `change` message reports."""
 
     LOAD = 1
     DELAY = 2
@@ -55,93 +55,95 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRequest:
-    """A client's session, as `order` and `existing` describe it."""
+    """The session values that `order` and `existing` messages share."""
 
     token: int
     listener: str
     tenant: Any  # a tenant's name; None without one
     time_left: float  # seconds; 0 without a deadline
-    load: float | None  # seconds of a core; None if unknown
-    group: Any  # sessions of a group prefer the same endpoint; None without one
+    load: float | None  # core seconds; None if unknown
+    group: Any  # sessions of a group share work on one endpoint; None without a group
 
 
 def decode_message(line: bytes) -> tuple[str, list[Any]]:
-    """Name and values of a message.
+    """Return the name and the values of a message.
 
     Raises:
-        WireError: not JSON, or not an array that begins with a name.
+        WireError: The line is not JSON, or not an array that starts with a name.
     """
     try:
         message = json.loads(line)
     except ValueError as error:
         raise WireError(f"not JSON: {error}") from None
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
-        raise WireError("not an array that begins with a name")
+        raise WireError(f"message: expected an array that starts with a name, got {message!r:.40}")
     return message[0], message[1:]
 
 
 def encode_message(*values: object) -> str:
-    """One message, without the end of its line."""
+    """Return a message as one line of JSON without the line break."""
     return json.dumps(values, separators=(",", ":"))
 
 
 def read_text(value: Any, field: str) -> str:
-    """A text that is not empty.
+    """Return the value if it is a non-empty text.
 
     Raises:
-        WireError: it is something else; the error names the field.
+        WireError: It is not. The message names the field.
     """
     if not isinstance(value, str) or not value:
-        raise WireError(f"{field}: impossible value {value!r}")
+        raise WireError(f"{field}: expected non-empty text, got {value!r}")
     return value
 
 
 def read_amount(value: Any, field: str) -> float:
-    """A finite number from 0.
+    """Return the value if it is a finite number of at least 0.
 
     Raises:
-        WireError: it is something else; the error names the field.
+        WireError: It is not. The message names the field.
     """
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
-        raise WireError(f"{field}: impossible value {value!r}")
+        raise WireError(f"{field}: expected a number from 0, got {value!r}")
     return float(value)
 
 
 def read_seconds(value: Any, field: str) -> float:
-    """A time on the wire, in seconds.
+    """Return a time in seconds, decoded from nanoseconds.
 
     Raises:
-        WireError: it isn't a whole number of nanoseconds from 0; the error names the field.
+        WireError: It is not a whole number of at least 0. The message names the field.
     """
     return check_integer(value, field) / NS_PER_S
 
 
 def read_outcome(value: Any) -> AttemptOutcome:
-    """How an attempt or a health check ended; UNKNOWN for a number that this build doesn't know.
+    """Decode the outcome of an attempt or a health check; UNKNOWN for a code that is not listed.
 
     Raises:
-        WireError: it isn't a whole number from 0.
+        WireError: It is not a whole number of at least 0.
     """
     return OUTCOMES.get(check_integer(value, "how"), AttemptOutcome.UNKNOWN)
 
 
 def read_endpoint(row: Any) -> Endpoint:
-    """One row of an endpoint list: state, name, then weight, machine type, start, zone and cell if known.
+    """Decode one row of an endpoint list.
+
+    The row holds state and name, then weight, machine type, start time, zone and cell if they are known.
 
     Raises:
-        WireError: a value is missing or impossible.
+        WireError: A value is missing or invalid.
     """
     if not isinstance(row, list) or len(row) < 2:
-        raise WireError(f"list entry: impossible value {row!r}")
-    state, name, weight, machine_type, started, zone, cell = _pad(row, ENDPOINT_FIELDS)
+        raise WireError(f"list entry: expected a list of at least a state and a name, got {row!r}")
+    state, name, weight, machine_type, start_time, zone, cell = _pad(row, ENDPOINT_FIELD_COUNT)
     if state not in ENDPOINT_STATES:
-        raise WireError(f"readiness: impossible value {state!r}")
-    started_ns = check_integer(started or 0, "startTimeNs")
+        raise WireError(f"readiness: expected in_service, terminating or terminated, got {state!r}")
+    start_ns = check_integer(start_time or 0, "startTimeNs")
     return Endpoint(
         weight=1.0 if weight is None else read_amount(weight, "powerHint"),
         name=read_text(name, "server"),
         state=ENDPOINT_STATES[state],
-        started_at=started_ns / NS_PER_S if started_ns else None,
+        started_at=start_ns / NS_PER_S if start_ns else None,
         zone=zone or "",
         cell=cell or 0,
         machine_type=machine_type or "",
@@ -149,20 +151,20 @@
 
 
 def read_session(values: list[Any], listeners: Container[Any]) -> SessionRequest:
-    """The first values of `order` and `existing`.
+    """Decode the session values that `order` and `existing` messages start with.
 
     Raises:
-        WireError: a value is impossible, or its listener isn't one of the settings'.
+        WireError: A value is invalid, or the settings have no such listener.
     """
-    token, listener, tenant, _, time_left, work, group, bitmap = _pad(values, SESSION_FIELDS)
+    token, listener, tenant, _, expires_in, work, group, bitmap = _pad(values, SESSION_FIELD_COUNT)
     if listener not in listeners:
-        raise WireError(f"band: impossible value {listener!r}")
-    bits = check_integer(bitmap or 0, "bitmap")
-    load = read_amount(work, "workNs") / NS_PER_S if work is not None and bits & COST_IS_KNOWN else None
-    left = read_seconds(time_left or 0, "expiresInNs")
-    return SessionRequest(check_integer(token, "corr"), listener, tenant or None, left, load, group)
+        raise WireError(f"band: expected the name of a listener, got {listener!r}")
+    flags = check_integer(bitmap or 0, "bitmap")
+    load = read_amount(work, "workNs") / NS_PER_S if work is not None and flags & WORK_IS_SET else None
+    time_left = read_seconds(expires_in or 0, "expiresInNs")
+    return SessionRequest(check_integer(token, "corr"), listener, tenant or None, time_left, load, group)
 
 
 def _pad(values: list[Any], count: int) -> list[Any]:
-    """The first `count` values; None for those that the message leaves out."""
+    """Return the first `count` values, with None for those that the message omits."""
     return (values + [None] * count)[:count]
--- a/onyxhollow/state_snapshot.py
+++ b/onyxhollow/state_snapshot.py
@@ -1,8 +1,8 @@
-"""What the decisions know, as plain values for a successor process, and restored from them.
+"""Encodes the policy's state for a successor process and restores it there.
 
-Times go as ages in seconds, for the successor's clock is its own. The keys are those that earlier builds
-write and read, whatever a field is called here: a process may be replaced by an older one. All values are
-checked before any is used; endpoints that are not in the successor's list are left out.
+Timestamps are encoded as ages in seconds because the successor has a clock of its own. The keys stay as other
+builds write and read them, because a process can be replaced by one of an older build. All values are checked
+before any is applied. Endpoints that are not in the successor's list are skipped.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 class SnapshotValueError(ValueError):
-    """A snapshot holds a value that no process can have written."""
+    """A snapshot contains a value that no process writes."""
 
 
 @dataclass(frozen=True, slots=True)
-class Sample:
-    """An average, or another number, and its age in seconds."""
+class AgedValue:
+    """A value, such as an average, and its age in seconds."""
 
     value: float
     age: float
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ArrivalProgress:
-    """How far an arriving endpoint had come: placements of its fair share."""
+    """Progress of an arriving endpoint: its fair share of placements, and those made so far."""
 
     count: int
     moved: int
@@ -41,23 +41,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """What a snapshot says of one endpoint; None where nothing was known. Ages are seconds."""
+    """One endpoint's record in a snapshot. Ages are in seconds; None means unknown."""
 
     ever_used: bool
     load: float  # over capacity
     load_age: float | None
     outlier_score: float
     overloaded_age: float | None
-    handshake_time: Sample | None
-    message_delay: Sample | None
+    handshake_time: AgedValue | None
+    message_delay: AgedValue | None
     arrival: ArrivalProgress | None
     tokens: float | None  # of the slow-start budget
 
 
 def count_avoided(balancer: Balancer) -> tuple[int, int]:
-    """Return how many endpoints are listed, and how many of them are passed over as draining or ejected.
+    """Return the number of listed endpoints, and of those that are draining or ejected.
 
-    A full one counts as there.
+    An endpoint at capacity does not count as avoided.
     """
     listed = [s for s in balancer.tracked.values() if s.state is not EndpointState.REMOVED]
     threshold = balancer.ejection_threshold
@@ -67,26 +67,27 @@
 
 
 def take_snapshot(balancer: Balancer) -> tuple[dict[str, Any], list[dict[str, Any]]]:
-    """Return what holds for all endpoints, and a record for each, under the keys of the handover."""
+    """Return the values common to all endpoints, and one record per endpoint, under the handover's keys."""
     now = balancer.host.now
-    rate = balancer.slow_start
+    slow_start = balancer.slow_start
     common = {
         "setting_up": encode_ewma(balancer.handshake_time, now),
-        "taken": [rate.rate(now), now - rate.since],  # sessions a second, and over how many seconds
+        # Sessions per second, and the seconds over which they were counted.
+        "taken": [slow_start.rate(now), now - slow_start.since],
     }
     listed = (s for s in balancer.tracked.values() if s.state is not EndpointState.REMOVED)
     return common, [encode_endpoint(balancer, endpoint, now) for endpoint in listed]
 
 
 def encode_endpoint(balancer: Balancer, endpoint: TrackedEndpoint, now: float) -> dict[str, Any]:
-    """Return one endpoint's record under the keys of the handover."""
+    """Return one endpoint's record under the handover's keys."""
     budget = balancer.slow_start
     arrival = endpoint.arrival
     warming_up = budget.warming_up(endpoint, now)
     return {
         "name": endpoint.name,
         "heard": endpoint.ever_used,
-        # Carried on by own connections that have ended since the report, the estimate can fall below 0.
+        # Own connections that ended since the load report can lower the estimate below 0.
         "load": max(0.0, balancer.load_of(endpoint)),
         "load_age": encode_age(endpoint.load_reported_at, now),
         "distrust": endpoint.outlier_score(now),
@@ -98,21 +99,21 @@
     }
 
 
-def encode_age(at: float, now: float) -> float | None:
-    """Return the seconds since a timestamp, None if it was never set."""
-    return now - at if math.isfinite(at) else None
+def encode_age(timestamp: float, now: float) -> float | None:
+    """Return the seconds since a timestamp; None if it was never set."""
+    return now - timestamp if math.isfinite(timestamp) else None
 
 
 def encode_ewma(average: Ewma, now: float) -> list[float] | None:
-    """Return an average and its age in seconds, None if it has expired."""
+    """Return an average and its age in seconds; None if it has expired."""
     return [average.value, now - average.updated_at] if average.fresh_value(now) is not None else None
 
 
 def decode_number(value: Any) -> float:
-    """Return a number from 0.
+    """Return the value if it is a finite number of at least 0.
 
     Raises:
-        SnapshotValueError: it is none, or negative or not finite.
+        SnapshotValueError: It is not.
     """
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
         raise SnapshotValueError(f"state snapshot: expected a number from 0, got {value!r:.40}")
@@ -120,17 +121,17 @@
 
 
 def decode_optional(value: Any) -> float | None:
-    """Return a number from 0, or None. Raises SnapshotValueError."""
+    """Return the value if it is None or a finite number of at least 0. Raises SnapshotValueError."""
     return None if value is None else decode_number(value)
 
 
 def decode_pair(value: Any) -> tuple[float, float] | None:
-    """Return two numbers from 0, or None.
+    """Return a pair of finite numbers of at least 0, or None.
 
     Raises:
-        SnapshotValueError: they are no numbers from 0.
-        TypeError: the value is no sequence.
-        ValueError: there are not two of them.
+        SnapshotValueError: An item is not such a number.
+        TypeError: The value is not a sequence.
+        ValueError: The sequence does not have two items.
     """
     if value is None:
         return None
@@ -138,14 +139,14 @@
     return decode_number(first), decode_number(second)
 
 
-def decode_sample(value: Any) -> Sample | None:
-    """Return an average with its age, or None. Raises as `decode_pair`."""
+def decode_aged_value(value: Any) -> AgedValue | None:
+    """Decode a value and its age, or None. Raises as `decode_pair`."""
     pair = decode_pair(value)
-    return Sample(*pair) if pair else None
+    return AgedValue(*pair) if pair else None
 
 
 def decode_endpoint(row: dict[str, Any]) -> EndpointRecord:
-    """Return one endpoint's record. Raises as `decode_pair`, or KeyError where a key is missing."""
+    """Decode one endpoint's record. Raises as `decode_pair`, or KeyError if a key is missing."""
     arrival = decode_pair(row["arrival"])
     return EndpointRecord(
         ever_used=row["heard"] is True,
@@ -153,43 +154,43 @@
         load_age=decode_optional(row["load_age"]),
         outlier_score=decode_number(row["distrust"]),
         overloaded_age=decode_optional(row["strained_age"]),
-        handshake_time=decode_sample(row["set_up"]),
-        message_delay=decode_sample(row["delay"]),
+        handshake_time=decode_aged_value(row["set_up"]),
+        message_delay=decode_aged_value(row["delay"]),
         arrival=ArrivalProgress(int(arrival[0]), int(arrival[1])) if arrival else None,
         tokens=decode_optional(row["tokens"]),
     )
 
 
 def restore_snapshot(balancer: Balancer, common: dict[str, Any], records: Iterable[dict[str, Any]]) -> int:
-    """Take over what the process before knew, and return of how many endpoints something was known.
+    """Apply a predecessor's snapshot, and return the number of endpoints that it covered.
 
     Raises:
-        ValueError, TypeError, KeyError: a value is impossible; nothing has been used then.
+        ValueError, TypeError, KeyError: A value is invalid. Nothing has been applied then.
     """
     now = balancer.host.now
-    handshake_time = decode_sample(common["setting_up"])
-    taken = decode_pair(common["taken"])
-    found = []
+    handshake_time = decode_aged_value(common["setting_up"])
+    session_rate = decode_pair(common["taken"])
+    restorable = []
     for row in records:
         endpoint = balancer.tracked.get(row["name"])
         if endpoint is not None:
-            found.append((endpoint, decode_endpoint(row)))
-    if taken:
-        rate, over = taken
+            restorable.append((endpoint, decode_endpoint(row)))
+    if session_rate:
+        rate, measured_seconds = session_rate
         budget = balancer.slow_start
-        budget.since = now - over
+        budget.since = now - measured_seconds
         budget.updated_at = now
-        budget.decayed_count += rate * max(1.0, min(over, budget.TIME_CONSTANT_SECONDS))
+        budget.decayed_count += rate * max(1.0, min(measured_seconds, budget.TIME_CONSTANT_SECONDS))
     restore_ewma(balancer.handshake_time, handshake_time, now)
-    for endpoint, record in found:
+    for endpoint, record in restorable:
         restore_endpoint(endpoint, record, now)
         restore_slow_start(balancer, endpoint, record, now)
     balancer.redraw_subset()
-    return len(found)
+    return len(restorable)
 
 
 def restore_endpoint(endpoint: TrackedEndpoint, record: EndpointRecord, now: float) -> None:
-    """Take over one endpoint's record where it is newer than what is known."""
+    """Apply one endpoint's record; values that are older than the present ones are skipped."""
     endpoint.ever_used = endpoint.ever_used or record.ever_used
     endpoint.recorded_score = record.outlier_score
     endpoint.recorded_score_at = now
@@ -204,8 +205,8 @@
     restore_ewma(endpoint.message_delay, record.message_delay, now)
 
 
-def restore_ewma(average: Ewma, sample: Sample | None, now: float) -> None:
-    """Take over an average if it is newer than what is known."""
+def restore_ewma(average: Ewma, sample: AgedValue | None, now: float) -> None:
+    """Apply an average if it is newer than the present one."""
     if sample and now - sample.age > average.updated_at:
         average.value = sample.value
         average.updated_at = now - sample.age
@@ -214,7 +215,7 @@
 def restore_slow_start(
     balancer: Balancer, endpoint: TrackedEndpoint, record: EndpointRecord, now: float
 ) -> None:
-    """Both processes together keep the slow-start budget: what the one before has spent is spent."""
+    """Restore the slow-start budget, so that both processes together do not exceed it."""
     endpoint.arrival = None
     if record.arrival:
         endpoint.arrival = StagedMigration(record.arrival.count)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -74,13 +74,13 @@
     "bad, expected",
     [
         ("{nonsense", "line 8: not JSON"),
-        (["hearsay", 3], "line 9: unknown message hearsay"),
+        (["hearsay", 3], "line 9: message: expected a known name, got 'hearsay'"),
         (
             ["order", 3, 9, "no such", None, "s-1", 1, None, None, 0],
-            "line 9: band: impossible value 'no such'",
+            "line 9: band: expected the name of a listener, got 'no such'",
         ),
         (["order", 3, -9, "calls", None, "s-1", 1, None, None, 0], "line 9: corr: expected a whole number"),
-        (["order", 3], "line 9: band: impossible value None"),
+        (["order", 3], "line 9: band: expected the name of a listener, got None"),
         (["provision", 4, 1, {"listeners": []}], "line 9: setting rules: expected an object, got nothing"),
     ],
 )
