--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""One tiny fake host and the balancer it carries; one proxy on loopback among scripted servers."""
+"""Fixtures: a fake host with its balancer, and a proxy on loopback with scripted servers."""
 
 from dataclasses import replace
 
@@ -10,7 +10,7 @@
 
 
 class FakeHost:
-    """Records what it is asked; time passes only when a test says so."""
+    """A host that records the policy's calls. Its clock moves only in `advance`."""
 
     def __init__(self, settings, seed):
         self.now, self.timers, self.calls, self.session_count = 1000.0, [], [], 0
@@ -25,6 +25,7 @@
         self.timers.append(when)
 
     def advance(self, seconds):
+        """Move the clock, and tick the balancer at each timer on the way."""
         end = self.now + seconds
         while self.timers and min(self.timers) <= end:
             self.now = min(self.timers)
@@ -33,18 +34,22 @@
         self.now = end
 
     def calls_to(self, name):
+        """Return the arguments of all recorded calls of that name."""
         return [call[1:] for call in self.calls if call[0] == name]
 
     def list_endpoints(self, *names, kind=EndpointListKind.SNAPSHOT, **values):
+        """Apply an endpoint list, and return the tracked endpoints."""
         state = values.pop("state", EndpointState.IN_SERVICE)
         self.balancer.on_endpoint_list(kind, [Endpoint(name, state, **values) for name in names])
         return [self.balancer.tracked.get(name) for name in names]
 
-    def report_loads(self, **reported):
-        for name, load in reported.items():
+    def report_loads(self, **loads):
+        """Report a successful health check with a load for each named endpoint."""
+        for name, load in loads.items():
             self.balancer.on_health_check(name, AttemptOutcome.OK, 0.01, load)
 
     def admit(self, listener=CALLS, group=None, established=True, tenant=None, handshake_seconds=0.01):
+        """Admit a session, and establish it unless `established` is false or it is queued."""
         self.session_count += 1
         token = 10000 + self.session_count
         session = self.balancer.admit(token, listener, tenant, group, listener.attempt_timeout, None)
@@ -70,12 +75,12 @@
 
 @pytest.fixture
 def loopback():
-    made = []
+    proxies = []
 
     def make(*values, **changes):
-        made.append(ProxyOnLoopback(*values, **changes))
-        return made[-1]
+        proxies.append(ProxyOnLoopback(*values, **changes))
+        return proxies[-1]
 
     yield make
-    for proxy in made:
+    for proxy in proxies:
         proxy.close()
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -1,8 +1,8 @@
-"""What processes of other builds have written is read as it was meant, and written back to the same bytes.
+"""Tests that the proxy decodes the files and messages of other builds and encodes them to the same bytes.
 
-The recordings in data/compatibility/proxy are frozen: they were written before a renaming of the code, and no
-change of the code may ask for others. Names of the code stand in the first part alone; below it there are
-only the words of the wire and of the files.
+The recordings in data/compatibility/proxy were written by an earlier build, and no change of the code may
+require new ones. Only the first part of this file uses names of the code, so that a rename changes
+nothing else.
 """
 
 import contextlib
@@ -31,30 +31,31 @@
 from onyxhollow.wire.connection_handoff import ConnectionHandoff
 
 DATA = Path(__file__).parent / "data" / "compatibility" / "proxy"
-MEANING = json.loads((DATA / "meaning.json").read_bytes())  # under names of this test
-AT, TOKEN = 5000.0, "4242-5001000000000"  # the moment of the recordings; process and moment of a successor
+MEANING = json.loads((DATA / "meaning.json").read_bytes())  # decoded values, under the keys of this test
+# Monotonic time of the recordings, and the successor's process id and start time in nanoseconds.
+RECORDED_AT, TOKEN = 5000.0, "4242-5001000000000"
 
-# names of the code
+# Functions that use names of the code.
 
 
 def read_recorded_config():
     return read_config(str(DATA / "config.json"))
 
 
-def make_proxy(config, given, handover):
-    """As `serve` does."""
+def make_proxy(config, listener, handover):
+    """Create a proxy as `serve` does."""
     return Proxy(
         replace(config, management=None),
         os.open(os.devnull, os.O_WRONLY),
         lambda: config,
-        given,
+        listener,
         handover,
     )
 
 
-def settings_told(config):
-    """Everything that a configuration told, under names of this test."""
-    s = config.settings
+def describe_settings(config):
+    """Return all values of a configuration, under the keys of this test."""
+    settings = config.settings
     return {
         "name": config.name,
         "listen": config.listen,
@@ -68,157 +69,193 @@
         "seq": config.known.version,
         "whole": config.known.is_snapshot,
         "dials": config.known.addresses,
-        "hosts": [entry_told(entry, config.clock) for entry in config.known.endpoints],
-        "me": s.instance_index,
-        "peersTotal": s.instance_count,
-        "zone": s.zone,
-        "on_request": s.list_is_polled,
-        "live": s.live_weights,
-        "overageUtility": s.over_quota_utility,
-        "charges": (s.health_check_price, s.cross_zone_price),
-        "ceilings": (s.max_attempts, s.health_checks, s.cancellation, s.max_retry_after),
+        "hosts": [describe_endpoint(entry, config.clock) for entry in config.known.endpoints],
+        "me": settings.instance_index,
+        "peersTotal": settings.instance_count,
+        "zone": settings.zone,
+        "on_request": settings.list_is_polled,
+        "live": settings.live_weights,
+        "overageUtility": settings.over_quota_utility,
+        "charges": (settings.health_check_price, settings.cross_zone_price),
+        "ceilings": (
+            settings.max_attempts,
+            settings.health_checks,
+            settings.cancellation,
+            settings.max_retry_after,
+        ),
         "rules": (
-            s.max_poll_interval,
-            s.slow_start_time,
-            s.slow_start_share,
-            s.overload_multiple,
-            s.overload_window,
+            settings.max_poll_interval,
+            settings.slow_start_time,
+            settings.slow_start_share,
+            settings.overload_multiple,
+            settings.overload_window,
         ),
-        "groups": s.group_affinity,
-        "load field": s.load_field,
+        "groups": settings.group_affinity,
+        "load field": settings.load_field,
         "tenants": {
-            name: (row.name, row.quota_share, row.connection_quota) for name, row in s.tenants.items()
+            name: (row.name, row.quota_share, row.connection_quota) for name, row in settings.tenants.items()
         },
-        "listeners": {name: listener_told(row) for name, row in s.listeners.items()},
+        "listeners": {name: describe_listener(row) for name, row in settings.listeners.items()},
     }
 
 
-def entry_told(e, clock):
-    born = clock.starts[e.name][0] if e.started_at is not None else None
-    return e.name, e.state.value, e.weight, e.zone, e.cell, e.machine_type, born
+def describe_endpoint(endpoint, clock):
+    started = clock.starts[endpoint.name][0] if endpoint.started_at is not None else None
+    return (
+        endpoint.name,
+        endpoint.state.value,
+        endpoint.weight,
+        endpoint.zone,
+        endpoint.cell,
+        endpoint.machine_type,
+        started,
+    )
 
 
-def listener_told(row):
+def describe_listener(row):
     times = row.handshake_objective, row.attempt_timeout, row.deduplication_window, row.message_objective
     return row.name, row.idempotency.value, row.deduplication_scope.value, row.utility, times
 
 
-def connection_told(record):
-    """Everything that the record of a connection told."""
-    c = ConnectionHandoff.decode(record)
+def describe_connection(record):
+    """Return all values of a connection record, under the keys of this test."""
+    handoff = ConnectionHandoff.decode(record)
     return {
-        "line": c.request.line,
-        "opening": (c.request.session_id, c.request.listener, c.request.tenant, c.request.group),
-        "figures": (c.request.time_left, c.request.load),
-        "listener": listener_told(c.listener),
-        "server": c.endpoint,
-        "times": (c.started_at, c.last_echo_at, c.in_flight),
-        "load": c.load,
-        "last": c.final_word,
-        "read": c.unread,
-        "unsent": c.unsent,
+        "line": handoff.request.line,
+        "opening": (
+            handoff.request.session_id,
+            handoff.request.listener,
+            handoff.request.tenant,
+            handoff.request.group,
+        ),
+        "figures": (handoff.request.time_left, handoff.request.load),
+        "listener": describe_listener(handoff.listener),
+        "server": handoff.endpoint,
+        "times": (handoff.started_at, handoff.last_echo_at, handoff.in_flight),
+        "load": handoff.load,
+        "last": handoff.final_word,
+        "read": handoff.unread,
+        "unsent": handoff.unsent,
     }
 
 
-def server_told(s, proxy):
-    """What the decisions know of one server."""
-    b, now = proxy.decisions.balancer, proxy.loop.now
-    figures = [
-        (f.value, now - f.updated_at) if f.value else None for f in (s.handshake_time, s.message_delay)
+def describe_tracked_endpoint(endpoint, proxy):
+    """Return the policy's state for one endpoint."""
+    balancer, now = proxy.decisions.balancer, proxy.loop.now
+    averages = [
+        (average.value, now - average.updated_at) if average.value else None
+        for average in (endpoint.handshake_time, endpoint.message_delay)
     ]
-    tokens = b.slow_start.tokens[s][0] if s in b.slow_start.tokens else None
+    tokens = balancer.slow_start.tokens[endpoint][0] if endpoint in balancer.slow_start.tokens else None
     return (
-        (s.state.value, s.zone, s.cell, s.machine_type, s.size, s.started_at, proxy.addresses.find(s.name)),
-        (len(s.connections), s.ever_used, s.load, now - s.load_reported_at)
-        + (s.outlier_score(now), now - s.overloaded_at),
-        *figures,
-        (s.arrival.count, s.arrival.moved, tokens) if s.arrival else None,
+        (
+            endpoint.state.value,
+            endpoint.zone,
+            endpoint.cell,
+            endpoint.machine_type,
+            endpoint.size,
+            endpoint.started_at,
+            proxy.addresses.find(endpoint.name),
+        ),
+        (len(endpoint.connections), endpoint.ever_used, endpoint.load, now - endpoint.load_reported_at)
+        + (endpoint.outlier_score(now), now - endpoint.overloaded_at),
+        *averages,
+        (endpoint.arrival.count, endpoint.arrival.moved, tokens) if endpoint.arrival else None,
     )
 
 
-def known(proxy):
-    """What all decisions know."""
-    b, now = proxy.decisions.balancer, proxy.loop.now
+def describe_state(proxy):
+    """Return the policy's state, with that of every endpoint."""
+    balancer, now = proxy.decisions.balancer, proxy.loop.now
     return {
-        "setting_up": (b.handshake_time.value, now - b.handshake_time.updated_at),
-        "taken": (b.slow_start.rate(now), now - b.slow_start.since),
+        "setting_up": (balancer.handshake_time.value, now - balancer.handshake_time.updated_at),
+        "taken": (balancer.slow_start.rate(now), now - balancer.slow_start.since),
         "seq": proxy.discovery.version,
-        "servers": {name: server_told(s, proxy) for name, s in b.tracked.items()},
+        "servers": {
+            name: describe_tracked_endpoint(endpoint, proxy) for name, endpoint in balancer.tracked.items()
+        },
     }
 
 
-def picture_told(s):
-    """The picture of a fleet as topology draws and checks it."""
+def describe_topology(snapshot):
+    """Return the fleet's topology as it is drawn and checked."""
     return {
-        "members": {name: (m.incarnation, m.state, m.zone, m.is_voter) for name, m in s.members().items()},
-        "servers": {name: (r.state, r.load, r.load_age, r.connections) for name, r in s.endpoints().items()},
-        "duties": {name: (d.term, d.holder, d.local_state) for name, d in s.leases().items()},
+        "members": {
+            name: (m.incarnation, m.state, m.zone, m.is_voter) for name, m in snapshot.members().items()
+        },
+        "servers": {
+            name: (r.state, r.load, r.load_age, r.connections) for name, r in snapshot.endpoints().items()
+        },
+        "duties": {name: (d.term, d.holder, d.local_state) for name, d in snapshot.leases().items()},
         "views": [
-            (v.name, v.zone, v.version, v.service_phase, v.stalled_seconds, v.stalled_ago) for v in s.views
+            (v.name, v.zone, v.version, v.service_phase, v.stalled_seconds, v.stalled_ago)
+            for v in snapshot.views
         ],
-        "addresses": [(a.address, a.site, a.preference, a.cause) for a in s.addresses().values()],
-        "links": [(k.peer, k.probes, k.loss, k.rtt_ms) for v in s.views for k in v.links],
-        "silent": [(one.target, one.reason) for one in s.unreachable],
-        "flows": s.connections_by_zone(),
+        "addresses": [(a.address, a.site, a.preference, a.cause) for a in snapshot.addresses().values()],
+        "links": [(k.peer, k.probes, k.loss, k.rtt_ms) for v in snapshot.views for k in v.links],
+        "silent": [(member.target, member.reason) for member in snapshot.unreachable],
+        "flows": snapshot.connections_by_zone(),
     }
 
 
 class Successor:
-    """A process that starts where an old one serves, its clock at the recordings' moment. The old one is
-    played by this test: it holds the files' locks and says nothing but recorded bytes."""
+    """A process that starts as the successor of a serving one, at the time of the recordings.
+
+    The test acts as the predecessor: it holds the locks of the files and writes only recorded bytes.
+    """
 
     def __init__(self, folder, clock):
         self.folder, self.clock = folder, clock
-        self.old = Handover(str(folder))
+        self.predecessor = Handover(str(folder))
         listener = open_inherited_socket(str(os.dup(socket.create_server(("127.0.0.1", 0)).detach())))
         self.proxy = make_proxy(read_recorded_config(), listener, Handover(str(folder)))
 
-    def until(self, seen, within=3.0):
-        for _ in range(int(within / 0.002)):
-            if got := seen():
-                return got
+    def wait_until(self, condition, timeout=3.0):
+        for _ in range(int(timeout / 0.002)):
+            if result := condition():
+                return result
             self.proxy.loop.turn(0.002)
-        raise AssertionError(f"not seen; {dict(self.proxy.counters.counts)}")
+        raise AssertionError(f"condition not met in time; {dict(self.proxy.counters.counts)}")
 
-    def said(self):
-        """What the successor has written for the old process, with the folder's name taken out."""
+    def written(self):
+        """Return what the successor wrote for the predecessor, with the folder's name replaced."""
         return (
             (self.folder / "onyxhollow-successor").read_bytes().replace(str(self.folder).encode(), b"FOLDER")
         )
 
-    def take_state(self):
-        """At the very moment at which it was written, where the clock then stands."""
-        self.until(lambda: b"starting" in self.said())
+    def restore_state(self):
+        """Restore the recorded state at the time of the recording, and freeze the clock there."""
+        self.wait_until(lambda: b"starting" in self.written())
         self.proxy.loop.turn(0.0)
-        self.clock.stand()
+        self.clock.freeze()
         (self.folder / "onyxhollow-state").write_bytes((DATA / "state.jsonl").read_bytes())
-        self.until(lambda: self.proxy.discovery.version == 41)
+        self.wait_until(lambda: self.proxy.discovery.version == 41)
 
-    def take_connection(self, client, server):
-        """Over the socket that the successor names: the record and two descriptors."""
+    def adopt_connection(self, client, server):
+        """Send the connection record and both descriptors to the socket that the successor names."""
         sender = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sender.connect(str(self.folder / f"onyxhollow-{TOKEN}"))
         socket.send_fds(sender, [(DATA / "connection.json").read_bytes()], [client.fileno(), server.fileno()])
         sender.setblocking(False)
 
-        def answered():
+        def receive_answer():
             with contextlib.suppress(BlockingIOError):
                 return sender.recv(64)
 
-        assert self.until(answered) == b"1 taken"
+        assert self.wait_until(receive_answer) == b"1 taken"
         client.close()
         server.close()
         return sender
 
-    def hand_over(self, rows):
-        """What it writes down for a successor of its own. rows: what the service has told it of the list."""
+    def write_state(self, rows):
+        """Return the state that it writes for a successor of its own; `rows` are its endpoint list."""
         self.proxy.discovery.records = rows
         self.proxy.replacement.write_state(TOKEN)
         return (self.folder / "onyxhollow-state").read_bytes()
 
-    def pass_on(self, path):
-        until = self.proxy.loop.now + 5.0 - STOP_MARGIN_SECONDS
-        self.proxy.loop.spawn(self.proxy.replacement.hand_off_connections(path, until))
+    def hand_off_connections(self, path):
+        deadline = self.proxy.loop.now + 5.0 - STOP_MARGIN_SECONDS
+        self.proxy.loop.spawn(self.proxy.replacement.hand_off_connections(path, deadline))
 
     def close(self):
         for fd in list(self.proxy.loop.watched):
@@ -228,20 +265,20 @@
 
 
 class Clock:
-    """The machine's monotonic clock, as it would show the recordings' moment; it stands still if told to."""
+    """A monotonic clock that starts shortly before the time of the recordings and can be frozen."""
 
     def __init__(self):
-        self.real, self.base, self.stands = time.monotonic, AT - 0.5, False
-        self.began = self.real()
+        self.real_clock, self.base_time, self.frozen = time.monotonic, RECORDED_AT - 0.5, False
+        self.resumed_at = self.real_clock()
 
     def __call__(self):
-        return self.base if self.stands else self.base + self.real() - self.began
+        return self.base_time if self.frozen else self.base_time + self.real_clock() - self.resumed_at
 
-    def stand(self):
-        self.base, self.stands = AT, True
+    def freeze(self):
+        self.base_time, self.frozen = RECORDED_AT, True
 
-    def go_on(self):
-        self.began, self.stands = self.real(), False
+    def resume(self):
+        self.resumed_at, self.frozen = self.real_clock(), False
 
 
 @pytest.fixture
@@ -250,100 +287,105 @@
     monkeypatch.setattr(time, "monotonic", clock)
     monkeypatch.setattr(time, "monotonic_ns", lambda: int(TOKEN.partition("-")[2]))
     monkeypatch.setattr(os, "getpid", lambda: int(TOKEN.partition("-")[0]))
-    monkeypatch.setattr(replacement, "LIST_TIMEOUT_SECONDS", 0.2)  # nobody tells the list here
+    monkeypatch.setattr(replacement, "LIST_TIMEOUT_SECONDS", 0.2)  # no list service answers
     monkeypatch.setattr(replacement, "STATE_TIMEOUT_SECONDS", 2.0)
     for name in [name for name in os.environ if name.startswith("LB_")]:
         monkeypatch.delenv(name)
-    made = Successor(tmp_path, clock)
-    yield made
-    made.close()
+    process = Successor(tmp_path, clock)
+    yield process
+    process.close()
 
 
-def plain(told):
-    """As JSON has it, floats as far as machines agree on them."""
-    if isinstance(told, dict):
-        return {name: plain(value) for name, value in told.items()}
-    if isinstance(told, list | tuple):
-        return [plain(value) for value in told]
-    if isinstance(told, float):
-        return round(told, 9) if math.isfinite(told) else "never"
-    return told.decode("latin-1") if isinstance(told, bytes) else told
+def to_json_values(value):
+    """Return the value in JSON types; floats are rounded to the digits that all machines agree on."""
+    if isinstance(value, dict):
+        return {name: to_json_values(item) for name, item in value.items()}
+    if isinstance(value, list | tuple):
+        return [to_json_values(item) for item in value]
+    if isinstance(value, float):
+        return round(value, 9) if math.isfinite(value) else "never"
+    return value.decode("latin-1") if isinstance(value, bytes) else value
 
 
-def page_shape(text):
-    """Names, types and labels of a page of figures, in their order; all but the values."""
+def names_and_labels(text):
+    """Return the names, types and labels of a metrics page in order, without the values."""
     return [line if line.startswith("#") else line.rpartition(" ")[0] for line in text.splitlines()]
 
 
-def answers(loopback):
-    """All that operators may ask, one after another: the whole answers, figures without their values."""
-    calls = replace(CALLS, name="calls"), replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT)
-    proxy = loopback(management=("127.0.0.1", 0), listeners={row.name: row for row in calls})
+def collect_control_responses(loopback):
+    """Make all calls of the management API in order; return the responses, metrics without their values."""
+    listeners = (
+        replace(CALLS, name="calls"),
+        replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT),
+    )
+    proxy = loopback(management=("127.0.0.1", 0), listeners={row.name: row for row in listeners})
     proxy.established()
-    found = {}
-    for place, call in enumerate(CONTROL):
+    responses = {}
+    for index, call in enumerate(CONTROL_CALLS):
         peer = proxy.operator(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         proxy.until(lambda peer=peer: peer.read() and peer.end)
         head, _, body = peer.received.decode().partition("\r\n\r\n")
         if "counters" in call:
-            head, body = re.sub(r"Content-Length: \d+", "Content-Length: N", head), page_shape(body)
-        found[f"{place} {call}"] = [head.splitlines(), body]
-    return found
+            head, body = re.sub(r"Content-Length: \d+", "Content-Length: N", head), names_and_labels(body)
+        responses[f"{index} {call}"] = [head.splitlines(), body]
+    return responses
 
 
-CONTROL = [
+CONTROL_CALLS = [
     *("GET /control/ready", "HEAD /control/ready", "POST /control/ready", "GET /control/counters"),
     *("POST /control/out-of-service", "GET /control/ready", "GET /control/out-of-service"),
     *("POST /control/in-service", "GET /control/ready", "GET /control/in-service", "GET /control/other"),
 ]
-EVENTS = {  # all that a picture is made of
+TOPOLOGY_EVENTS = {  # log events that a topology is built from
     *("fleet", "member", "duty", "list", "probe", "list rests", "list asks", "address", "stalled"),
     *("out of service", "in service", "stop", "start", "stopped"),
 }
 
-# the tests
+# Tests.
 
 
-def test_state_of_another_build_is_taken_over_and_written_back(successor):
+def test_state_of_another_build_is_restored_and_written_back_unchanged(successor):
     text = (DATA / "state.jsonl").read_bytes()
-    successor.take_state()
-    assert plain(known(successor.proxy)) == MEANING["state"]
+    successor.restore_state()
+    assert to_json_values(describe_state(successor.proxy)) == MEANING["state"]
     rows = json.loads(text.splitlines()[0])["common"]["list"]["hosts"]
-    assert successor.hand_over({row["host"]: row for row in rows}) == text
-    assert encode_state(TOKEN, AT, *decode_state(text, TOKEN, AT + 1.0)) == text
+    assert successor.write_state({row["host"]: row for row in rows}) == text
+    assert encode_state(TOKEN, RECORDED_AT, *decode_state(text, TOKEN, RECORDED_AT + 1.0)) == text
 
 
-def test_a_process_of_another_build_is_replaced_and_its_connections_go_on(successor):
-    """Over the files, the socket and the descriptors of a replacement; the old process is bytes."""
-    words = (DATA / "words.jsonl").read_bytes().splitlines()
-    successor.until(lambda: successor.said() == words[0])
-    successor.take_state()
-    successor.clock.go_on()
-    successor.until(lambda: successor.said() == words[1])
+def test_a_successor_replaces_a_process_of_another_build_and_keeps_its_connections(successor):
+    """The predecessor's side of the files, the socket and the descriptors is recorded bytes."""
+    messages = (DATA / "words.jsonl").read_bytes().splitlines()
+    successor.wait_until(lambda: successor.written() == messages[0])
+    successor.restore_state()
+    successor.clock.resume()
+    successor.wait_until(lambda: successor.written() == messages[1])
     assert sorted(os.listdir(successor.folder)) == sorted(
         ["onyxhollow-serving", "onyxhollow-successor", "onyxhollow-state", f"onyxhollow-{TOKEN}"]
     )
-    found = plain(known(successor.proxy))
-    assert (found["seq"], found["taken"][0]) == (41, pytest.approx(5.6, rel=0.2))
-    for name, row in found["servers"].items():  # all is known as before, a moment older
-        was = MEANING["state"]["servers"][name]
-        assert row[0] == was[0] and row[4] == was[4] and row[1][:3] == was[1][:3]
-        assert row[1][4] >= 0.7 * was[1][4]  # distrust: nobody answers probes here, which may add to it
-        assert [one and one[0] for one in row[2:4]] == [one and one[0] for one in was[2:4]]
-    (client, near), (server, far) = socket.socketpair(), socket.socketpair()
-    successor.take_connection(near, far)
+    state = to_json_values(describe_state(successor.proxy))
+    assert (state["seq"], state["taken"][0]) == (41, pytest.approx(5.6, rel=0.2))
+    for name, row in state["servers"].items():  # the restored values, slightly older
+        recorded = MEANING["state"]["servers"][name]
+        assert row[0] == recorded[0] and row[4] == recorded[4] and row[1][:3] == recorded[1][:3]
+        assert row[1][4] >= 0.7 * recorded[1][4]  # unanswered health checks can raise the outlier score
+        assert [sample and sample[0] for sample in row[2:4]] == [
+            sample and sample[0] for sample in recorded[2:4]
+        ]
+    (client, client_side), (server, server_side) = socket.socketpair(), socket.socketpair()
+    successor.adopt_connection(client_side, server_side)
     client, server = Peer(client), Peer(server)
     client.send(b"\r\n")
     server.send(b" 1\r\n")
     to_client, to_server = (line.encode("latin-1") for line in MEANING["connection"]["unsent"])
-    successor.until(lambda: server.read() == to_server + b"m 2\r\n")
-    successor.until(lambda: client.read() == to_client + b"m 1\r\n")
-    found = plain(known(successor.proxy))["servers"]
-    assert {name: row[1][0] for name, row in found.items()} == {"a": 1, "b": 0, "c": 0, "d": 0, "e": 0}
+    successor.wait_until(lambda: server.read() == to_server + b"m 2\r\n")
+    successor.wait_until(lambda: client.read() == to_client + b"m 1\r\n")
+    endpoints = to_json_values(describe_state(successor.proxy))["servers"]
+    assert {name: row[1][0] for name, row in endpoints.items()} == {"a": 1, "b": 0, "c": 0, "d": 0, "e": 0}
 
 
-def fill(sock):
-    """Until nothing more goes."""
+def fill_send_buffer(sock):
+    """Send until the buffer accepts no further byte."""
     sock.setblocking(False)
     for size in (65536, 1024, 32, 1):
         with contextlib.suppress(BlockingIOError):
@@ -351,56 +393,58 @@
                 pass
 
 
-def test_the_record_of_a_connection_is_read_and_written_back(successor):
+def test_a_connection_record_is_decoded_and_written_back_unchanged(successor):
     text = (DATA / "connection.json").read_bytes()
-    assert plain(connection_told(json.loads(text))) == MEANING["connection"]
-    successor.take_state()
-    successor.clock.go_on()
-    successor.until(lambda: b"taking" in successor.said())
-    (client, near), (server, far) = socket.socketpair(), socket.socketpair()
-    fill(near)
-    fill(far)
-    successor.take_connection(near, far)
+    assert to_json_values(describe_connection(json.loads(text))) == MEANING["connection"]
+    successor.restore_state()
+    successor.clock.resume()
+    successor.wait_until(lambda: b"taking" in successor.written())
+    (client, client_side), (server, server_side) = socket.socketpair(), socket.socketpair()
+    fill_send_buffer(client_side)
+    fill_send_buffer(server_side)
+    successor.adopt_connection(client_side, server_side)
     path = str(successor.folder / "next")
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     listener.bind(path)
     listener.listen(1)
-    successor.pass_on(path)
-    successor.until(lambda: select.select([listener], [], [], 0)[0])
-    taker, _ = listener.accept()
-    successor.until(lambda: select.select([taker], [], [], 0)[0])
-    message, fds, _, _ = socket.recv_fds(taker, 1 << 18, 4)
+    successor.hand_off_connections(path)
+    successor.wait_until(lambda: select.select([listener], [], [], 0)[0])
+    receiver, _ = listener.accept()
+    successor.wait_until(lambda: select.select([receiver], [], [], 0)[0])
+    message, fds, _, _ = socket.recv_fds(receiver, 1 << 18, 4)
     assert message == text
-    for fd, far_end in zip(fds, (client, server), strict=True):  # in their order
+    for fd, far_end in zip(fds, (client, server), strict=True):  # in this order
         far_end.setblocking(False)
         far_end.recv(1 << 20)
         socket.socket(fileno=fd).send(f"{far_end.fileno()}".encode())
         assert far_end.recv(1 << 20).endswith(f"{far_end.fileno()}".encode())
 
 
-def test_operators_calls_and_the_page_of_figures_are_as_recorded(loopback):
-    assert answers(loopback) == json.loads((DATA / "control.json").read_bytes())
+def test_management_responses_and_metrics_names_match_the_recording(loopback):
+    assert collect_control_responses(loopback) == json.loads((DATA / "control.json").read_bytes())
 
 
-def test_a_snapshot_file_is_read_and_written_back():
+def test_a_topology_snapshot_file_is_decoded_and_written_back_unchanged():
     body = (DATA / "snapshot.oxt").read_bytes()
-    found = snapshot_file.read(DATA / "snapshot.oxt")
-    unpacked = [zstandard.ZstdDecompressor().decompress(row[8:]) for row in (body, snapshot_file.pack(found))]
-    assert body[:8] == snapshot_file.pack(found)[:8] == b"OXTOPO01" and unpacked[0] == unpacked[1]
-    assert msgspec.to_builtins(found) == json.loads((DATA / "snapshot.json").read_bytes())
-    assert plain(picture_told(found)) == MEANING["snapshot"]
+    snapshot = snapshot_file.read(DATA / "snapshot.oxt")
+    unpacked = [
+        zstandard.ZstdDecompressor().decompress(row[8:]) for row in (body, snapshot_file.pack(snapshot))
+    ]
+    assert body[:8] == snapshot_file.pack(snapshot)[:8] == b"OXTOPO01" and unpacked[0] == unpacked[1]
+    assert msgspec.to_builtins(snapshot) == json.loads((DATA / "snapshot.json").read_bytes())
+    assert to_json_values(describe_topology(snapshot)) == MEANING["snapshot"]
 
 
-def test_a_log_of_an_older_build_gives_the_same_picture(monkeypatch):
+def test_a_log_of_an_older_build_gives_the_recorded_topology(monkeypatch):
     monkeypatch.chdir(DATA)
-    kinds = {json.loads(line)["event"] for line in Path("log.jsonl").read_bytes().splitlines()}
-    assert kinds >= EVENTS
-    found = logs.read([Path("log.jsonl")])
-    assert msgspec.to_builtins(found) == json.loads(Path("log-picture.json").read_bytes())
-    assert plain(picture_told(found)) == MEANING["log"]
+    events = {json.loads(line)["event"] for line in Path("log.jsonl").read_bytes().splitlines()}
+    assert events >= TOPOLOGY_EVENTS
+    snapshot = logs.read([Path("log.jsonl")])
+    assert msgspec.to_builtins(snapshot) == json.loads(Path("log-picture.json").read_bytes())
+    assert to_json_values(describe_topology(snapshot)) == MEANING["log"]
 
 
-def test_a_configuration_with_every_key_is_read_as_it_was(monkeypatch):
+def test_a_configuration_with_every_key_is_decoded_as_recorded(monkeypatch):
     for name in [name for name in os.environ if name.startswith("LB_")]:
         monkeypatch.delenv(name)
-    assert plain(settings_told(read_recorded_config())) == MEANING["config"]
+    assert to_json_values(describe_settings(read_recorded_config())) == MEANING["config"]
