--- a/onyxhollow/decision_adapter.py
+++ b/onyxhollow/decision_adapter.py
@@ -1,8 +1,8 @@
 """Connects the network code to the policy.
 
 A session's coroutine waits in `SessionHandle.wait_for_selection` for an endpoint, a rejection or a teardown,
-and reports the outcome of each attempt. The network code uses no other part of the `Host` protocol and makes
-no other call to the policy for a session.
+and reports the outcome of each attempt. The rest of the `Host` protocol and of the policy's calls is internal
+to this module.
 """
 
 from __future__ import annotations
@@ -238,7 +238,7 @@
         self.check_health = check_health
         self.poll_endpoint_list = poll_endpoint_list
         self.next_tick_at = math.inf
-        self.on_attempt_failed: Callable[[str], None] = lambda endpoint: None  # noqa: ARG005 - no gossip service yet
+        self.on_attempt_failed: Callable[[str], None] = lambda endpoint: None  # noqa: ARG005 - no gossip yet
         self.balancer = Balancer(self, settings, seed)
 
     @property
@@ -367,7 +367,7 @@
         """Select an endpoint for the session's coroutine to attempt, for at most `timeout` seconds."""
         self.handle_of(token).set_selection(Selection(endpoint, timeout))
 
-    def cancel_attempt(self, token: Hashable, attempt: int) -> None:  # noqa: ARG002 - only one is in flight at a time
+    def cancel_attempt(self, token: Hashable, attempt: int) -> None:  # noqa: ARG002 - one at a time
         """Request the cancellation of the attempt in flight."""
         handle = self.handle_of(token)
         handle.cancel_requested = True
--- a/onyxhollow/service_state.py
+++ b/onyxhollow/service_state.py
@@ -39,7 +39,7 @@
     def answers_pings(self) -> bool:
         """Whether a PING is answered with PONG.
 
-        True while the process stops, because it still serves connections that the front end sends.
+        True while the process stops, because it still serves connections that the front end routes to it.
         """
         return not self.is_any(ServicePhase.DRAINING, ServicePhase.OUT_OF_SERVICE)
 
--- a/onyxhollow/state_snapshot.py
+++ b/onyxhollow/state_snapshot.py
@@ -1,8 +1,8 @@
 """Encodes the policy's state for a successor process and restores it there.
 
-Timestamps are encoded as ages in seconds because the successor has a clock of its own. The keys stay as other
-builds write and read them, because a process can be replaced by one of an older build. All values are checked
-before any is applied. Endpoints that are not in the successor's list are skipped.
+Timestamps are encoded as ages in seconds, because the clocks of the two processes differ. The keys are those
+that earlier builds write and read, because a process can be replaced by one of an older build. All values are
+checked before any is applied. Endpoints that are not in the successor's list are skipped.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
 
 
 def take_snapshot(balancer: Balancer) -> tuple[dict[str, Any], list[dict[str, Any]]]:
-    """Return the values common to all endpoints, and one record per endpoint, under the handover's keys."""
+    """Return the common values and one record per endpoint, under the keys of the state file."""
     now = balancer.host.now
     slow_start = balancer.slow_start
     common = {
@@ -80,7 +80,7 @@
 
 
 def encode_endpoint(balancer: Balancer, endpoint: TrackedEndpoint, now: float) -> dict[str, Any]:
-    """Return one endpoint's record under the handover's keys."""
+    """Return one endpoint's record under the keys of the state file."""
     budget = balancer.slow_start
     arrival = endpoint.arrival
     warming_up = budget.warming_up(endpoint, now)
@@ -205,11 +205,11 @@
     restore_ewma(endpoint.message_delay, record.message_delay, now)
 
 
-def restore_ewma(average: Ewma, sample: AgedValue | None, now: float) -> None:
+def restore_ewma(average: Ewma, recorded: AgedValue | None, now: float) -> None:
     """Apply an average if it is newer than the present one."""
-    if sample and now - sample.age > average.updated_at:
-        average.value = sample.value
-        average.updated_at = now - sample.age
+    if recorded and now - recorded.age > average.updated_at:
+        average.value = recorded.value
+        average.updated_at = now - recorded.age
 
 
 def restore_slow_start(
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -248,7 +248,7 @@
         return sender
 
     def write_state(self, rows):
-        """Return the state that it writes for a successor of its own; `rows` are its endpoint list."""
+        """Return the state that it writes for the next successor; `rows` are its endpoint list."""
         self.proxy.discovery.records = rows
         self.proxy.replacement.write_state(TOKEN)
         return (self.folder / "onyxhollow-state").read_bytes()
