--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -172,7 +172,7 @@
     "event": membership_messages.Broadcast(
         name="m6", epoch=561, sequence=562, kind=list_replication.LIST_PAYLOAD, body=b"event"
     ),
-    "carried": membership_messages.Payload(kind=messenger.ADDRESSES, body=b"carried"),
+    "carried": membership_messages.Payload(kind=messenger.ADDRESS_PAYLOAD, body=b"carried"),
 }  # fmt: skip
 
 
@@ -382,7 +382,7 @@
         lease_messenger.LEASE_PAYLOAD,
         list_replication.LIST_PAYLOAD,
         gossip_service.GOSSIP_PAYLOAD,
-        messenger.ADDRESSES,
+        messenger.ADDRESS_PAYLOAD,
     ) == (1, 2, 3, 4)
     assert (identity.MAY_HOLD_ROLES, identity.VOTES) == (1, 2)
     state = membership_messages.MemberState
@@ -446,7 +446,7 @@
     outgoing = MagicMock()
     queries = QueryApi(MagicMock(), outgoing, MagicMock(), MagicMock(store=store), MagicMock(), MagicMock())
     queries.on_request(address_messages.QueryRequest("1f-6", "history"), "m~1", 1000.0)
-    body = b"".join(call.args[1].body for call in outgoing.to_process.call_args_list)
+    body = b"".join(call.args[1].body for call in outgoing.send_to_process.call_args_list)
     assert zlib.decompress(body) == (DATA / "history.json").read_bytes()
     for open_store in (store, new):
         open_store.close()
--- a/tests/test_compatibility_proxy.py
+++ b/tests/test_compatibility_proxy.py
@@ -319,10 +319,10 @@
         replace(CALLS, name="once", idempotency=Idempotency.NON_IDEMPOTENT),
     )
     proxy = loopback(management=("127.0.0.1", 0), listeners={row.name: row for row in listeners})
-    proxy.established()
+    proxy.establish()
     responses = {}
     for index, call in enumerate(CONTROL_CALLS):
-        peer = proxy.operator(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+        peer = proxy.connect_operator(f"{call} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         proxy.until(lambda peer=peer: peer.read() and peer.end)
         head, _, body = peer.received.decode().partition("\r\n\r\n")
         if "counters" in call:
