--- a/tests/test_gossip_estimates.py
+++ b/tests/test_gossip_estimates.py
@@ -24,14 +24,14 @@
     return [host.balancer.tracked[name] for name in names]
 
 
-def test_with_few_own_connections_local_endpoints_are_preferred_unless_their_load_is_much_higher(start):
-    host = start(seed=3, **FEW_CONNECTIONS_SETTINGS)
+def test_with_few_own_connections_local_endpoints_are_preferred_unless_their_load_is_much_higher(make_host):
+    host = make_host(seed=3, **FEW_CONNECTIONS_SETTINGS)
     servers = report_zones(host, **{f"s{n}": "a" if n < 5 else "b" for n in range(20)})
     host.balancer.awaits_load_report = lambda *_: False
     counts = {"a": 0, "b": 0}
     for _ in range(40):
-        host.loads(**{s.name: 0.3 for s in servers})
-        session = host.take()
+        host.report_loads(**{s.name: 0.3 for s in servers})
+        session = host.admit()
         counts[session.endpoint.zone] += 1
         session.on_attempt_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["a"] >= 35
@@ -39,29 +39,29 @@
         load, connections = (0.6, 60) if endpoint.zone == "a" else (0.2, 20)
         report_shared(host.balancer, EndpointEstimate(endpoint.name, load, 0.0, connections, 0.0, 0.0))
     for _ in range(40):
-        counts[(session := host.take()).endpoint.zone] += 1
+        counts[(session := host.admit()).endpoint.zone] += 1
         session.on_attempt_ended(AttemptOutcome.OK, True, 0.0)
     assert counts["b"] >= 25
 
 
-def test_estimates_replace_load_reports_and_health_checks_resume_when_they_expire(start):
-    host = start(**FEW_CONNECTIONS_SETTINGS)
+def test_estimates_replace_load_reports_and_health_checks_resume_when_they_expire(make_host):
+    host = make_host(**FEW_CONNECTIONS_SETTINGS)
     a, b = report_zones(host, a="a", b="a")
     for name, load in (("a", 0.5), ("b", 0.1)):
         report_shared(host.balancer, EndpointEstimate(name, load, 1.0, round(load * 100), 0.5, 0.0))
     host.balancer.slow_start.since -= 20.0  # a low arrival rate, so that capacity is hardly ever denied
-    assert host.take().endpoint is b and not host.asked("check_health")
+    assert host.admit().endpoint is b and not host.calls_to("check_health")
     # Many connections were opened since that report.
     report_shared(host.balancer, EndpointEstimate("b", None, 3.0, 40, 0.0, 0.0))
     assert host.balancer.load_of(b) == pytest.approx(0.4, abs=0.01)
-    host.wait(9.0)  # the estimates have expired
-    before = len(host.asked("check_health"))
-    host.take(stands=False)
-    assert len(host.asked("check_health")) > before
+    host.advance(9.0)  # the estimates have expired
+    before = len(host.calls_to("check_health"))
+    host.admit(established=False)
+    assert len(host.calls_to("check_health")) > before
 
 
-def test_failures_seen_by_others_raise_the_outlier_score_but_do_not_eject_alone(start):
-    host = start(**FEW_CONNECTIONS_SETTINGS)
+def test_failures_seen_by_others_raise_the_outlier_score_but_do_not_eject_alone(make_host):
+    host = make_host(**FEW_CONNECTIONS_SETTINGS)
     a, *_ = report_zones(host, a="a", b="a", c="a")
     for _ in range(5):
         report_shared(host.balancer, EndpointEstimate("a", 0.1, 0.0, 10, 0.0, 1.5))
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -907,9 +907,9 @@
     [
         ("{", "config.json: expected JSON, got invalid text: "),
         ("[]", "config.json: expected a JSON object, got list"),
-        ("{}", "missing setting settings"),
+        ("{}", "setting settings: expected an object, got nothing"),
         (None, "No such file"),
-        ('{"settings":{"rules":{},"listeners":[]}}', "listeners: expected one at least, got none"),
+        ('{"settings":{"rules":{},"listeners":[]}}', "listeners: expected at least one listener, got none"),
         (
             CONFIG_TEMPLATE % ('"weightKind":"heavy"', "{}"),
             "expected one of none, nominal, rough, live, got 'heavy'",
