--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a fleet member by themselves: its socket, and its voter on a disk that fails."""
+"""Parts of a fleet member: datagram transport with rate limit, and voter service with a failing disk."""
 
 import errno
 import socket
@@ -16,7 +16,7 @@
 VOTER_SET = VoterSet(0, ("a", "b", "c"))
 
 
-def test_datagrams_past_the_rate_or_the_size_are_not_sent_and_counted(monkeypatch):
+def test_datagrams_above_the_rate_or_size_limit_are_counted_and_not_sent(monkeypatch):
     now = 100.0
     monkeypatch.setattr(clock, "now", lambda: now)
     monkeypatch.setattr(datagram_transport, "SEND_BURST", 4.0)
@@ -38,7 +38,7 @@
         transport.close()
 
 
-def test_a_voter_whose_disk_fails_answers_nothing_and_logs_the_fault_once(tmp_path, monkeypatch):
+def test_a_voter_with_a_failing_disk_does_not_answer_and_logs_the_fault_once(tmp_path, monkeypatch):
     events = []
     context = MagicMock(voters=VOTER_SET, counts=Counter())
     context.name = "a"
@@ -52,16 +52,16 @@
     assert messenger.has_own_voter and events == [("voter", None)]
     service.voter.recovering = False
 
-    def request(term):
+    def request_vote(term):
         service.on_message("a~1", "a", VoteRequest("d", term, "a~1", 1, 4.0, 0))
 
     with monkeypatch.context() as patch:
         patch.setattr("os.fsync", MagicMock(side_effect=OSError(errno.EIO, "no")))
-        request(1)
-        request(1)
+        request_vote(1)
+        request_vote(1)
     assert not messenger.local_messages and not service.voter.slots and service.disk_failing
     assert events[1:] == [("voter disk", "no")] and context.counts["voter: disk failures"] == 2
-    request(1)
+    request_vote(1)
     assert [message.granted for _, message in messenger.local_messages] == [True] and not service.disk_failing
     assert events[2:] == [("voter disk", "")]
     service.close()
--- a/tests/test_list_replication.py
+++ b/tests/test_list_replication.py
@@ -1,4 +1,4 @@
-"""Replication of the endpoint list between members: publisher and subscriber."""
+"""Replication of the endpoint list: publisher, subscriber, drain broadcasts and paced sending."""
 
 from random import Random
 
@@ -18,30 +18,30 @@
     return Subscriber("list", "s", 0.5, 2.0, Random(1))
 
 
-def record(name, health="active"):
+def make_record(name, health="active"):
     return {"host": name, "health": health}
 
 
 def test_a_subscriber_suspends_polling_at_its_own_version_and_resumes_when_the_publisher_is_silent():
     publisher, subscriber = make_publisher(), make_subscriber()
-    (update,) = publisher.update({"s1": record("s1")}, 7)
+    (update,) = publisher.update({"s1": make_record("s1")}, 7)
     change = subscriber.on_update(update, 0.0, -1)
-    assert change.records == [record("s1")] and change.version == 7 and change.is_snapshot
+    assert change.records == [make_record("s1")] and change.version == 7 and change.is_snapshot
     assert subscriber.on_heartbeat(publisher.heartbeat(), 0.1, 7, 4) is None and subscriber.polling_suspended
-    (update,) = publisher.update({"s1": record("s1", "leaving"), "s2": record("s2")}, 8)
+    (update,) = publisher.update({"s1": make_record("s1", "leaving"), "s2": make_record("s2")}, 8)
     assert update.base == 7
-    assert subscriber.on_update(update, 0.2, 7).records == [record("s1", "leaving"), record("s2")]
-    # One that missed 7 needs a snapshot.
+    assert subscriber.on_update(update, 0.2, 7).records == [make_record("s1", "leaving"), make_record("s2")]
+    # A subscriber that missed version 7 needs a snapshot.
     assert isinstance(subscriber.on_update(update, 0.2, 6), ResyncRequest)
     assert not subscriber.tick(1.6) and not subscriber.tick(1.71)
     assert 1.7 < subscriber.resume_at <= 3.75
     assert subscriber.tick(3.75) and not subscriber.polling_suspended
 
 
-def test_a_publisher_that_is_disconnected_outdated_behind_or_malformed_is_rejected():
+def test_a_publisher_is_rejected_if_it_is_disconnected_behind_or_malformed_or_its_term_is_outdated():
     for fault in ("disconnected", "malformed", "behind", "outdated"):
         publisher, subscriber = make_publisher(), make_subscriber()
-        publisher.update({"s1": record("s1")}, 7)
+        publisher.update({"s1": make_record("s1")}, 7)
         subscriber.on_heartbeat(publisher.heartbeat(), 0.0, 7, 4)
         if fault == "disconnected":
             publisher.disconnected = True
@@ -53,7 +53,7 @@
             subscriber.on_heartbeat(publisher.heartbeat(), 0.1 + MAX_PUBLISHER_LAG_SECONDS + 0.1, 8, 4)
         else:
             subscriber.on_heartbeat(Heartbeat("list", 4, "s", 7, False), 0.1, 7, 4)
-            # Under the newer term it would be a ResyncRequest.
+            # A heartbeat of a valid term would lead to a ResyncRequest.
             assert subscriber.on_heartbeat(publisher.heartbeat(), 0.2, 6, 4) is None
             assert subscriber.received_at == 0.1
             continue
@@ -61,18 +61,18 @@
         assert subscriber.tick(subscriber.resume_at)
 
 
-def test_each_drain_is_broadcast_once_and_again_when_its_state_changes():
-    drains = DrainBroadcast("list")
-    records = [record(f"s{number}", "leaving") for number in range(DRAINS_PER_BROADCAST + 1)]
-    updates = drains.updates([record("active"), *records], "s", 7)
+def test_each_drain_is_broadcast_once_and_again_after_a_change_of_state():
+    drain_broadcast = DrainBroadcast("list")
+    records = [make_record(f"s{number}", "leaving") for number in range(DRAINS_PER_BROADCAST + 1)]
+    updates = drain_broadcast.updates([make_record("active"), *records], "s", 7)
     assert [len(decode_records([update.body])) for update in updates] == [DRAINS_PER_BROADCAST, 1]
     assert all((update.source, update.version, update.parts) == ("s", 7, 1) for update in updates)
-    assert drains.updates(records, "s", 8) == []
-    (update,) = drains.updates([*records[1:], record("s0", "left")], "s", 9)
-    assert decode_records([update.body]) == [record("s0", "left")]
+    assert drain_broadcast.updates(records, "s", 8) == []
+    (update,) = drain_broadcast.updates([*records[1:], make_record("s0", "left")], "s", 9)
+    assert decode_records([update.body]) == [make_record("s0", "left")]
 
 
-def test_updates_are_sent_in_groups_and_a_full_queue_drops_further_ones(monkeypatch):
+def test_updates_are_sent_in_groups_and_dropped_when_the_queue_is_full(monkeypatch):
     monkeypatch.setattr(paced_sender, "MAX_QUEUED", 2 * GROUP_SIZE)
     sent = []
     sender = PacedSender(lambda receiver, update: sent.append((receiver, update)))
