--- a/onyxhollow/fleet/shared_addresses/__init__.py
+++ b/onyxhollow/fleet/shared_addresses/__init__.py
@@ -1,6 +1,6 @@
-"""Shared addresses inside a fleet member: the shell around the cores of `onyxhollow.addresses`.
+"""Shared addresses inside a fleet member: the I/O around the decision logic of `onyxhollow.addresses`.
 
-The cores decide; here are the datagrams, the calls to the site's route guard, the disk, the probe sessions
-and the operators' calls. `service.SharedAddresses` puts the parts together; the fleet member knows only
-that.
+This package sends datagrams, calls the site's route guard, stores records on disk, runs probe sessions and
+serves operators' calls. `service.SharedAddresses` assembles these parts and is the fleet member's only
+interface to them.
 """
--- a/onyxhollow/fleet/shared_addresses/announcer_task.py
+++ b/onyxhollow/fleet/shared_addresses/announcer_task.py
@@ -1,4 +1,4 @@
-"""The leader task of a site's announcer: brings the controller's assignments to the site's route guard."""
+"""The leader task of a site's announcer: applies the controller's assignments at the site's route guard."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
 from onyxhollow.wire.discovery_connection import DiscoveryConnection, DiscoveryStatusError
 from onyxhollow.wire.endpoint_list import EndpointListError
 
-GUARD_TIMEOUT = 1.0  # seconds for the route guard to answer a call
+GUARD_TIMEOUT_SECONDS = 1.0  # per call
 
 
 def read_guard_state(body: bytes) -> GuardState:
-    """The route guard's answer.
+    """Return the state in a response of the route guard.
 
     Raises:
-        ValueError: it is not JSON, or a preference is out of range.
+        ValueError: the response is not JSON, or a preference is out of range.
         KeyError: a key is missing.
     """
-    answer = orjson.loads(body)
-    routes = {name: read_guarded_route(row) for name, row in answer["rows"].items()}
-    return GuardState(routes, int(answer["keeper"]), bool(answer["speaker"]))
+    response = orjson.loads(body)
+    routes = {name: read_guarded_route(row) for name, row in response["rows"].items()}
+    return GuardState(routes, int(response["keeper"]), bool(response["speaker"]))
 
 
 def read_guarded_route(row: dict[str, Any]) -> GuardedRoute:
-    """One address of the answer."""
+    """Return the state of one address in the response."""
     installed = row["told"]
     return GuardedRoute(Preference(int(row["wanted"])), None if installed is None else Preference(installed))
 
 
 class AnnouncerTask(HttpRequestTask):
-    """Calls the route guard while this process holds the site's lease.
+    """Calls the site's route guard while this process holds the announcer's lease.
 
     Attributes:
-        core: the announcer of the present term; None while the lease is not held.
-        last_progress_at: when the guard last answered, on the loop's clock.
-        superseded: the guard has seen a newer term.
+        core: the announcer of the current term; None while the lease is not held.
+        last_progress_at: when the guard last answered a call, on the loop's clock.
+        superseded: whether the guard has received a newer term.
     """
 
     def __init__(
@@ -64,28 +64,28 @@
         self.superseded = False
         self.address = parse_host_port(site.route_guard, "gate")
 
-    def start(self, term: int, lease_held: Callable[[], bool]) -> None:
-        """Begins a term; `lease_held` is called before each call to the guard."""
+    def start(self, term: int, holds_lease: Callable[[], bool]) -> None:
+        """Start a term; `holds_lease` is checked immediately before each call to the guard."""
         self.run_number += 1
         self.last_progress_at = self.member.loop.now
         self.superseded = False
         self.core = Announcer(self.config, self.site, term, clock.now())
-        self.task = self.member.loop.spawn(self.run(self.run_number, self.core, lease_held))
+        self.task = self.member.loop.spawn(self.run(self.run_number, self.core, holds_lease))
 
     def stop(self) -> None:
-        """Ends the term."""
+        """End the term."""
         super().stop()
         self.core = None
 
     def run(
-        self, this_run: int, core: Announcer, lease_held: Callable[[], bool]
+        self, this_run: int, core: Announcer, holds_lease: Callable[[], bool]
     ) -> Generator[float, None, None]:
-        """Rounds of calls until the term ends."""
+        """Call the guard periodically until the term ends."""
         loop = self.member.loop
         while self.run_number == this_run:
-            due = loop.now + self.config.interval
+            next_round_at = loop.now + self.config.interval
             try:
-                yield from self.call_round(this_run, core, lease_held)
+                yield from self.call_round(this_run, core, holds_lease)
             except DiscoveryStatusError as error:
                 self.close_connection()
                 self.superseded = self.superseded or error.status == STALE_TERM_STATUS
@@ -95,52 +95,56 @@
             if self.run_number == this_run:
                 self.report(core)
                 self.request_drains(core)
-            while self.run_number == this_run and loop.now < due:
-                yield due
+            while self.run_number == this_run and loop.now < next_round_at:
+                yield next_round_at
 
     def call_round(
-        self, this_run: int, core: Announcer, lease_held: Callable[[], bool]
+        self, this_run: int, core: Announcer, holds_lease: Callable[[], bool]
     ) -> Generator[float, None, None]:
-        """Claims the guard if need be, sets what differs, and shows that the announcer is there."""
+        """Claim the guard if necessary, set the routes that differ, and send a heartbeat."""
         if not core.synchronized or not core.daemon_connected:
             member = quote(self.member.process_id)
-            yield from self.call_guard(this_run, core, f"/claim?term={core.term}&member={member}", lease_held)
-        for text in core.tick(clock.now()):
-            self.member.log_event("address cut off", site=self.site.name, why=text)
+            yield from self.call_guard(
+                this_run, core, f"/claim?term={core.term}&member={member}", holds_lease
+            )
+        for reason in core.tick(clock.now()):
+            self.member.log_event("address cut off", site=self.site.name, why=reason)
         for route in core.pending_routes():
-            what = f"name={quote(route.name)}&as={int(route.desired)}&keeper={core.controller_term}"
-            target = f"/set?term={core.term}&number={core.next_call_number()}&{what}"
-            yield from self.call_guard(this_run, core, target, lease_held)
-        last = quote(",".join(route.name for route in core.routes.values() if route.is_last))
-        yield from self.call_guard(this_run, core, f"/alive?term={core.term}&last={last}", lease_held)
+            setting = f"name={quote(route.name)}&as={int(route.desired)}&keeper={core.controller_term}"
+            target = f"/set?term={core.term}&number={core.next_call_number()}&{setting}"
+            yield from self.call_guard(this_run, core, target, holds_lease)
+        last_addresses = quote(",".join(route.name for route in core.routes.values() if route.is_last))
+        yield from self.call_guard(
+            this_run, core, f"/alive?term={core.term}&last={last_addresses}", holds_lease
+        )
 
     def call_guard(
-        self, this_run: int, core: Announcer, target: str, lease_held: Callable[[], bool]
+        self, this_run: int, core: Announcer, target: str, holds_lease: Callable[[], bool]
     ) -> Generator[float, None, None]:
-        """One call; its answer goes to the core.
+        """Call the guard and pass its response to the core.
 
         Raises:
-            EndpointListError: no answer, or the lease has ended.
-            DiscoveryStatusError: another status than 200.
+            EndpointListError: there is no response in time, the run has ended, or the lease is not held.
+            DiscoveryStatusError: the status of the response is not 200.
         """
         loop = self.member.loop
-        until = loop.now + GUARD_TIMEOUT
+        deadline = loop.now + GUARD_TIMEOUT_SECONDS
         if self.connection is None or not self.connection.reusable:
             self.close_connection()
             self.connection = DiscoveryConnection(loop, self.address, self.buffers, self.wake)
         connection = self.connection
         while connection.channel.connecting:
-            if loop.now >= until or self.run_number != this_run:
-                raise EndpointListError("not up")
-            yield until
-        if not lease_held():  # the last thing before the act
-            raise EndpointListError("the lease has ended")
-        body = yield from connection.get(target, until, lambda: self.run_number != this_run, "POST")
+            if loop.now >= deadline or self.run_number != this_run:
+                raise EndpointListError("route guard: expected an established connection, got a pending one")
+            yield deadline
+        if not holds_lease():  # must be the last check before the request
+            raise EndpointListError("route guard call: expected a held lease, got one that has ended")
+        body = yield from connection.get(target, deadline, lambda: self.run_number != this_run, "POST")
         core.on_guard_state(read_guard_state(body), clock.now())
         self.last_progress_at = loop.now
 
     def report(self, core: Announcer) -> None:
-        """Reports the site's state to the controller, in pages."""
+        """Send the site's state to the controller, in pages."""
         report = core.report(clock.now())
         if report is None:
             return
@@ -148,17 +152,17 @@
             self.messenger.send_to_controller(msgspec.structs.replace(report, rows=rows))
 
     def request_drains(self, core: Announcer) -> None:
-        """Has the site's members move the connections of what an override has withdrawn."""
+        """Request that the site's members move connections off addresses that an override has withdrawn."""
         for addresses in paginate(core.drained_addresses()):
             self.messenger.send_to_zone(self.site.name, DrainRequest(self.site.name, addresses))
 
     def on_assignment(self, assignment: RouteAssignment, now: float) -> None:
-        """Takes in an assignment and answers it; a change goes to the guard at once."""
+        """Apply an assignment and report back; if it changes a route, call the guard immediately."""
         core = self.core
         if core is None:
             return
-        before = [route.desired for route in core.routes.values()]
+        previous = [route.desired for route in core.routes.values()]
         core.on_assignment(assignment, now)
         self.report(core)
-        if before != [route.desired for route in core.routes.values()]:
+        if previous != [route.desired for route in core.routes.values()]:
             self.wake()
--- a/onyxhollow/fleet/shared_addresses/connection_drain.py
+++ b/onyxhollow/fleet/shared_addresses/connection_drain.py
@@ -1,4 +1,4 @@
-"""Moves the open connections of addresses that an override has withdrawn here, in four paced stages."""
+"""Moves open connections off addresses that an override has withdrawn at this site, in four paced stages."""
 
 from __future__ import annotations
 
@@ -7,40 +7,42 @@
 from onyxhollow.fleet.context import MemberContext
 from onyxhollow.policy.migration import StagedMigration
 
-INTERVAL = 1.0  # seconds between steps; the pace counts connections a second
-REQUEST_LIFETIME = 3.0  # seconds for which an announcer's request counts
+STEP_INTERVAL_SECONDS = 1.0  # the allowance of a staged migration is per second
+REQUEST_LIFETIME_SECONDS = 3.0  # an announcer repeats its request while the drain lasts
 
 
 class ConnectionDrain:
-    """The connections that are to move, and their pace.
+    """Migrates the connections of drained addresses.
 
     Attributes:
-        requested: by address, until when it drains.
-        pace: the staged pace; None while nothing drains.
+        drain_until: time at which the latest request expires, by address.
+        migration: the staged migration; None while no address drains.
     """
 
     def __init__(self, member: MemberContext, config: AddressesFile, now: float) -> None:
         self.member = member
         self.services = config.services
-        self.requested: dict[str, float] = {}
-        self.pace: StagedMigration | None = None
-        self.next_due = now
+        self.drain_until: dict[str, float] = {}
+        self.migration: StagedMigration | None = None
+        self.next_step_at = now
 
     def on_request(self, message: DrainRequest, now: float) -> None:
-        """Takes in the announcer's request; it is repeated as long as it holds."""
-        self.requested |= dict.fromkeys(message.addresses, now + REQUEST_LIFETIME)
+        """Record an announcer's request, which is valid for REQUEST_LIFETIME_SECONDS."""
+        self.drain_until |= dict.fromkeys(message.addresses, now + REQUEST_LIFETIME_SECONDS)
 
     def tick(self, now: float) -> None:
-        """One step, if it is due."""
-        if now >= self.next_due:
-            self.next_due = now + INTERVAL
+        """Move connections if a step is due."""
+        if now >= self.next_step_at:
+            self.next_step_at = now + STEP_INTERVAL_SECONDS
             self.move_connections(now)
 
     def move_connections(self, now: float) -> None:
-        """Has as many connections move as the pace allows."""
-        self.requested = {name: until for name, until in self.requested.items() if now < until}
-        if not self.requested:
-            self.pace = None
+        """Move as many connections as the staged migration allows."""
+        self.drain_until = {
+            name: expires_at for name, expires_at in self.drain_until.items() if now < expires_at
+        }
+        if not self.drain_until:
+            self.migration = None
             return
         listeners = self.drained_listeners()
         sessions = [
@@ -51,24 +53,24 @@
             and session.request is not None
             and session.request.listener in listeners
         ]
-        if self.pace is None:
-            self.pace = StagedMigration(len(sessions))
-            self.member.log_event("address drain", names=sorted(self.requested), connections=len(sessions))
-        # A second address may begin to drain, and sessions may still open: the pace is for all of them.
-        self.pace.count = max(self.pace.count, len(sessions))
-        moved = sessions[: self.pace.allowance(None, None)]
+        if self.migration is None:
+            self.migration = StagedMigration(len(sessions))
+            self.member.log_event("address drain", names=sorted(self.drain_until), connections=len(sessions))
+        # More addresses may start to drain and more sessions may open: the rate applies to the largest count.
+        self.migration.count = max(self.migration.count, len(sessions))
+        moved = sessions[: self.migration.allowance(None, None)]
         for session in moved:
             session.stop()
-        self.pace.moved += len(moved)
+        self.migration.moved += len(moved)
 
     def drained_listeners(self) -> set[str]:
-        """Listeners of drained addresses that no other address needs here."""
+        """Return the listeners of drained addresses that no other address uses."""
         drained: set[str] = set()
-        needed: set[str] = set()
+        still_used: set[str] = set()
         for service in self.services:
-            (drained if service.name in self.requested else needed).update(self.listeners_of(service))
-        return drained - needed
+            (drained if service.name in self.drain_until else still_used).update(self.listeners_of(service))
+        return drained - still_used
 
     def listeners_of(self, service: Service) -> list[str]:
-        """The listeners served under an address; all if the file names none."""
+        """Return the listeners served under an address; all if the addresses file names none."""
         return service.listeners or list(self.member.proxy.config.settings.listeners)
--- a/onyxhollow/fleet/shared_addresses/controller_task.py
+++ b/onyxhollow/fleet/shared_addresses/controller_task.py
@@ -1,4 +1,4 @@
-"""The leader task of the controller: runs the core while this process holds the lease."""
+"""The leader task of the controller: decides the routes of all sites while this process holds the lease."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from onyxhollow.fleet.context import MemberContext
 from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
 
-ANNOUNCE_INTERVAL = 5.0  # seconds between the controller's broadcasts
+ANNOUNCEMENT_INTERVAL_SECONDS = 5.0  # between broadcasts of the controller's identity
 
 
-def never() -> bool:
-    """The lease check of a task that is not started."""
+def lease_not_held() -> bool:
+    """Return False: the lease check of a task that has not been started."""
     return False
 
 
 class ControllerTask:
-    """Decides for all sites.
+    """Runs the controller and sends its messages.
 
     Attributes:
-        core: the controller of the present term; None while the lease is not held.
+        core: the controller of the current term; None while the lease is not held.
         last_progress_at: when a voter last answered, on the loop's clock.
         superseded: always False; voters do not fence the controller.
     """
@@ -41,40 +41,40 @@
         self.config = config
         self.messenger = messenger
         self.core: Controller | None = None
-        self.holds_lease: Callable[[], bool] = never
+        self.holds_lease: Callable[[], bool] = lease_not_held
         self.last_progress_at = member.loop.now
         self.superseded = False
-        self.announce_at = 0.0
+        self.next_announcement_at = 0.0
 
-    def start(self, term: int, lease_held: Callable[[], bool]) -> None:
-        """Begins a term; `lease_held` is called before each message."""
+    def start(self, term: int, holds_lease: Callable[[], bool]) -> None:
+        """Start a term; `holds_lease` is checked before each message."""
         now = clock.now()
         self.last_progress_at = self.member.loop.now
-        self.holds_lease = lease_held
-        self.announce_at = now
+        self.holds_lease = holds_lease
+        self.next_announcement_at = now
         self.core = Controller(self.config, self.member.voters.names, term, now)
 
     def stop(self) -> None:
-        """Ends the term."""
+        """End the term."""
         self.core = None
-        self.holds_lease = never
+        self.holds_lease = lease_not_held
 
     def tick(self, now: float) -> None:
-        """Decides and sends, if it is due."""
+        """Decide and send messages if this is due and the lease is held."""
         core = self.core
         if core is None or now < core.next_due or not self.holds_lease():
             return
         core.voters = self.member.voters.names
         core.tick(now, time.time())
-        if now >= self.announce_at:
-            self.announce_at = now + ANNOUNCE_INTERVAL
+        if now >= self.next_announcement_at:
+            self.next_announcement_at = now + ANNOUNCEMENT_INTERVAL_SECONDS
             announcement = ControllerAnnouncement(core.term, self.member.process_id)
             self.messenger.record_controller(announcement.term, announcement.process_id)
             self.messenger.broadcast(announcement)
         self.send(core)
 
     def on_message(self, message: Message, sender: str, now: float) -> None:
-        """Takes in a message of the member named `sender`."""
+        """Process a message from the member named `sender`."""
         core = self.core
         if core is None:
             return
@@ -85,7 +85,7 @@
             self.send(core)
 
     def send(self, core: Controller) -> None:
-        """Logs and sends what the core has left; the lease is checked before each message."""
+        """Log committed decisions and send pending messages, checking the lease before each message."""
         outbox = core.outbox
         core.outbox = []
         committed = core.committed
@@ -101,9 +101,9 @@
                 self.send_to_site(core, outgoing)
 
     def send_to_site(self, core: Controller, outgoing: ToSite) -> None:
-        """To the site's announcer if it answers, else to all members there.
+        """Send to the site's announcer if it has answered recently, otherwise to all members of the site.
 
-        Who announces may not be known here.
+        Without a recent answer, the announcer known here may be outdated.
         """
         if core.has_answered_recently(outgoing.site, clock.now()):
             self.messenger.send_to_announcer(outgoing.site, outgoing.message)
@@ -111,7 +111,7 @@
             self.messenger.send_to_zone(outgoing.site, outgoing.message)
 
     def log_decision(self, record: DecisionRecord) -> None:
-        """One line for a decision that a majority of the voters has stored."""
+        """Log a decision that a majority of the voters has stored."""
         self.member.log_event(
             "address",
             address=record.address,
--- a/onyxhollow/fleet/shared_addresses/health_probes.py
+++ b/onyxhollow/fleet/shared_addresses/health_probes.py
@@ -16,75 +16,76 @@
 from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.endpoint_list import EndpointListError
 
-REPORT_INTERVAL = 1.0  # seconds between reports to the route guard
-GUARD_TIMEOUT = 1.0  # seconds for the route guard to answer
-POLL = 0.05  # seconds between looks at a connection that wakes another coroutine
-JITTER = (0.8, 1.2)  # of an interval, so that members do not act in step
+REPORT_INTERVAL_SECONDS = 1.0  # between reports to the route guard
+GUARD_TIMEOUT_SECONDS = 1.0  # per call
+POLL_INTERVAL_SECONDS = 0.05  # events of a connection wake the member's coroutine, not the one that polls it
+JITTER_RANGE = (0.8, 1.2)  # factors of an interval, so that members do not act simultaneously
 
 
-def never() -> bool:
-    """A call that nothing supersedes."""
+def never_superseded() -> bool:
+    """Return False: a report to the route guard is never superseded."""
     return False
 
 
 class ProbeSessions:
-    """Opens sessions as a client would, to see whether they are accepted."""
+    """Opens sessions like a client and records whether they are accepted."""
 
     def __init__(self, member: MemberContext, config: AddressesFile, health: LocalHealth) -> None:
         self.member = member
         self.config = config
         self.health = health
         self.pool = BufferPool()
-        self.number = 0
+        self.probe_number = 0
 
     def run(self) -> Generator[float, None, None]:
-        """One session after another, each for the next address, until the member ends."""
+        """Probe one address after the other periodically, until the member closes."""
         loop = self.member.loop
         while not self.member.closed:
-            due = loop.now + self.config.probe_interval * self.member.rng.uniform(*JITTER)
-            while loop.now < due:
-                yield due
+            next_probe_at = loop.now + self.config.probe_interval * self.member.rng.uniform(*JITTER_RANGE)
+            while loop.now < next_probe_at:
+                yield next_probe_at
             if not self.member.proxy.service.ready:
                 continue
-            self.number += 1
-            service = self.config.services[self.number % len(self.config.services)]
+            self.probe_number += 1
+            service = self.config.services[self.probe_number % len(self.config.services)]
             accepted = yield from self.probe(service)
-            self.health.targets[service.name].record_probe(accepted)
+            self.health.trackers[service.name].record_probe(accepted)
 
     def probe(self, service: Service) -> Generator[float, None, bool]:
-        """One session; whether it was accepted within its listener's time."""
+        """Open a session and return whether it was accepted within its listener's attempt timeout."""
         listeners = self.member.proxy.config.settings.listeners
-        name = next((name for name in service.listeners if name in listeners), next(iter(listeners)))
-        timeout = listeners[name].attempt_timeout
+        listener = next((name for name in service.listeners if name in listeners), next(iter(listeners)))
+        timeout = listeners[listener].attempt_timeout
         loop = self.member.loop
         try:
             channel = Channel.connect(loop, self.own_address(), self.pool, self.member.task.wake)
         except OSError:
             return False
-        until = loop.now + timeout
+        deadline = loop.now + timeout
         milliseconds = max(1, round(timeout * 1000))
         channel.write(
-            b"OPEN own%x-%x own c=%s,d=%d\r\n" % (self.member.epoch, self.number, name.encode(), milliseconds)
+            b"OPEN own%x-%x own c=%s,d=%d\r\n"
+            % (self.member.epoch, self.probe_number, listener.encode(), milliseconds)
         )
         accepted = False
-        while loop.now < until and not channel.ended:
+        while loop.now < deadline and not channel.ended:
             line = channel.line()
             if line is not None:
                 accepted = bytes(line[:2]) == b"UP"
                 break
             channel.set_paused(False)
-            yield min(until, loop.now + POLL)
+            yield min(deadline, loop.now + POLL_INTERVAL_SECONDS)
         channel.close()
         return accepted
 
     def own_address(self) -> Address:
-        """Where this member's clients connect."""
+        """Return the address to which this member's clients connect."""
         host, port = self.member.proxy.config.listen
         return ("127.0.0.1" if host == "0.0.0.0" else host, port)
 
 
 class GuardHealthReporter:
-    """Tells the site's route guard what this member sees, for when no announcer can hold a lease there."""
+    """Reports this member's health to the site's route guard, which uses it without an announcer."""
 
     def __init__(self, member: MemberContext, site: Site, health: LocalHealth) -> None:
         self.member = member
@@ -93,31 +94,31 @@
         self.pool = BufferPool()
 
     def run(self) -> Generator[float, None, None]:
-        """One report after another, until the member ends."""
+        """Report periodically until the member closes."""
         loop = self.member.loop
         while not self.member.closed:
-            due = loop.now + REPORT_INTERVAL * self.member.rng.uniform(*JITTER)
+            next_report_at = loop.now + REPORT_INTERVAL_SECONDS * self.member.rng.uniform(*JITTER_RANGE)
             if self.health.latest:
                 yield from self.report()
-            while loop.now < due:
-                yield due
+            while loop.now < next_report_at:
+                yield next_report_at
 
     def report(self) -> Generator[float, None, None]:
-        """One call; a guard that does not answer is called again next time."""
+        """Send one report; errors are ignored, since the next report follows soon."""
         loop = self.member.loop
         rows = "&".join(f"{quote(row.address)}={row.health:.3f}" for row in self.health.latest)
-        call: DiscoveryConnection | None = None
+        connection: DiscoveryConnection | None = None
         try:
-            until = loop.now + GUARD_TIMEOUT
-            call = DiscoveryConnection(loop, self.address, self.pool, self.member.task.wake)
-            while call.channel.connecting and loop.now < until:
-                yield min(until, loop.now + POLL)
-            if not call.channel.connecting:
+            deadline = loop.now + GUARD_TIMEOUT_SECONDS
+            connection = DiscoveryConnection(loop, self.address, self.pool, self.member.task.wake)
+            while connection.channel.connecting and loop.now < deadline:
+                yield min(deadline, loop.now + POLL_INTERVAL_SECONDS)
+            if not connection.channel.connecting:
                 target = f"/seen?member={quote(self.member.name)}&{rows}"
-                waits = call.get(target, until, never, "POST")
-                yield from (min(when, loop.now + POLL) for when in waits)
+                wake_times = connection.get(target, deadline, never_superseded, "POST")
+                yield from (min(wake_at, loop.now + POLL_INTERVAL_SECONDS) for wake_at in wake_times)
         except (EndpointListError, OSError, h11.ProtocolError):
-            pass  # the next report is due soon
+            pass
         finally:
-            if call:
-                call.channel.close()
+            if connection:
+                connection.channel.close()
--- a/onyxhollow/fleet/shared_addresses/override_store.py
+++ b/onyxhollow/fleet/shared_addresses/override_store.py
@@ -1,4 +1,4 @@
-"""What a voter stores of shared addresses: overrides and decisions, on disk before they are acknowledged."""
+"""A voter's durable store of overrides and decisions; records are acknowledged only once they are on disk."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
 
 FILE_NAME = "addresses"
-MAX_RECORDS = 3000  # in the file; past them it is rewritten
-MAX_DECISIONS = 1000  # that a rewrite keeps
-OPEN_RETRY = 0.5  # seconds until the first attempt to open the store is repeated
-OPEN_RETRY_AFTER_FAILURE = 5.0  # seconds, where another process holds the store or it is damaged
+MAX_RECORDS = 3000  # the file is compacted instead of growing beyond this number
+MAX_DECISIONS = 1000  # kept by a compaction
+OPEN_RETRY_SECONDS = 0.5  # between attempts to open the store
+OPEN_RETRY_AFTER_FAILURE_SECONDS = 5.0  # if another process has the store open, or it is damaged
 
 
 class OverrideStore:
-    """The file, and its records by id.
+    """The append log of a voter's records, and the records by id.
 
     Raises:
-        AppendLogError: another process holds the file, or it is not a store.
-        msgspec.DecodeError: a record is not one of ours.
+        AppendLogError: another process has the file open, or it is not an append log.
+        msgspec.DecodeError: a record is neither an override nor a decision.
     """
 
     def __init__(self, folder: str) -> None:
@@ -48,23 +48,23 @@
             self.records[record_id(record)] = record
 
     def append(self, records: list[StoredRecord]) -> list[str]:
-        """Stores what is new; the ids of all of them, which are on disk now.
+        """Store records that are not stored yet, and return the ids of all given records.
 
         Raises:
-            OSError: the disk fails; nothing is acknowledged.
+            OSError: writing to disk failed; none of the records may be acknowledged.
         """
-        fresh = [record for record in records if record_id(record) not in self.records]
-        if fresh:
-            if len(self.log.bodies) + len(fresh) > MAX_RECORDS:
+        new_records = [record for record in records if record_id(record) not in self.records]
+        if new_records:
+            if len(self.log.bodies) + len(new_records) > MAX_RECORDS:
                 self.compact()
-                self.log.rewrite([encode(record) for record in [*self.records.values(), *fresh]])
+                self.log.rewrite([encode(record) for record in [*self.records.values(), *new_records]])
             else:
-                self.log.append(*(encode(record) for record in fresh))
-            self.records |= {record_id(record): record for record in fresh}
+                self.log.append(*(encode(record) for record in new_records))
+            self.records |= {record_id(record): record for record in new_records}
         return [record_id(record) for record in records]
 
     def compact(self) -> None:
-        """Forgets the oldest records past the limits."""
+        """Remove the oldest records beyond MAX_OVERRIDES and MAX_DECISIONS."""
         retained: list[StoredRecord] = [
             *self.overrides()[-MAX_OVERRIDES:],
             *self.decisions()[-MAX_DECISIONS:],
@@ -72,23 +72,23 @@
         self.records = {record_id(record): record for record in retained}
 
     def overrides(self) -> list[Override]:
-        """All overrides, oldest first."""
+        """Return all overrides, oldest first."""
         return [record for record in self.records.values() if isinstance(record, Override)]
 
     def decisions(self) -> list[DecisionRecord]:
-        """All decisions, oldest first."""
+        """Return all decisions, oldest first."""
         return [record for record in self.records.values() if isinstance(record, DecisionRecord)]
 
     def close(self) -> None:
-        """Closes the file and gives up its lock."""
+        """Close the file and release its lock."""
         self.log.close()
 
 
 class VoterStore:
-    """This member's part as a voter: opens the store when it can, and answers the controller.
+    """Opens this member's store, and answers requests to it while the member is a voter.
 
     Attributes:
-        store: None until it could be opened; a predecessor may still hold it.
+        store: None until it has been opened; a predecessor process may still have it open.
     """
 
     def __init__(self, member: MemberContext, messenger: AddressMessenger, overrides: OverrideLog) -> None:
@@ -96,22 +96,22 @@
         self.messenger = messenger
         self.overrides = overrides
         self.store: OverrideStore | None = None
-        self.open_at = clock.now()
+        self.next_open_at = clock.now()
 
     def tick(self, now: float) -> None:
-        """Opens the store if it is due."""
-        if self.member.fleet.folder and self.store is None and now >= self.open_at:
+        """Open the store if it is not open and an attempt is due."""
+        if self.member.fleet.folder and self.store is None and now >= self.next_open_at:
             self.open(now)
 
     def open(self, now: float) -> None:
-        """Opens the store; where that fails, it is tried again later."""
-        self.open_at = now + OPEN_RETRY
+        """Try to open the store; a failed attempt is logged and repeated later."""
+        self.next_open_at = now + OPEN_RETRY_SECONDS
         try:
             self.store = OverrideStore(self.member.fleet.folder)
         except (AppendLogError, msgspec.DecodeError) as error:
             self.member.counts["addresses: store can't be had"] += 1
             self.member.log_event("store unavailable", why=str(error)[:200])
-            self.open_at = now + OPEN_RETRY_AFTER_FAILURE
+            self.next_open_at = now + OPEN_RETRY_AFTER_FAILURE_SECONDS
             return
         for override in self.store.overrides():
             self.overrides.add(override, now, time.time())
@@ -123,11 +123,11 @@
         )
 
     def voting_store(self) -> OverrideStore | None:
-        """The store, if this member is a voter and has it open."""
+        """Return the store if it is open and this member is a voter, else None."""
         return self.store if self.member.name in self.member.voters.names else None
 
     def on_store_request(self, message: StoreRequest, sender: str) -> None:
-        """Stores records, and acknowledges them to the process `sender`."""
+        """Store records and acknowledge them to the process `sender`."""
         store = self.voting_store()
         if store is None:
             return
@@ -145,7 +145,7 @@
         self.messenger.send_to_process(sender, StoreAcknowledgement(self.member.name, ids))
 
     def on_override_query(self, message: OverrideQuery, sender: str) -> None:
-        """Sends the overrides to the process `sender`, in pages; none if it has the same."""
+        """Send the overrides to the process `sender` in pages; one empty page if its digest is the same."""
         if self.voting_store() is None:
             return
         overrides = sorted(self.overrides.overrides.values(), key=lambda override: override.number)
@@ -157,6 +157,6 @@
             self.messenger.send_to_process(sender, response)
 
     def close(self) -> None:
-        """Closes the store."""
+        """Close the store if it is open."""
         if self.store:
             self.store.close()
--- a/onyxhollow/fleet/shared_addresses/query_api.py
+++ b/onyxhollow/fleet/shared_addresses/query_api.py
@@ -1,6 +1,6 @@
 """Operators' queries: the view, a plan, the history.
 
-Any member takes the call; the controller, or a voter for the history, answers.
+Any member accepts the call and forwards the query to the controller, or to a voter for the history.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 from onyxhollow.fleet.shared_addresses.override_store import VoterStore
 from onyxhollow.management.api import PLAIN_TEXT, Answer
 
-PART_BYTES = 800  # of an answer in one message
+PART_BYTES = 800  # of a compressed response in one message
 MAX_PARTS = 256
-MAX_ANSWER = 1 << 22  # bytes, decompressed
-MAX_WAITING = 64  # queries without an answer yet
-ANSWERS_REMEMBERED = 16
-HISTORY_SHOWN = 100  # decisions, and overrides
-PLANNED_NUMBER = 1 << 60  # of a planned override: above all that exist
+MAX_RESPONSE_BYTES = 1 << 22  # decompressed
+MAX_PENDING_QUERIES = 64  # beyond it the oldest is dropped
+MAX_KEPT_RESPONSES = 16  # beyond it the oldest is dropped
+MAX_HISTORY_ROWS = 100  # latest decisions, and as many overrides
+PLANNED_NUMBER = 1 << 60  # of a planned override: higher than the number of any existing one
 JSON = "application/json"
 
 
 class QueryKind(StrEnum):
-    """What a query is for; the values are on the wire."""
+    """Kinds of queries; the values are sent in messages."""
 
     VIEW = "view"
     PLAN = "plan"
@@ -49,33 +49,33 @@
 
 
 class QueryApi:
-    """Asks on behalf of operators, and answers other members."""
+    """Forwards operators' queries to other members, and answers the queries of other members."""
 
     def __init__(
         self,
         member: MemberContext,
         messenger: AddressMessenger,
         controller: ControllerTask,
-        voter: VoterStore,
+        voter_store: VoterStore,
         reader: OverrideReader,
         ids: RequestIds,
     ) -> None:
         self.member = member
         self.messenger = messenger
         self.controller = controller
-        self.voter = voter
+        self.voter_store = voter_store
         self.reader = reader
         self.ids = ids
-        self.waiting: OrderedDict[str, dict[int, bytes]] = OrderedDict()  # by query: parts that have come
-        self.answers: OrderedDict[str, bytes] = OrderedDict()  # by query: JSON
+        self.pending: OrderedDict[str, dict[int, bytes]] = OrderedDict()  # received parts, by query id
+        self.responses: OrderedDict[str, bytes] = OrderedDict()  # JSON, by query id
 
-    # the member that was called
+    # On the member that receives an operator's call
 
     def handle(self, kind: QueryKind, query: str) -> Answer:
-        """The first call starts a query; it is repeated with the id until the answer has come."""
+        """Start a query, or return the response to the query whose id is given."""
         query_id = dict(parse_qsl(query)).get("id")
         if query_id:
-            return self.show_answer(query_id)
+            return self.show_response(query_id)
         override = None
         if kind is QueryKind.PLAN:
             try:
@@ -84,31 +84,39 @@
                 return 400, f"{error}\n".encode(), PLAIN_TEXT
         return self.start_query(kind, override)
 
-    def show_answer(self, query_id: str) -> Answer:
-        """The answer of a query; 202 while it is awaited."""
-        if query_id in self.answers:
-            return 200, self.answers[query_id], JSON
-        if query_id in self.waiting:
+    def show_response(self, query_id: str) -> Answer:
+        """Return the response to a query; status 202 while it is pending."""
+        if query_id in self.responses:
+            return 200, self.responses[query_id], JSON
+        if query_id in self.pending:
             return 202, orjson.dumps({"id": query_id}), JSON
-        return 404, b"id: no such question here\n", PLAIN_TEXT
+        return (
+            404,
+            f"id: expected a recent query of this process, got {query_id[:40]!r}\n".encode(),
+            PLAIN_TEXT,
+        )
 
     def start_query(self, kind: QueryKind, override: Override | None) -> Answer:
-        """Sends a query to who can answer it; answers with its id."""
+        """Send a query to a process that can answer it, and return the query's id."""
         query_id = self.ids.next()
         process_id = self.find_voter() if kind is QueryKind.HISTORY else self.messenger.controller.process_id
         if not process_id:
-            text = b"no voter is there\n" if kind is QueryKind.HISTORY else b"no keeper is known\n"
+            text = (
+                b"history: expected a live voter, got none\n"
+                if kind is QueryKind.HISTORY
+                else b"controller: expected one known to this process, got none\n"
+            )
             return 503, text, PLAIN_TEXT
-        self.waiting[query_id] = {}
-        while len(self.waiting) > MAX_WAITING:
-            self.waiting.popitem(last=False)
+        self.pending[query_id] = {}
+        while len(self.pending) > MAX_PENDING_QUERIES:
+            self.pending.popitem(last=False)
         self.messenger.send_to_process(process_id, QueryRequest(query_id, kind.value, override))
         self.member.task.wake()
         return 202, orjson.dumps({"id": query_id}), JSON
 
     def find_voter(self) -> str:
-        """A process that has the history; empty if none is there."""
-        if self.voter.store is not None:
+        """Return the id of a process that stores the history; empty if there is none."""
+        if self.voter_store.store is not None:
             return self.member.process_id
         for member in self.member.membership.live_members():
             if member.name in self.member.voters.names:
@@ -116,38 +124,38 @@
         return ""
 
     def on_response_part(self, message: QueryResponsePart) -> None:
-        """Collects an answer; with its last part it can be shown."""
-        parts = self.waiting.get(message.id)
+        """Record a part of a response, and assemble the response once all parts have arrived."""
+        parts = self.pending.get(message.id)
         if parts is None or not 0 <= message.part < message.parts <= MAX_PARTS:
             return
         parts[message.part] = message.body
         if len(parts) < message.parts:
             return
-        del self.waiting[message.id]
-        packed = b"".join(parts[number] for number in range(message.parts))
-        self.answers[message.id] = zlib.decompressobj().decompress(packed, MAX_ANSWER)
-        while len(self.answers) > ANSWERS_REMEMBERED:
-            self.answers.popitem(last=False)
+        del self.pending[message.id]
+        compressed = b"".join(parts[number] for number in range(message.parts))
+        self.responses[message.id] = zlib.decompressobj().decompress(compressed, MAX_RESPONSE_BYTES)
+        while len(self.responses) > MAX_KEPT_RESPONSES:
+            self.responses.popitem(last=False)
 
-    # the member that answers
+    # On the member that answers
 
     def on_request(self, message: QueryRequest, sender: str, now: float) -> None:
-        """Answers the process `sender`, if this member can; else it is silent."""
-        answer = self.find_answer(message, now)
-        if answer is None:
+        """Send a response to the process `sender`; ignore the query if this member cannot answer it."""
+        response = self.build_response(message, now)
+        if response is None:
             return
-        packed = zlib.compress(orjson.dumps(answer))
-        parts = [packed[at : at + PART_BYTES] for at in range(0, len(packed), PART_BYTES)]
+        compressed = zlib.compress(orjson.dumps(response))
+        parts = [compressed[start : start + PART_BYTES] for start in range(0, len(compressed), PART_BYTES)]
         for number, part in enumerate(parts):
             self.messenger.send_to_process(sender, QueryResponsePart(message.id, number, len(parts), part))
 
-    def find_answer(self, message: QueryRequest, now: float) -> JsonObject | None:
-        """The answer; None if this member is not the one to ask."""
-        store = self.voter.store
+    def build_response(self, message: QueryRequest, now: float) -> JsonObject | None:
+        """Return the response, or None if this member cannot answer the query."""
+        store = self.voter_store.store
         if message.kind == QueryKind.HISTORY and store is not None:
             return {
-                "decided": [decision_to_json(row) for row in store.decisions()[-HISTORY_SHOWN:]],
-                "orders": [override_to_json(row) for row in store.overrides()[-HISTORY_SHOWN:]],
+                "decided": [decision_to_json(row) for row in store.decisions()[-MAX_HISTORY_ROWS:]],
+                "orders": [override_to_json(row) for row in store.overrides()[-MAX_HISTORY_ROWS:]],
             }
         core = self.controller.core
         if core is None or not self.controller.holds_lease():
--- a/onyxhollow/fleet/shared_addresses/service.py
+++ b/onyxhollow/fleet/shared_addresses/service.py
@@ -1,4 +1,4 @@
-"""Shared addresses as one part of a fleet member: routes messages and time to the parts."""
+"""Shared addresses as one part of a fleet member: assembles the services and dispatches messages to them."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
     """A role that this member may hold."""
 
     name: str
-    zone: str | None  # of the members that may hold it; None: all
+    zone: str | None  # zone of the members that may hold it; None: any
     task: LeaderTask
 
 
 class SharedAddresses:
-    """All parts of shared addresses at one member."""
+    """All services for shared addresses at one member."""
 
     def __init__(self, member: MemberContext, config: AddressesFile) -> None:
         now = clock.now()
@@ -65,33 +65,33 @@
         self.controller = ControllerTask(member, config, self.messenger)
         self.announcer: AnnouncerTask | None = None
         self.health = LocalHealth(member, config)
-        self.voter = VoterStore(member, self.messenger, self.overrides)
+        self.voter_store = VoterStore(member, self.messenger, self.overrides)
         ids = RequestIds(member.epoch)
         reader = OverrideReader(config, ids)
         self.override_api = OverrideApi(member, self.messenger, self.overrides, reader)
-        self.query_api = QueryApi(member, self.messenger, self.controller, self.voter, reader, ids)
+        self.query_api = QueryApi(member, self.messenger, self.controller, self.voter_store, reader, ids)
         self.drain = ConnectionDrain(member, config, now)
-        self.report_at = now
+        self.next_report_at = now
         if self.site:
             self.announcer = AnnouncerTask(member, config, self.messenger, self.site)
             self.spawn_probes(self.site)
 
     def spawn_probes(self, site: Site) -> None:
-        """Starts this member's reports to the route guard, and its probe sessions."""
+        """Start the health reports to the route guard, and the probe sessions unless they are disabled."""
         loop = self.member.loop
         loop.spawn(GuardHealthReporter(self.member, site, self.health).run())
         if self.config.probe_interval:
             loop.spawn(ProbeSessions(self.member, self.config, self.health).run())
 
     def roles(self) -> list[Role]:
-        """The roles that this member may hold."""
+        """Return the roles that this member may hold."""
         roles = [Role(CONTROLLER_ROLE, None, self.controller)]
         if self.announcer and self.site:
             roles.append(Role(announcer_role(self.site.name), self.site.name, self.announcer))
         return roles
 
     def routes(self) -> dict[str, dict[str, Callable[[str], Answer]]]:
-        """The operators' calls, by path and method."""
+        """Return the handlers of operators' calls, by path and method."""
         handle = self.query_api.handle
         return {
             "/control/addresses": {"GET": partial(handle, QueryKind.VIEW)},
@@ -103,22 +103,22 @@
             },
         }
 
-    # messages
+    # Messages
 
     def on_message(self, member: Member, body: bytes, now: float) -> None:
-        """Takes in a payload of another member; one that cannot be read is counted."""
+        """Dispatch the message in a payload from another member."""
         message = self.decode(body)
         if message is not None:
             self.dispatch(message, member.name, make_process_id(member.name, member.epoch), now)
 
     def on_broadcast(self, body: bytes) -> None:
-        """Takes in a broadcast."""
+        """Process a broadcast; only the controller's announcement is sent this way."""
         message = self.decode(body)
         if isinstance(message, ControllerAnnouncement):
             self.messenger.record_controller(message.term, message.process_id)
 
     def decode(self, body: bytes) -> Message | None:
-        """The message; None if it cannot be read."""
+        """Return the message; count it and return None if it cannot be decoded."""
         try:
             message: Message = MESSAGES.decode(body)
         except (msgspec.DecodeError, RecursionError):
@@ -127,7 +127,7 @@
         return message
 
     def dispatch(self, message: Message, name: str, process_id: str, now: float) -> None:
-        """Hands a message to the part that it concerns; `name` and `process_id` are the sender's."""
+        """Pass a message to the service that processes it; `name` and `process_id` are the sender's."""
         match message:
             case RouteAssignment():
                 self.messenger.record_controller(message.term, process_id)
@@ -145,12 +145,12 @@
                 self.dispatch_stored(message, name, process_id, now)
 
     def dispatch_stored(self, message: Message, name: str, process_id: str, now: float) -> None:
-        """The same for messages about stored records and queries."""
+        """Dispatch a message about stored records or queries."""
         match message:
             case StoreRequest():
-                self.voter.on_store_request(message, process_id)
+                self.voter_store.on_store_request(message, process_id)
             case OverrideQuery():
-                self.voter.on_override_query(message, process_id)
+                self.voter_store.on_override_query(message, process_id)
             case OverrideResponse():
                 self.override_api.on_override_response(message, now)
                 self.controller.on_message(message, name, now)
@@ -163,32 +163,32 @@
                 self.query_api.on_response_part(message)
 
     def record_holder(self, role: str, term: int, process_id: str) -> None:
-        """Membership names the holder of a role's lease."""
+        """Record the holder of a role's lease."""
         self.messenger.record_holder(role, term, process_id)
 
-    # time
+    # Timers
 
     def next_due(self) -> float:
-        """When `tick` is to be called next."""
+        """Return the time at which `tick` must be called next."""
         core = self.controller.core
-        return min(self.report_at, core.next_due) if core else self.report_at
+        return min(self.next_report_at, core.next_due) if core else self.next_report_at
 
     def tick(self, now: float) -> None:
-        """All that is due, and all messages of this process to itself."""
+        """Run everything that is due, and dispatch this process's messages to itself."""
         self.drain.tick(now)
-        self.voter.tick(now)
+        self.voter_store.tick(now)
         self.controller.tick(now)
-        if now >= self.report_at:
-            self.report_at = now + self.config.interval
+        if now >= self.next_report_at:
+            self.next_report_at = now + self.config.interval
             self.overrides.compact(now)
             self.override_api.resend()
             self.report_health(now)
-        while self.messenger.local:
-            message = self.messenger.local.popleft()
+        while self.messenger.local_messages:
+            message = self.messenger.local_messages.popleft()
             self.dispatch(message, self.member.name, self.member.process_id, clock.now())
 
     def report_health(self, now: float) -> None:
-        """Measures this member's health, for the announcer here and for the controller."""
+        """Measure this member's health, and pass it to the local announcer and to the controller."""
         if self.site is None:
             return
         rows = self.health.measure(now)
@@ -199,5 +199,5 @@
             self.messenger.send_to_controller(HealthReport(self.site.name, page))
 
     def close(self) -> None:
-        """Closes the store."""
-        self.voter.close()
+        """Close the voter's store."""
+        self.voter_store.close()
