--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -225,13 +225,13 @@
     def run_timer(self) -> Generator[float, None, None]:
         """Call the decisions whenever their timer is due; a failure is logged and the timer continues."""
         while True:
-            while self.loop.now < self.decisions.due:
-                yield self.decisions.due
+            while self.loop.now < self.decisions.next_tick_at:
+                yield self.decisions.next_tick_at
             try:
                 self.decisions.tick()
             except Exception as error:  # noqa: BLE001 -- the proxy needs its timer for all later decisions
                 self.report_failure("tick", error)
-                self.decisions.due = self.loop.now + TIMER_RETRY_SECONDS
+                self.decisions.next_tick_at = self.loop.now + TIMER_RETRY_SECONDS
 
     def report_failure(self, place: str, error: BaseException) -> None:
         """Count and log an unexpected exception.
