--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -173,7 +173,7 @@
 
 
 def days(folder: Path, quick: bool) -> tuple[int, list[str]]:
-    """Rules that proxies in a fleet break in days on sockets, judged by the lab's referee."""
+    """Rules that proxies in a fleet break in days on sockets, judged by the lab's checker."""
     from msgspec.structs import replace
 
     from onyxhollow.lab import scenario
@@ -190,7 +190,7 @@
         (folder / name).mkdir()
         engine = Sockets(day, 1, folder / name, in_fleet=True)
         world = engine.run()
-        rules = world.referee.verdict()
+        rules = world.checker.summary()
         count = sum(rules["broken"].values())  # type: ignore[attr-defined]
         broken_rules += count + len(engine.findings()["crashes"])
         rests = sum("list polling suspended" in (folder / name / f"n{n}.log").read_text() for n in range(6))
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -270,10 +270,10 @@
         judged = (
             Virtual(day, 1, lambda host, settings, seed, _, kind=kind: kind(host, settings, seed))
             .run()
-            .referee
+            .checker
         )
-        correct = Virtual(day, 1, decisions.find("module")).run().referee
-        count += bool(judged.counts[rule]) and correct.clean
+        correct = Virtual(day, 1, decisions.find("module")).run().checker
+        count += bool(judged.violation_counts[rule]) and correct.is_clean
     return count
 
 
--- a/onyxhollow/lab/broken.py
+++ b/onyxhollow/lab/broken.py
@@ -1,4 +1,4 @@
-"""Policies that break a rule each on purpose: what the referee must catch. Never offered for use."""
+"""Policies that break a rule each on purpose: what the checker must catch. Never offered for use."""
 
 from __future__ import annotations
 
--- a/onyxhollow/lab/demo.py
+++ b/onyxhollow/lab/demo.py
@@ -75,7 +75,7 @@
 
             world = engine.run(progress)
     counts, figures, found = world.ledger.counts, world.ledger.figures(), engine.findings()
-    sound = world.referee.clean and not found["crashes"] and not found["failures"]
+    sound = world.checker.is_clean and not found["crashes"] and not found["failures"]
     again = counts.get("cut: dropped", 0) + counts.get("cut: unreachable", 0)
     moved, cut = counts.get("moves", 0), counts.get("cut: torn down", 0)
     if sound:
@@ -84,7 +84,7 @@
             "the drained server, no cold server pushed over."
         )
     else:
-        kept = f"Something went wrong: {world.referee.verdict()} {found}"
+        kept = f"Something went wrong: {world.checker.summary()} {found}"
     console.print(f"""
 {len(world.clients)} clients wanted a connection; for {figures["service"]:.1%} of the time \
 that they wanted one they had it and were answered in time.
--- a/onyxhollow/lab/runs.py
+++ b/onyxhollow/lab/runs.py
@@ -66,7 +66,7 @@
         raise RunError(f"{scenario.title}: $.clients.record: {error}") from None
     except RuntimeError as error:
         raise RunError(f"{scenario.title}: {error}") from None
-    verdict = world.referee.verdict()
+    verdict = world.checker.summary()
     figures = world.ledger.figures()
     told: dict[str, Any] = {
         "scenario": scenario.title,
--- a/onyxhollow/lab/sockets/discovery.py
+++ b/onyxhollow/lab/sockets/discovery.py
@@ -71,7 +71,7 @@
         told = parse_qs(urlsplit(target).query)
         seen, wait = int(told.get("index", ["-1"])[0]), min(60.0, int(told.get("wait", ["0"])[0]) / 1000)
         desk, engine = self.desk, self.desk.engine
-        engine.world.referee.asks(engine.now, desk.proxy)
+        engine.world.checker.record_poll(engine.now, desk.proxy)
         engine.world.list.calls += 1
         if engine.world.list.down:
             self.answer(503, {})
@@ -81,7 +81,7 @@
             return
         self.waiting += 1
         desk.watchers[self] = seen
-        engine.world.referee.watching(desk.proxy, True)
+        engine.world.checker.set_watching(desk.proxy, True)
         engine.world.agenda.after(wait, self.waited, self.waiting)
 
     def waited(self, which: int) -> None:
@@ -97,9 +97,11 @@
             200, {"seq": shown.version, "whole": whole, "hosts": [self.desk.row(row) for row in rows]}
         )
         for row in rows:
-            engine.world.referee.heard(engine.now, self.desk.proxy, row.name, row.readiness, row.started)
+            engine.world.checker.record_notification(
+                engine.now, self.desk.proxy, row.name, row.readiness, row.started
+            )
             if engine.in_fleet and HEALTH[row.readiness] == "active":
-                engine.world.referee.back(row.name)
+                engine.world.checker.record_return_to_service(row.name)
         engine.world.agenda.after(STILL_WATCHING, self.desk.lapse, engine.now)
         self.desk.told_at = engine.now
 
@@ -150,8 +152,8 @@
     def lapse(self, told_at: float) -> None:
         """Nobody has asked again: the watch is over."""
         if self.told_at == told_at and not self.watchers:
-            self.engine.world.referee.watching(self.proxy, False)
-            self.engine.world.referee.asks(told_at, self.proxy)
+            self.engine.world.checker.set_watching(self.proxy, False)
+            self.engine.world.checker.record_poll(told_at, self.proxy)
 
     def changed(self) -> None:
         for asker, seen in list(self.watchers.items()):
@@ -161,8 +163,8 @@
         for asker in list(self.askers):
             asker.lines.close()
             asker.ended(True)
-        self.engine.world.referee.watching(self.proxy, False)
-        self.engine.world.referee.asks(self.engine.now, self.proxy)
+        self.engine.world.checker.set_watching(self.proxy, False)
+        self.engine.world.checker.record_poll(self.engine.now, self.proxy)
 
     def close(self) -> None:
         self.down()
--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -83,7 +83,7 @@
             self.say()
             return
         how = {b"UP": "up", b"BUSY": "refused"}.get(word, "failed")
-        engine.world.referee.answered(engine.now, sess.proxy, sess.number, how)
+        engine.world.checker.record_answer(engine.now, sess.proxy, sess.number, how)
         if how == "up":
             dial = engine.dials.get(sess.number)
             if dial is None or dial.door.server.state is State.STOPPED:
@@ -115,8 +115,10 @@
             return
         if not self.answered and not sess.answered:
             if engine.world.proxies[sess.proxy].alive and self.lines.sent:
-                engine.world.referee.breach(1, engine.now, f"session {sess.number}: ended without an answer")
-            engine.world.referee.gone(engine.now, sess.number)
+                engine.world.checker.add_violation(
+                    1, engine.now, f"session {sess.number}: ended without an answer"
+                )
+            engine.world.checker.record_client_gone(engine.now, sess.number)
             engine.world.lost(sess)
         elif self.answered:
             engine.world.cut(sess, Cause.TORN_DOWN)
@@ -132,7 +134,7 @@
         self.scenario, self.seed, self.folder, self.in_fleet = scenario, seed, folder, in_fleet
         self.world = World(scenario, seed)
         grace, answer = scenario.proxies.drain_grace + SLACK, scenario.proxies.answer_grace + SLACK
-        self.world.referee.drain_grace, self.world.referee.answer_grace = grace, answer
+        self.world.checker.drain_grace, self.world.checker.answer_grace = grace, answer
         self.loop = Loop(self.failed)
         self.began = time.monotonic()
         self.ends: dict[int, ClientEnd] = {}
@@ -387,13 +389,13 @@
             told.append(f"d={max(1, round(left * 1000))}")
             if sess.client.was_up:
                 told.append("again=1")
-            self.world.referee.took(
+            self.world.checker.record_session(
                 self.now, sess.proxy, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
             )
         end.lines.say(f"OPEN c{sess.number:x} k{wish.number} {','.join(told)}\r\n".encode())
 
     def withdraw(self, sess: Session) -> None:
-        self.world.referee.gone(self.now, sess.number)
+        self.world.checker.record_client_gone(self.now, sess.number)
         if end := self.ends.pop(sess.number, None):
             end.lines.close()
 
@@ -458,7 +460,7 @@
 
     def stall(self, number: int, span: float) -> None:
         self.proxies[number].tell(signal.SIGSTOP)
-        self.world.referee.stalled(number, self.now + span + SLACK)
+        self.world.checker.record_stall(number, self.now + span + SLACK)
         self.world.agenda.after(span, self.proxies[number].tell, signal.SIGCONT)
 
     # results
--- a/onyxhollow/lab/sockets/servers.py
+++ b/onyxhollow/lab/sockets/servers.py
@@ -82,7 +82,7 @@
             self.over = True  # its client left while the dial was on its way
             self.lines.close()
             return
-        world.referee.sent(engine.now, sess.proxy, sess.number, server.name)
+        world.checker.record_attempt(engine.now, sess.proxy, sess.number, server.name)
         world.ledger.count("dials")
         verdict, wait = world.offer(sess, server)
         far = 4.0 * world.one_way(world.proxies[sess.proxy].zone, server.zone)
@@ -124,7 +124,7 @@
         self.door.dials.pop(self, None)
         if (sess := self.sess) is not None:
             engine = self.door.engine
-            engine.world.referee.dial_ended(engine.now, sess.number, self.sent_at, not self.ran)
+            engine.world.checker.record_attempt_end(engine.now, sess.number, self.sent_at, not self.ran)
             if engine.dials.get(sess.number) is self:
                 del engine.dials[sess.number]
 
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -93,7 +93,7 @@
         assert isinstance(token, Held)
         now, target, engine = self.now, self.world.by_name[server], self.engine
         token.dial, token.out, token.server, token.sent_at = token.dial + 1, True, target, now
-        self.world.referee.sent(now, self.number, token.sess.number, server)
+        self.world.checker.record_attempt(now, self.number, token.sess.number, server)
         self.world.ledger.count("dials")
         if self.zone != target.zone:
             self.world.ledger.count("dials across zones")
@@ -149,7 +149,7 @@
             self.talk.pass_on(self, core)
 
     def poll_endpoint_list(self) -> None:
-        self.world.referee.asks(self.now, self.number)
+        self.world.checker.record_poll(self.now, self.number)
         self.world.list.watch(self.number, self.seen, self.list_news, self.list_answer, self.list_ended)
 
     def set_timer(self, when: float) -> None:
@@ -170,14 +170,16 @@
             for row in rows
         ]
         for row in rows:
-            self.world.referee.heard(self.now, self.number, row.name, row.readiness, row.started)
+            self.world.checker.record_notification(
+                self.now, self.number, row.name, row.readiness, row.started
+            )
         self.balancer.on_endpoint_list(kind, entries)
 
     def note(self, rows: list[Row], whole: bool, version: int) -> None:
         self.seen = version
         if whole:
             for name in [name for name in self.rows if name not in {row.name for row in rows}]:
-                self.world.referee.heard(self.now, self.number, name, "gone", None)
+                self.world.checker.record_notification(self.now, self.number, name, "gone", None)
             self.rows = {}
         for row in rows:
             self.rows[row.name] = row
@@ -192,13 +194,13 @@
         if rows is None:
             self.when_able(self.told, (EndpointListKind.FAILED, []))
             return
-        self.world.referee.watching(self.number, True)
+        self.world.checker.set_watching(self.number, True)
         self.when_able(self.note, (rows, whole, version))
 
     def list_ended(self) -> None:
         if self.alive:
-            self.world.referee.watching(self.number, False)
-            self.world.referee.asks(self.now, self.number)
+            self.world.checker.set_watching(self.number, False)
+            self.world.checker.record_poll(self.now, self.number)
             self.when_able(self.told, (EndpointListKind.FAILED, []))
 
     def come(self, sess: Session) -> None:
@@ -206,7 +208,7 @@
         if sess.over:
             return
         spec = self.world.scenario.listeners[sess.client.wish.listener]
-        self.world.referee.took(
+        self.world.checker.record_session(
             self.now, self.number, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
         )
         held = self.held[sess.number] = Held(sess)
@@ -226,7 +228,7 @@
 
     def answer(self, held: Held, how: str) -> None:
         held.answered = True
-        self.world.referee.answered(self.now, self.number, held.sess.number, how)
+        self.world.checker.record_answer(self.now, self.number, held.sess.number, how)
         self.held.pop(held.sess.number, None)
 
     def reach(self, held: Held, dial: int, one_way: float) -> None:
@@ -264,7 +266,7 @@
         if not held.out or held.dial != dial or held.sess.over:
             return
         held.standing = held.answered = True
-        self.world.referee.answered(self.now, self.number, held.sess.number, "up")
+        self.world.checker.record_answer(self.now, self.number, held.sess.number, "up")
         held.handle.on_established(self.now - held.sent_at)
         self.world.up(held.sess, server)
 
@@ -278,7 +280,7 @@
         held.out = False
         if end is not AttemptOutcome.OK:
             self.world.ledger.count(f"dial: {end.value}")
-        self.world.referee.dial_ended(self.now, held.sess.number, held.sent_at, end.never_ran)
+        self.world.checker.record_attempt_end(self.now, held.sess.number, held.sent_at, end.never_ran)
         final = held.answered or held.standing
         if self.talk and not final and end not in NOT_FAILURES and held.server:
             self.talk.cores[self.number].record_failure(held.server.name, self.now)
@@ -296,7 +298,7 @@
             self.gone(held)
             self.dial_over(held, held.dial, AttemptOutcome.CANCELLED)
             return
-        self.world.referee.gone(self.now, sess.number)
+        self.world.checker.record_client_gone(self.now, sess.number)
         self.held.pop(sess.number, None)
         if not held.answered:
             held.answered = True
@@ -472,4 +474,4 @@
     def stall(self, number: int, span: float) -> None:
         instance = self.instances[number]
         instance.stalled_until = max(instance.stalled_until, self.world.agenda.now + span)
-        self.world.referee.stalled(number, instance.stalled_until)
+        self.world.checker.record_stall(number, instance.stalled_until)
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -15,8 +15,8 @@
 import numpy as np
 
 from onyxhollow.lab.evenness import Seen
+from onyxhollow.lab.invariant_checker import InvariantChecker
 from onyxhollow.lab.ledger import Ledger
-from onyxhollow.lab.referee import Referee
 from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.world import listing
 from onyxhollow.lab.world.agenda import Agenda
@@ -101,7 +101,7 @@
         self.speeds = stream(seed, "servers")
         self.store = Store(scenario.store.rate, scenario.store.time)
         self.list = ServerList(self.agenda, scenario.server_list)
-        self.referee = Referee(
+        self.checker = InvariantChecker(
             scenario.proxies.drain_grace, scenario.proxies.answer_grace, scenario.proxies.ask_within
         )
         self.proxies = [Proxy(n, n % len(fleet.zones)) for n in range(fleet.proxies)]
@@ -144,7 +144,7 @@
         """Puts down all that is due. Those that stand at the start are the engine's: see standing."""
         self.engine = engine
         self.list.published.append(
-            lambda row: self.referee.shown(self.agenda.now, row.name, row.readiness, row.started)
+            lambda row: self.checker.record_listing(self.agenda.now, row.name, row.readiness, row.started)
         )
         for server in self.servers:
             self.list.rows[server.name] = self.row(server, listing.IN_SERVICE)
@@ -185,7 +185,7 @@
             sess = self.new_session(client, proxy.number, math.inf)
             sess.answered = True
             self.agenda.at(client.wish.end, self.wish_over, client)
-            self.referee.answered_by[sess.number] = (proxy.number, "up")
+            self.checker.final_answers[sess.number] = (proxy.number, "up")
             self.stand(sess, self.servers[place])
             made.append(sess)
         return made
@@ -226,7 +226,7 @@
                 self.ledger.out(client.wish, client.since, now, client.cause)
         for server in self.servers:
             server.step(now, lambda *told: self.ledger.served(now, *told))
-        self.referee.finish(now)
+        self.checker.finish(now)
 
     # clients
 
@@ -499,7 +499,7 @@
         server.step_at, server.crossing = self.agenda.now, 2.0 * self.scenario.network.cross
         self.servers.append(server)
         self.by_name[server.name] = server
-        self.referee.places[server.name] = (server.zone, server.cell)
+        self.checker.server_locations[server.name] = (server.zone, server.cell)
         return server
 
     def row(self, server: Server, readiness: str) -> Row:
@@ -601,12 +601,12 @@
         verdict, wait = server.offer(now, self.usual[wish.listener], work, sess.proxy, chance)
         if (shares := server.falls(now)) is not None:
             self.ledger.count("cold servers fell")
-            self.referee.fell(now, server.name, server.started + server.clock_off, shares)
+            self.checker.record_overload_failure(now, server.name, server.started + server.clock_off, shares)
             self.stop_server(server, silently=True)
             self.agenda.after(self.scenario.fleet.fall_out, self.start_server, server)
             return Verdict.SILENT, 0.0
         if verdict is Verdict.UP:
-            self.referee.ran(now, sess.key, spec.repeat, server.name)
+            self.checker.record_execution(now, sess.key, spec.repeat, server.name)
             wait += self.store.ask(now)
         return verdict, wait
 
@@ -652,7 +652,7 @@
         self.ledger.count("proxy crashes")
         self.list.forget(number)
         self.engine.crash(number)
-        self.referee.proxy_died(number)
+        self.checker.record_proxy_crash(number)
         self.agenda.after(self.scenario.front.notice, self.notice, proxy)
         for client in self.clients_of(number):
             sess = client.session
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab: accounts, faults, determinism, and a referee that bites. All in virtual time."""
+"""The lab: accounts, faults, determinism, and a checker that bites. All in virtual time."""
 
 import os
 import subprocess
@@ -10,8 +10,8 @@
 pytest.importorskip("msgspec")
 
 from onyxhollow.lab import broken, decisions, runs, scenario  # noqa: E402
+from onyxhollow.lab.invariant_checker import InvariantChecker  # noqa: E402
 from onyxhollow.lab.ledger import merged  # noqa: E402
-from onyxhollow.lab.referee import Referee  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
 from onyxhollow.lab.world import faults  # noqa: E402
 from onyxhollow.lab.world.servers import State  # noqa: E402
@@ -101,42 +101,44 @@
 @pytest.mark.parametrize("rule", [1, 2, 3, 4])
 def test_each_rule_is_broken_by_its_policy_and_kept_by_the_module(rule):
     kind, day = broken.days()[rule]
-    caught = Virtual(day, 1, lambda host, settings, seed, _: kind(host, settings, seed)).run().referee
-    kept = Virtual(day, 1, lambda host, settings, seed, _: Balancer(host, settings, seed)).run().referee
-    assert caught.counts[rule] and kept.clean
+    caught = Virtual(day, 1, lambda host, settings, seed, _: kind(host, settings, seed)).run().checker
+    kept = Virtual(day, 1, lambda host, settings, seed, _: Balancer(host, settings, seed)).run().checker
+    assert caught.violation_counts[rule] and kept.is_clean
 
 
 def test_the_referee_judges_the_edge_of_each_rule():
     def judge(act):
-        referee = Referee(drain_grace=0.25, answer_grace=0.016, ask_within=10.0)
-        referee.places = {"a": (0, 0), "b": (0, 1), "c": (1, 1)}
-        referee.watching(0, True)
-        act(referee)
-        referee.finish(100.0)
-        return [rule for rule, count in referee.counts.items() if count]
+        checker = InvariantChecker(drain_grace=0.25, answer_grace=0.016, ask_within=10.0)
+        checker.server_locations = {"a": (0, 0), "b": (0, 1), "c": (1, 1)}
+        checker.set_watching(0, True)
+        act(checker)
+        checker.finish(100.0)
+        return [rule for rule, count in checker.violation_counts.items() if count]
 
-    def session(referee, repeat="repeatable", scope="all", window=0.0):
-        referee.took(1.0, 0, 7, 3.0, repeat, scope, window)
+    def session(checker, repeat="repeatable", scope="all", window=0.0):
+        checker.record_session(1.0, 0, 7, 3.0, repeat, scope, window)
 
     def answered_at(when):
-        return judge(lambda r: (session(r), r.answered(when, 0, 7, "refused")))
+        return judge(lambda r: (session(r), r.record_answer(when, 0, 7, "refused")))
 
     assert answered_at(3.015) == [] and answered_at(3.02) == [1]
     assert judge(session) == [1]  # never
-    assert judge(lambda r: (session(r), r.gone(2.0, 7))) == []
-    assert judge(lambda r: (session(r), r.gone(3.2, 7))) == [1]
-    twice = judge(lambda r: (session(r), r.answered(2.0, 0, 7, "up"), r.answered(2.1, 1, 7, "refused")))
+    assert judge(lambda r: (session(r), r.record_client_gone(2.0, 7))) == []
+    assert judge(lambda r: (session(r), r.record_client_gone(3.2, 7))) == [1]
+    twice = judge(
+        lambda r: (session(r), r.record_answer(2.0, 0, 7, "up"), r.record_answer(2.1, 1, 7, "refused"))
+    )
     assert twice == [1]  # by two proxies
-    assert 2 in judge(lambda r: (session(r), r.took(1.5, 1, 7, 3.0, "repeatable", "all", 0.0)))
+    assert 2 in judge(lambda r: (session(r), r.record_session(1.5, 1, 7, 3.0, "repeatable", "all", 0.0)))
 
     def again(repeat, never_ran, scope="all", second="b", when=1.5, window=0.0):
         return judge(
             lambda r: (
                 session(r, repeat, scope, window),
-                r.sent(1.1, 0, 7, "a"),
-                r.dial_ended(1.4, 7, 1.1, never_ran),
-                r.sent(when, 0, 7, second),
-                r.answered(2.0, 0, 7, "up"),
+                r.record_attempt(1.1, 0, 7, "a"),
+                r.record_attempt_end(1.4, 7, 1.1, never_ran),
+                r.record_attempt(when, 0, 7, second),
+                r.record_answer(2.0, 0, 7, "up"),
             )
         )
 
@@ -146,17 +148,22 @@
     assert again("referenced", False, "cell", "b", window=1.0) == [2]
     assert again("referenced", False, "all", "c", when=2.15, window=1.0) == [2]
     out = judge(
-        lambda r: (session(r), r.sent(1.1, 0, 7, "a"), r.sent(1.2, 0, 7, "b"), r.answered(2.0, 0, 7, "up"))
+        lambda r: (
+            session(r),
+            r.record_attempt(1.1, 0, 7, "a"),
+            r.record_attempt(1.2, 0, 7, "b"),
+            r.record_answer(2.0, 0, 7, "up"),
+        )
     )
     assert out == [2]  # two dials out
 
     def sent_at(when):
         return judge(
             lambda r: (
-                r.heard(1.0, 0, "a", "draining", None),
+                r.record_notification(1.0, 0, "a", "draining", None),
                 session(r),
-                r.sent(when, 0, 7, "a"),
-                r.answered(2.0, 0, 7, "up"),
+                r.record_attempt(when, 0, 7, "a"),
+                r.record_answer(2.0, 0, 7, "up"),
             )
         )
 
@@ -166,11 +173,11 @@
         """It neither watches nor asks: what the list showed at 1.0 counts as told at 11.0."""
         return judge(
             lambda r: (
-                r.watching(0, False),
-                r.shown(1.0, "a", "gone", None),
-                r.took(when, 0, 7, when + 1, "repeatable", "all", 0.0),
-                r.sent(when, 0, 7, "a"),
-                r.answered(when, 0, 7, "up"),
+                r.set_watching(0, False),
+                r.record_listing(1.0, "a", "gone", None),
+                r.record_session(when, 0, 7, when + 1, "repeatable", "all", 0.0),
+                r.record_attempt(when, 0, 7, "a"),
+                r.record_answer(when, 0, 7, "up"),
             )
         )
 
@@ -178,7 +185,10 @@
 
     def fell(share):
         return judge(
-            lambda r: (r.heard(1.0, 0, "a", "in service", 0.9), r.fell(2.0, "a", 0.9, {0: share, 1: 1.0}))
+            lambda r: (
+                r.record_notification(1.0, 0, "a", "in service", 0.9),
+                r.record_overload_failure(2.0, "a", 0.9, {0: share, 1: 1.0}),
+            )
         )
 
     assert fell(2.1) == [4] and fell(1.9) == []
@@ -249,7 +259,7 @@
         ["cut: torn down", "cut: dropped", "proxy restarts", "up late"], 0
     ) | (without.ledger.counts)
     assert shows(with_it) and not shows(without)
-    assert with_it.referee.clean
+    assert with_it.checker.is_clean
 
 
 def test_every_kind_of_fault_has_its_test():
@@ -286,7 +296,7 @@
         world.agenda.run(world.scenario.seconds)
         engine.end()
         assert sess.over and client.done and client.session is None and sess not in server.sessions
-        assert world.referee.clean and world.ledger.figures()["service"] > 0.9
+        assert world.checker.is_clean and world.ledger.figures()["service"] > 0.9
 
 
 def test_a_proxy_that_crashes_with_dials_out_owes_nothing_and_its_clients_come_again():
@@ -304,7 +314,7 @@
     assert out
     world.agenda.run(day.seconds)
     engine.end()
-    assert world.referee.clean
+    assert world.checker.is_clean
     assert all(sess.client.done or sess.client.was_up or sess.client.session for sess in out)
 
 
@@ -324,7 +334,7 @@
     assert not any(sess.muted for server in world.servers for sess in server.sessions)
     world.agenda.run(world.scenario.seconds)
     engine.end()
-    assert world.ledger.figures()["lost"][Cause.UNREACHABLE.value] > 0.05 and world.referee.clean
+    assert world.ledger.figures()["lost"][Cause.UNREACHABLE.value] > 0.05 and world.checker.is_clean
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lab_evenness.py
+++ b/tests/test_lab_evenness.py
@@ -7,7 +7,7 @@
 
 from onyxhollow.lab import experiment, report, runs
 from onyxhollow.lab.evenness import Evenness, Seen
-from onyxhollow.lab.referee import Referee
+from onyxhollow.lab.invariant_checker import InvariantChecker
 
 NAMES = [f"s{n}" for n in range(10)]
 
@@ -72,11 +72,11 @@
 def test_a_server_that_is_back_may_get_sessions_of_all_whose_fleet_was_told_a_draining_one_none():
     # A day with the list down judged 16 breaches of proxies whose fleet had told them that a drain was over.
     for back in (False, True):
-        referee = Referee(0.25, 0.05, 10.0)
-        referee.heard(5.0, 2, "s7", "draining", None)
-        referee.watching(2, True)
+        checker = InvariantChecker(0.25, 0.05, 10.0)
+        checker.record_notification(5.0, 2, "s7", "draining", None)
+        checker.set_watching(2, True)
         if back:
-            referee.back("s7")
-        referee.took(8.0, 2, 1, 10.0, "repeatable", "all", 0.0)
-        referee.sent(8.0, 2, 1, "s7")
-        assert referee.verdict()["broken"] == ({} if back else {"3": 1})
+            checker.record_return_to_service("s7")
+        checker.record_session(8.0, 2, 1, 10.0, "repeatable", "all", 0.0)
+        checker.record_attempt(8.0, 2, 1, "s7")
+        assert checker.summary()["broken"] == ({} if back else {"3": 1})
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -41,7 +41,7 @@
     engine = Sockets(day, 1, tmp_path)
     world = engine.run()
     told, counts = engine.findings(), world.ledger.counts
-    assert world.referee.verdict() == {"clean": True, "broken": {}, "first": []}
+    assert world.checker.summary() == {"clean": True, "broken": {}, "first": []}
     assert not told["crashes"] and not told["complaints"] and not told["failures"]
     assert counts["up"] > 20 and counts["cut: torn down"] > 3 and counts["proxy crashes"] == 1
     assert told["bad_clients"] >= 6 and engine.proxies[0].lives + engine.proxies[1].lives == 3
