--- a/onyxhollow/fleet/drain_broadcast.py
+++ b/onyxhollow/fleet/drain_broadcast.py
@@ -25,7 +25,7 @@
         updates = []
         for start in range(0, len(new_drains), DRAINS_PER_BROADCAST):
             bodies = encode_records(new_drains[start : start + DRAINS_PER_BROADCAST])
-            if len(bodies) == 1:  # more parts do not fit a broadcast; the publisher's update carries them
+            if len(bodies) == 1:  # more parts do not fit a broadcast; the publisher's update has them too
                 updates.append(ListUpdate(self.role, 0, source, version, 0, 0, 1, bodies[0]))
         return updates
 
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -323,5 +323,6 @@
     _read_address(role.call_address, f"{key}.call")
     if not role.path.startswith("/") or not role.path.isprintable() or " " in role.path:
         raise FleetFileError(
-            f"{key}.path: expected a path that begins with /, got {role.path[:MAX_QUOTED_CHARS]!r}"
+            f"{key}.path: expected a printable path that begins with / and has no space, "
+            f"got {role.path[:MAX_QUOTED_CHARS]!r}"
         )
--- a/onyxhollow/fleet/paced_sender.py
+++ b/onyxhollow/fleet/paced_sender.py
@@ -20,7 +20,7 @@
     def __init__(self, send: Callable[[Member, ListUpdate], None]) -> None:
         self.send = send
         self.queue: deque[tuple[Member, ListUpdate]] = deque()
-        self.next_due = math.inf  # seconds
+        self.next_due = math.inf  # time of the next group, seconds
 
     def enqueue(self, receiver: Member, update: ListUpdate, now: float) -> bool:
         """Queue an update and return True, or return False if the queue is full."""
