--- a/onyxhollow/fleet/shared_addresses/health_probes.py
+++ b/onyxhollow/fleet/shared_addresses/health_probes.py
@@ -85,7 +85,7 @@
 
 
 class GuardHealthReporter:
-    """Reports this member's health to the site's route guard, which uses it without an announcer."""
+    """Reports this member's health to the site's route guard, for use while no announcer calls it."""
 
     def __init__(self, member: MemberContext, site: Site, health: LocalHealth) -> None:
         self.member = member
--- a/tests/test_connection_drain.py
+++ b/tests/test_connection_drain.py
@@ -1,4 +1,4 @@
-"""The paced move of open connections whose addresses an override has withdrawn."""
+"""Paced migration of open connections whose addresses an override has withdrawn."""
 
 from types import SimpleNamespace
 
@@ -9,7 +9,7 @@
 
 
 class FakeMember:
-    """A fleet member: its open sessions, each one moved as soon as it is stopped."""
+    """Fake fleet member whose open sessions count as moved as soon as they are stopped."""
 
     def __init__(self, config):
         self.name, self.zone, self.process_id, self.epoch = "a0", "a", "a0~1", 1
@@ -32,30 +32,31 @@
             session.stop = lambda session=session: (self.live.remove(session), self.moved.append(session))
             self.live.append(session)
 
-    def count_moved(self, second, *names):
-        """The announcer's request, repeated every second, and how many are moved in this second."""
+    def count_moved(self, second, *addresses):
+        """Send the announcer's drain request, and return how many connections move in this second."""
         before = len(self.moved)
-        request = DrainRequest("a", list(names))
+        request = DrainRequest("a", list(addresses))
         self.addresses.dispatch(request, "a1", "a1~1", float(second))
         self.addresses.drain.move_connections(float(second))
         return len(self.moved) - before
 
 
-def test_connections_move_though_none_had_to_when_the_first_of_two_addresses_was_withdrawn():
-    """Both have one listener, and the routing daemon takes their withdrawals one after the other.
+def test_connections_of_a_shared_listener_move_once_its_second_address_is_withdrawn():
+    """Guard against a migration whose size is fixed at 0 by a step between the two withdrawals.
 
-    A member that looked in between had a pace for none, and moved none as long as the override stood.
+    Both addresses have one listener, and the routing daemon confirms their withdrawals one after the other.
+    After the first one no connection has to move; the size must be updated after the second one.
     """
     member = FakeMember(two_site_config("chat", "chat"))
     member.open_sessions(100, "chat")
-    assert member.count_moved(0, "x0") == 0  # x1 has the same listener, and stays
+    assert member.count_moved(0, "x0") == 0  # x1 uses the same listener and is still advertised
     assert [member.count_moved(second, "x0", "x1") for second in range(1, 7)] == [5, 5, 5, 5, 5, 10]
     for second in range(7, 13):
         member.count_moved(second, "x0", "x1")
     assert not member.live
 
 
-def test_connections_that_open_while_an_address_is_withdrawn_move_though_there_were_none():
+def test_connections_that_open_during_a_drain_without_connections_move():
     member = FakeMember(two_site_config("chat", "talk"))
     assert member.count_moved(0, "x0") == 0
     member.open_sessions(12, "chat")
@@ -66,12 +67,12 @@
 
 
 def test_a_second_address_drains_at_the_pace_of_all_its_connections():
-    """One had two connections and the other two hundred: they moved one a second."""
+    """Guard against a rate based on the first address's 2 connections, 1 per second, for 200 more."""
     member = FakeMember(two_site_config("chat", "talk"))
     member.open_sessions(2, "chat")
     member.open_sessions(200, "talk")
     assert member.count_moved(0, "x0") == 1
-    assert member.count_moved(1, "x0", "x1") == 11  # a twentieth of 201, rounded up
+    assert member.count_moved(1, "x0", "x1") == 11  # 5 percent of 201, rounded up
     for second in range(2, 12):
         member.count_moved(second, "x0", "x1")
     assert not member.live
--- a/tests/test_fleet_addresses.py
+++ b/tests/test_fleet_addresses.py
@@ -1,4 +1,4 @@
-"""Shared addresses on real processes: three sites, a route guard and a routing daemon each, with faults."""
+"""Shared addresses with real processes and faults: three sites with route guards and routing daemons."""
 
 import signal
 import subprocess
@@ -14,23 +14,23 @@
 
 
 @pytest.fixture
-def sites_of(tmp_path):
-    made = []
-
-    def make(**values):
-        made.append(Sites(tmp_path / f"rig{len(made)}", **values))
-        made[-1].start()
-        made[-1].wait_standing(a=2, b=2, c=2)
-        made[-1].wait_known()
-        return made[-1]
-
-    yield make
-    for sites in made:
+def start_sites(tmp_path):
+    started = []
+
+    def start(**values):
+        started.append(Sites(tmp_path / f"rig{len(started)}", **values))
+        started[-1].start()
+        started[-1].wait_standing(a=2, b=2, c=2)
+        started[-1].wait_known()
+        return started[-1]
+
+    yield start
+    for sites in started:
         sites.close()
 
 
 def assert_invariants(sites):
-    """No crash, one connection to each routing daemon, evidence for each change; whatever has happened."""
+    """Check for crashes, at most one connection to each routing daemon, and evidence for each change."""
     rig = sites.rig
     rig.read_logs()
     assert not rig.crashes and not rig.failures
@@ -39,67 +39,74 @@
         assert speaker.most_owners <= 1 and not speaker.bad
         assert not sites.gates[zone].events("failure")
     assert all(row["evidence"] and row["why"] for row in sites.decided())
-    for zone in sites.zones:  # nothing is set at a guard that is not in the history
+    for zone in sites.zones:  # each preference set at a guard is in the history, unless the site was cut off
         stored = {(row["address"], row["standing"]) for row in sites.decided() if row["site"] == zone}
-        alone = [line for line in rig.lines if line.event == "address cut off" and line.told["site"] == zone]
+        cut_off = [
+            line for line in rig.lines if line.event == "address cut off" and line.told["site"] == zone
+        ]
         for row in sites.gates[zone].events("set"):
-            word = ("withdrawn", "lesser", "advertised")[row["standing"]]
-            assert (row["name"], word) in stored or alone
+            preference = ("withdrawn", "lesser", "advertised")[row["standing"]]
+            assert (row["name"], preference) in stored or cut_off
 
 
-def fill(sites, zone, load=1.2):
+def set_load(sites, zone, load=1.2):
     for server in sites.of(zone):
         server.base = load
 
 
-def all_served(sites):
-    sites.rig.wait(lambda: sites.served() == 1.0, 20, "all partners are served")
+def wait_all_served(sites):
+    sites.rig.wait(lambda: sites.served() == 1.0, 20, "all partners to be served")
 
 
-def changes(sites, zone):
+def count_route_changes(sites, zone):
     return [len(speaker.changes) for name, speaker in sites.speakers.items() if name == zone][0]
 
 
-def test_a_full_site_is_withdrawn_and_restored_through_stops_kills_and_restarts(sites_of):
-    sites = sites_of(partners=6)
+def test_a_full_site_is_withdrawn_and_restored_through_stops_kills_and_restarts(start_sites):
+    sites = start_sites(partners=6)
     rig = sites.rig
-    all_served(sites)
-    # All processes are healthy; its servers have no capacity.
-    fill(sites, "a")
+    wait_all_served(sites)
+    # All processes are healthy, but the endpoints of site a have no capacity.
+    set_load(sites, "a")
     sites.wait_standing(a=0, b=2, c=2)
-    all_served(sites)
+    wait_all_served(sites)
     row = sites.row("addr0", "a")
     assert row["cause"] == "health" and "0 of 2 usable endpoints have capacity" in row["evidence"]
-    fill(sites, "a", 0.1)
+    set_load(sites, "a", 0.1)
     sites.wait_standing(a=2, b=2, c=2)
 
-    # Its announcer is stopped past its lease; another calls the guard; resumed, the first changes nothing.
+    # The announcer is stopped for longer than its lease, and another one takes over. When the first one is
+    # resumed, it must not change any route.
     first = rig.wait_holder("announcer/a")
     rig.stop(first)
     second = rig.wait_holder("announcer/a", other_than=first)
     assert sites.standing("a") == [2, 2] and rig.zones[second] == "a"
-    fill(sites, "a")
+    set_load(sites, "a")
     sites.wait_standing(a=0, b=2, c=2)
-    before = changes(sites, "a")
+    changes_before = count_route_changes(sites, "a")
     rig.go_on(first)
-    woken = rig.now_by[first].title
-    rig.wait(lambda: rig.said(woken, "duty", change="ended", duty="announcer/a"), 10, "it ends")
+    resumed = rig.now_by[first].title
+    rig.wait(
+        lambda: rig.said(resumed, "duty", change="ended", duty="announcer/a"), 10, "the first term to end"
+    )
     rig.play(1.0)
-    assert sites.standing("a") == [0, 0] and changes(sites, "a") == before
+    assert sites.standing("a") == [0, 0] and count_route_changes(sites, "a") == changes_before
 
-    # The controller is killed as soon as it has decided; the next one finds the routes and goes on.
+    # The controller is killed immediately after a decision. The next one must read the routes from the sites
+    # and continue.
     controller = rig.wait_holder("addresses")
-    fill(sites, "a", 0.1)
-    told = len(sites.decided())
-    rig.wait(lambda: len(sites.decided()) > told, 20, "a decision")
+    set_load(sites, "a", 0.1)
+    decisions = len(sites.decided())
+    rig.wait(lambda: len(sites.decided()) > decisions, 20, "a decision")
     rig.kill(controller)
     rig.wait_holder("addresses", other_than=controller)
     sites.wait_standing(40.0, a=2, b=2, c=2)
     rig.start(controller)
     rig.wait_members(within=40)
 
-    # Daemon and guard are restarted while all is well: the routes are sent again, by nobody's decision.
-    told = len(sites.decided())
+    # Routing daemon and guard are restarted without a fault elsewhere: the guard must send the routes again
+    # without a decision of the controller.
+    decisions = len(sites.decided())
     sites.speakers["b"].down()
     assert sites.standing("b") == [0, 0]
     sites.speakers["b"].up()
@@ -109,129 +116,137 @@
     sites.speakers["c"].up()
     sites.gates["c"].start()
     sites.wait_standing(a=2, b=2, c=2)
-    assert len(sites.decided()) == told
+    assert len(sites.decided()) == decisions
     assert_invariants(sites)
 
 
-def test_all_sites_unhealthy_a_wave_and_a_partition_leave_the_last_routes(sites_of):
-    sites = sites_of(partners=6, capacity=30.0)
+def test_last_routes_stay_when_all_sites_fail_two_fail_together_or_the_fleet_is_partitioned(start_sites):
+    sites = start_sites(partners=6, capacity=30.0)
     rig = sites.rig
-    all_served(sites)
-    # All look unhealthy at once: all stay, and it says so.
+    wait_all_served(sites)
+    # All sites are unhealthy at the same time: the last routes stay, and the view shows the reason.
     for zone in sites.zones:
-        fill(sites, zone)
-    rules = ("all ill", "last", "no room", "too many")
-    staying = lambda: [sites.row("addr0", zone)["stays"].startswith(rules) for zone in sites.zones]  # noqa: E731
-    rig.wait(lambda: sum(staying()) >= 2, 20, "why they stay is shown")
+        set_load(sites, zone)
+    reasons = ("all ill", "last", "no room", "too many")
+    has_reason = lambda: [  # noqa: E731
+        sites.row("addr0", zone)["stays"].startswith(reasons) for zone in sites.zones
+    ]
+    rig.wait(lambda: sum(has_reason()) >= 2, 20, "the reasons to be shown")
     rig.play(2.0)
-    # The controller hears of them one after another: the first may be withdrawn and the next step aside,
-    # which is still advertised, before all are known to be unhealthy. Never more than the one, and the last
-    # stays as it was.
-    stands = sorted(sites.standing(zone)[0] for zone in sites.zones)
-    assert stands[1] >= 1 and stands[2] == 2
+    # The reports of the sites reach the controller one after another. Before all have arrived, the first site
+    # may be withdrawn and the next one lowered, which is still announced. At most one may be withdrawn, and
+    # the last one must not change.
+    preferences = sorted(sites.standing(zone)[0] for zone in sites.zones)
+    assert preferences[1] >= 1 and preferences[2] == 2
     for zone in sites.zones:
-        fill(sites, zone, 0.1)
+        set_load(sites, zone, 0.1)
     sites.wait_standing(40.0, a=2, b=2, c=2)
 
-    # Two fail together: one is withdrawn, the other is lowered until the window is over.
-    fill(sites, "a")
-    fill(sites, "b")
-    rig.wait(lambda: 0 in (sites.standing("a")[0], sites.standing("b")[0]), 20, "one goes")
+    # Two sites fail together: one is withdrawn, the other one is lowered until the withdrawal window ends.
+    set_load(sites, "a")
+    set_load(sites, "b")
+    rig.wait(lambda: 0 in (sites.standing("a")[0], sites.standing("b")[0]), 20, "one withdrawal")
     both = lambda: sorted(sites.standing("a")[:1] + sites.standing("b")[:1])  # noqa: E731
     assert both() in ([0, 2], [0, 1])
-    rig.wait(lambda: both() == [0, 1], 10, "the other steps aside")
+    rig.wait(lambda: both() == [0, 1], 10, "the other site to be lowered")
     assert sites.standing("c") == [2, 2]
     for zone in "ab":
-        fill(sites, zone, 0.1)
+        set_load(sites, zone, 0.1)
     sites.wait_standing(40.0, a=2, b=2, c=2)
 
-    # The fleet is partitioned: each side sees the other unhealthy, and nothing changes on either.
+    # The fleet is partitioned: each side regards the other one as unhealthy, and no route may change.
     rig.play(0.3)
-    told = len(sites.decided())
-    rules = rig.cut(sites.members("a"), sites.members("b") + sites.members("c"))
-    rig.wait(lambda: all(rig.there(rig.now_by[name]) == 2 for name in sites.members("a")), 30, "a is alone")
+    decisions = len(sites.decided())
+    links = rig.cut(sites.members("a"), sites.members("b") + sites.members("c"))
+    rig.wait(
+        lambda: all(rig.there(rig.now_by[name]) == 2 for name in sites.members("a")), 30, "a to be cut off"
+    )
     rig.play(sites.told["policy"]["cut_off_after"] + 1.0)
-    assert [sites.standing(zone) for zone in sites.zones] == [[2, 2]] * 3 and len(sites.decided()) == told
+    assert [sites.standing(zone) for zone in sites.zones] == [[2, 2]] * 3 and len(
+        sites.decided()
+    ) == decisions
     assert not sites.row("addr0", "a", rig.wait_holder("addresses"))["reached"]
-    # Its service dies while it is cut off: it may withdraw its routes by itself.
-    fill(sites, "a")
+    # The endpoints of site a fail while it is cut off: it may withdraw its routes without the controller.
+    set_load(sites, "a")
     sites.wait_standing(a=0, b=2, c=2)
-    assert sites.gates["a"].events("orphaned")  # without a majority no announcer has a lease
-    rig.mend(rules)
+    assert sites.gates["a"].events("orphaned")  # without a majority of the voters no announcer holds a lease
+    rig.mend(links)
     rig.wait_members(within=60)
     assert sites.standing("a") == [0, 0]
-    fill(sites, "a", 0.1)
+    set_load(sites, "a", 0.1)
     sites.wait_standing(40.0, a=2, b=2, c=2)
-    all_served(sites)
+    wait_all_served(sites)
     assert_invariants(sites)
 
 
-def test_overrides_are_stored_by_a_majority_applied_once_and_expire(sites_of, capfd):
-    sites = sites_of(partners=4)
+def test_overrides_are_stored_by_a_majority_applied_once_and_expire(start_sites, capfd):
+    sites = start_sites(partners=4)
     rig = sites.rig
-    all_served(sites)
-    at = {name: text(process.management) for name, process in rig.now_by.items()}
+    wait_all_served(sites)
+    management = {name: text(process.management) for name, process in rig.now_by.items()}
 
-    def run(*words, name="n0"):
-        """A command while the rig goes on: its process is another."""
-        command = [sys.executable, "-m", "onyxhollow", "addresses", *words, "--at", at[name]]
+    def run(*arguments, name="n0"):
+        """Run a command in its own process, and the rig's loop until the command ends."""
+        command = [sys.executable, "-m", "onyxhollow", "addresses", *arguments, "--at", management[name]]
         pipe = subprocess.PIPE
-        asked = subprocess.Popen(command, stdout=pipe, stderr=pipe, cwd=ROOT, text=True)
-        rig.wait(lambda: asked.poll() is not None, 20, f"{words} ends")
-        out, err = asked.communicate()
-        return asked.returncode, out + err
+        process = subprocess.Popen(command, stdout=pipe, stderr=pipe, cwd=ROOT, text=True)
+        rig.wait(lambda: process.poll() is not None, 20, f"{arguments} to end")
+        out, err = process.communicate()
+        return process.returncode, out + err
 
     code, out = run("plan", "drain", "a")
     assert code == 0, out
     assert "addr0 at a: lesser" in out and "to " in out
     assert sites.standing("a") == [2, 2]
-    stays = [Client(rig.loop, rig.listen[sites.members("a")[0]], 7000 + n) for n in range(12)]
-    rig.wait(lambda: all(client.echoes for client in stays), 10, "connections that no network moves")
+    # Connections to a member's own address, which no route change moves.
+    clients = [Client(rig.loop, rig.listen[sites.members("a")[0]], 7000 + n) for n in range(12)]
+    rig.wait(lambda: all(client.echoes for client in clients), 10, "open connections")
     code, out = run("drain", "a", "--why", "work on the power", "--who", "op")
     assert code == 0 and "in force" in out
     sites.wait_standing(a=0, b=2, c=2)
-    # They are moved by the proxies then, a few a second: no mass reconnect.
-    rig.wait(lambda: sum(client.moves for client in stays) >= 2, 15, "open connections are moved")
-    assert sum(client.moves for client in stays) <= 6
-    for client in stays:
+    # The proxies migrate them after the withdrawal, a few per second, to avoid a mass reconnect.
+    rig.wait(lambda: sum(client.moves for client in clients) >= 2, 15, "open connections to be moved")
+    assert sum(client.moves for client in clients) <= 6
+    for client in clients:
         client.close()
-    assert not any(client.wrong for client in stays)
+    assert not any(client.wrong for client in clients)
     prefix = sites.prefixes["addr0"]
     steps = [change.state for change in sites.speakers["a"].changes if change.prefix == prefix]
-    assert steps[-2:] == [1, 0]  # lowered first
-    all_served(sites)
+    assert steps[-2:] == [1, 0]  # lowered before it is withdrawn
+    wait_all_served(sites)
     code, out = run("show", "addr0", name="n4")
     assert code == 0 and "op: work on the power" in out and "withdrawn" in out
-    # The last site: two of three are withdrawn, the third stays in spite of its drain.
+    # Two of three sites are withdrawn: the last one stays advertised although it is drained.
     assert run("exclude", "b", "--why", "too", "--who", "op")[0] == 0
     sites.wait_standing(a=0, b=0, c=2)
     code, out = run("plan", "drain", "c")
     assert code == 4 and "stays, last" in out
     assert run("drain", "c", "--why", "all", "--who", "op")[0] == 0
-    rig.wait(lambda: sites.row("addr0", "c")["stays"].startswith("last"), 15, "it says why it stays")
+    rig.wait(lambda: sites.row("addr0", "c")["stays"].startswith("last"), 15, "the reason to be shown")
     assert sites.standing("c") == [2, 2]
 
-    # All processes are killed and started while routes are withdrawn: the guards change nothing.
-    before = {zone: changes(sites, zone) for zone in sites.zones}
+    # All processes are killed and restarted while routes are withdrawn: the guards must not change any route.
+    changes_before = {zone: count_route_changes(sites, zone) for zone in sites.zones}
     rig.kill(*rig.names)
     rig.start(*rig.names)
     rig.wait_members(within=60)
     rig.wait_holder("addresses", within=40)
-    at |= {name: text(process.management) for name, process in rig.now_by.items()}
-    rig.wait(lambda: sites.row("addr0", "c")["stays"].startswith("last"), 25, "overrides are remembered")
-    assert {zone: changes(sites, zone) for zone in sites.zones} == before
+    management |= {name: text(process.management) for name, process in rig.now_by.items()}
+    rig.wait(lambda: sites.row("addr0", "c")["stays"].startswith("last"), 25, "overrides to be restored")
+    assert {zone: count_route_changes(sites, zone) for zone in sites.zones} == changes_before
     for verb, zone in (("undrain", "a"), ("include", "b"), ("undrain", "c")):
         assert run(verb, zone, "--why", "done", "--who", "op")[0] == 0
     sites.wait_standing(40.0, a=2, b=2, c=2)
 
-    # Given at a member that reaches no majority: it says so, and is in force once it does. It expires.
+    # An override is submitted to a member that is cut off from the voters. The command reports that it is not
+    # stored. It is applied once the member is connected again, and then expires.
     other = next(name for name in sites.members("c") if name not in rig.voters)
-    rules = rig.cut([other], [name for name in rig.names if name != other])
+    links = rig.cut([other], [name for name in rig.names if name != other])
     code, out = run("drain", "b", "addr1", "--why", "short", "--who", "op", "--until", "12", name=other)
     assert code == 3 and "stored by 0 voters" in out
-    rig.mend(rules)
-    rig.wait(lambda: sites.standing("b") == [2, 0], 30, "it is applied")
-    rig.wait(lambda: sites.standing("b") == [2, 2], 40, "it is over")
+    rig.mend(links)
+    rig.wait(lambda: sites.standing("b") == [2, 0], 30, "the override to be applied")
+    rig.wait(lambda: sites.standing("b") == [2, 2], 40, "the override to expire")
     code, out = run("history")
     assert code == 0 and out.count("short") >= 1 and "work on the power" in out
     code, out = run("why", "addr1", "b")
@@ -242,46 +257,47 @@
     assert_invariants(sites)
 
 
-def test_a_guard_withdraws_a_dead_site_a_flapping_one_waits_longer_and_a_clock_step_changes_nothing(sites_of):
-    sites = sites_of(cut_off="withdraw", partners=6, orphaned_after=2.5)
+def test_a_guard_withdraws_a_dead_site_flapping_is_damped_and_a_clock_step_has_no_effect(start_sites):
+    sites = start_sites(cut_off="withdraw", partners=6, orphaned_after=2.5)
     rig = sites.rig
-    all_served(sites)
-    # An hour's step of the wall clock at the controller in the middle of a dwell.
+    wait_all_served(sites)
+    # The controller's wall clock steps by an hour while a site must stay unhealthy before it is withdrawn.
     controller = rig.wait_holder("addresses")
-    began = time.monotonic()
-    fill(sites, "b", 1.2)
+    started_at = time.monotonic()
+    set_load(sites, "b", 1.2)
     rig.trial(controller, wall=3600.0)
     sites.wait_standing(a=2, b=0, c=2)
-    assert time.monotonic() - began >= sites.told["policy"]["dead_for"]
+    assert time.monotonic() - started_at >= sites.told["policy"]["dead_for"]
     rig.trial(controller, wall=-3600.0)
-    fill(sites, "b", 0.1)
+    set_load(sites, "b", 0.1)
     sites.wait_standing(a=2, b=2, c=2)
     rig.trial(controller, wall=0.0)
-    # All members of a site are killed; its daemon would advertise for ever: the guard does as the file says.
+    # All members of a site are killed. Its routing daemon would advertise forever, so the guard withdraws the
+    # routes as configured by cut_off.
     rig.kill(*sites.members("a"))
     sites.wait_standing(a=0, b=2, c=2)
     assert sites.gates["a"].events("orphaned")
-    all_served(sites)
+    wait_all_served(sites)
     rig.start(*sites.members("a"))
     rig.wait_members(within=60)
     sites.wait_standing(40.0, a=2, b=2, c=2)
-    # A site that flaps every 3 s: withdrawn longer each time, and nobody else is.
-    before = changes(sites, "c")
-    until = time.monotonic() + 18.0
-    while time.monotonic() < until:
-        fill(sites, "c", 1.2)
+    # A site flaps every 3 s: it is withdrawn for longer each time, and no other site is affected.
+    changes_before = count_route_changes(sites, "c")
+    deadline = time.monotonic() + 18.0
+    while time.monotonic() < deadline:
+        set_load(sites, "c", 1.2)
         rig.play(1.5)
-        fill(sites, "c", 0.1)
+        set_load(sites, "c", 0.1)
         rig.play(1.5)
-    assert changes(sites, "c") - before <= 2 * 8  # of two addresses; undamped it would be 36
+    assert count_route_changes(sites, "c") - changes_before <= 2 * 8  # two addresses; 36 without damping
     assert sites.standing("a") == sites.standing("b") == [2, 2]
-    # An orderly stop: leases are handed over, no route changes.
-    told = {zone: changes(sites, zone) for zone in "ab"}
+    # On a graceful shutdown leases are handed over, and no route may change.
+    changes_before = {zone: count_route_changes(sites, zone) for zone in "ab"}
     for name in sites.members("a"):
         rig.now_by[name].expected_end = True
         rig.now_by[name].tell(signal.SIGTERM)
-        rig.wait(lambda who=name: not rig.now_by[who].alive, 10, f"{name} has ended")
+        rig.wait(lambda member=name: not rig.now_by[member].alive, 10, f"{name} to end")
         rig.start(name)
         rig.wait_members(within=40)
-    assert {zone: changes(sites, zone) for zone in "ab"} == told
+    assert {zone: count_route_changes(sites, zone) for zone in "ab"} == changes_before
     assert_invariants(sites)
--- a/tests/test_override_api.py
+++ b/tests/test_override_api.py
@@ -1,4 +1,4 @@
-"""Operators' calls about shared addresses: overrides on their way to the voters, and queries."""
+"""Operators' calls about shared addresses: replication of overrides to the voters, and queries."""
 
 import json
 from types import SimpleNamespace
@@ -24,12 +24,12 @@
 )
 from onyxhollow.fleet.shared_addresses.query_api import PART_BYTES, QueryApi, QueryKind
 
-GIVEN = {"verb": "drain", "site": "a", "who": "op", "why": "power"}
+VALID_PARAMETERS = {"verb": "drain", "site": "a", "who": "op", "why": "power"}
 VOTERS = SimpleNamespace(names=("v0", "v1", "v2"), majority=2)
 
 
 class SentMessages:
-    """Stands for the messenger: notes what is sent."""
+    """Fake messenger that records sent messages."""
 
     def __init__(self):
         self.sent = []
@@ -42,7 +42,7 @@
         self.sent.append((process_id, message))
 
 
-def member():
+def make_member():
     return SimpleNamespace(
         name="n0",
         process_id="n0~7",
@@ -52,12 +52,12 @@
     )
 
 
-def reader():
+def make_reader():
     return OverrideReader(two_site_config("chat"), RequestIds(7))
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("parameters", "message"),
     [
         ({"verb": "stop"}, "verb: expected one of drain, undrain"),
         ({"site": "z"}, "site: expected one of a, b, got 'z'"),
@@ -69,25 +69,25 @@
         ({"until": "-1"}, "until: expected 0 to 2592000 seconds, got '-1'"),
     ],
 )
-def test_an_invalid_override_names_the_parameter(change, says):
-    with pytest.raises(InvalidOverrideError) as caught:
-        reader().read(urlencode(GIVEN | change))
-    assert says in str(caught.value)
+def test_an_invalid_override_names_the_parameter(parameters, message):
+    with pytest.raises(InvalidOverrideError) as raised:
+        make_reader().read(urlencode(VALID_PARAMETERS | parameters))
+    assert message in str(raised.value)
 
 
-def test_an_override_is_numbered_above_all_that_a_majority_knows_and_done_once_it_has_stored_it():
-    sent, log = SentMessages(), OverrideLog()
-    api = OverrideApi(member(), sent, log, reader())
-    status, body, _ = api.submit(urlencode(GIVEN))
+def test_an_override_is_numbered_above_those_of_a_majority_and_done_once_a_majority_has_stored_it():
+    messenger, log = SentMessages(), OverrideLog()
+    api = OverrideApi(make_member(), messenger, log, make_reader())
+    status, body, _ = api.submit(urlencode(VALID_PARAMETERS))
     override_id = json.loads(body)["id"]
-    assert status == 202 and sent.sent == [(name, OverrideQuery(0)) for name in VOTERS.names]
+    assert status == 202 and messenger.sent == [(name, OverrideQuery(0)) for name in VOTERS.names]
     earlier = Override("1-1", 41, "pin", "", "b", "op", "why", 1.0, 0.0)
     api.on_override_response(OverrideResponse("v0", 0, 1, [earlier]), 1.0)
-    assert len(sent.sent) == 3  # one voter is no majority
+    assert len(messenger.sent) == 3  # one of three voters is not a majority
     api.on_override_response(OverrideResponse("v2", 0, 0, []), 1.0)
-    assert [name for name, _ in sent.sent[3:]] == list(VOTERS.names)
-    assert all(isinstance(message, StoreRequest) for _, message in sent.sent[3:])
-    assert {message.rows[0].number for _, message in sent.sent[3:]} == {42}
+    assert [name for name, _ in messenger.sent[3:]] == list(VOTERS.names)
+    assert all(isinstance(message, StoreRequest) for _, message in messenger.sent[3:])
+    assert {message.rows[0].number for _, message in messenger.sent[3:]} == {42}
     api.on_store_acknowledgement(StoreAcknowledgement("v1", [override_id]))
     state = json.loads(api.show_state(urlencode({"id": override_id}))[1])
     assert state == {"id": override_id, "kept": 1, "needed": 2, "done": False}
@@ -99,18 +99,22 @@
 def test_a_query_is_answered_in_parts_by_another_member():
     history = [Override(f"1-{n}", n, "pin", "", "b", "op", f"{n * 7919:x}" * 20, n, 0.0) for n in range(100)]
     store = SimpleNamespace(decisions=lambda: [], overrides=lambda: history)
-    asking, answering = SentMessages(), SentMessages()
+    queries, responses = SentMessages(), SentMessages()
     idle = SimpleNamespace(core=None)
-    voter = QueryApi(member(), answering, idle, SimpleNamespace(store=store), reader(), RequestIds(8))
-    here = QueryApi(member(), asking, idle, SimpleNamespace(store=None), reader(), RequestIds(7))
-    here.member.membership = SimpleNamespace(live_members=lambda: [SimpleNamespace(name="v1", epoch=3)])
-    status, body, _ = here.handle(QueryKind.HISTORY, "")
+    voter_api = QueryApi(
+        make_member(), responses, idle, SimpleNamespace(store=store), make_reader(), RequestIds(8)
+    )
+    local_api = QueryApi(
+        make_member(), queries, idle, SimpleNamespace(store=None), make_reader(), RequestIds(7)
+    )
+    local_api.member.membership = SimpleNamespace(live_members=lambda: [SimpleNamespace(name="v1", epoch=3)])
+    status, body, _ = local_api.handle(QueryKind.HISTORY, "")
     query_id = json.loads(body)["id"]
-    assert status == 202 and asking.sent == [("v1~3", QueryRequest(query_id, "history"))]
-    voter.on_request(asking.sent[0][1], "n0~7", 1.0)
-    assert len(answering.sent) > 1 and all(len(part.body) <= PART_BYTES for _, part in answering.sent)
-    for process_id, part in reversed(answering.sent):  # in any order
-        assert process_id == "n0~7" and here.handle(QueryKind.HISTORY, f"id={query_id}")[0] == 202
-        here.on_response_part(part)
-    status, body, _ = here.handle(QueryKind.HISTORY, f"id={query_id}")
+    assert status == 202 and queries.sent == [("v1~3", QueryRequest(query_id, "history"))]
+    voter_api.on_request(queries.sent[0][1], "n0~7", 1.0)
+    assert len(responses.sent) > 1 and all(len(part.body) <= PART_BYTES for _, part in responses.sent)
+    for process_id, part in reversed(responses.sent):  # parts may arrive in any order
+        assert process_id == "n0~7" and local_api.handle(QueryKind.HISTORY, f"id={query_id}")[0] == 202
+        local_api.on_response_part(part)
+    status, body, _ = local_api.handle(QueryKind.HISTORY, f"id={query_id}")
     assert status == 200 and [row["id"] for row in json.loads(body)["orders"]] == [row.id for row in history]
