--- a/onyxhollow/fleet/shared_addresses/controller_task.py
+++ b/onyxhollow/fleet/shared_addresses/controller_task.py
@@ -22,7 +22,7 @@
 ANNOUNCEMENT_INTERVAL_SECONDS = 5.0  # between broadcasts of the controller's identity
 
 
-def lease_not_held() -> bool:
+def holds_no_lease() -> bool:
     """Return False: the lease check of a task that has not been started."""
     return False
 
@@ -41,7 +41,7 @@
         self.config = config
         self.messenger = messenger
         self.core: Controller | None = None
-        self.holds_lease: Callable[[], bool] = lease_not_held
+        self.holds_lease: Callable[[], bool] = holds_no_lease
         self.last_progress_at = member.loop.now
         self.superseded = False
         self.next_announcement_at = 0.0
@@ -57,7 +57,7 @@
     def stop(self) -> None:
         """End the term."""
         self.core = None
-        self.holds_lease = lease_not_held
+        self.holds_lease = holds_no_lease
 
     def tick(self, now: float) -> None:
         """Decide and send messages if this is due and the lease is held."""
--- a/onyxhollow/fleet/shared_addresses/query_api.py
+++ b/onyxhollow/fleet/shared_addresses/query_api.py
@@ -34,7 +34,7 @@
 MAX_PARTS = 256
 MAX_RESPONSE_BYTES = 1 << 22  # decompressed
 MAX_PENDING_QUERIES = 64  # beyond it the oldest is dropped
-MAX_KEPT_RESPONSES = 16  # beyond it the oldest is dropped
+MAX_CACHED_RESPONSES = 16  # beyond it the oldest is dropped
 MAX_HISTORY_ROWS = 100  # latest decisions, and as many overrides
 PLANNED_NUMBER = 1 << 60  # of a planned override: higher than the number of any existing one
 JSON = "application/json"
@@ -134,7 +134,7 @@
         del self.pending[message.id]
         compressed = b"".join(parts[number] for number in range(message.parts))
         self.responses[message.id] = zlib.decompressobj().decompress(compressed, MAX_RESPONSE_BYTES)
-        while len(self.responses) > MAX_KEPT_RESPONSES:
+        while len(self.responses) > MAX_CACHED_RESPONSES:
             self.responses.popitem(last=False)
 
     # On the member that answers
