--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -64,7 +64,7 @@
     result: list[Snapshot] = []
     at = [text(rig.now_by[name].management) for name in names]
     began = time.monotonic()
-    worker = threading.Thread(target=lambda: result.append(gather.gather(at, addresses=False)))
+    worker = threading.Thread(target=lambda: result.append(gather.gather(at, with_addresses=False)))
     worker.start()
     while worker.is_alive():
         rig.turn()
@@ -88,7 +88,7 @@
 
 def faults_named(folder: Path) -> dict[str, Any]:
     """One fault after another on five processes, each repaired before the next."""
-    fault_types.STALL_MEMORY = 6.0
+    fault_types.RECENT_STALL_SECONDS = 6.0
     total = hits = others = 0
     with Rig(folder, members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
         rig.start()
--- a/onyxhollow/topology/__init__.py
+++ b/onyxhollow/topology/__init__.py
@@ -1,6 +1,6 @@
-"""The picture of a fleet: polled from its members or read from logs, saved, compared and drawn.
+"""Topology of a fleet: snapshots from running members or logs, their faults, comparison and drawing.
 
-`model` has what is known, `faults` and `paths` what is wrong, `scene` places it in the picture. `gather`,
-`logs` and `snapshot_file` bring snapshots; `draw`, `export` and `terminal` show them. Nothing that
+`model` defines the data, `faults` and `paths` detect faults, and `scene` lays out the picture. `gather`,
+`logs` and `snapshot_file` provide snapshots; `draw`, `export` and `terminal` render them. No module that
 `serve` loads imports this package.
 """
--- a/onyxhollow/topology/commands.py
+++ b/onyxhollow/topology/commands.py
@@ -1,7 +1,6 @@
-"""topology: draw, show, diff, save, record, replay.
+"""Commands of `onyxhollow topology`: draw, show, diff, save, record, replay.
 
-Exit codes: 0 done; 1 show and draw found a fault and --check was given; 2 nothing could be gathered, read or
-written.
+Exit codes: 0 success; 1 with --check, draw or show found a fault; 2 the command failed; 130 interrupted.
 """
 
 from __future__ import annotations
@@ -25,14 +24,14 @@
 from onyxhollow.topology.scene import sanitize
 from onyxhollow.topology.terminal import zone_table
 
-WATCH_INTERVAL = 1.0  # seconds
-RECORD_INTERVAL = 1.0  # seconds
-MIN_RECORD_INTERVAL = 0.1  # seconds
-RING_CAPACITY = 600  # snapshots of `record`
-PLAIN_WIDTH = 160  # columns where standard output is no terminal
-MAX_LINE = 200  # characters
-MAX_ERROR = 300  # characters
-MAX_FILE_NAME = 60  # characters in an error
+WATCH_INTERVAL_SECONDS = 1.0
+RECORD_INTERVAL_SECONDS = 1.0
+MIN_RECORD_INTERVAL_SECONDS = 0.1
+RING_CAPACITY = 600  # snapshots that `record` keeps
+PLAIN_WIDTH_COLUMNS = 160  # where standard output is not a terminal
+MAX_LINE_CHARS = 200
+MAX_ERROR_CHARS = 300
+MAX_FILE_NAME_CHARS = 60  # in an error
 MANAGEMENT_VARIABLE = "LB_MANAGEMENT"
 TEXT_FORMATS: dict[str, Callable[[Snapshot], str]] = {
     ".svg": draw.svg,
@@ -43,7 +42,7 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """Exit code of a command."""
 
     DONE = 0
     FAULT_FOUND = 1
@@ -52,17 +51,17 @@
 
 
 class TopologyError(Exception):
-    """A command can't be carried out; one line."""
+    """A command cannot be executed; the message is one line."""
 
 
 def load_snapshot(args: argparse.Namespace) -> Snapshot:
-    """The snapshot that --from names.
+    """Load the snapshot that --from specifies; without --from, poll the member at LB_MANAGEMENT.
 
-    It is a snapshot's file, logs (files by comma, or a folder of them), or members: addresses by comma, or
-    @FILE with one a line. Without --from the environment's LB_MANAGEMENT counts.
+    --from is a snapshot file, logs (comma-separated files, or a folder of *.log files), or members
+    (comma-separated addresses, or @FILE with one address per line).
 
     Raises:
-        TopologyError, GatherError, snapshot_file.SnapshotError, logs.LogError: there is none.
+        TopologyError, GatherError, snapshot_file.SnapshotError, logs.LogError: it cannot be loaded.
     """
     source = args.source or os.environ.get(MANAGEMENT_VARIABLE, "")
     paths = [Path(row) for row in source.split(",") if row]
@@ -95,10 +94,10 @@
 
 
 def run_draw(args: argparse.Namespace, console: Console) -> ExitCode:
-    """Writes the picture to --out, in the format of its suffix, and prints the faults."""
+    """Write the picture to --out in the format of its suffix, and print the faults."""
     suffix = args.out.suffix
     if suffix != ".png" and suffix not in TEXT_FORMATS:
-        name = args.out.name[:MAX_FILE_NAME]
+        name = args.out.name[:MAX_FILE_NAME_CHARS]
         raise TopologyError(f"--out: expected .svg, .html, .png, .dot or .json, got {name!r}")
     snapshot = load_snapshot(args)
     if suffix == ".png":
@@ -109,36 +108,39 @@
     else:
         _write(args.out, TEXT_FORMATS[suffix](snapshot))
     for fault in find_faults(snapshot):
-        console.print(sanitize(fault.description, MAX_LINE), markup=False)
-    return _check(args, snapshot)
+        console.print(sanitize(fault.description, MAX_LINE_CHARS), markup=False)
+    return _exit_code(args, snapshot)
 
 
 def run_show(args: argparse.Namespace, console: Console) -> ExitCode:
-    """Prints the table of zones; with --watch again and again, until interrupted."""
+    """Print the table of zones; with --watch, refresh it until interrupted."""
     snapshot = load_snapshot(args)
     if not args.watch:
         console.print(zone_table(snapshot))
-        return _check(args, snapshot)
+        return _exit_code(args, snapshot)
     with Live(zone_table(snapshot), console=console, auto_refresh=False) as live:
         while True:
-            time.sleep(WATCH_INTERVAL)
+            time.sleep(WATCH_INTERVAL_SECONDS)
             live.update(zone_table(load_snapshot(args)), refresh=True)
 
 
-def _check(args: argparse.Namespace, snapshot: Snapshot) -> ExitCode:
+def _exit_code(args: argparse.Namespace, snapshot: Snapshot) -> ExitCode:
     return ExitCode.FAULT_FOUND if args.check and find_faults(snapshot) else ExitCode.DONE
 
 
 def run_save(args: argparse.Namespace, _console: Console) -> ExitCode:
-    """Writes one snapshot file."""
+    """Write one snapshot file."""
     snapshot_file.save(args.out, load_snapshot(args))
     return ExitCode.DONE
 
 
 def run_record(args: argparse.Namespace, _console: Console) -> ExitCode:
-    """Adds a snapshot to a ring each --every seconds, --count times or until interrupted."""
-    if args.every < MIN_RECORD_INTERVAL or args.most < 1:
-        raise TopologyError(f"--every: expected {MIN_RECORD_INTERVAL} or more; --most: 1 or more")
+    """Add a snapshot to a ring every --every seconds, --count times or until interrupted."""
+    if args.every < MIN_RECORD_INTERVAL_SECONDS or args.most < 1:
+        raise TopologyError(
+            f"--every: expected at least {MIN_RECORD_INTERVAL_SECONDS} s, got {args.every:g}; "
+            f"--most: expected at least 1, got {args.most}"
+        )
     recorded = 0
     while not args.count or recorded < args.count:
         started = time.monotonic()
@@ -150,18 +152,18 @@
 
 
 def run_diff(args: argparse.Namespace, console: Console) -> ExitCode:
-    """Prints the differences of two snapshot files; with --out draws both into one page."""
+    """Print the differences between two snapshot files; with --out, draw both on one page."""
     before = snapshot_file.read(args.before)
     after = snapshot_file.read(args.after)
     for row in compare.differences(before, after) or ["no difference"]:
-        console.print(sanitize(row, MAX_LINE), markup=False)
+        console.print(sanitize(row, MAX_LINE_CHARS), markup=False)
     if args.out:
         _write(args.out, draw.replay([before, after]))
     return ExitCode.DONE
 
 
 def run_replay(args: argparse.Namespace, _console: Console) -> ExitCode:
-    """Draws a ring of snapshots into one page."""
+    """Draw a ring of snapshots on one page."""
     snapshots = snapshot_file.read_ring(args.folder)
     if not snapshots:
         raise TopologyError(f"{args.folder}: expected snapshots ({snapshot_file.SUFFIX}), got none")
@@ -170,39 +172,41 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The sub-commands; each sets `run` to its function."""
+    """Build the parser; each subcommand sets `run` to its function."""
     parser = argparse.ArgumentParser(prog="onyxhollow topology")
-    commands = parser.add_subparsers(dest="part", required=True)
+    commands = parser.add_subparsers(dest="command", required=True)
     source = _source_options()
 
-    command = commands.add_parser("draw", parents=[source], help="a picture: .svg, .html, .png, .dot, .json")
-    command.add_argument("--check", action="store_true", help="exit 1 if there is trouble")
+    command = commands.add_parser(
+        "draw", parents=[source], help="draw a picture: .svg, .html, .png, .dot or .json"
+    )
+    command.add_argument("--check", action="store_true", help="exit with status 1 if there is a fault")
     command.add_argument("-o", "--out", type=Path, required=True)
     command.set_defaults(run=run_draw)
 
-    command = commands.add_parser("show", parents=[source], help="in the terminal")
-    command.add_argument("--check", action="store_true", help="exit 1 if there is trouble")
-    command.add_argument("--watch", action="store_true", help="again each second, until ended by hand")
+    command = commands.add_parser("show", parents=[source], help="print a table of zones and faults")
+    command.add_argument("--check", action="store_true", help="exit with status 1 if there is a fault")
+    command.add_argument("--watch", action="store_true", help="refresh every second until interrupted")
     command.set_defaults(run=run_show)
 
-    command = commands.add_parser("save", parents=[source], help="a snapshot")
+    command = commands.add_parser("save", parents=[source], help="write a snapshot file")
     command.add_argument("-o", "--out", type=Path, required=True)
     command.set_defaults(run=run_save)
 
-    command = commands.add_parser("record", parents=[source], help="a ring of snapshots, until ended by hand")
+    command = commands.add_parser("record", parents=[source], help="record a ring of snapshots")
     command.add_argument("folder", type=Path)
-    command.add_argument("--every", type=float, default=RECORD_INTERVAL, help="seconds")
+    command.add_argument("--every", type=float, default=RECORD_INTERVAL_SECONDS, help="interval in seconds")
     command.add_argument("--most", type=int, default=RING_CAPACITY)
-    command.add_argument("--count", type=int, default=0, help="ends after so many; 0: by hand")
+    command.add_argument("--count", type=int, default=0, help="snapshots to record; 0: until interrupted")
     command.set_defaults(run=run_record)
 
-    command = commands.add_parser("diff", help="what came, went, changed between two snapshots")
+    command = commands.add_parser("diff", help="print the differences between two snapshot files")
     command.add_argument("before", type=Path)
     command.add_argument("after", type=Path)
-    command.add_argument("-o", "--out", type=Path, help="both drawn, in one HTML file")
+    command.add_argument("-o", "--out", type=Path, help="also draw both on one HTML page")
     command.set_defaults(run=run_diff)
 
-    command = commands.add_parser("replay", help="a recorded ring as HTML with a slider")
+    command = commands.add_parser("replay", help="draw a recorded ring as an HTML page with a time slider")
     command.add_argument("folder", type=Path)
     command.add_argument("-o", "--out", type=Path, required=True)
     command.set_defaults(run=run_replay)
@@ -210,27 +214,28 @@
 
 
 def _source_options() -> argparse.ArgumentParser:
-    """The options by which a command finds its snapshot."""
+    """Build the parser of the options that specify a snapshot."""
     options = argparse.ArgumentParser(add_help=False)
     options.add_argument(
         "--from",
         dest="source",
         default="",
         metavar="MEMBERS|FILE|FOLDER",
-        help="HOST:PORT,.. or @FILE of them, a snapshot, logs or a folder of them; else $LB_MANAGEMENT",
+        help="members (HOST:PORT,.. or @FILE), a snapshot file, logs or a folder of logs; "
+        "default: $LB_MANAGEMENT",
     )
-    options.add_argument("--until", type=float, default=0.0, help="of logs: as it was then, Unix seconds")
+    options.add_argument("--until", type=float, default=0.0, help="ignore later log lines; Unix seconds")
     return options
 
 
-def main(words: list[str]) -> int:
-    """Carries out a command line (without the program's name); returns its exit code."""
-    args = build_parser().parse_args(words)
-    console = Console() if sys.stdout.isatty() else Console(width=PLAIN_WIDTH)
+def main(arguments: list[str]) -> int:
+    """Run a command from the arguments after `onyxhollow topology`; return its exit code."""
+    args = build_parser().parse_args(arguments)
+    console = Console() if sys.stdout.isatty() else Console(width=PLAIN_WIDTH_COLUMNS)
     try:
         code: ExitCode = args.run(args, console)
     except (TopologyError, GatherError, snapshot_file.SnapshotError, logs.LogError) as error:
-        sys.stderr.write(f"onyxhollow: {sanitize(str(error), MAX_ERROR)}\n")
+        sys.stderr.write(f"onyxhollow: {sanitize(str(error), MAX_ERROR_CHARS)}\n")
         return ExitCode.FAILED
     except KeyboardInterrupt:
         return ExitCode.INTERRUPTED
--- a/onyxhollow/topology/compare.py
+++ b/onyxhollow/topology/compare.py
@@ -1,4 +1,4 @@
-"""What appeared, disappeared and changed between two snapshots, in words. Pure."""
+"""Textual differences between two snapshots: what was added, removed and changed. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def differences(before: Snapshot, after: Snapshot) -> list[str]:
-    """One line for each difference: members, endpoints, leases, addresses, faults; sorted by name in each."""
+    """Return one line per difference of members, endpoints, leases, addresses and faults, each sorted."""
     return [
         *_member_differences(before, after),
         *_endpoint_differences(before, after),
@@ -23,16 +23,16 @@
     ]
 
 
-def _pairs(
+def _match_by_key(
     before: Mapping[Key, Value], after: Mapping[Key, Value]
 ) -> Iterator[tuple[Key, Value | None, Value | None]]:
-    """Key, value before and value after, in the order of keys; None where there is none."""
+    """Yield each key in sorted order with its values in both mappings; None for a missing value."""
     for key in sorted(before.keys() | after.keys()):
         yield key, before.get(key), after.get(key)
 
 
 def _member_differences(before: Snapshot, after: Snapshot) -> Iterator[str]:
-    for name, old, new in _pairs(before.members(), after.members()):
+    for name, old, new in _match_by_key(before.members(), after.members()):
         if new is None:
             yield f"went: member {name}"
         elif old is None:
@@ -47,7 +47,7 @@
 
 
 def _endpoint_differences(before: Snapshot, after: Snapshot) -> Iterator[str]:
-    for name, old, new in _pairs(before.endpoints(), after.endpoints()):
+    for name, old, new in _match_by_key(before.endpoints(), after.endpoints()):
         if new is None:
             yield f"went: server {name}"
         elif old is None:
@@ -57,7 +57,7 @@
 
 
 def _lease_differences(before: Snapshot, after: Snapshot) -> Iterator[str]:
-    for role, old, new in _pairs(before.leases(), after.leases()):
+    for role, old, new in _match_by_key(before.leases(), after.leases()):
         if new is None:
             yield f"went: duty {role}"
         elif old is None:
@@ -68,7 +68,7 @@
 
 
 def _address_differences(before: Snapshot, after: Snapshot) -> Iterator[str]:
-    for (address, site), old, new in _pairs(before.addresses(), after.addresses()):
+    for (address, site), old, new in _match_by_key(before.addresses(), after.addresses()):
         old_preference = old.preference if old else "not known"
         new_preference = new.preference if new else "not known"
         if old is None or new is None or old_preference != new_preference:
--- a/onyxhollow/topology/draw.py
+++ b/onyxhollow/topology/draw.py
@@ -1,4 +1,4 @@
-"""The picture as SVG, HTML and PNG. A page is complete in one file: nothing outside is linked."""
+"""Rendering of a picture as SVG, HTML and PNG. Each file is self-contained, without external links."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     loader=PackageLoader("onyxhollow.topology"), autoescape=True, trim_blocks=True, lstrip_blocks=True
 )
 PNG_DPI = 80
-MIN_PNG_HEIGHT = 2.0  # inches
+MIN_PNG_HEIGHT_INCHES = 2.0
 FAULT_COLOUR = "#a20"
 MEMBER_COLOUR = "#246"
 ENDPOINT_COLOUR = "#777"
 
 
 class MissingLibraryError(Exception):
-    """The format needs a library that isn't installed; one line says which."""
+    """A library that the format needs is not installed; the message names it in one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,44 +33,44 @@
     time: float  # Unix seconds
     picture: Markup
     faults: list[str]
-    is_marked: bool  # something other than loads and places differs from the frame before
+    is_marked: bool  # leases, addresses, faults or the number of members differ from the previous frame
 
 
 def svg(snapshot: Snapshot) -> str:
-    """The picture as an SVG document."""
+    """Render the picture as an SVG document."""
     return _render_svg(build_scene(snapshot))
 
 
 def html(snapshot: Snapshot) -> str:
-    """The picture with tables of faults, leases and addresses, as one HTML page."""
+    """Render one HTML page with the picture and the tables of faults, leases and addresses."""
     scene = build_scene(snapshot)
     return TEMPLATES.get_template("fleet.html").render(scene=scene, picture=_embed_svg(scene))
 
 
 def replay(snapshots: list[Snapshot]) -> str:
-    """A page with a slider over time, with marks where leases, addresses, members or faults changed."""
+    """Render a page with a time slider and marks where leases, addresses, members or faults changed."""
     frames = []
-    before: Scene | None = None
+    previous: Scene | None = None
     for snapshot in snapshots:
         scene = build_scene(snapshot)
-        is_marked = before is not None and _differs(before, scene)
+        is_marked = previous is not None and _has_changed(previous, scene)
         frames.append(Frame(snapshot.taken_at, _embed_svg(scene), scene.faults, is_marked))
-        before = scene
+        previous = scene
     return TEMPLATES.get_template("replay.html").render(frames=frames)
 
 
 def png(snapshot: Snapshot) -> bytes:
-    """The picture as PNG, drawn by matplotlib in the same places.
+    """Render the picture as PNG with matplotlib, in the same layout.
 
     Raises:
-        MissingLibraryError: matplotlib isn't installed.
+        MissingLibraryError: matplotlib is not installed.
     """
     try:
         from matplotlib.figure import Figure
     except ImportError:
-        raise MissingLibraryError("a PNG needs matplotlib: pip install 'onyxhollow[lab]'") from None
+        raise MissingLibraryError("PNG output requires matplotlib: pip install 'onyxhollow[lab]'") from None
     scene = build_scene(snapshot)
-    figure = Figure(figsize=(scene.width / PNG_DPI, max(MIN_PNG_HEIGHT, scene.height / PNG_DPI)))
+    figure = Figure(figsize=(scene.width / PNG_DPI, max(MIN_PNG_HEIGHT_INCHES, scene.height / PNG_DPI)))
     axes = figure.add_axes((0, 0, 1, 1))
     axes.set_xlim(0, scene.width)
     axes.set_ylim(scene.height, 0)
@@ -97,10 +97,10 @@
 
 
 def _embed_svg(scene: Scene) -> Markup:
-    return Markup(_render_svg(scene))  # safe: the template escapes every name
+    return Markup(_render_svg(scene))  # safe: autoescape is on in the template
 
 
-def _differs(before: Scene, after: Scene) -> bool:
+def _has_changed(before: Scene, after: Scene) -> bool:
     return (
         before.leases != after.leases
         or before.addresses != after.addresses
--- a/onyxhollow/topology/export.py
+++ b/onyxhollow/topology/export.py
@@ -1,4 +1,4 @@
-"""A snapshot for other programs: as DOT, and as JSON with its faults. Pure."""
+"""Export of a snapshot for other programs: as DOT, and as JSON with its faults. Pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def build_graph(snapshot: Snapshot) -> nx.DiGraph:
-    """Members and endpoints as nodes; edges for who receives from whom and who has connections where."""
+    """Build a graph of members and endpoints; edges are links between members and connections."""
     graph = nx.DiGraph()
     marks = unhealthy_members(snapshot, find_faults(snapshot))
     for name, member in snapshot.members().items():
@@ -39,7 +39,7 @@
 
 
 def dot(snapshot: Snapshot) -> str:
-    """The graph in the language of Graphviz; edges are connections alone."""
+    """Render the graph in the DOT language of Graphviz; of the edges, only connections."""
     graph = build_graph(snapshot)
     lines = ["digraph fleet {"]
     for node, attributes in graph.nodes(data=True):
@@ -54,7 +54,7 @@
 
 
 def as_json(snapshot: Snapshot) -> str:
-    """The snapshot with its faults and the connections between zones; the keys are the snapshot file's."""
+    """Encode the snapshot, its faults and the connections by zone as JSON, with the snapshot file's keys."""
     faults = [
         {
             "kind": fault.kind,
--- a/onyxhollow/topology/fault_types.py
+++ b/onyxhollow/topology/fault_types.py
@@ -1,4 +1,4 @@
-"""What a fault of a fleet is. Pure; the rules are in `faults` and `paths`."""
+"""Types of the faults of a fleet. Pure; `faults` and `paths` have the detection rules."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from onyxhollow.topology.model import MemberView
 
-STALL_MEMORY = 20.0  # seconds after a stall for which it is named
-MIN_STALL = 0.5  # seconds
+RECENT_STALL_SECONDS = 20.0  # a stall is a fault for this long after its end
+MIN_STALL_SECONDS = 0.5
 
 Views = Mapping[str, MemberView]
 
 
 class FaultKind(StrEnum):
-    """Kinds of fault; docs/topology.md has the rule of each."""
+    """Kinds of fault; docs/topology.md describes the detection rule of each."""
 
     CUT = "cut"
     GONE = "gone"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: what it concerns, in which words it is shown, and which members report it."""
+    """One fault: what is affected, the description for the operator, and the members that report it."""
 
     kind: FaultKind
     subjects: tuple[str, ...]  # members, zones, roles, versions, or an address and its site
@@ -44,6 +44,6 @@
 
 
 def is_stalled(view: MemberView) -> bool:
-    """Whether the member reports a stall of late, by which its timestamps can't be relied on."""
-    recent = view.stalled_ago is not None and view.stalled_ago < STALL_MEMORY
-    return recent and view.stalled_seconds > MIN_STALL
+    """Return whether the member reports a recent stall, which makes its ages unreliable."""
+    recent = view.stalled_ago is not None and view.stalled_ago < RECENT_STALL_SECONDS
+    return recent and view.stalled_seconds > MIN_STALL_SECONDS
--- a/onyxhollow/topology/faults.py
+++ b/onyxhollow/topology/faults.py
@@ -1,7 +1,7 @@
-"""What is wrong in a fleet, by name. Pure: from a snapshot, with the members that report it.
+"""Detection of the faults in a snapshot of a fleet. Pure.
 
-Each kind has a rule of its own, and one cause is named once: a member that is named as gone, stalled or cut
-off is not named again for what follows from it. Direct paths between members are judged in `paths`.
+Each fault kind has its own rule. One cause gives one fault: a member that is reported as gone, stalled or cut
+off is not reported again for the consequences. `paths` evaluates the direct paths between members.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from onyxhollow.topology.model import MemberState, MemberView, ServicePhase, Snapshot
 from onyxhollow.topology.paths import find_path_faults
 
-MAX_LISTED = 6  # names in a description
+MAX_LISTED_NAMES = 6  # in a description; the others are counted
 GONE_STATES = (MemberState.DEAD, MemberState.LEFT)
 DRAINING_PHASES = (ServicePhase.DRAINING, ServicePhase.OUT_OF_SERVICE)
-WITHDRAWN = "withdrawn"  # a route's preference, by the controller of addresses
+WITHDRAWN = "withdrawn"  # a route's preference, as reported by the address controller
 HOLDING = "holding"  # state of the candidate that holds a lease
 
 
 def find_faults(snapshot: Snapshot) -> list[Fault]:
-    """All faults of a snapshot, the partition of the fleet first; none without a view."""
+    """Return all faults of a snapshot, a partition first; empty for a snapshot without views."""
     views = snapshot.views_by_name()
     if not views:
         return []
@@ -31,7 +31,7 @@
     cut_off = {name for fault in partition for name in fault.subjects}
     return [
         *partition,
-        *_find_gone(dead, cut_off),
+        *_find_gone_members(dead, cut_off),
         *find_path_faults(views, cut_off),
         *_find_stalled(views),
         *_find_leases_without_holder(snapshot, views),
@@ -43,19 +43,19 @@
 
 
 def dead_members(view: MemberView) -> set[str]:
-    """Names of members of which this view knows dead incarnations only."""
+    """Return the names of members that have only dead incarnations in the view."""
     present = {row.name for row in view.members if row.state not in GONE_STATES} | {view.name}
     return {row.name for row in view.members if row.state == MemberState.DEAD} - present
 
 
-def _join(names: Iterable[str]) -> str:
+def _format_names(names: Iterable[str]) -> str:
     rows = sorted(names)
-    more = f" and {len(rows) - MAX_LISTED} more" if len(rows) > MAX_LISTED else ""
-    return ", ".join(rows[:MAX_LISTED]) + more
+    more = f" and {len(rows) - MAX_LISTED_NAMES} more" if len(rows) > MAX_LISTED_NAMES else ""
+    return ", ".join(rows[:MAX_LISTED_NAMES]) + more
 
 
 def _find_partition(dead: Mapping[str, set[str]]) -> list[Fault]:
-    """Sides of a fleet whose members answer and yet take each other for dead; the smaller sides are named."""
+    """Find sides whose members answer polls but report each other as dead; return all but the largest."""
     separated = [(a, b) for a in dead for b in dead if a < b and b in dead[a] and a in dead[b]]
     if not separated:
         return []
@@ -70,15 +70,15 @@
         Fault(
             FaultKind.CUT,
             tuple(sorted(side)),
-            f"cut: {_join(side)} and {_join(sides[0])} hold each other for dead",
+            f"cut: {_format_names(side)} and {_format_names(sides[0])} hold each other for dead",
             reported_by,
         )
         for side in sides[1:]
     ]
 
 
-def _find_gone(dead: Mapping[str, set[str]], cut_off: set[str]) -> list[Fault]:
-    """Members that do not answer and are dead for more members than still count on them."""
+def _find_gone_members(dead: Mapping[str, set[str]], cut_off: set[str]) -> list[Fault]:
+    """Find members without a view that more members report as dead than not."""
     faults = []
     for name in sorted({name for rows in dead.values() for name in rows if name not in dead}):
         reported_by = tuple(sorted(reporter for reporter, rows in dead.items() if name in rows))
@@ -104,16 +104,16 @@
 
 
 def _find_leases_without_holder(snapshot: Snapshot, views: Views) -> list[Fault]:
-    """Roles with a candidate and without a holder, as far as the polled members can know."""
+    """Find roles that have a candidate but no holder according to the polled members."""
     faults = []
     for role, lease in sorted(snapshot.leases().items()):
         states = [row.local_state for view in views.values() for row in view.leases if row.role == role]
         holder = lease.holder_name
-        # A holder that was not polled and is alive for others may hold it still.
-        is_lost = (
+        # A holder that was not polled and that others report as alive may still hold the lease.
+        holder_is_lost = (
             not holder or holder in views or all(holder in dead_members(view) for view in views.values())
         )
-        if HOLDING not in states and any(states) and is_lost:
+        if HOLDING not in states and any(states) and holder_is_lost:
             description = f"no holder: {role}, last {holder or 'nobody'} under term {lease.term}"
             faults.append(Fault(FaultKind.NO_HOLDER, (role,), description, tuple(sorted(views))))
     return faults
@@ -133,13 +133,13 @@
 
 
 def _find_draining(views: Views) -> list[Fault]:
-    """Members that send their clients away; a zone instead, if all of it does and others do not."""
+    """Find draining members; report a zone instead if all its members drain and other zones serve."""
     draining = {name for name, view in views.items() if view.service_phase in DRAINING_PHASES}
     faults = []
     for zone in sorted({view.zone for view in views.values()}):
         names = {name for name, view in views.items() if view.zone == zone}
         if names and names <= draining and len(views) > len(names):
-            description = f"zone {zone} drains: {_join(names)}"
+            description = f"zone {zone} drains: {_format_names(names)}"
             faults.append(Fault(FaultKind.ZONE_DRAINING, (zone,), description, tuple(sorted(names))))
             draining -= names
     faults += [Fault(FaultKind.DRAINING, (name,), f"{name} drains", (name,)) for name in sorted(draining)]
@@ -153,7 +153,7 @@
     names = {
         version: [name for name, view in views.items() if view.version == version] for version in versions
     }
-    listed = "; ".join(f"{version}: {_join(names[version])}" for version in versions)
+    listed = "; ".join(f"{version}: {_format_names(names[version])}" for version in versions)
     description = f"two versions at once: {listed}"
     return [Fault(FaultKind.VERSIONS, tuple(versions), description, tuple(sorted(views)))]
 
--- a/onyxhollow/topology/gather.py
+++ b/onyxhollow/topology/gather.py
@@ -1,4 +1,7 @@
-"""Polls members for their views, bounded in time, number and size; one that doesn't answer is reported."""
+"""Polling of members for their views, with limits on time, number and size.
+
+A member that does not answer is listed in the snapshot as unreachable.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +15,12 @@
 
 from onyxhollow.topology.model import MemberView, Snapshot, UnreachableMember, decode_view
 
-POLL_TIMEOUT = 2.0  # seconds for all answers of one member
-MIN_SOCKET_TIMEOUT = 0.05  # seconds
-JOB_POLL_INTERVAL = 0.05  # seconds between polls of the controller's answer
-JOB_MARGIN = 0.1  # seconds of the timeout that are left for the last answer
-MAX_ANSWER = 16 << 20  # bytes
-READ_SIZE = 65536  # bytes
+POLL_TIMEOUT_SECONDS = 2.0  # for all requests to one member
+MIN_SOCKET_TIMEOUT_SECONDS = 0.05
+JOB_POLL_INTERVAL_SECONDS = 0.05  # between requests for the controller's rows
+JOB_MARGIN_SECONDS = 0.1  # part of the timeout reserved for the last response
+MAX_BODY_BYTES = 16 << 20
+READ_SIZE_BYTES = 65536
 MAX_MEMBERS = 2048
 CONCURRENT_POLLS = 32
 MAX_PORT = 65535
@@ -25,31 +28,32 @@
 
 
 class GatherError(Exception):
-    """There is nobody to poll, or too many; one line."""
+    """No member or too many members to poll; the message is one line."""
 
 
 def fetch(target: str, path: str, deadline: float) -> tuple[int, bytes]:
-    """Status and body of one GET; `target` is HOST:PORT, `deadline` in seconds of the monotonic clock.
+    """Send one GET to HOST:PORT; return the status and the body.
 
-    The body is read in pieces: a peer that sends a byte now and then can't exceed the deadline.
+    The body is read in chunks, and the deadline (seconds of the monotonic clock) is checked after each one. A
+    peer that sends its body byte by byte therefore cannot exceed it.
 
     Raises:
-        ValueError: `target` isn't HOST:PORT, or the body is larger than MAX_ANSWER.
-        OSError, http.client.HTTPException: no complete answer in time.
+        ValueError: `target` is not HOST:PORT, or the body is larger than MAX_BODY_BYTES.
+        OSError, http.client.HTTPException: no complete response before the deadline.
     """
     host, _, port = target.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ValueError("expected HOST:PORT")
-    timeout = max(MIN_SOCKET_TIMEOUT, deadline - time.monotonic())
+    timeout = max(MIN_SOCKET_TIMEOUT_SECONDS, deadline - time.monotonic())
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
         connection.request("GET", path)
         response = connection.getresponse()
         body = bytearray()
-        while piece := response.read1(READ_SIZE):
-            body += piece
-            if len(body) > MAX_ANSWER:
-                raise ValueError(f"more than {MAX_ANSWER >> 20} MiB")
+        while chunk := response.read1(READ_SIZE_BYTES):
+            body += chunk
+            if len(body) > MAX_BODY_BYTES:
+                raise ValueError(f"more than {MAX_BODY_BYTES >> 20} MiB")
             if time.monotonic() > deadline:
                 raise TimeoutError("too slow")
         return response.status, bytes(body)
@@ -58,27 +62,27 @@
 
 
 def fetch_addresses(target: str, deadline: float) -> list[JsonRow]:
-    """Rows of the address controller; empty without one, without addresses or without an answer in time.
+    """Fetch the address controller's rows; empty without a controller, addresses or a timely response.
 
-    The member passes the request on to the controller and answers 202 with an id, by which the rows are
-    fetched once the controller has sent them.
+    The member forwards the request to the controller and responds with 202 and an id. The rows can be fetched
+    with this id once the controller has sent them.
     """
     status, body = fetch(target, "/control/addresses", deadline)
     if status != http.client.ACCEPTED:
         return []
     job = json.loads(body)["id"]
-    while time.monotonic() < deadline - JOB_MARGIN:
+    while time.monotonic() < deadline - JOB_MARGIN_SECONDS:
         status, body = fetch(target, f"/control/addresses?id={job}", deadline)
         if status != http.client.ACCEPTED:
             rows: list[JsonRow] = json.loads(body)["rows"] if status == http.client.OK else []
             return rows
-        time.sleep(JOB_POLL_INTERVAL)
+        time.sleep(JOB_POLL_INTERVAL_SECONDS)
     return []
 
 
 def poll_member(target: str, with_addresses: bool = True) -> MemberView | UnreachableMember:
-    """The view of the member at HOST:PORT, or why there is none; raises nothing."""
-    deadline = time.monotonic() + POLL_TIMEOUT
+    """Poll the member at HOST:PORT for its view; on a failure return its reason instead of raising."""
+    deadline = time.monotonic() + POLL_TIMEOUT_SECONDS
     try:
         status, content = fetch(target, "/control/fleet", deadline)
         if status != http.client.OK:
@@ -92,7 +96,7 @@
             try:
                 addresses = fetch_addresses(target, deadline)
             except (OSError, http.client.HTTPException, ValueError, KeyError, TypeError):
-                addresses = []  # the view is complete enough without them
+                addresses = []  # the view is usable without them
         return decode_view(body, addresses)
     except (OSError, http.client.HTTPException) as error:
         return UnreachableMember(target, (str(error) or type(error).__name__)[:120])
@@ -100,11 +104,11 @@
         return UnreachableMember(target, f"not a member's answer: {str(error)[:100]}")
 
 
-def gather(members: Iterable[str], addresses: bool = True) -> Snapshot:
-    """Polls members (HOST:PORT) at the same time; with `addresses`, each also for the controller's rows.
+def gather(members: Iterable[str], with_addresses: bool = True) -> Snapshot:
+    """Poll members (HOST:PORT) concurrently, by default also for the address controller's rows.
 
     Raises:
-        GatherError: there is nobody to poll, or too many.
+        GatherError: there is no member to poll, or there are too many.
     """
     targets = list(dict.fromkeys(members))
     if not targets:
@@ -114,7 +118,7 @@
     views: list[MemberView] = []
     unreachable: list[UnreachableMember] = []
     with concurrent.futures.ThreadPoolExecutor(min(CONCURRENT_POLLS, len(targets))) as pool:
-        for answer in pool.map(lambda target: poll_member(target, addresses), targets):
+        for answer in pool.map(lambda target: poll_member(target, with_addresses), targets):
             if isinstance(answer, MemberView):
                 views.append(answer)
             else:
--- a/onyxhollow/topology/log_replay.py
+++ b/onyxhollow/topology/log_replay.py
@@ -1,4 +1,4 @@
-"""The state of one process, rebuilt from the events of its log. Pure."""
+"""State of one process, rebuilt from the events in its log. Pure."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     ServicePhase,
 )
 
-REMOVED = "gone"  # state of an endpoint that has left the list
+REMOVED = "gone"  # state of an endpoint that was removed from the list
 Fields = Mapping[str, Any]
 
 
 class LoadReport(NamedTuple):
-    """The load of an endpoint and when it was received."""
+    """Load of an endpoint and the time of the report."""
 
     load: float | None
     time: float  # Unix seconds
@@ -36,7 +36,7 @@
 
 @dataclass
 class LoggedProcess:
-    """One process, as its lines describe it so far. Times are Unix seconds."""
+    """State of one process after the lines applied so far. Times are Unix seconds."""
 
     name: str
     path: str
@@ -60,14 +60,14 @@
 
     @property
     def member_id(self) -> str:
-        """Name and incarnation; the name alone before the fleet's first line."""
+        """Name and incarnation; only the name before the event `fleet`."""
         return f"{self.name}~{self.incarnation}" if self.incarnation else self.name
 
     def apply(self, time: float, event: str, fields: Fields) -> None:
-        """Takes one line into account; an event that describes no state is ignored.
+        """Update the state from one log line; ignore events without a handler.
 
         Raises:
-            ValueError, TypeError, KeyError: a field is missing or of another type.
+            ValueError, TypeError, KeyError: a field is missing or has a wrong type.
         """
         self.last_line_at = time
         handler = HANDLERS.get(event)
@@ -75,8 +75,8 @@
             handler(self, time, fields)
 
     def view(self, now: float) -> MemberView:
-        """What the process would report of itself and of the others at `now`."""
-        itself = MemberStatus(self.name, self.incarnation, MemberState.ALIVE.value, self.zone)
+        """Return the view that the process would report at `now`."""
+        own_status = MemberStatus(self.name, self.incarnation, MemberState.ALIVE.value, self.zone)
         stalled_ago = now - self.stalled_at
         return MemberView(
             self.member_id,
@@ -87,7 +87,7 @@
             stalled_ago=stalled_ago if math.isfinite(stalled_ago) else None,
             members=[
                 msgspec.structs.replace(row, is_voter=row.name in self.voters)
-                for row in [itself, *self.members.values()]
+                for row in [own_status, *self.members.values()]
             ],
             endpoints=self._endpoints(now),
             leases=list(self.leases.values()),
@@ -114,8 +114,8 @@
 
     def _update_member(self, _time: float, fields: Fields) -> None:
         name = str(fields["member"])
-        known = self.members.get(name)
-        if known is None or int(fields["epoch"]) >= known.incarnation:
+        current = self.members.get(name)
+        if current is None or int(fields["epoch"]) >= current.incarnation:
             self.members[name] = MemberStatus(name, int(fields["epoch"]), str(fields["life"]))
 
     def _update_lease(self, _time: float, fields: Fields) -> None:
--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -1,9 +1,9 @@
-"""A snapshot from logs: what each process has written of itself and of the others, up to a given time.
+"""Snapshots built from proxy logs, as of a given time.
 
-Logs are lines of JSON, as the proxy writes them: one process a file or many in one, in any order of files.
-A log has less than a running member reports: no links, no open connections, and endpoints by the first two
-dozen rows of the list. A process that has stopped in order, or that all others report as dead, has no view of
-its own and counts as unreachable.
+A log is a file of JSON lines written by one or more proxies; the order of the files does not matter. A log
+has less detail than the report of a running member: no links, no open connections, and only the first two
+dozen rows of the endpoint list. A process that has shut down, or that all others report as dead, has no view
+and is listed as unreachable.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from onyxhollow.topology.log_replay import LoggedProcess
 from onyxhollow.topology.model import MemberState, Snapshot, UnreachableMember
 
-# Log events that earlier versions wrote under another name: old name, present name. The reader accepts both,
-# so that old logs remain readable.
+# Renamed log events: name in earlier versions, current name. Both are accepted, so that logs of earlier
+# versions remain readable.
 EVENT_ALIASES: dict[str, str] = {
     "address alone": "address cut off",
     "address leaves": "address drain",
@@ -36,12 +36,12 @@
     "voter remembers": "voter recovered",
     "voter waits": "voter log unavailable",
 }
-MAX_FILE = 1 << 30  # bytes
-MAX_PLACE = 200  # characters of the files' names in an error
+MAX_FILE_BYTES = 1 << 30
+MAX_PLACE_CHARS = 200  # of the file names in an error
 
 
 class LogError(Exception):
-    """Logs that can't be read or hold no line of a proxy; one line: where, and what was expected."""
+    """A log cannot be read or has no line of a proxy; the message is one line."""
 
 
 class LogLine(NamedTuple):
@@ -49,34 +49,34 @@
 
     time: float  # Unix seconds
     path: str
-    event: str  # by its present name
+    event: str  # current name
     process: str
     fields: dict[str, Any]
 
 
 def read_lines(paths: Iterable[Path], until: float) -> list[LogLine]:
-    """The lines of all files up to `until` (Unix seconds), sorted by time; other lines are skipped.
+    """Read the lines of all files up to `until` (Unix seconds), sorted by time; skip invalid lines.
 
     Raises:
-        LogError: a file can't be read or is larger than MAX_FILE.
+        LogError: a file cannot be read or is larger than MAX_FILE_BYTES.
     """
     lines: list[LogLine] = []
     for path in paths:
         try:
-            if path.stat().st_size > MAX_FILE:
-                raise LogError(f"{path}: expected at most {MAX_FILE >> 20} MiB")
+            if path.stat().st_size > MAX_FILE_BYTES:
+                raise LogError(f"{path}: expected at most {MAX_FILE_BYTES >> 20} MiB, got a larger file")
             content = path.read_bytes()
         except OSError as error:
             raise LogError(f"{path}: {error.strerror}") from None
         for row in content.splitlines():
-            line = _parse(row, str(path))
+            line = _parse_line(row, str(path))
             if line is not None and line.time <= until:
                 lines.append(line)
     lines.sort(key=lambda line: line.time)
     return lines
 
 
-def _parse(row: bytes, path: str) -> LogLine | None:
+def _parse_line(row: bytes, path: str) -> LogLine | None:
     try:
         fields = json.loads(row)
         time = float(fields["t"])
@@ -89,22 +89,22 @@
 
 
 def read(paths: Iterable[Path], until: float = math.inf) -> Snapshot:
-    """The fleet as its logs describe it at `until` (Unix seconds), or at their last line.
+    """Build the snapshot at `until` (Unix seconds), or at the last line before it.
 
     Raises:
-        LogError: a file can't be read, or there is no line up to then.
+        LogError: a file cannot be read, or no line is at or before `until`.
     """
     files = list(paths)
     lines = read_lines(files, until)
     if not lines:
-        place = ", ".join(map(str, files))[:MAX_PLACE]
+        place = ", ".join(map(str, files))[:MAX_PLACE_CHARS]
         raise LogError(f"{place}: expected lines of a proxy's log, got none")
     processes = _replay(lines)
     now = lines[-1].time
     views = []
     unreachable = []
     for process in processes.values():
-        reason = _why_unreachable(process, processes.values())
+        reason = _find_unreachable_reason(process, processes.values())
         if reason is None:
             views.append(process.view(now))
         else:
@@ -115,7 +115,7 @@
 
 
 def _replay(lines: Iterable[LogLine]) -> dict[str, LoggedProcess]:
-    """The last process of each name, as its lines describe it."""
+    """Rebuild the last process of each name from its lines."""
     processes: dict[str, LoggedProcess] = {}
     for line in lines:
         process = processes.get(line.process)
@@ -128,12 +128,12 @@
         try:
             process.apply(line.time, line.event, line.fields)
         except (ValueError, TypeError, KeyError):
-            continue  # a line of another build
+            continue  # other builds may write other fields
     return processes
 
 
-def _why_unreachable(process: LoggedProcess, others: Iterable[LoggedProcess]) -> str | None:
-    """Why a process has no view of its own; None if it has one."""
+def _find_unreachable_reason(process: LoggedProcess, others: Iterable[LoggedProcess]) -> str | None:
+    """Return why a process has no view; None if it has one."""
     if process.has_stopped:
         return "stopped in order"
     reports = [
--- a/onyxhollow/topology/paths.py
+++ b/onyxhollow/topology/paths.py
@@ -1,7 +1,8 @@
-"""Faults of the direct paths between members: A receives from B and B does not receive from A. Pure.
+"""Detection of faults on the direct paths between members, also in one direction only. Pure.
 
-In a small fleet every member probes every other often enough to judge each path by itself. In a large one a
-pair meets too seldom, so probes are counted in sum: between two zones, and from and to each member.
+In a small fleet every member probes every other member often enough to evaluate each path by itself. In a
+large fleet a pair exchanges too few probes, so the probes are totalled: per pair of zones, and from and to
+each member.
 """
 
 from __future__ import annotations
@@ -13,17 +14,17 @@
 from onyxhollow.topology.fault_types import Fault, FaultKind, Views, is_stalled
 from onyxhollow.topology.model import LinkStatus
 
-LARGE_FLEET = 40  # members past which paths are judged in sum
-MAX_SILENCE = 4.0  # seconds without a datagram, past which a path counts as silent ...
-MIN_PROBES = 3  # ... if so many probes have been sent
-MIN_LOSS = 0.85  # share of probes without an answer from which a path is faulty
-MIN_LOST_PROBES = 8  # in a sum, for it to be evidence
-MIN_PROBE_AGE = 1.5  # seconds within which a probe may still be answered
-MAX_PROBE_AGE = 45.0  # seconds after which a probe is no evidence of the present
+MAX_PAIRWISE_MEMBERS = 40  # in a larger fleet the probes are totalled
+MAX_SILENCE_SECONDS = 4.0  # without a direct datagram
+MIN_PROBES = 3  # with fewer, a path is not evaluated
+MIN_LOSS_RATIO = 0.85
+MIN_LOST_DATAGRAMS = 8  # fewer in a total are no evidence of a fault
+MIN_PROBE_AGE_SECONDS = 1.5  # the answer to a younger probe may still arrive
+MAX_PROBE_AGE_SECONDS = 45.0  # an older probe is no evidence of the present state
 
 
 class Path(NamedTuple):
-    """A direction in which datagrams go: from a source to a target, members or zones."""
+    """One direction of datagrams: from a source to a target, both members or both zones."""
 
     source: str
     target: str
@@ -33,7 +34,7 @@
 
 
 class _Tally(Generic[Key]):
-    """Datagrams that arrived and were lost, by what they are counted for."""
+    """Counts of arrived and lost datagrams by key: a path between zones, or a member."""
 
     def __init__(self) -> None:
         self.arrived: Counter[Key] = Counter()
@@ -44,11 +45,11 @@
 
     def is_faulty(self, key: Key) -> bool:
         lost = self.lost[key]
-        return lost >= max(MIN_LOST_PROBES, MIN_LOSS * (lost + self.arrived[key]))
+        return lost >= max(MIN_LOST_DATAGRAMS, MIN_LOSS_RATIO * (lost + self.arrived[key]))
 
 
 class _ProbeCounts:
-    """Probes and answers that arrived, and that were lost, in sum over paths."""
+    """Totals of arrived and lost probes and answers."""
 
     def __init__(self) -> None:
         self.between_zones = _Tally[Path]()
@@ -56,7 +57,7 @@
         self.to_member = _Tally[str]()
 
     def add(self, views: Views, path: Path, arrived: bool) -> None:
-        """Counts one datagram of a path between two members."""
+        """Count one datagram on a path between two members."""
         self.from_member.add(path.source, arrived)
         self.to_member.add(path.target, arrived)
         zones = Path(views[path.source].zone, views[path.target].zone)
@@ -65,9 +66,9 @@
 
 
 def find_path_faults(views: Views, cut_off: set[str]) -> list[Fault]:
-    """Faulty direct paths, but those across a partition (to or from `cut_off`): it is named already."""
-    if len(views) > LARGE_FLEET:
-        return _find_in_sum(views, cut_off)
+    """Return the faulty direct paths, except those across a reported partition (into or out of `cut_off`)."""
+    if len(views) > MAX_PAIRWISE_MEMBERS:
+        return _find_by_totals(views, cut_off)
     return _find_by_pair(views, cut_off)
 
 
@@ -90,14 +91,16 @@
 
 
 def _is_silent(link: LinkStatus) -> bool:
-    return link.probes >= MIN_PROBES and link.received_ago > MAX_SILENCE and link.loss >= MIN_LOSS
+    return (
+        link.probes >= MIN_PROBES and link.received_ago > MAX_SILENCE_SECONDS and link.loss >= MIN_LOSS_RATIO
+    )
 
 
-def _find_in_sum(views: Views, cut_off: set[str]) -> list[Fault]:
+def _find_by_totals(views: Views, cut_off: set[str]) -> list[Fault]:
     counts = _ProbeCounts()
     for path, arrived in _recent_datagrams(views, cut_off):
         counts.add(views, path, arrived)
-    # Members without a zone are judged by themselves alone.
+    # Members without a zone count only in the totals per member.
     zone_paths = [path for path in counts.between_zones.lost if "" not in path]
     faulty = {path for path in zone_paths if counts.between_zones.is_faulty(path)}
     affected_zones = {zone for path in faulty for zone in path}
@@ -108,14 +111,19 @@
 
 
 def _recent_datagrams(views: Views, cut_off: set[str]) -> Iterator[tuple[Path, bool]]:
-    """Each recent probe and, if it arrived, its answer, with whether it arrived.
+    """Yield the path of each recent probe, and of its answer if the probe arrived, and whether it arrived.
 
-    A member that has received nothing from its target since the probe does not know which of the two was
-    lost. If the target has received something since about then, it was the answer, else the probe.
+    If the source has received nothing from the target since the probe, either the probe or its answer was
+    lost. It was the answer if the target has received a datagram from the source since about that time, else
+    the probe.
     """
     links = {(name, link.peer): link for name, view in views.items() for link in view.links}
     for (source, target), link in links.items():
-        if target not in views or not link.probes or not MIN_PROBE_AGE <= link.probed_ago <= MAX_PROBE_AGE:
+        if (
+            target not in views
+            or not link.probes
+            or not MIN_PROBE_AGE_SECONDS <= link.probed_ago <= MAX_PROBE_AGE_SECONDS
+        ):
             continue
         if (source in cut_off) != (target in cut_off):
             continue
@@ -123,7 +131,7 @@
             continue
         answered = link.received_ago <= link.probed_ago
         reverse = links.get((target, source))
-        received = reverse is not None and reverse.received_ago <= link.probed_ago + MIN_PROBE_AGE
+        received = reverse is not None and reverse.received_ago <= link.probed_ago + MIN_PROBE_AGE_SECONDS
         yield Path(source, target), answered or received
         if answered or received:
             yield Path(target, source), answered
@@ -147,7 +155,7 @@
 
 
 def _member_faults(views: Views, counts: _ProbeCounts, affected_zones: set[str]) -> list[Fault]:
-    """Members that nothing leaves or reaches, unless a fault of their zone explains it."""
+    """Find members with faulty paths to or from all others; skip those in zones with a reported fault."""
     faults = []
     for name, view in sorted(views.items()):
         sends_nothing = counts.from_member.is_faulty(name)
@@ -155,9 +163,9 @@
         if view.zone in affected_zones or not (sends_nothing or receives_nothing):
             continue
         if sends_nothing and receives_nothing:
-            kind, word, direction = FaultKind.LINK_CUT, "cut", "from or to"
+            kind, label, direction = FaultKind.LINK_CUT, "cut", "from or to"
         else:
-            kind, word, direction = FaultKind.ONE_WAY, "one-way", "from" if sends_nothing else "to"
-        description = f"{word}: nothing comes straight {direction} {name}"
+            kind, label, direction = FaultKind.ONE_WAY, "one-way", "from" if sends_nothing else "to"
+        description = f"{label}: nothing comes straight {direction} {name}"
         faults.append(Fault(kind, (name,), description, (name,)))
     return faults
--- a/onyxhollow/topology/scene.py
+++ b/onyxhollow/topology/scene.py
@@ -1,8 +1,8 @@
-"""The picture as data: every box, symbol and line with its place and its words. Pure.
+"""Layout of a snapshot's picture: every box, symbol and line with its position and its text. Pure.
 
-Meaning never depends on colour alone: what is unhealthy has another shape, a thick dashed border and its
-word. Past MANY members in a zone the healthy ones are drawn small and counted, and only those with a word or
-a lease carry their names.
+No meaning depends on colour alone: an unhealthy symbol also has another shape, a thick dashed border and a
+text mark. In a zone with more than MAX_LABELLED members, healthy ones are drawn small and counted, and
+have no label unless they hold a lease.
 """
 
 from __future__ import annotations
@@ -31,22 +31,22 @@
     ZoneBox,
 )
 
-MANY = 12  # members or endpoints of a zone past which the healthy ones carry no names
-MAX_NAME = 22  # characters
-MAX_FULL_NAME = 200  # characters, where a pointer shows it
-MAX_ZONE_NAME = 12  # characters, in lists of connections
-MAX_CAUSE = 60  # characters
-MAX_DESCRIPTION = 150  # characters
-MAX_REASON = 120  # characters
+MAX_LABELLED = 12  # members or endpoints of a zone; with more, the healthy ones have no labels
+MAX_NAME_CHARS = 22
+MAX_FULL_NAME_CHARS = 200  # in tooltips
+MAX_ZONE_NAME_CHARS = 12  # in lists of connections
+MAX_CAUSE_CHARS = 60
+MAX_DESCRIPTION_CHARS = 150
+MAX_REASON_CHARS = 120
 MAX_FLOWS = 6  # zones listed as targets of connections
-FULL_LOAD = 0.9  # from which an endpoint is marked
-HIGH_OUTLIER_SCORE = 2.0  # from which an endpoint is marked
+FULL_LOAD = 0.9  # fraction of capacity from which an endpoint is marked
+HIGH_OUTLIER_SCORE = 2.0  # score from which an endpoint is marked
 BOXES_PER_ROW = 4
 PAGE_HEADER = 60.0  # pixels above the boxes; all lengths below are pixels
 BOX_MARGIN = 8.0
 ENDPOINT_HEADER = 26.0  # between the members of a box and its endpoints
 BOX_FOOTER = 10.0
-ZONE_ANCHOR = Position(BOX_WIDTH - 30, 16.0)  # where lines between zones end, from the corner of a box
+ZONE_ANCHOR = Position(BOX_WIDTH - 30, 16.0)  # end of lines between zones, relative to a box
 
 MEMBER_FAULTS = frozenset(
     {
@@ -62,16 +62,16 @@
 ZONE_PATH_FAULTS = frozenset({FaultKind.ZONE_ONE_WAY, FaultKind.ZONE_LINK_CUT})
 
 
-def sanitize(text: str, limit: int = MAX_NAME) -> str:
-    """Text that is safe to show: no control or direction characters, at most `limit` characters."""
-    shown = "".join(
-        sign if unicodedata.category(sign)[0] != "C" else "\N{REPLACEMENT CHARACTER}" for sign in text
+def sanitize(text: str, limit: int = MAX_NAME_CHARS) -> str:
+    """Replace control and direction characters, and truncate the text to `limit` characters."""
+    safe = "".join(
+        char if unicodedata.category(char)[0] != "C" else "\N{REPLACEMENT CHARACTER}" for char in text
     )
-    return shown if len(shown) <= limit else shown[: limit - 1] + "\N{HORIZONTAL ELLIPSIS}"
+    return safe if len(safe) <= limit else safe[: limit - 1] + "\N{HORIZONTAL ELLIPSIS}"
 
 
 def unhealthy_members(snapshot: Snapshot, faults: Iterable[Fault]) -> dict[str, str]:
-    """What is wrong with members, by name: the word of the first fault, or of another member's report."""
+    """Return the marks of unhealthy members by name: the first fault's kind, else a reported state."""
     marks: dict[str, str] = {}
     members = snapshot.members()
     for fault in faults:
@@ -92,19 +92,19 @@
 
 
 def describe_flows(counts: Mapping[str, int]) -> str:
-    """Connections of a zone's members by the zone of the endpoint, in words; `counts` has the most first."""
+    """Format connection counts by zone of the endpoint, largest first as in `counts`."""
     rows = list(counts.items())[:MAX_FLOWS]
-    return ", ".join(f"{sanitize(zone, MAX_ZONE_NAME) or 'no zone'} {count}" for zone, count in rows)
+    return ", ".join(f"{sanitize(zone, MAX_ZONE_NAME_CHARS) or 'no zone'} {count}" for zone, count in rows)
 
 
 def list_zones(members: Mapping[str, MemberStatus], endpoints: Mapping[str, EndpointStatus]) -> list[str]:
-    """Zones of members and endpoints, sorted by name."""
+    """Return the zones of members and endpoints, sorted by name."""
     zones = {member.zone for member in members.values()}
     return sorted(zones | {endpoint.zone for endpoint in endpoints.values()})
 
 
 def build_scene(snapshot: Snapshot) -> Scene:
-    """Places everything that a snapshot holds."""
+    """Lay out the picture of a snapshot."""
     faults = find_faults(snapshot)
     builder = _BoxBuilder(snapshot, faults)
     zones = list_zones(builder.members, builder.endpoints)
@@ -124,13 +124,15 @@
         height=top + row_height + BOX_GAP,
         boxes=boxes,
         lines=_path_lines(faults, builder.positions),
-        faults=[sanitize(fault.description, MAX_DESCRIPTION) for fault in faults],
+        faults=[sanitize(fault.description, MAX_DESCRIPTION_CHARS) for fault in faults],
         addresses=_address_rows(snapshot),
         leases=[
             LeaseRow(sanitize(role), sanitize(lease.holder_name) or "nobody", lease.term)
             for role, lease in sorted(snapshot.leases().items())
         ],
-        unreachable=[sanitize(f"{row.target}: {row.reason}", MAX_REASON) for row in snapshot.unreachable],
+        unreachable=[
+            sanitize(f"{row.target}: {row.reason}", MAX_REASON_CHARS) for row in snapshot.unreachable
+        ],
         positions=builder.positions,
         polled=len(builder.views),
         members=len(builder.members),
@@ -139,7 +141,7 @@
 
 
 class _BoxBuilder:
-    """Places the members and endpoints of one zone after another, and collects all positions."""
+    """Lays out the box of one zone per call and collects the positions of all symbols."""
 
     def __init__(self, snapshot: Snapshot, faults: list[Fault]) -> None:
         self.views = snapshot.views_by_name()
@@ -165,10 +167,11 @@
         self.positions |= {f"m:{name}": position for name, position in member_places.items()}
         self.positions |= {f"s:{name}": position for name, position in endpoint_places.items()}
         members = [
-            self._member(self.members[name], member_places[name], len(member_names)) for name in member_names
+            self._build_member(self.members[name], member_places[name], len(member_names))
+            for name in member_names
         ]
         endpoints = [
-            _endpoint(self.endpoints[name], endpoint_places[name], len(endpoint_names))
+            _build_endpoint(self.endpoints[name], endpoint_places[name], len(endpoint_names))
             for name in endpoint_names
         ]
         return ZoneBox(
@@ -184,30 +187,30 @@
             endpoints_y=endpoints_top - BOX_MARGIN,
         )
 
-    def _member(self, row: MemberStatus, position: Position, neighbours: int) -> MemberSymbol:
+    def _build_member(self, row: MemberStatus, position: Position, neighbours: int) -> MemberSymbol:
         mark = self.marks.get(row.name, "")
         return MemberSymbol(
             name=sanitize(row.name),
-            full_name=sanitize(row.name, MAX_FULL_NAME),
+            full_name=sanitize(row.name, MAX_FULL_NAME_CHARS),
             x=position.x,
             y=position.y,
             mark=mark,
-            is_labelled=bool(mark) or row.name in self.roles or neighbours <= MANY,
+            is_labelled=bool(mark) or row.name in self.roles or neighbours <= MAX_LABELLED,
             is_polled=row.name in self.views,
             is_voter=row.is_voter,
             roles=", ".join(sorted(self.roles.get(row.name, []))),
         )
 
 
-def _endpoint(row: EndpointStatus, position: Position, neighbours: int) -> EndpointSymbol:
+def _build_endpoint(row: EndpointStatus, position: Position, neighbours: int) -> EndpointSymbol:
     mark = _endpoint_mark(row)
     return EndpointSymbol(
         name=sanitize(row.name),
-        full_name=sanitize(row.name, MAX_FULL_NAME),
+        full_name=sanitize(row.name, MAX_FULL_NAME_CHARS),
         x=position.x,
         y=position.y,
         mark=mark,
-        is_labelled=bool(mark) or neighbours <= MANY,
+        is_labelled=bool(mark) or neighbours <= MAX_LABELLED,
         connections=row.connections,
         fill=0.0 if row.load is None else min(1.0, max(0.0, row.load)),
         load="?" if row.load is None else f"{row.load:.2f}",
@@ -234,7 +237,7 @@
 
 
 def _path_lines(faults: Iterable[Fault], positions: Positions) -> list[PathLine]:
-    """Lines for faults of paths between two; those of one member alone are marks, not lines."""
+    """Return lines for faults between two members or zones; faults of one member are marks instead."""
     lines = []
     for fault in faults:
         if fault.kind in ZONE_PATH_FAULTS:
@@ -253,6 +256,6 @@
     rows: dict[str, list[AddressRow]] = {}
     for (address, site), status in sorted(snapshot.addresses().items()):
         cause = status.suppressed_by or status.cause or status.drain
-        row = AddressRow(sanitize(site), status.preference, sanitize(cause, MAX_CAUSE))
+        row = AddressRow(sanitize(site), status.preference, sanitize(cause, MAX_CAUSE_CHARS))
         rows.setdefault(sanitize(address), []).append(row)
     return rows
--- a/onyxhollow/topology/snapshot_file.py
+++ b/onyxhollow/topology/snapshot_file.py
@@ -1,4 +1,4 @@
-"""Snapshots on disk: 8 bytes `OXTOPO01` and a zstandard frame of MessagePack (docs/topology.md)."""
+"""Snapshot files: the 8 bytes `OXTOPO01` and a zstandard frame of MessagePack (docs/topology.md)."""
 
 from __future__ import annotations
 
@@ -8,49 +8,51 @@
 import msgspec
 import zstandard
 
-from onyxhollow.topology.model import MAJOR, Snapshot
+from onyxhollow.topology.model import MAJOR_VERSION, Snapshot
 
 MAGIC = b"OXTOPO01"
-MAX_UNPACKED = 256 << 20  # bytes; guards against a frame that unpacks to more than memory
+MAX_UNPACKED_BYTES = 256 << 20  # protects the memory against a decompression bomb
 COMPRESSION_LEVEL = 6
 SUFFIX = ".oxt"
 
 
 class SnapshotError(Exception):
-    """A file that can't be read or written; one line: where, what was expected, what was found."""
+    """A snapshot file cannot be read or written; the message is one line."""
 
 
 def pack(snapshot: Snapshot) -> bytes:
-    """The content of a snapshot file."""
+    """Encode and compress a snapshot; return the content of a snapshot file."""
     body = msgspec.msgpack.encode(snapshot)
     return MAGIC + zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(body)
 
 
 def unpack(content: bytes, place: str) -> Snapshot:
-    """Reads the content of a snapshot file; `place` names it in errors.
+    """Decode the content of a snapshot file; `place` is its name in errors.
 
     Raises:
-        SnapshotError: not a snapshot, not complete, too large or of another major version.
+        SnapshotError: the content is not a complete snapshot, too large or of another major version.
     """
     if content[: len(MAGIC)] != MAGIC:
         raise SnapshotError(
             f"{place}: expected a file that begins with {MAGIC.decode()}, got {content[:8]!r}"
         )
     try:
-        body = zstandard.ZstdDecompressor().decompress(content[len(MAGIC) :], max_output_size=MAX_UNPACKED)
+        body = zstandard.ZstdDecompressor().decompress(
+            content[len(MAGIC) :], max_output_size=MAX_UNPACKED_BYTES
+        )
         snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except (zstandard.ZstdError, msgspec.DecodeError, MemoryError) as error:
-        raise SnapshotError(f"{place}: expected a whole snapshot, got {str(error)[:120]}") from None
-    if snapshot.major != MAJOR:
-        raise SnapshotError(f"{place}: expected version {MAJOR}, got {snapshot.major}")
+        raise SnapshotError(f"{place}: expected a complete snapshot, got {str(error)[:120]}") from None
+    if snapshot.major != MAJOR_VERSION:
+        raise SnapshotError(f"{place}: expected version {MAJOR_VERSION}, got {snapshot.major}")
     return snapshot
 
 
 def read(path: Path) -> Snapshot:
-    """Reads a snapshot file.
+    """Read and decode a snapshot file.
 
     Raises:
-        SnapshotError: it can't be opened, or `unpack` refuses it.
+        SnapshotError: the file cannot be opened, or `unpack` rejects its content.
     """
     try:
         return unpack(path.read_bytes(), str(path))
@@ -59,10 +61,10 @@
 
 
 def save(path: Path, snapshot: Snapshot) -> None:
-    """Writes a snapshot file atomically: a reader finds it complete or not at all.
+    """Write a snapshot file atomically: readers never see a partial file.
 
     Raises:
-        SnapshotError: it can't be written.
+        SnapshotError: the file cannot be written.
     """
     partial = path.with_name(f"{path.name}.{os.getpid()}.part")
     try:
@@ -73,10 +75,10 @@
 
 
 def save_to_ring(folder: Path, snapshot: Snapshot, capacity: int) -> Path:
-    """Adds a file named by the snapshot's time; past `capacity` files the oldest are deleted.
+    """Write a file named after the snapshot's time; delete the oldest files beyond `capacity`.
 
     Raises:
-        SnapshotError: the folder or the file can't be written.
+        SnapshotError: the folder or the file cannot be written.
     """
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -90,9 +92,9 @@
 
 
 def read_ring(folder: Path) -> list[Snapshot]:
-    """All snapshots of a folder, oldest first.
+    """Read all snapshots of a folder, oldest first.
 
     Raises:
-        SnapshotError: one of them can't be read.
+        SnapshotError: a snapshot cannot be read.
     """
     return [read(path) for path in sorted(folder.glob(f"*{SUFFIX}"))]
--- a/onyxhollow/topology/symbols.py
+++ b/onyxhollow/topology/symbols.py
@@ -1,4 +1,4 @@
-"""What a picture is made of: symbols, lines and rows of tables, each with its place and its words. Pure."""
+"""Elements of a picture: symbols, lines and table rows, each with its position and its text. Pure."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSymbol:
-    """A member in the picture."""
+    """Symbol of a member."""
 
     name: str
     full_name: str
     x: float
     y: float
-    mark: str  # what is wrong with it; empty if nothing is
+    mark: str  # fault or unhealthy state; empty for a healthy member
     is_labelled: bool
     is_polled: bool
     is_voter: bool
@@ -25,23 +25,23 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSymbol:
-    """An endpoint in the picture."""
+    """Symbol of an endpoint."""
 
     name: str
     full_name: str
     x: float
     y: float
-    mark: str  # what is special about it; empty if nothing is
+    mark: str  # state other than normal service, e.g. `full`; empty without one
     is_labelled: bool
     connections: int
-    fill: float  # share of the square that is filled, 0 to 1
+    fill: float  # filled fraction of the square, 0 to 1
     load: str
     age: str
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneBox:
-    """A zone in the picture."""
+    """Box of a zone with the symbols of its members and endpoints."""
 
     zone: str
     x: float
@@ -51,13 +51,13 @@
     members: list[MemberSymbol]
     endpoints: list[EndpointSymbol]
     summary: str
-    flows: str  # where its members have connections
-    endpoints_y: float  # of the line above the endpoints
+    flows: str  # connections of its members by zone of the endpoint
+    endpoints_y: float  # position of the text line above the endpoints
 
 
 @dataclass(frozen=True, slots=True)
 class PathLine:
-    """A faulty path between two members or two zones."""
+    """Line that marks a faulty path between two members or two zones."""
 
     x1: float
     y1: float
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressRow:
-    """A shared address at one site, in the table."""
+    """Table row of a shared address at one site."""
 
     site: str
     preference: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRow:
-    """A lease, in the table."""
+    """Table row of a lease."""
 
     role: str
     holder: str
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scene:
-    """Everything that is drawn of a snapshot; names are sanitized."""
+    """All elements of a snapshot's picture; names are sanitized."""
 
     width: float
     height: float
@@ -96,7 +96,7 @@
     addresses: dict[str, list[AddressRow]]
     leases: list[LeaseRow]
     unreachable: list[str]
-    positions: Positions  # by `m:`, `s:` or `z:` and the name of a member, an endpoint or a zone
+    positions: Positions  # keys: `m:`MEMBER, `s:`ENDPOINT, `z:`ZONE
     polled: int
     members: int
     endpoints: int
--- a/onyxhollow/topology/terminal.py
+++ b/onyxhollow/topology/terminal.py
@@ -1,4 +1,4 @@
-"""The table that `topology show` prints: a row a zone, and all faults below. Pure."""
+"""The table that `topology show` prints: one row per zone, and all faults below it. Pure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from onyxhollow.topology.faults import find_faults
 from onyxhollow.topology.model import EndpointStatus, Snapshot
 from onyxhollow.topology.scene import (
-    MAX_DESCRIPTION,
+    MAX_DESCRIPTION_CHARS,
     describe_flows,
     list_zones,
     sanitize,
@@ -18,9 +18,11 @@
 
 
 def zone_table(snapshot: Snapshot) -> Table:
-    """The fleet by zones; every name is sanitized."""
+    """Build the table of zones; every name is sanitized."""
     faults = find_faults(snapshot)
-    caption = "\n".join(sanitize(fault.description, MAX_DESCRIPTION) for fault in faults) or "no trouble"
+    caption = (
+        "\n".join(sanitize(fault.description, MAX_DESCRIPTION_CHARS) for fault in faults) or "no trouble"
+    )
     table = Table(box=None, caption=caption, caption_justify="left")
     for heading in COLUMNS:
         table.add_column(heading, overflow="fold")
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -304,7 +304,7 @@
     ],
 )
 def test_a_member_that_answers_rubbish_slowly_or_nothing_is_unreachable(answer, monkeypatch):
-    monkeypatch.setattr(gather, "POLL_TIMEOUT", 1.0)
+    monkeypatch.setattr(gather, "POLL_TIMEOUT_SECONDS", 1.0)
     found = gather.gather([serve_once(answer)])
     assert not found.views and len(found.unreachable) == 1 and kinds(found) == []
     xml.dom.minidom.parseString(draw.svg(found).encode())
@@ -360,7 +360,7 @@
 
 
 def test_each_fault_of_real_processes_is_named_and_no_other(tmp_path, monkeypatch):
-    monkeypatch.setattr(fault_types, "STALL_MEMORY", 6.0)
+    monkeypatch.setattr(fault_types, "RECENT_STALL_SECONDS", 6.0)
     with Rig(tmp_path / "rig", members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
         rig.start()
         rig.wait_members()
