--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -1,9 +1,9 @@
-"""The topology tool: how long a picture takes, how stable it is, which faults it names, what a poll costs.
+"""Benchmark of the topology tool: drawing time, layout stability, detected faults and the cost of polling.
 
     python benchmarks/topology.py [--quick] [--out FILE]
 
-The last line is one JSON object. Full: 200 processes are polled; quick: 30, some two minutes. Nothing else
-should run beside it.
+The last line is one JSON object. A full run polls 200 processes; --quick polls 30 and takes about two
+minutes. Run it on an otherwise idle machine.
 """
 
 from __future__ import annotations
@@ -29,30 +29,33 @@
 from onyxhollow.topology.scene import build_scene  # noqa: E402
 
 
-def fleet(members: int, servers: int) -> Snapshot:
+def make_snapshot(members: int, servers: int) -> Snapshot:
+    """Return a snapshot of a healthy fleet in four zones."""
     rows = [MemberStatus(f"n{n}", 1, "alive", "abcd"[n % 4]) for n in range(members)]
-    blocks = [
+    endpoints = [
         EndpointStatus(f"s{n}", "abcd"[n % 4], connections=3, load=0.4, load_age=1.0) for n in range(servers)
     ]
     links = [LinkStatus(row.name, 1, 0.5, 9, 0.0, 1.0) for row in rows]
     views = [
-        MemberView(f"{row.name}~1", row.zone, "1", "in service", members=rows, endpoints=blocks, links=links)
+        MemberView(
+            f"{row.name}~1", row.zone, "1", "in service", members=rows, endpoints=endpoints, links=links
+        )
         for row in rows
     ]
     return Snapshot(1000.0, views)
 
 
 def measure_drawing() -> dict[str, Any]:
-    snapshot = fleet(300, 100)
-    began = time.monotonic()
+    snapshot = make_snapshot(300, 100)
+    started_at = time.monotonic()
     page = draw.html(snapshot)
-    took = time.monotonic() - began
+    duration = time.monotonic() - started_at
     shifts = []
     for count in range(280, 300):
-        before, after = build_scene(fleet(count, 100)), build_scene(fleet(count + 1, 100))
+        before, after = build_scene(make_snapshot(count, 100)), build_scene(make_snapshot(count + 1, 100))
         shifts.append(layout.moved_share(before.positions, after.positions, before.width))
     return {
-        "draw_300x100_s": round(took, 3),
+        "draw_300x100_s": round(duration, 3),
         "bytes_300x100": len(page),
         "layout_shift_one_more": round(statistics.median(shifts), 4),
         "layout_shift_worst": round(max(shifts), 4),
@@ -60,110 +63,116 @@
 
 
 def poll(rig: Rig, names: list[str]) -> tuple[Snapshot, float]:
-    """The rig goes on meanwhile."""
+    """Poll the members while the rig keeps running; return the snapshot and the duration in seconds."""
     result: list[Snapshot] = []
-    at = [text(rig.now_by[name].management) for name in names]
-    began = time.monotonic()
-    worker = threading.Thread(target=lambda: result.append(gather.gather(at, with_addresses=False)))
+    targets = [text(rig.now_by[name].management) for name in names]
+    started_at = time.monotonic()
+    worker = threading.Thread(target=lambda: result.append(gather.gather(targets, with_addresses=False)))
     worker.start()
     while worker.is_alive():
         rig.turn()
-    return result[0], time.monotonic() - began
+    return result[0], time.monotonic() - started_at
 
 
-def named(rig: Rig, wanted: list[tuple[str, tuple[str, ...]]], within: float) -> tuple[int, int]:
-    """How many of the faults are named at last, and how many others beside them."""
-    until, best = time.monotonic() + within, (0, 99)
-    while time.monotonic() < until:
+def count_found_faults(
+    rig: Rig, expected: list[tuple[str, tuple[str, ...]]], within: float
+) -> tuple[int, int]:
+    """Poll until all expected faults are found; return the best counts of expected and of other faults."""
+    deadline, best = time.monotonic() + within, (0, 99)
+    while time.monotonic() < deadline:
         names = [name for name, process in rig.now_by.items() if process.alive and not process.stopped]
-        found = {(one.kind, one.subjects) for one in find_faults(poll(rig, names)[0]) if one.kind != "silent"}
-        hit, other = len(found & set(wanted)), len(found - set(wanted))
-        if (hit, -other) > (best[0], -best[1]):
-            best = hit, other
-        if hit == len(wanted) and not other:
+        faults = {
+            (fault.kind, fault.subjects)
+            for fault in find_faults(poll(rig, names)[0])
+            if fault.kind != "silent"
+        }
+        found, other = len(faults & set(expected)), len(faults - set(expected))
+        if (found, -other) > (best[0], -best[1]):
+            best = found, other
+        if found == len(expected) and not other:
             return best
         rig.play(0.5)
     return best
 
 
-def faults_named(folder: Path) -> dict[str, Any]:
-    """One fault after another on five processes, each repaired before the next."""
+def measure_fault_detection(folder: Path) -> dict[str, Any]:
+    """Cause one fault after another on five processes; repair each before the next."""
     fault_types.RECENT_STALL_SECONDS = 6.0
-    total = hits = others = 0
+    total = total_found = total_other = 0
     with Rig(folder, members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
         rig.start()
         rig.wait_members()
         rig.wait_holder()
 
-        def case(wanted: list[tuple[str, tuple[str, ...]]]) -> None:
-            nonlocal total, hits, others
-            hit, other = named(rig, wanted, 30.0)
-            total, hits, others = total + len(wanted), hits + hit, others + other
-            print(f"{wanted}: {hit} named, {other} others", flush=True)
+        def check(expected: list[tuple[str, tuple[str, ...]]]) -> None:
+            nonlocal total, total_found, total_other
+            found, other = count_found_faults(rig, expected, 30.0)
+            total, total_found, total_other = total + len(expected), total_found + found, total_other + other
+            print(f"{expected}: {found} found, {other} others", flush=True)
 
-        case([])
+        check([])
         rig.stop("n4")
         rig.play(1.2)
         rig.go_on("n4")
-        case([("stalled", ("n4",))])
-        case([])
+        check([("stalled", ("n4",))])
+        check([])
         rules = rig.cut(["n3"], ["n1"], both=False)
-        case([("one-way", ("n3", "n1"))])
+        check([("one-way", ("n3", "n1"))])
         rig.mend(rules)
-        case([])
+        check([])
         rules = rig.cut(["n1", "n3"], ["n0", "n2", "n4"])
-        case([("cut", ("n1", "n3"))])
+        check([("cut", ("n1", "n3"))])
         rig.mend(rules)
         rig.wait_members(within=60)
-        case([])
+        check([])
         for name in ("n1", "n3"):
             rig.ask(name, "/out-of-service", "POST", base="/control")
-        case([("zone draining", ("b",))])
+        check([("zone draining", ("b",))])
         for name in ("n1", "n3"):
             rig.ask(name, "/in-service", "POST", base="/control")
-        case([])
+        check([])
         rig.kill("n4")
-        case([("gone", ("n4",))])
+        check([("gone", ("n4",))])
         rig.trial("n4", version="9.9")
         rig.start("n4")
         rig.wait_members(within=40)
-        case([("versions", ("0.2.0", "9.9"))])
-    return {"troubles": total, "troubles_named": hits, "false_troubles": others}
+        check([("versions", ("0.2.0", "9.9"))])
+    return {"troubles": total, "troubles_named": total_found, "false_troubles": total_other}
 
 
-def cost(folder: Path, members: int, seconds: float) -> dict[str, Any]:
-    """All are polled at once; one is polled each second while the others are not."""
+def measure_polling(folder: Path, members: int, seconds: float) -> dict[str, Any]:
+    """Poll all members once, then one member every second and compare its CPU time with that of others."""
     with Rig(
         folder, members=members, zones=("a", "b", "c", "d"), period=1.0 if members > 20 else 0.4, duties=[]
     ) as rig:
         rig.start()
         rig.wait_members(within=120)
         rig.play(2.0)
-        snapshot, took = poll(rig, rig.names)
-        found = [one for one in find_faults(snapshot) if one.kind != "silent"]
+        snapshot, duration = poll(rig, rig.names)
+        faults = [fault for fault in find_faults(snapshot) if fault.kind != "silent"]
         polled, others = rig.names[-1], rig.names[members // 2 : members // 2 + 5]
 
-        def cpu(names: list[str]) -> float:
+        def mean_cpu_seconds(names: list[str]) -> float:
             times = [psutil.Process(rig.now_by[name].pid).cpu_times() for name in names]
-            return sum(one.user + one.system for one in times) / len(names)
+            return sum(row.user + row.system for row in times) / len(names)
 
-        before, until = (cpu([polled]), cpu(others)), time.monotonic() + seconds
-        while time.monotonic() < until:
-            due = time.monotonic() + 1.0
+        before, deadline = (mean_cpu_seconds([polled]), mean_cpu_seconds(others)), time.monotonic() + seconds
+        while time.monotonic() < deadline:
+            next_poll_at = time.monotonic() + 1.0
             poll(rig, [polled])
-            rig.play(max(0.0, due - time.monotonic()))
-        mine, theirs = cpu([polled]) - before[0], cpu(others) - before[1]
+            rig.play(max(0.0, next_poll_at - time.monotonic()))
+        cpu_polled, cpu_others = mean_cpu_seconds([polled]) - before[0], mean_cpu_seconds(others) - before[1]
     print(
-        f"{members} members: {len(snapshot.views)} answered, {len(snapshot.unreachable)} silent; "
-        f"{[one.description for one in found][:4]}",
+        f"{members} members: {len(snapshot.views)} answered, {len(snapshot.unreachable)} unreachable; "
+        f"{[fault.description for fault in faults][:4]}",
         flush=True,
     )
     return {
         "members_asked": members,
-        "gather_200_s": round(took, 3),
+        "gather_200_s": round(duration, 3),
         "answered": len(snapshot.views),
-        "cpu_ratio_members": round(mine / max(1e-9, theirs), 3),
-        "cpu_ms_more_a_poll": round(1000 * (mine - theirs) / seconds, 2),
+        "cpu_ratio_members": round(cpu_polled / max(1e-9, cpu_others), 3),
+        "cpu_ms_more_a_poll": round(1000 * (cpu_polled - cpu_others) / seconds, 2),
     }
 
 
@@ -172,12 +181,14 @@
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--out", type=Path)
     args = parser.parse_args()
-    began = time.monotonic()
+    started_at = time.monotonic()
     result = measure_drawing()
     with tempfile.TemporaryDirectory() as folder:
-        result |= faults_named(Path(folder) / "five")
-        result |= cost(Path(folder) / "many", 30 if args.quick else 200, 10.0 if args.quick else 20.0)
-    result["seconds"] = round(time.monotonic() - began, 1)
+        result |= measure_fault_detection(Path(folder) / "five")
+        result |= measure_polling(
+            Path(folder) / "many", 30 if args.quick else 200, 10.0 if args.quick else 20.0
+        )
+    result["seconds"] = round(time.monotonic() - started_at, 1)
     if args.out:
         args.out.write_text(json.dumps(result))
     print(json.dumps(result))
