--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -1,13 +1,16 @@
-"""Shared addresses on real processes: how long from loss to withdrawal, what clients are served meanwhile.
+"""Benchmark of shared addresses on real processes: time from a loss to the withdrawal, and service meanwhile.
 
     python benchmarks/addresses.py [--quick] [--out FILE] [--sites N] [--each N] [--addresses N]
 
-The last line is one JSON object. Full: 12 sites, 6 addresses, 204 processes; quick: 4, 2, 24, some ten
-minutes on 8 cores. Nothing else should run beside it. Times are those of the short dwells of
-lab/fleet/sites.py (QUICK), 1 s for a dead site; in full twice as long, as 204 processes on one machine need.
-A site's proxies know its own servers only, and a server over its capacity answers too late to serve. The two
-baselines are policies of the same program: `at once` (no dwell, no bound on how many at a time, gates that
-act after half a second) and `never` (nor do its gates); both keep the last site.
+The last line is one JSON object. A full run has 12 sites, 6 addresses and 204 processes; --quick has 4, 2 and
+24 and takes about ten minutes on 8 cores. Run it on an otherwise idle machine. Delays are the short ones of
+lab/fleet/sites.py (QUICK), 1 s for a dead site. A full run doubles them, because 204 processes on one machine
+are slower.
+
+A site's proxies use only the site's own servers, and a server over its capacity responds too late to serve.
+The two baselines are policies of the same program. `at once` withdraws without a delay and without a limit on
+simultaneous withdrawals, and its route guards act after half a second. `never` does not withdraw, and neither
+do its route guards. Both keep the last site.
 """
 
 from __future__ import annotations
@@ -33,15 +36,15 @@
 
 AT_ONCE = {"ill_for": 0.0, "dead_for": 0.0, "well_for": 0.0, "step": 0.0, "most_at_once": 1000, "fill": 1.0}
 NEVER = {"ill": 0.0, "dead": 0.0}
-FOR_EVER = 3600.0
-# Policy, what a site does that is cut off, and seconds without an announcer after which its gate acts.
-WAYS: dict[str, tuple[dict[str, Any], str, float]] = {
+NEVER_SECONDS = 3600.0  # longer than any run
+# Policy, action of a site that is cut off, and seconds without an announcer after which its route guard acts.
+POLICIES: dict[str, tuple[dict[str, Any], str, float]] = {
     "ours": ({}, "withdraw", 2.5),
     "at once": (AT_ONCE, "withdraw", 0.5),
-    "never": (NEVER, "keep", FOR_EVER),
+    "never": (NEVER, "keep", NEVER_SECONDS),
 }
-SAMPLE = 0.1  # seconds between looks at who is served
-AFTER = 6.0  # seconds for which a case is watched beyond its fault
+SAMPLE_INTERVAL_SECONDS = 0.1
+RECOVERY_SECONDS = 6.0  # for which a case is sampled after its fault has ended
 
 
 def percentile(values: list[float], share: float) -> float:
@@ -50,60 +53,60 @@
 
 
 class Run:
-    """One policy through all cases on one rig."""
-
-    def __init__(self, folder: Path, way: str, told: argparse.Namespace) -> None:
-        self.way, self.told = way, told
-        policy, cut_off, orphaned_after = WAYS[way]
-        self.slower = told.slower
-        # A site bears three times the sessions that it has of the partners near it: two that fail at once
-        # fit beside those of a third, all but.
-        usual = told.partners * told.addresses / told.sites
+    """Runs all cases with one policy on one rig."""
+
+    def __init__(self, folder: Path, policy_name: str, args: argparse.Namespace) -> None:
+        self.policy_name, self.args = policy_name, args
+        policy, cut_off, orphaned_after = POLICIES[policy_name]
+        self.slower = args.slower
+        # A site has capacity for three times its normal sessions, so one site nearly fits the sessions of two
+        # others that fail at the same time.
+        normal_sessions = args.partners * args.addresses / args.sites
         self.sites = Sites(
             folder,
-            sites=told.sites,
-            each=told.each,
-            addresses=told.addresses,
+            sites=args.sites,
+            each=args.each,
+            addresses=args.addresses,
             servers=1,
-            capacity=3.0 * usual,
+            capacity=3.0 * normal_sessions,
             policy=policy,
             cut_off=cut_off,
             own_servers=True,
-            each_load=0.5 / (3.0 * usual),
-            orphaned_after=min(FOR_EVER, orphaned_after * told.slower),
-            partners=told.partners,
-            slower=told.slower,
-            period=0.4 * told.slower,
-            lease=told.slower,
+            each_load=0.5 / (3.0 * normal_sessions),
+            orphaned_after=min(NEVER_SECONDS, orphaned_after * args.slower),
+            partners=args.partners,
+            slower=args.slower,
+            period=0.4 * args.slower,
+            lease=args.slower,
         )
         self.each = self.sites.echo[0].each
-        self.served: dict[str, list[float]] = {}
-        self.gone: list[float] = []  # seconds from loss to the speaker's withdrawal
-        self.moved: list[float] = []  # seconds from loss to the last client elsewhere
-        self.least = 99
-        self.false = self.faults = self.healthy_gaps = self.budget = 0
+        self.served: dict[str, list[float]] = {}  # samples of the share of served clients, by case
+        self.withdrawal_times: list[float] = []  # seconds from a loss to the routing daemon's withdrawal
+        self.move_times: list[float] = []  # seconds from a loss until the last client uses another site
+        self.min_advertising = 99  # sites that advertise the same address
+        self.false_withdrawals = self.faults = self.healthy_gaps = self.over_budget = 0
         self.lost_orders = 0
-        self.notes: list[str] = []
+        self.errors: list[str] = []
         self.rng = Random(7)
 
-    def watch(self, case: str, span: float) -> None:
-        """Lets the fault last, and looks who is served meanwhile."""
-        end = time.monotonic() + span * self.slower
-        while time.monotonic() < end:
-            self.sites.rig.play(SAMPLE)
+    def play_and_sample(self, case: str, duration: float) -> None:
+        """Run for the duration (seconds, times `slower`) and sample the service."""
+        deadline = time.monotonic() + duration * self.slower
+        while time.monotonic() < deadline:
+            self.sites.rig.play(SAMPLE_INTERVAL_SECONDS)
             self.sample(case)
 
     def sample(self, case: str) -> None:
         self.served.setdefault(case, []).append(self.sites.served())
-        self.look()
+        self.update_min_advertising()
 
-    def look(self) -> None:
-        for place in range(self.told.addresses):
-            stands = [self.sites.standing(zone)[place] for zone in self.sites.zones]
-            self.least = min(self.least, sum(state > 0 for state in stands))
+    def update_min_advertising(self) -> None:
+        for index in range(self.args.addresses):
+            preferences = [self.sites.standing(zone)[index] for zone in self.sites.zones]
+            self.min_advertising = min(self.min_advertising, sum(state > 0 for state in preferences))
 
-    def well(self, case: str) -> None:
-        """All faults are over; who is served is looked at until all are: coming back moves clients too."""
+    def repair(self, case: str) -> None:
+        """End all faults and sample until all sites advertise, because the recovery moves clients too."""
         sites = self.sites
         for zone in sites.zones:
             for server in sites.of(zone):
@@ -111,136 +114,150 @@
         for name, process in sites.rig.now_by.items():
             if process.stopped:
                 sites.rig.go_on(name)
-        gone = [name for name, process in sites.rig.now_by.items() if not process.alive]
-        if gone:
-            sites.rig.start(*gone)
-        looked = 0.0
-
-        def back() -> bool:
-            nonlocal looked
-            if time.monotonic() - looked >= SAMPLE:
-                looked = time.monotonic()
+        ended = [name for name, process in sites.rig.now_by.items() if not process.alive]
+        if ended:
+            sites.rig.start(*ended)
+        sampled_at = 0.0
+
+        def is_recovered() -> bool:
+            nonlocal sampled_at
+            if time.monotonic() - sampled_at >= SAMPLE_INTERVAL_SECONDS:
+                sampled_at = time.monotonic()
                 self.sample(case)
-            stand = all(set(sites.standing(zone)) == {2} for zone in sites.zones)
-            return stand and sites.served() == 1.0
+            all_advertised = all(set(sites.standing(zone)) == {2} for zone in sites.zones)
+            return all_advertised and sites.served() == 1.0
 
-        sites.rig.wait(back, 90 * self.slower, "all sites advertise all, all are served")
+        sites.rig.wait(
+            is_recovered, 90 * self.slower, "all sites advertise all addresses, all clients are served"
+        )
         sites.rig.wait_members(within=90)
-        self.watch(case, AFTER)
+        self.play_and_sample(case, RECOVERY_SECONDS)
 
-    def case(self, name: str, zone: str, begin: Callable[[], None], lost: bool, span: float = 8.0) -> None:
-        """lost: clients of the site get nothing meanwhile, so that it has to go."""
-        sites, began = self.sites, time.monotonic()
+    def run_case(
+        self, name: str, zone: str, cause: Callable[[], None], is_lost: bool, duration: float = 8.0
+    ) -> None:
+        """Run one case; with `is_lost`, the site serves no clients and must be withdrawn."""
+        sites, started_at = self.sites, time.monotonic()
         self.faults += 1
-        begin()
-        self.watch(name, span)
-        if lost and self.way == "ours":
+        cause()
+        self.play_and_sample(name, duration)
+        if is_lost and self.policy_name == "ours":
             changes = sites.speakers[zone].changes
-            out = [change.at for change in changes if change.at >= began and not change.state]
-            if out:
-                self.gone.append(max(out[: self.told.addresses]) - began)
+            withdrawals = [change.at for change in changes if change.at >= started_at and not change.state]
+            if withdrawals:
+                self.withdrawal_times.append(max(withdrawals[: self.args.addresses]) - started_at)
                 moves = [
-                    at
-                    for one in sites.internet.partners
-                    for at, to in one.moves
-                    if at >= began and to != zone
+                    moved_at
+                    for partner in sites.internet.partners
+                    for moved_at, target in partner.moves
+                    if moved_at >= started_at and target != zone
                 ]
-                self.moved.append(max(moves, default=began) - began)
+                self.move_times.append(max(moves, default=started_at) - started_at)
             else:
-                self.notes.append(f"{name} at {zone}: not withdrawn within {span * self.slower:g} s")
-        self.end(name)
+                self.errors.append(
+                    f"{name} at {zone}: expected a withdrawal within {duration * self.slower:g} s, got none"
+                )
+        self.end_case(name)
 
-    def end(self, name: str) -> None:
+    def end_case(self, name: str) -> None:
         try:
-            self.well(name)
+            self.repair(name)
         except RigError as error:
-            self.notes.append(f"{name}: {str(error)[:300]}")
+            self.errors.append(f"{name}: {str(error)[:300]}")
 
-    def play(self) -> None:
+    def run(self) -> None:
         sites = self.sites
         sites.start()
         sites.wait_standing(90.0 * self.slower, **{zone: 2 for zone in sites.zones})
-        sites.rig.wait(lambda: sites.served() == 1.0, 60, "all are served")
-        sites.rig.play(1.5 * self.slower)  # the gates have been told that none is the last
+        sites.rig.wait(lambda: sites.served() == 1.0, 60, "all clients are served")
+        sites.rig.play(1.5 * self.slower)  # until every route guard has been informed that it is not the last
         rig, zones = sites.rig, sites.zones
 
-        def stopped(zone: str) -> None:
+        def stop_site(zone: str) -> None:
             for name in sites.members(zone):
                 rig.stop(name)
 
-        kinds: dict[str, Callable[[int], None]] = {
-            "site stopped": lambda n: self.case("site stopped", zones[n], lambda: stopped(zones[n]), True),
-            "site killed": lambda n: self.case(
+        cases: dict[str, Callable[[int], None]] = {
+            "site stopped": lambda n: self.run_case(
+                "site stopped", zones[n], lambda: stop_site(zones[n]), True
+            ),
+            "site killed": lambda n: self.run_case(
                 "site killed", zones[n + 1], lambda: rig.kill(*sites.members(zones[n + 1])), True, 10.0
             ),
-            "servers full": lambda n: self.case("servers full", zones[n], lambda: self.fill(zones[n]), False),
-            "all look ill": lambda n: self.case("all look ill", "", lambda: self.fill(*zones), False, 5.0),
-            "half the sites full": lambda n: self.case(
+            "servers full": lambda n: self.run_case(
+                "servers full", zones[n], lambda: self.fill(zones[n]), False
+            ),
+            "all look ill": lambda n: self.run_case(
+                "all look ill", "", lambda: self.fill(*zones), False, 5.0
+            ),
+            "half the sites full": lambda n: self.run_case(
                 "half the sites full", "", lambda: self.fill(*zones[: len(zones) // 2]), False
             ),
-            "a wave": lambda n: self.wave(),
-            "flapping": lambda n: self.flap("flapping", lambda: stopped(zones[n]), zones[n]),
-            "servers flap": lambda n: self.flap("servers flap", lambda: self.fill(zones[n]), zones[n]),
-            "short troubles": lambda n: self.service_in_short(),
+            "a wave": lambda n: self.run_cascade(),
+            "flapping": lambda n: self.run_flapping("flapping", lambda: stop_site(zones[n]), zones[n]),
+            "servers flap": lambda n: self.run_flapping(
+                "servers flap", lambda: self.fill(zones[n]), zones[n]
+            ),
+            "short troubles": lambda n: self.run_short_overloads(),
         }
-        for name, play in kinds.items():
-            if self.told.cases and name not in self.told.cases:
+        for name, run_round in cases.items():
+            if self.args.cases and name not in self.args.cases:
                 continue
-            for number in range(self.told.rounds):
-                play(number % (len(zones) - 1))
-        if self.way == "ours":
-            self.orders()
-            self.short(self.told.short)
+            for number in range(self.args.rounds):
+                run_round(number % (len(zones) - 1))
+        if self.policy_name == "ours":
+            self.check_orders()
+            self.count_false_withdrawals(self.args.short)
         rig.read_logs()
 
     def fill(self, *zones: str) -> None:
-        """Servers there have no room; all processes are well."""
+        """Load the servers of the zones beyond their capacity; all processes stay healthy."""
         for zone in zones:
             for server in self.sites.of(zone):
                 server.base = 1.2
 
-    def wave(self) -> None:
-        """One site fails, and its sessions are too much for the next, and theirs for the one after it."""
-        usual = self.told.partners * self.told.addresses / self.told.sites
+    def run_cascade(self) -> None:
+        """Overload one site; its sessions overload the next site, and so on."""
+        normal_sessions = self.args.partners * self.args.addresses / self.args.sites
         for server in self.sites.echo:
-            server.each = 0.8 / (2.0 * usual)
-        self.case("a wave", "", lambda: self.fill(self.sites.zones[0]), False)
+            server.each = 0.8 / (2.0 * normal_sessions)
+        self.run_case("a wave", "", lambda: self.fill(self.sites.zones[0]), False)
 
-    def flap(self, name: str, harm: Callable[[], None], zone: str) -> None:
-        """Harmed for half of every three seconds."""
+    def run_flapping(self, name: str, cause: Callable[[], None], zone: str) -> None:
+        """Cause and repair a fault four times, for 1.5 s each."""
         self.faults += 1
         sites = self.sites
         for _ in range(4):
-            harm()
-            self.watch(name, 1.5)
+            cause()
+            self.play_and_sample(name, 1.5)
             for member in sites.members(zone):
                 sites.rig.go_on(member)
             for server in sites.of(zone):
                 server.base = 0.1
-            self.watch(name, 1.5)
-        self.end(name)
+            self.play_and_sample(name, 1.5)
+        self.end_case(name)
 
-    def service_in_short(self) -> None:
-        """Servers of one site after another are full for a moment: over before any dwell."""
+    def run_short_overloads(self) -> None:
+        """Overload one site after another for a shorter time than any delay of the policy."""
         self.faults += 1
         for number in range(6):
             zone = self.sites.zones[number % len(self.sites.zones)]
             self.fill(zone)
-            self.watch("short troubles", 0.5)
+            self.play_and_sample("short troubles", 0.5)
             for server in self.sites.of(zone):
                 server.base = 0.1
-            self.watch("short troubles", 1.5)
-        self.end("short troubles")
+            self.play_and_sample("short troubles", 1.5)
+        self.end_case("short troubles")
 
-    def short(self, count: int) -> None:
-        """Troubles that are over before any dwell: nothing may be withdrawn."""
+    def count_false_withdrawals(self, count: int) -> None:
+        """Cause faults that are shorter than any delay of the policy; no address may be withdrawn."""
         rig, sites = self.sites.rig, self.sites
         rig.play(sites.told["policy"]["window"])
         for _ in range(count):
             self.faults += 1
             zone = self.rng.choice(sites.zones)
             kind = self.rng.choice(("stop", "full", "speaker", "one"))
-            before = self.withdrawn()
+            before = self.count_withdrawals()
             if kind == "stop":
                 names = sites.members(zone)
             elif kind == "one":
@@ -259,47 +276,47 @@
                 server.base = 0.1
             rig.play(0.9 * self.slower)
             rig.read_logs()
-            self.false += self.withdrawn() > before
+            self.false_withdrawals += self.count_withdrawals() > before
         sites.wait_standing(60.0, **{zone: 2 for zone in sites.zones})
 
-    def withdrawn(self) -> int:
+    def count_withdrawals(self) -> int:
         return sum(row["standing"] == "withdrawn" for row in self.sites.decided())
 
-    def orders(self) -> None:
-        """Given at any member while keepers are killed: each that is kept is in the history, once."""
+    def check_orders(self) -> None:
+        """Give overrides to random members while killing controllers; count those not in the history once."""
         rig, sites = self.sites.rig, self.sites
-        given: list[str] = []
+        stored: list[str] = []
         for number in range(6):
             name = self.rng.choice([name for name in rig.names if rig.now_by[name].alive])
             verb = "drain" if number % 2 == 0 else "undrain"
-            words = f"verb={verb}&site={sites.zones[0]}&who=bench&why=trial+{number}&until=30"
-            id = sites.call(name, "/order", words, "POST")["id"]
+            query = f"verb={verb}&site={sites.zones[0]}&who=bench&why=trial+{number}&until=30"
+            order_id = sites.call(name, "/order", query, "POST")["id"]
             if number % 3 == 1:
-                keeper = rig.wait_holder("addresses", within=30)
-                if keeper != name:
-                    rig.kill(keeper)
-                    rig.start(keeper)
-            state = f"id={id}"
-            kept = lambda n=name, s=state: sites.call(n, "/order", s).get("done")  # noqa: E731
-            rig.wait(kept, 20, "an order is kept")
-            given.append(id)
+                controller = rig.wait_holder("addresses", within=30)
+                if controller != name:
+                    rig.kill(controller)
+                    rig.start(controller)
+            state_query = f"id={order_id}"
+            is_stored = lambda n=name, q=state_query: sites.call(n, "/order", q).get("done")  # noqa: E731
+            rig.wait(is_stored, 20, "an override is stored")
+            stored.append(order_id)
         rig.wait_members(within=60)
         voter = next(name for name in rig.names if name in rig.voters)
-        told = [row["id"] for row in sites.ask(voter, "/history")["orders"]]
-        self.lost_orders = sum(told.count(id) != 1 for id in given)
+        history = [row["id"] for row in sites.ask(voter, "/history")["orders"]]
+        self.lost_orders = sum(history.count(order_id) != 1 for order_id in stored)
         sites.wait_standing(90.0, **{zone: 2 for zone in sites.zones})
 
-    def stale(self) -> int:
-        """Commands that reached a speaker under a term older than one before."""
-        found = 0
+    def count_stale_commands(self) -> int:
+        """Count the commands that reached a routing daemon under an older term than an earlier command."""
+        count = 0
         for gate in self.sites.gates.values():
             terms = [row["term"] for row in gate.events("set")]
-            found += sum(b < a for a, b in zip(terms, terms[1:], strict=False))
-            found += self.sites.speakers[gate.site].most_owners > 1
-        return found
+            count += sum(later < earlier for earlier, later in zip(terms, terms[1:], strict=False))
+            count += self.sites.speakers[gate.site].most_owners > 1
+        return count
 
-    def over_budget(self) -> int:
-        """Windows in which more sites were withdrawn for health than the policy says."""
+    def count_budget_violations(self) -> int:
+        """Count the windows in which more sites were withdrawn for health than the policy allows."""
         rows = [
             (row["at"], row["site"])
             for row in self.sites.decided()
@@ -307,8 +324,8 @@
         ]
         window, most = self.sites.told["policy"]["window"], self.sites.told["policy"]["most_at_once"]
         return sum(
-            len({site for at, site in rows if begin <= at < begin + 0.95 * window}) > most
-            for begin, _ in rows
+            len({site for at, site in rows if start <= at < start + 0.95 * window}) > most
+            for start, _ in rows
         )
 
 
@@ -319,68 +336,71 @@
     parser.add_argument("--sites", type=int)
     parser.add_argument("--each", type=int, help="members of a site")
     parser.add_argument("--addresses", type=int)
-    parser.add_argument("--rounds", type=int, help="how often each case is played")
-    parser.add_argument("--slower", type=float, help="times by which all periods and dwells are longer")
-    parser.add_argument("--cases", nargs="*", help="only these")
-    parser.add_argument("--short", type=int, help="troubles that are over before any dwell")
-    told = parser.parse_args()
-    defaults = (4, 6, 2, 1, 30, 1.0) if told.quick else (12, 17, 6, 1, 200, 2.0)
+    parser.add_argument("--rounds", type=int, help="repetitions of each case")
+    parser.add_argument("--slower", type=float, help="factor for all periods and delays")
+    parser.add_argument("--cases", nargs="*", help="run only these cases")
+    parser.add_argument("--short", type=int, help="number of faults shorter than any delay")
+    args = parser.parse_args()
+    defaults = (4, 6, 2, 1, 30, 1.0) if args.quick else (12, 17, 6, 1, 200, 2.0)
     names = ("sites", "each", "addresses", "rounds", "short", "slower")
     for name, value in zip(names, defaults, strict=True):
-        if getattr(told, name) is None:
-            setattr(told, name, value)
-    told.partners = 2 * told.sites
-    began, runs = time.monotonic(), {}
-    for way in WAYS:
+        if getattr(args, name) is None:
+            setattr(args, name, value)
+    args.partners = 2 * args.sites
+    started_at, runs = time.monotonic(), {}
+    for policy_name in POLICIES:
         with tempfile.TemporaryDirectory() as folder:
-            run = runs[way] = Run(Path(folder), way, told)
+            run = runs[policy_name] = Run(Path(folder), policy_name, args)
             try:
-                run.play()
+                run.run()
             finally:
-                stale, over = run.stale(), run.over_budget()
+                stale, over_budget = run.count_stale_commands(), run.count_budget_violations()
                 crashes = list(run.sites.rig.crashes)
                 run.sites.close()
-            run.budget = over
+            run.over_budget = over_budget
             print(
-                way,
+                policy_name,
                 {case: round(statistics.fmean(rows), 4) for case, rows in run.served.items()},
-                "gone",
-                [round(x, 2) for x in run.gone],
-                "moved",
-                [round(x, 2) for x in run.moved],
-                "least",
-                run.least,
-                "false",
-                run.false,
-                "stale",
+                "withdrawal times",
+                [round(seconds, 2) for seconds in run.withdrawal_times],
+                "move times",
+                [round(seconds, 2) for seconds in run.move_times],
+                "fewest advertising",
+                run.min_advertising,
+                "false withdrawals",
+                run.false_withdrawals,
+                "stale commands",
                 stale,
-                run.notes,
+                run.errors,
                 crashes,
                 flush=True,
             )
-            if way == "ours":
+            if policy_name == "ours":
                 ours_stale, ours_crashes = stale, crashes
     ours = runs["ours"]
     case_means = {
-        way: {case: statistics.fmean(rows) for case, rows in run.served.items()} for way, run in runs.items()
+        policy_name: {case: statistics.fmean(rows) for case, rows in run.served.items()}
+        for policy_name, run in runs.items()
     }
-    found = {name: wander.found(name, range(400)) for name in wander.BUGS}
-    every = 23 if told.quick else 1
+    found_bugs = {name: wander.found(name, range(400)) for name in wander.BUGS}
+    stride = 23 if args.quick else 1
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
-        at_places = list(pool.map(places.explore, places.COURSES, [1] * 99, [every] * 99))
-    for tried in at_places:
-        print(f"places: {tried}", flush=True)
+        explorations = list(pool.map(places.explore, places.COURSES, [1] * 99, [stride] * 99))
+    for exploration in explorations:
+        print(f"explored: {exploration}", flush=True)
     result = {
-        "loss_to_withdrawn_s_p99": round(percentile(ours.gone, 0.99), 3),
-        "loss_to_withdrawn_s_median": round(percentile(ours.gone, 0.5), 3),
-        "loss_to_last_client_s_p99": round(percentile(ours.moved, 0.99), 3),
-        "false_withdrawals": ours.false,
-        "below_least": int(ours.least < 1),
-        "least_advertising": ours.least,
+        "loss_to_withdrawn_s_p99": round(percentile(ours.withdrawal_times, 0.99), 3),
+        "loss_to_withdrawn_s_median": round(percentile(ours.withdrawal_times, 0.5), 3),
+        "loss_to_last_client_s_p99": round(percentile(ours.move_times, 0.99), 3),
+        "false_withdrawals": ours.false_withdrawals,
+        "below_least": int(ours.min_advertising < 1),
+        "least_advertising": ours.min_advertising,
         "stale_terms_at_speaker": ours_stale,
-        "budget_exceeded": ours.budget,
-        "healthy_gaps": len(ours.notes),
-        "service": {way: round(statistics.fmean(rows.values()), 4) for way, rows in case_means.items()},
+        "budget_exceeded": ours.over_budget,
+        "healthy_gaps": len(ours.errors),
+        "service": {
+            policy_name: round(statistics.fmean(rows.values()), 4) for policy_name, rows in case_means.items()
+        },
         "service_vs_always": round(
             statistics.fmean(case_means["ours"].values()) - statistics.fmean(case_means["at once"].values()),
             4,
@@ -396,17 +416,17 @@
         ),
         "orders_lost": ours.lost_orders,
         "crashes": len(ours_crashes),
-        "processes": told.sites * told.each,
-        "times_slower": told.slower,
+        "processes": args.sites * args.each,
+        "times_slower": args.slower,
         "faults": ours.faults,
-        "explored_runs": sum(tried.runs for tried in at_places),
-        "explored_breaches": sum(len(tried.broken) for tried in at_places),
-        "seeded_bugs": len(found),
-        "seeded_bugs_found": sum(bool(one) for one in found.values()),
-        "seconds": round(time.monotonic() - began, 1),
+        "explored_runs": sum(exploration.runs for exploration in explorations),
+        "explored_breaches": sum(len(exploration.broken) for exploration in explorations),
+        "seeded_bugs": len(found_bugs),
+        "seeded_bugs_found": sum(bool(finding) for finding in found_bugs.values()),
+        "seconds": round(time.monotonic() - started_at, 1),
     }
-    if told.out:
-        told.out.write_text(json.dumps(result))
+    if args.out:
+        args.out.write_text(json.dumps(result))
     print(json.dumps(result))
 
 
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -1,9 +1,9 @@
-"""Duties on real processes: how long without a holder, what it costs, and whether each bug put in is found.
+"""Benchmark of leases on real processes: time without a holder, cost, and detection of seeded bugs.
 
     python benchmarks/duties.py [--quick] [--out FILE]
 
-The last line is one JSON object. In full some 20 minutes on 8 cores, quick 3; nothing else should run
-beside it.
+The last line is one JSON object. A full run takes about 20 minutes on 8 cores, --quick about 3. Run it on an
+otherwise idle machine.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 from onyxhollow.lab.fleet.record import Hold  # noqa: E402
 from onyxhollow.lab.fleet.rig import Rig, RigError  # noqa: E402
 
-LEASE = 1.0
-KINDS = ("kill", "stop", "cut", "planned", "term", "one-way")
-SETTLE = 0.6  # seconds from a fault's end to the next
+LEASE_SECONDS = 1.0
+FAULT_KINDS = ("kill", "stop", "cut", "planned", "term", "one-way")
+SETTLE_SECONDS = 0.6  # from a fault's end to the next fault
 
 
 def percentile(values: list[float], share: float) -> float:
@@ -41,7 +41,7 @@
 
 
 class Gaps:
-    """Faults one after another on one rig; the gap each of them left."""
+    """Causes faults one after another on one rig and records the time without a holder after each."""
 
     def __init__(self, folder: Path, members: int, seed: int) -> None:
         period = 0.4 if members <= 20 else 1.0
@@ -50,28 +50,29 @@
             folder,
             members=members,
             zones=zones,
-            lease=LEASE,
+            lease=LEASE_SECONDS,
             period=period,
             seed=seed,
             voters=5 if members >= 20 else 3,
         )
         self.rng = Random(seed)
-        self.gaps: dict[str, list[float]] = {kind: [] for kind in KINDS}
-        self.notes: list[str] = []
+        self.gaps: dict[str, list[float]] = {kind: [] for kind in FAULT_KINDS}
+        self.errors: list[str] = []
 
-    def last_hold(self) -> Hold:
+    def find_last_hold(self) -> Hold:
         return max((hold for hold in self.rig.holds() if hold.duty == "ledger"), key=lambda hold: hold.since)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         self.rig.start()
         self.rig.wait_members(within=60)
         self.rig.wait_holder(within=60)
         self.rig.play(1.0)
 
-    def fault(self, kind: str) -> None:
+    def cause_fault(self, kind: str) -> None:
+        """Cause one fault at the holder, record the gap until the next holder, and repair the fault."""
         rig = self.rig
         name = rig.wait_holder()
-        before, began = self.last_hold(), time.monotonic()
+        previous, fault_at = self.find_last_hold(), time.monotonic()
         rules: list[Any] = []
         if kind == "kill":
             rig.kill(name)
@@ -88,13 +89,15 @@
             others = [other for other in rig.names if other != name and rig.now_by[other].alive]
             rig.ask(name, f"/hand-over?name=ledger&to={self.rng.choice(others)}", "POST")
         rig.wait(
-            lambda: self.last_hold().since > before.since, 20 * LEASE, f"a holder after {kind} of {name}"
+            lambda: self.find_last_hold().since > previous.since,
+            20 * LEASE_SECONDS,
+            f"a holder after {kind} of {name}",
         )
-        after = self.last_hold()
-        told = next(hold for hold in rig.holds() if hold.since == before.since and hold.duty == "ledger")
-        start = {"kill": began, "stop": began}.get(kind, told.until)
-        self.gaps[kind].append(max(0.0, after.since - start))
-        rig.play(SETTLE if kind != "stop" else LEASE)
+        current = self.find_last_hold()
+        ended = next(hold for hold in rig.holds() if hold.since == previous.since and hold.duty == "ledger")
+        gap_start = {"kill": fault_at, "stop": fault_at}.get(kind, ended.until)
+        self.gaps[kind].append(max(0.0, current.since - gap_start))
+        rig.play(SETTLE_SECONDS if kind != "stop" else LEASE_SECONDS)
         if kind == "stop":
             rig.go_on(name)
         rig.mend(rules) if rules else None
@@ -103,18 +106,18 @@
         elif kind == "term":
             rig.wait(lambda: not rig.now_by[name].alive, 10, f"{name} has ended")
             rig.start(name)
-        rig.wait(lambda: rig.there(rig.now_by[name]) > 1, 10, f"{name} is back among the others")
-        rig.play(SETTLE)
+        rig.wait(lambda: rig.there(rig.now_by[name]) > 1, 10, f"{name} has rejoined the fleet")
+        rig.play(SETTLE_SECONDS)
 
     def run(self, faults: int) -> None:
-        """Kinds in turn."""
+        """Cause the given number of faults, cycling through the kinds."""
         try:
-            self.begin()
+            self.start()
             for number in range(faults):
                 try:
-                    self.fault(KINDS[number % len(KINDS)])
+                    self.cause_fault(FAULT_KINDS[number % len(FAULT_KINDS)])
                 except RigError as error:
-                    self.notes.append(str(error)[:300])
+                    self.errors.append(str(error)[:300])
                     self.rig.mend()
                     for name, process in self.rig.now_by.items():
                         if process.stopped:
@@ -126,8 +129,8 @@
             self.rig.close()
 
 
-def costs(folder: Path, members: int, fleet: bool, seconds: float) -> dict[str, float]:
-    """Of a quiet fleet with the duty of the list: per member and second."""
+def measure_cost(folder: Path, members: int, fleet: bool, seconds: float) -> dict[str, float]:
+    """Measure the traffic, CPU time and memory per member of an idle fleet with a lease for the list."""
     duties = [
         {"name": "ledger", "work": "call", "every": 0.5},
         {"name": "list", "work": "list", "per": "zone", "every": 1.0},
@@ -148,81 +151,86 @@
         if fleet:
             rig.wait_members(within=90)
             rig.wait_holder(within=60)
-            tells = len(rig.names) - 2
-            rig.wait(lambda: sum(rig.ask_rests()) >= 0.9 * tells, 60, "the list told to all")
-        rig.play(12.0)  # the news of the start have gone round
+            receivers = len(rig.names) - 2
+            rig.wait(lambda: sum(rig.ask_rests()) >= 0.9 * receivers, 60, "the list published to all")
+        rig.play(12.0)  # until gossip about the start has ended
         calls = len(rig.list.calls)
         sent, size = sum(rig.links.sent.values()), sum(rig.links.bytes.values())
-        began = time.monotonic()
+        started_at = time.monotonic()
         processes = [psutil.Process(process.pid) for process in rig.now_by.values()]
         cpu = sum(sum(process.cpu_times()[:2]) for process in processes)
         rig.play(seconds)
-        span = time.monotonic() - began
+        duration = time.monotonic() - started_at
         cpu = sum(sum(process.cpu_times()[:2]) for process in processes) - cpu
         memory = statistics.median(process.memory_info().rss for process in processes) / 2**20
         return {
-            "datagrams": (sum(rig.links.sent.values()) - sent) / span / members,
-            "bytes": (sum(rig.links.bytes.values()) - size) / span / members,
-            "cpu_ms": 1000 * cpu / span / members,
+            "datagrams": (sum(rig.links.sent.values()) - sent) / duration / members,
+            "bytes": (sum(rig.links.bytes.values()) - size) / duration / members,
+            "cpu_ms": 1000 * cpu / duration / members,
             "memory_mb": memory,
-            "list_callers": rig.list.callers(began, time.monotonic()),
-            "list_calls": (len(rig.list.calls) - calls) / span,
+            "list_callers": rig.list.callers(started_at, time.monotonic()),
+            "list_calls": (len(rig.list.calls) - calls) / duration,
         }
     finally:
         rig.close()
 
 
-def days(folder: Path, quick: bool) -> tuple[int, list[str]]:
-    """Rules that proxies in a fleet break in days on sockets, judged by the lab's referee."""
+def run_scenarios(folder: Path, quick: bool) -> tuple[int, list[str]]:
+    """Run scenarios on sockets; return the number of rules that the proxies of the fleet broke and lines."""
     from msgspec.structs import replace
 
     from onyxhollow.lab import scenario
     from onyxhollow.lab.sockets.engine import Sockets
 
-    broken_rules, told = 0, []
+    broken_rules, lines = 0, []
     for name in ("deploy",) if quick else ("deploy", "list-down"):
-        day = scenario.read(name)
-        day = replace(
-            day,
-            seconds=min(day.seconds, 30.0),
-            fleet=replace(day.fleet, servers=12, proxies=6, zones=day.fleet.zones[:2]),
+        selected = scenario.read(name)
+        selected = replace(
+            selected,
+            seconds=min(selected.seconds, 30.0),
+            fleet=replace(selected.fleet, servers=12, proxies=6, zones=selected.fleet.zones[:2]),
         )
         (folder / name).mkdir()
-        engine = Sockets(day, 1, folder / name, in_fleet=True)
+        engine = Sockets(selected, 1, folder / name, in_fleet=True)
         world = engine.run()
         rules = world.referee.verdict()
         count = sum(rules["broken"].values())  # type: ignore[attr-defined]
         broken_rules += count + len(engine.findings()["crashes"])
-        rests = sum("list polling suspended" in (folder / name / f"n{n}.log").read_text() for n in range(6))
-        told.append(
-            f"day {name}: rules broken {count}, proxies that were told the list {rests} of 6, "
+        receivers = sum(
+            "list polling suspended" in (folder / name / f"n{n}.log").read_text() for n in range(6)
+        )
+        lines.append(
+            f"scenario {name}: rules broken {count}, "
+            f"proxies that received the list from a member {receivers} of 6, "
             f"void {engine.findings()['void'] or 'no'}"
         )
-    return broken_rules, told
+    return broken_rules, lines
 
 
-def explored(told: tuple[int, int, str, str, int, float]) -> tuple[str, explore.Explored]:
-    budget, ticks, rates, only, seed, seconds = told
+def run_explorer(plan: tuple[int, int, str, str, int, float]) -> tuple[str, explore.Explored]:
+    budget, ticks, rates, only, seed, seconds = plan
     return f"{budget}/{ticks}/{rates}/{only}", explore.explore(
         budget, ticks, rates, seconds=seconds, seed=seed, only=only
     )
 
 
 def main() -> int:
-    top = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    top.add_argument("--quick", action="store_true", help="30 faults, 5 and 20 processes")
-    top.add_argument("--out", type=Path, help="where the figures go as JSON too")
-    told = top.parse_args()
-    sizes = {5: 24, 20: 6} if told.quick else {5: 120, 50: 90, 200: 90}
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--quick", action="store_true", help="30 faults, 5 and 20 processes")
+    parser.add_argument("--out", type=Path, help="also write the figures to this file as JSON")
+    args = parser.parse_args()
+    sizes = {5: 24, 20: 6} if args.quick else {5: 120, 50: 90, 200: 90}  # faults by number of members
     scratch = tempfile.TemporaryDirectory(prefix="onyxhollow-duties-")
     folder = Path(scratch.name)
     gaps: dict[int, Gaps] = {}
-    say: Callable[[str], None] = lambda text: print(text, flush=True)  # noqa: E731
+    report: Callable[[str], None] = lambda text: print(text, flush=True)  # noqa: E731
     overlaps = stale = late = faults = 0
     crashes: list[str] = []
-    notes: list[str] = []
+    errors: list[str] = []
     for members, count in sizes.items():
-        began = time.monotonic()
+        started_at = time.monotonic()
         run = gaps[members] = Gaps(folder / f"gaps{members}", members, seed=members)
         run.run(count)
         verdict = run.rig.verdict()
@@ -233,58 +241,60 @@
             late + len(verdict.late),
         )
         crashes += run.rig.crashes
-        notes += run.notes
+        errors += run.errors
         count = sum(map(len, run.gaps.values()))
-        say(
-            f"{members} processes, {count} faults, {time.monotonic() - began:.0f} s; "
-            f"overlaps {len(verdict.overlaps)}, late acts {len(verdict.late)}, stale {len(verdict.stale)}, "
-            f"falling terms {len(verdict.falling)}"
+        report(
+            f"{members} processes, {count} faults, {time.monotonic() - started_at:.0f} s; "
+            f"overlaps {len(verdict.overlaps)}, late actions {len(verdict.late)}, "
+            f"stale {len(verdict.stale)}, decreasing terms {len(verdict.falling)}"
         )
         for kind, rows in run.gaps.items():
             if rows:
-                say(
-                    f"  {kind:8} n {len(rows):3}  median {statistics.median(rows) / LEASE:.3f}  "
-                    f"p99 {percentile(rows, 0.99) / LEASE:.3f}  worst {max(rows) / LEASE:.3f}"
+                report(
+                    f"  {kind:8} n {len(rows):3}  median {statistics.median(rows) / LEASE_SECONDS:.3f}  "
+                    f"p99 {percentile(rows, 0.99) / LEASE_SECONDS:.3f}  worst {max(rows) / LEASE_SECONDS:.3f}"
                 )
         for row in (
-            verdict.overlaps + verdict.late + verdict.stale + verdict.falling + run.rig.crashes + run.notes
+            verdict.overlaps + verdict.late + verdict.stale + verdict.falling + run.rig.crashes + run.errors
         )[:5]:
-            say(f"  {row}")
+            report(f"  {row}")
     cost: dict[str, dict[str, float]] = {}
-    plan = [(20, True), (20, False)] if told.quick else [(20, True), (20, False), (200, True), (200, False)]
-    for members, fleet in plan:
-        row = cost[f"{members}{'' if fleet else ' off'}"] = costs(
+    cost_plans = (
+        [(20, True), (20, False)] if args.quick else [(20, True), (20, False), (200, True), (200, False)]
+    )
+    for members, fleet in cost_plans:
+        row = cost[f"{members}{'' if fleet else ' off'}"] = measure_cost(
             folder / f"cost{members}{fleet}", members, fleet, 10.0
         )
-        say(
+        report(
             f"{members} members, fleet {'on' if fleet else 'off'}: "
             + ", ".join(f"{name} {value:.3g}" for name, value in row.items())
         )
     by_rig = {name: found(name, folder / f"bug-{name}") for name in broken.BUGS}
-    plans = [
+    explorer_plans = [
         (1, 14, "apart", "", 1, 60.0),
         (1, 14, "even", "", 1, 60.0),
         (3, 12, "apart", "restarts", 1, 120.0),
     ]
-    plans += [
-        (2, 14, rates, "", seed, 40.0 if told.quick else 75.0)
+    explorer_plans += [
+        (2, 14, rates, "", seed, 40.0 if args.quick else 75.0)
         for rates in explore.RATES
-        for seed in ((1,) if told.quick else (1, 2))
+        for seed in ((1,) if args.quick else (1, 2))
     ]
-    plans += (
-        [] if told.quick else [(3, 14, rates, "", seed, 75.0) for rates in explore.RATES for seed in (3, 4)]
+    explorer_plans += (
+        [] if args.quick else [(3, 14, rates, "", seed, 75.0) for rates in explore.RATES for seed in (3, 4)]
     )
-    rules, lines = days(folder, told.quick)
+    broken_rules, lines = run_scenarios(folder, args.quick)
     for line in lines:
-        say(line)
+        report(line)
     states, explorer_found = 0, []
     with ProcessPoolExecutor(max_workers=7) as pool:
-        for title, done in pool.map(explored, plans):
+        for title, done in pool.map(run_explorer, explorer_plans):
             states += done.states
             explorer_found += [done.found] if done.found else []
-            say(
+            report(
                 f"explored {title}: {done.states} states, {done.steps} steps, {done.seconds:.0f} s, "
-                f"{'whole' if done.whole else 'cut off'} {done.found and 'FOUND ' + done.found}"
+                f"{'complete' if done.whole else 'incomplete'} {done.found and 'FOUND ' + done.found}"
             )
     by_explorer = {}
     for name in broken.BUGS:
@@ -292,22 +302,24 @@
             only = "restarts" if name == "forgets" else ""
             by_explorer[name] = explore.explore(3 if only else 1, 12, only=only).found
     for name in broken.BUGS:
-        say(f"bug {name}: explorer: {by_explorer[name] or 'NOT FOUND'}; rig: {by_rig[name] or 'NOT FOUND'}")
-    lost = [
+        report(
+            f"bug {name}: explorer: {by_explorer[name] or 'NOT FOUND'}; rig: {by_rig[name] or 'NOT FOUND'}"
+        )
+    fault_gaps = [
         gap for run in gaps.values() for kind in ("kill", "stop", "cut", "one-way") for gap in run.gaps[kind]
     ]
-    planned = [gap for run in gaps.values() for kind in ("planned", "term") for gap in run.gaps[kind]]
-    most = max(members for members, fleet in plan)
-    on, off = cost[f"{most}"], cost[f"{most} off"]
+    planned_gaps = [gap for run in gaps.values() for kind in ("planned", "term") for gap in run.gaps[kind]]
+    largest = max(members for members, fleet in cost_plans)
+    on, off = cost[f"{largest}"], cost[f"{largest} off"]
     figures = {
         "processes": max(sizes),
         "faults": faults,
         "overlaps": overlaps,
         "stale_acts_effective": stale,
         "late_acts": late,
-        "gap_median_leases": round(statistics.median(lost) / LEASE, 3) if lost else None,
-        "gap_p99_leases": round(percentile(lost, 0.99) / LEASE, 3),
-        "planned_gap_ms_p99": round(1000 * percentile(planned, 0.99), 1),
+        "gap_median_leases": round(statistics.median(fault_gaps) / LEASE_SECONDS, 3) if fault_gaps else None,
+        "gap_p99_leases": round(percentile(fault_gaps, 0.99) / LEASE_SECONDS, 3),
+        "planned_gap_ms_p99": round(1000 * percentile(planned_gaps, 0.99), 1),
         "list_callers": on["list_callers"],
         "list_callers_off": off["list_callers"],
         "list_callers_ratio": round(on["list_callers"] / max(1, off["list_callers"]), 4),
@@ -317,9 +329,9 @@
         else None,
         "cpu_ms_per_s_member": {name: round(row["cpu_ms"], 2) for name, row in cost.items()},
         "memory_mb_member": {name: round(row["memory_mb"], 1) for name, row in cost.items()},
-        "rules_broken": rules + len(explorer_found) + len(crashes),
+        "rules_broken": broken_rules + len(explorer_found) + len(crashes),
         "crashes": crashes[:5],
-        "not_seen": notes[:5],
+        "not_seen": errors[:5],
         "states_explored": states,
         "seeded_bugs": len(broken.BUGS),
         "seeded_bugs_found": sum(bool(by_rig[name] and by_explorer[name]) for name in broken.BUGS),
@@ -327,8 +339,8 @@
             {"rig": sum(map(bool, by_rig.values())), "explorer": sum(map(bool, by_explorer.values()))}
         ),
     }
-    if told.out:
-        told.out.write_text(json.dumps(figures, indent=1))
+    if args.out:
+        args.out.write_text(json.dumps(figures, indent=1))
     scratch.cleanup()
     print(json.dumps(figures))
     return 0
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,10 +1,10 @@
-"""Measures the lab: speed at size, virtual against sockets, ranking against the operators' bench.
+"""Benchmark of the lab: speed for large fleets, virtual time against sockets, ranking against the bench.
 
-python benchmarks/lab.py [--quick] [--part NAME]
+    python benchmarks/lab.py [--quick] [--seeds N] [--ranking]
 
-The last line is one JSON object. --quick (under 45 s) plays shorter days and fewer seeds. The bench's
-figures are read from journal/: the mean score of the days that its entries name (snapshots of versions
-of the module).
+The last line is one JSON object. --quick (under 45 s) runs shorter scenarios and fewer seeds. The figures of
+the operators' bench are read from journal/: each entry names a version of the decisions and has the scores of
+its scenarios.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 from onyxhollow.lab import broken, decisions, runs, scenario  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
 
-# Days like the twelve that the bench's entries were made of: the same troubles and sizes, loads near theirs.
-LIKE = """
+# Scenarios that resemble the twelve of the bench: the same faults and sizes, similar loads.
+SCENARIO_TEMPLATE = """
 title = "{title}"
 [fleet]
 zones = ["a", "b", "c", "d"]
@@ -68,7 +68,7 @@
 SLOW = '[[faults]]\nkind = "slow"\nat = 12.0\nlasts = 25.0\npart = 0.15\ntimes = 6.0\n'
 COSTLY = '[[faults]]\nkind = "costly"\nat = 12.0\nlasts = 18.0\nshare = 0.02\ntimes = 14.0\n'
 SHRINK = '[[faults]]\nkind = "shrink"\nat = 12.0\nlasts = 16.0\npart = 0.35\ndrain = 4.0\n'
-DAYS = {
+SCENARIOS = {  # servers, proxies, load, fault
     "reconnect-13": (13, 4, 0.38, RECONNECT),
     "reconnect-14": (13, 4, 0.40, RECONNECT),
     "reconnect-15": (15, 4, 0.42, RECONNECT),
@@ -82,198 +82,213 @@
     "overload-13": (13, 4, 0.70, COSTLY),
     "overload-14": (13, 4, 0.65, SHRINK),
 }
-QUICK = ("reconnect-13", "shrink-15", "slow-12", "slow-16")
-MARK = "Ranking for the lab on further days"
-NAMED = {
+QUICK_SCENARIOS = ("reconnect-13", "shrink-15", "slow-12", "slow-16")
+ENTRY_PREFIX = "Ranking for the lab on further days"
+POLICY_OF_VERSION = {
     "plain": "module",
     "nodistrust": "no-distrust",
     "nohandoff": "no-hand-off",
     "noprobe": "no-probing",
     "nogate": "no-gate",
 }
-BASELINES = ("random",)  # measured by the bench too; left out of the correlation of versions
-FIVE = ("calm", "crash", "vanish", "deploy", "partition")
+BASELINES = ("random",)  # not a version of the decisions, therefore excluded from the correlation
+SOCKET_SCENARIOS = ("calm", "crash", "vanish", "deploy", "partition")
 
 
-def like_days() -> list[scenario.Scenario]:
+def make_bench_scenarios() -> list[scenario.Scenario]:
     texts = {
-        title: LIKE.format(title=title, servers=servers, proxies=proxies, load=load, fault=fault)
-        for title, (servers, proxies, load, fault) in DAYS.items()
+        title: SCENARIO_TEMPLATE.format(title=title, servers=servers, proxies=proxies, load=load, fault=fault)
+        for title, (servers, proxies, load, fault) in SCENARIOS.items()
     }
     return [scenario.decode(text.encode(), title) for title, text in texts.items()]
 
 
-def bench_scores() -> dict[str, float]:
-    """Version of the module -> mean score over the bench's days, from the journal's entries."""
-    found: dict[str, list[float]] = {}
+def read_bench_scores() -> dict[str, float]:
+    """Read the mean score of each version of the decisions from the journal's entries."""
+    scores_by_name: dict[str, list[float]] = {}
     for path in sorted((ROOT / "journal").glob("*.json")):
         entry = json.loads(path.read_bytes())
         why = entry.get("why") or ""
-        if why.startswith(MARK) and entry.get("ok"):
+        if why.startswith(ENTRY_PREFIX) and entry.get("ok"):
             name = why.split()[-1]
-            found.setdefault(NAMED.get(name, name), []).extend(day["score"] for day in entry["days"])
-    return {name: float(np.mean(scores)) for name, scores in found.items()}
+            scores_by_name.setdefault(POLICY_OF_VERSION.get(name, name), []).extend(
+                day["score"] for day in entry["days"]
+            )
+    return {name: float(np.mean(scores)) for name, scores in scores_by_name.items()}
 
 
-def one(cell: tuple[scenario.Scenario, int, str]) -> float:
-    day, seed, policy = cell
-    told = runs.play(day, seed, policy)
-    return float(told["figure"]) if told["rules"]["clean"] else 0.0
+def compute_figure(cell: tuple[scenario.Scenario, int, str]) -> float:
+    selected, seed, policy = cell
+    result = runs.play(selected, seed, policy)
+    return float(result["figure"]) if result["rules"]["clean"] else 0.0
 
 
-def ranking(seeds: int, quick: bool = False) -> dict[str, Any]:
-    """Spearman's rank correlation of versions of the module, bench against lab."""
-    bench, days = bench_scores(), like_days()
-    if quick:  # the days on which nobody hammers: they take a tenth of the time
-        days = [day for day in days if day.title in QUICK]
+def measure_ranking(seeds: int, quick: bool = False) -> dict[str, Any]:
+    """Compute Spearman's rank correlation of the versions' scores between the bench and the lab."""
+    bench, scenarios = read_bench_scores(), make_bench_scenarios()
+    if quick:  # scenarios without heavy retries take a tenth of the time
+        scenarios = [selected for selected in scenarios if selected.title in QUICK_SCENARIOS]
     names = [name for name in bench if name not in BASELINES]
-    cells = [(day, seed, name) for name in names for day in days for seed in range(1, seeds + 1)]
+    cells = [
+        (selected, seed, name) for name in names for selected in scenarios for seed in range(1, seeds + 1)
+    ]
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(os.cpu_count(), mp_context=context) as pool:
-        figures = list(pool.map(one, cells, chunksize=2))
-    by: dict[str, list[float]] = {}
+        figures = list(pool.map(compute_figure, cells, chunksize=2))
+    figures_by_name: dict[str, list[float]] = {}
     for (_, _, name), figure in zip(cells, figures, strict=True):
-        by.setdefault(name, []).append(figure)
-    lab = {name: float(np.mean(row)) for name, row in by.items()}
-    print(f"{'version':16}{'bench':>8}{'lab':>8}   simulated; lab: {len(days)} days x {seeds} seeds")
+        figures_by_name.setdefault(name, []).append(figure)
+    lab = {name: float(np.mean(row)) for name, row in figures_by_name.items()}
+    print(
+        f"{'version':16}{'bench':>8}{'lab':>8}   simulated; lab: {len(scenarios)} scenarios x {seeds} seeds"
+    )
     for name in sorted(names, key=lambda name: -bench[name]):
         print(f"{name:16}{bench[name]:8.3f}{lab[name]:8.4f}")
-    table = np.array([by[name] for name in names]).reshape(len(names), len(days), seeds)
-    for place, day in enumerate(days):
-        row = " ".join(f"{value:6.3f}" for value in table[:, place].mean(axis=1))
-        print(f"{day.title:14}{row}")
+    table = np.array([figures_by_name[name] for name in names]).reshape(len(names), len(scenarios), seeds)
+    for index, selected in enumerate(scenarios):
+        row = " ".join(f"{value:6.3f}" for value in table[:, index].mean(axis=1))
+        print(f"{selected.title:14}{row}")
     print(f"{'':14}{' '.join(f'{name[:6]:>6}' for name in names)}")
-    found = spearmanr([bench[name] for name in names], [lab[name] for name in names])
-    # How sure that is: seeds drawn again and again.
-    rng, width = np.random.default_rng(1), len(days) * seeds
-    drawn = [
+    correlation = spearmanr([bench[name] for name in names], [lab[name] for name in names])
+    # Confidence interval by bootstrap over the seeds.
+    rng, width = np.random.default_rng(1), len(scenarios) * seeds
+    resampled = [
         spearmanr(
             [bench[name] for name in names],
             table[:, :, rng.integers(0, seeds, seeds)].reshape(len(names), width).mean(axis=1),
         ).statistic
         for _ in range(300)
     ]
-    low, high = np.quantile(drawn, [0.025, 0.975])
-    print(f"rank correlation {found.statistic:.3f} ({low:.3f} to {high:.3f} by seeds), {len(names)} versions")
-    return {"rank_correlation": round(float(found.statistic), 3), "rank_versions": len(names)}
+    low, high = np.quantile(resampled, [0.025, 0.975])
+    print(
+        f"rank correlation {correlation.statistic:.3f} ({low:.3f} to {high:.3f} by seeds), "
+        f"{len(names)} versions"
+    )
+    return {"rank_correlation": round(float(correlation.statistic), 3), "rank_versions": len(names)}
 
 
-def at_size(name: str, seconds: float | None) -> tuple[float, int, int]:
-    """Seconds of one core, MB and events of a run, in a process of its own."""
+def measure_large_run(name: str, seconds: float | None) -> tuple[float, int, int]:
+    """Run a scenario in a separate process; return its CPU seconds, memory in MB and number of events."""
     code = """
 import resource, sys, time
 import msgspec
 from onyxhollow.lab import runs, scenario
-day, limit = scenario.read(sys.argv[1]), float(sys.argv[2])
+selected, limit = scenario.read(sys.argv[1]), float(sys.argv[2])
 if limit:
-    day = msgspec.structs.replace(day, seconds=limit, faults=[f for f in day.faults if f.at < limit])
-began = time.process_time()
-told = runs.play(day, 1, "module")
-assert told["rules"]["clean"]
+    faults = [fault for fault in selected.faults if fault.at < limit]
+    selected = msgspec.structs.replace(selected, seconds=limit, faults=faults)
+started_at = time.process_time()
+result = runs.play(selected, 1, "module")
+assert result["rules"]["clean"]
 memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
-print(time.process_time() - began, memory, told["events"])
+print(time.process_time() - started_at, memory, result["events"])
 """
-    words = [sys.executable, "-c", code, name, str(seconds or 0)]
-    got = subprocess.run(words, capture_output=True, text=True, check=True, cwd=ROOT).stdout.split()
+    command = [sys.executable, "-c", code, name, str(seconds or 0)]
+    output = subprocess.run(command, capture_output=True, text=True, check=True, cwd=ROOT).stdout.split()
     print(
-        f"{name}{f' ({seconds:g} s of it)' if seconds else ''}: {float(got[0]):.1f} s, {got[1]} MB, "
-        f"{got[2]} events; one core, virtual"
+        f"{name}{f' (first {seconds:g} s)' if seconds else ''}: {float(output[0]):.1f} s, {output[1]} MB, "
+        f"{output[2]} events; one core, virtual"
     )
-    return float(got[0]), int(got[1]), int(got[2])
+    return float(output[0]), int(output[1]), int(output[2])
 
 
-def linear() -> float:
-    """Cost of four times the sessions and ticks on the same fleet, over four times the cost: 1 is linear.
+def measure_linearity() -> float:
+    """Return the cost of four times the sessions and ticks, divided by four times the cost; 1 is linear.
 
-    (The module's own work for a tick grows with the fleet up to its working set of 64; that is not the
-    lab's.)
+    The number of servers is constant, because the work of the decisions per tick, which is not the lab's,
+    grows with it up to their working set of 64.
     """
 
-    def cost(times: int) -> float:
+    def measure_cost(factor: int) -> float:
         text = (
-            f'title = "x"\nseconds = 20.0\n[fleet]\nservers = 24\nproxies = {8 * times}\n'
-            f"[clients]\nper_core = {18.0 * times}\n"
+            f'title = "x"\nseconds = 20.0\n[fleet]\nservers = 24\nproxies = {8 * factor}\n'
+            f"[clients]\nper_core = {18.0 * factor}\n"
         )
-        day = scenario.decode(text.encode(), "x")
-        began = time.process_time()
-        runs.play(day, 1, "module")
-        return time.process_time() - began
+        selected = scenario.decode(text.encode(), "x")
+        started_at = time.process_time()
+        runs.play(selected, 1, "module")
+        return time.process_time() - started_at
 
-    small, large = min(cost(1) for _ in range(3)), cost(4)
+    small, large = min(measure_cost(1) for _ in range(3)), measure_cost(4)
     return large / small / 4.0
 
 
-def on_sockets(cell: tuple[scenario.Scenario, int]) -> dict[str, Any]:
-    day, seed = cell
-    for _ in range(3):  # a run on which this side was late says nothing
-        told = runs.play(day, seed, "module", engine="sockets")
-        if not told["sockets"]["void"]:
+def run_on_sockets(cell: tuple[scenario.Scenario, int]) -> dict[str, Any]:
+    selected, seed = cell
+    for _ in range(3):  # repeat a run that is void because the lab itself was late
+        result = runs.play(selected, seed, "module", engine="sockets")
+        if not result["sockets"]["void"]:
             break
-    return told
+    return result
 
 
-def gaps(seconds: float | None, names: tuple[str, ...]) -> dict[str, Any]:
-    """Service on sockets against virtual time, same days and seeds."""
-    days = [scenario.read(name) for name in names]
+def measure_engine_gaps(seconds: float | None, names: tuple[str, ...]) -> dict[str, Any]:
+    """Compare the service on sockets with that in virtual time for the same scenarios and seeds."""
+    scenarios = [scenario.read(name) for name in names]
     if seconds:
-        days = [
+        scenarios = [
             msgspec.structs.replace(
-                day,
+                selected,
                 seconds=seconds,
                 faults=[
                     msgspec.structs.replace(
-                        f, at=f.at * seconds / day.seconds, lasts=f.lasts * seconds / day.seconds
+                        fault,
+                        at=fault.at * seconds / selected.seconds,
+                        lasts=fault.lasts * seconds / selected.seconds,
                     )
-                    for f in day.faults
+                    for fault in selected.faults
                 ],
             )
-            for day in days
+            for selected in scenarios
         ]
     context = multiprocessing.get_context("spawn")
     with concurrent.futures.ProcessPoolExecutor(3, mp_context=context) as pool:
-        told = list(pool.map(on_sockets, [(day, 1) for day in days]))
+        results = list(pool.map(run_on_sockets, [(selected, 1) for selected in scenarios]))
     worst = 0.0
-    for day, real in zip(days, told, strict=True):
-        model = runs.play(day, 1, "module")
-        gap = real["service"] - model["service"]
+    for selected, real in zip(scenarios, results, strict=True):
+        virtual = runs.play(selected, 1, "module")
+        gap = real["service"] - virtual["service"]
         worst = max(worst, abs(gap))
         print(
-            f"{day.title:12} service on sockets {real['service']:.4f}, virtual {model['service']:.4f}, "
-            f"{gap:+.4f}; rules {'kept' if real['rules']['clean'] else real['rules']['broken']}, "
+            f"{selected.title:12} service on sockets {real['service']:.4f}, "
+            f"virtual {virtual['service']:.4f}, {gap:+.4f}; "
+            f"rules {'kept' if real['rules']['clean'] else real['rules']['broken']}, "
             f"latest entry {real['sockets']['latest_ms']:.0f} ms {real['sockets']['void']}"
         )
-    clean = all(real["rules"]["clean"] and not real["sockets"]["crashes"] for real in told)
+    clean = all(real["rules"]["clean"] and not real["sockets"]["crashes"] for real in results)
     return {"sockets_gap_max": round(worst, 4), "sockets_clean": clean}
 
 
-def same_everywhere() -> bool:
+def is_deterministic() -> bool:
+    """Return whether the output is the same for different hash seeds."""
     code = (
         "import sys; from onyxhollow.lab import runs, scenario; sys.stdout.buffer.write("
         "runs.text(runs.play(scenario.read('deploy'), 5, 'module', series=True)))"
     )
-    outs = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", code],
             capture_output=True,
             check=True,
             cwd=ROOT,
-            env={**os.environ, "PYTHONHASHSEED": salt},
+            env={**os.environ, "PYTHONHASHSEED": hash_seed},
         ).stdout
-        for salt in ("0", "1", "4242")
+        for hash_seed in ("0", "1", "4242")
     }
-    return len(outs) == 1
+    return len(outputs) == 1
 
 
-def caught() -> int:
+def count_caught_policies() -> int:
+    """Count the broken policies that their rule detects and the correct policy passes."""
     count = 0
-    for rule, (kind, day) in broken.days().items():
-        judged = (
-            Virtual(day, 1, lambda host, settings, seed, _, kind=kind: kind(host, settings, seed))
+    for rule, (kind, selected) in broken.days().items():
+        checker = (
+            Virtual(selected, 1, lambda host, settings, seed, _, kind=kind: kind(host, settings, seed))
             .run()
             .referee
         )
-        correct = Virtual(day, 1, decisions.find("module")).run().referee
-        count += bool(judged.counts[rule]) and correct.clean
+        correct = Virtual(selected, 1, decisions.find("module")).run().referee
+        count += bool(checker.counts[rule]) and correct.clean
     return count
 
 
@@ -281,28 +296,34 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--seeds", type=int, default=3)
-    parser.add_argument("--ranking", action="store_true", help="that part alone")
-    told = parser.parse_args()
-    began, out = time.monotonic(), dict[str, Any]()
-    if told.ranking:
-        print(json.dumps(ranking(told.seeds)))
+    parser.add_argument("--ranking", action="store_true", help="measure only the ranking")
+    args = parser.parse_args()
+    started_at, result = time.monotonic(), dict[str, Any]()
+    if args.ranking:
+        print(json.dumps(measure_ranking(args.seeds)))
         return
-    out["deterministic"] = same_everywhere()
-    out["broken_policies_caught"] = caught()
-    out["scenarios"] = len(scenario.shipped())
-    out["cost_linear"] = round(linear(), 2)
-    out |= ranking(1, quick=True) if told.quick else ranking(told.seeds)
-    out |= gaps(8.0, ("calm", "crash")) if told.quick else gaps(None, FIVE)
-    out["virtual_300x100_s"] = round(at_size("grown-300x100", 10.0 if told.quick else None)[0], 1)
-    if told.quick:
-        out["virtual_300x100_played_s"] = 10.0
-        out["virtual_1000x1000_s"] = None
+    result["deterministic"] = is_deterministic()
+    result["broken_policies_caught"] = count_caught_policies()
+    result["scenarios"] = len(scenario.shipped())
+    result["cost_linear"] = round(measure_linearity(), 2)
+    result |= measure_ranking(1, quick=True) if args.quick else measure_ranking(args.seeds)
+    result |= (
+        measure_engine_gaps(8.0, ("calm", "crash"))
+        if args.quick
+        else measure_engine_gaps(None, SOCKET_SCENARIOS)
+    )
+    result["virtual_300x100_s"] = round(
+        measure_large_run("grown-300x100", 10.0 if args.quick else None)[0], 1
+    )
+    if args.quick:
+        result["virtual_300x100_played_s"] = 10.0
+        result["virtual_1000x1000_s"] = None
     else:
-        seconds, memory, events = at_size("grown-1000x1000", None)
-        out |= {"virtual_1000x1000_s": round(seconds, 1), "virtual_1000x1000_mb": memory, "events": events}
-    out["took_s"] = round(time.monotonic() - began, 1)
-    out["own_mb"] = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
-    print(json.dumps(out))
+        seconds, memory, events = measure_large_run("grown-1000x1000", None)
+        result |= {"virtual_1000x1000_s": round(seconds, 1), "virtual_1000x1000_mb": memory, "events": events}
+    result["took_s"] = round(time.monotonic() - started_at, 1)
+    result["own_mb"] = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024
+    print(json.dumps(result))
 
 
 if __name__ == "__main__":
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,11 +1,11 @@
-"""How evenly load lies with and without sharing: in virtual time against the best on the true state, and on
-real processes.
+"""Benchmark of load balance with and without gossip, in virtual time and on real processes.
 
     python benchmarks/spread.py [--quick] [--out FILE] [--before REVISION] [--jobs N]
 
-The last line is one JSON object. Full: ten scenarios at 300 x 100 and 200 x 80, eight seeds, and 300
-processes; over an hour on 8 cores. Quick: some four minutes, smaller fleets, two seeds, 100 processes.
-Nothing else should run beside it.
+In virtual time the policies are compared with `true-state`, the best policy that uses the true state. The
+last line is one JSON object. A full run has ten scenarios with 300 x 100 and 200 x 80 proxies and servers,
+eight seeds, and 300 processes; it takes over an hour on 8 cores. --quick has smaller fleets, two seeds and
+100 processes, and takes about four minutes. Run it on an otherwise idle machine.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 from onyxhollow.lab.together import Trouble  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
 
-ONE_BY_ONE = 0.12  # seconds from start to start of processes that were killed
+START_INTERVAL_SECONDS = 0.12  # between the starts of processes that were killed
 ZONES = ["north", "east", "south", "west"]
-# title, faults, changes of the fleet
-DAYS: list[tuple[str, list[dict[str, Any]], dict[str, Any]]] = [
+# Title, faults, changes of the fleet.
+SCENARIOS: list[tuple[str, list[dict[str, Any]], dict[str, Any]]] = [
     ("calm", [], {}),
     ("reconnect", [{"kind": "reconnect", "at": 10.0, "lasts": 1.0, "share": 0.5}], {}),
     ("crash", [{"kind": "crash", "at": 8.0, "lasts": 8.0, "part": 0.1}], {}),
@@ -53,26 +53,30 @@
 ]
 
 
-def day(title: str, size: tuple[int, int], seconds: float) -> scenario.Scenario:
-    faults, changes = next((faults, changes) for name, faults, changes in DAYS if name == title)
+def make_scenario(title: str, size: tuple[int, int], seconds: float) -> scenario.Scenario:
+    faults, changes = next((faults, changes) for name, faults, changes in SCENARIOS if name == title)
     proxies, servers = size
-    told = {
+    values = {
         "title": f"{title}-{proxies}x{servers}",
         "seconds": seconds,
         "fleet": {"zones": ZONES, "proxies": proxies, "servers": servers, **changes},
         "server_list": {"lines": 40000.0},
         "faults": faults,
     }
-    return msgspec.convert(told, scenario.Scenario)
+    return msgspec.convert(values, scenario.Scenario)
 
 
-def play(cell: tuple[str, tuple[int, int], float, int, str]) -> dict[str, Any]:
-    """One run in virtual time. how: alone, before=REVISION, together, cut, liar, or a policy of the lab's."""
-    title, size, seconds, seed, how = cell
-    terms = GossipConfig() if how in ("together", "cut", "liar") else None
-    trouble = {"cut": Trouble(6.0, seconds - 6.0), "liar": Trouble(liars=3)}.get(how, Trouble())
-    policy = "module" if terms or how == "alone" else how.removeprefix("before=")
-    engine = Virtual(day(title, size, seconds), seed, decisions.find(policy), terms, trouble)
+def run_in_virtual_time(cell: tuple[str, tuple[int, int], float, int, str]) -> dict[str, Any]:
+    """Run one scenario in virtual time.
+
+    The mode is one of: `alone` and `together` (without and with gossip), `cut` and `liar` (with gossip and a
+    partition or false reports), `before=REVISION`, or a policy of the lab.
+    """
+    title, size, seconds, seed, mode = cell
+    gossip = GossipConfig() if mode in ("together", "cut", "liar") else None
+    trouble = {"cut": Trouble(6.0, seconds - 6.0), "liar": Trouble(liars=3)}.get(mode, Trouble())
+    policy = "module" if gossip or mode == "alone" else mode.removeprefix("before=")
+    engine = Virtual(make_scenario(title, size, seconds), seed, decisions.find(policy), gossip, trouble)
     world = engine.run()
     figures, verdict = world.ledger.figures(), world.referee.verdict()
     return {
@@ -83,19 +87,21 @@
     }
 
 
-def processes(title: str, size: tuple[int, int], seconds: float, together: bool) -> dict[str, Any]:
-    """The same on real processes."""
-    chosen = msgspec.structs.replace(day(title, size, seconds), title=f"{title}-processes")
-    if title == "mass-kill":  # no machine starts 150 at once: as fast as this one can beside the others
-        killed = [msgspec.structs.replace(fault, one_by_one=ONE_BY_ONE) for fault in chosen.faults]
-        chosen = msgspec.structs.replace(chosen, faults=killed)
+def run_on_processes(title: str, size: tuple[int, int], seconds: float, together: bool) -> dict[str, Any]:
+    """Run one scenario on real processes, with gossip if `together`."""
+    selected = msgspec.structs.replace(make_scenario(title, size, seconds), title=f"{title}-processes")
+    if title == "mass-kill":  # a machine cannot start 150 processes at once
+        staggered = [
+            msgspec.structs.replace(fault, one_by_one=START_INTERVAL_SECONDS) for fault in selected.faults
+        ]
+        selected = msgspec.structs.replace(selected, faults=staggered)
     with tempfile.TemporaryDirectory() as folder:
-        engine = Sockets(chosen, 1, Path(folder), in_fleet=True, sharing=together)
+        engine = Sockets(selected, 1, Path(folder), in_fleet=True, sharing=together)
         try:
             world = engine.run()
-        except OSError as error:  # no descriptors, no memory: the machine is too small for this run
+        except OSError as error:  # the machine has too few descriptors or too little memory for this run
             return {"day": title, "together": together, "void": str(error), "broken": {}}
-        found, figures = engine.findings(), world.ledger.figures()
+        findings, figures = engine.findings(), world.ledger.figures()
     verdict = world.referee.verdict()
     return {
         "day": title,
@@ -103,10 +109,10 @@
         "figure": round(figures["figure"], 4),
         "probes": figures["counts"].get("probes", 0),
         "unaccounted": figures["unaccounted"],
-        "cores_busy": found["cores_busy"],
+        "cores_busy": findings["cores_busy"],
         "first_broken": verdict["first"][:3],
-        "void": found["void"],
-        "crashes": found["crashes"],
+        "void": findings["void"],
+        "crashes": findings["crashes"],
         "broken": verdict["broken"],
         **figures["evenness"],
     }
@@ -116,66 +122,70 @@
     return statistics.fmean(row[key] for row in rows)
 
 
-def in_virtual_time(
-    told: argparse.Namespace, sizes: list[tuple[int, int]], seconds: float, seeds: int
+def measure_in_virtual_time(
+    args: argparse.Namespace, sizes: list[tuple[int, int]], seconds: float, seeds: int
 ) -> dict[str, Any]:
-    """All scenarios, each way beside the others."""
-    before = f"before={told.before}"
-    ways = ["alone", before, "together", "two-choices", "true-state"]
+    """Run all scenarios in all modes; return the compared figures."""
+    before = f"before={args.before}"
+    modes = ["alone", before, "together", "two-choices", "true-state"]
     cells = [
-        (title, size, seconds, seed, how)
+        (title, size, seconds, seed, mode)
         for size in sizes
-        for title, *_ in DAYS
-        for how in ways
+        for title, *_ in SCENARIOS
+        for mode in modes
         for seed in range(1, seeds + 1)
     ]
     cells += [
-        ("reconnect", size, seconds, seed, how)
+        ("reconnect", size, seconds, seed, mode)
         for size in sizes
-        for how in ("cut", "liar")
+        for mode in ("cut", "liar")
         for seed in range(1, seeds + 1)
     ]
-    with ProcessPoolExecutor(told.jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        rows = dict(zip(cells, pool.map(play, cells), strict=True))
+    with ProcessPoolExecutor(args.jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
+        rows = dict(zip(cells, pool.map(run_in_virtual_time, cells), strict=True))
 
-    def of(how: str, title: str | None = None) -> list[dict[str, Any]]:
-        return [row for cell, row in rows.items() if cell[4] == how and title in (None, cell[0])]
+    def select(mode: str, title: str | None = None) -> list[dict[str, Any]]:
+        return [row for cell, row in rows.items() if cell[4] == mode and title in (None, cell[0])]
 
-    lines = {}
+    means = {}
     for size in sizes:
-        for title, *_ in DAYS:
-            found = {
-                how: [row for cell, row in rows.items() if cell[:2] == (title, size) and cell[4] == how]
-                for how in ways
+        for title, *_ in SCENARIOS:
+            by_mode = {
+                mode: [row for cell, row in rows.items() if cell[:2] == (title, size) and cell[4] == mode]
+                for mode in modes
             }
-            lines[title, size] = {how: mean(some, "figure") for how, some in found.items()}
+            means[title, size] = {mode: mean(runs, "figure") for mode, runs in by_mode.items()}
             print(
                 f"{title}-{size[0]}x{size[1]}:",
                 "  ".join(
-                    f"{how} {mean(some, 'figure'):.4f} (busiest {mean(some, 'worst_over_mean'):.2f}, herd "
-                    f"{mean(some, 'herd_p99'):.2f}, idle {mean(some, 'idle_servers'):.1f}, probes "
-                    f"{mean(some, 'probes'):.0f})"
-                    for how, some in found.items()
+                    f"{mode} {mean(runs, 'figure'):.4f} (busiest {mean(runs, 'worst_over_mean'):.2f}, herd "
+                    f"{mean(runs, 'herd_p99'):.2f}, idle {mean(runs, 'idle_servers'):.1f}, probes "
+                    f"{mean(runs, 'probes'):.0f})"
+                    for mode, runs in by_mode.items()
                 ),
                 flush=True,
             )
-    alone, together, best = (mean(of(how), "figure") for how in ("alone", "together", "true-state"))
-    old = mean(of(before), "figure")
-    calm = of("together", "calm")
+    alone, together, best = (mean(select(mode), "figure") for mode in ("alone", "together", "true-state"))
+    old = mean(select(before), "figure")
+    calm = select("together", "calm")
     return {
         "seeds": seeds,
         "gap_closed": round((together - alone) / (best - alone), 4),
         "gap_closed_since": round((together - old) / (best - old), 4),
         "alone_gap_closed_since": round((alone - old) / (best - old), 4),
-        "worst_scenario_delta": round(min(row["together"] - row["alone"] for row in lines.values()), 4),
-        "probes_ratio": round(mean(of("together"), "probes") / mean(of("alone"), "probes"), 4),
+        "worst_scenario_delta": round(min(row["together"] - row["alone"] for row in means.values()), 4),
+        "probes_ratio": round(mean(select("together"), "probes") / mean(select("alone"), "probes"), 4),
         "worst_over_mean_calm": round(mean(calm, "worst_over_mean"), 4),
         "idle_servers": round(mean(calm, "idle_servers"), 3),
         "herd_p99": round(mean(calm, "herd_p99"), 4),
-        "partition_cost": round(mean(of("together", "reconnect"), "figure") - mean(of("cut"), "figure"), 4),
-        "liar_cost": round(mean(of("together", "reconnect"), "figure") - mean(of("liar"), "figure"), 4),
+        "partition_cost": round(
+            mean(select("together", "reconnect"), "figure") - mean(select("cut"), "figure"), 4
+        ),
+        "liar_cost": round(
+            mean(select("together", "reconnect"), "figure") - mean(select("liar"), "figure"), 4
+        ),
         "sharing_gain": round(
-            mean(of("together", "reconnect"), "figure") - mean(of("alone", "reconnect"), "figure"), 4
+            mean(select("together", "reconnect"), "figure") - mean(select("alone", "reconnect"), "figure"), 4
         ),
         "rules_broken": sum(row["broken"] for row in rows.values()),
     }
@@ -185,37 +195,41 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--out", type=Path)
-    parser.add_argument("--before", default="bc1329b", help="a commit whose module is played beside")
+    parser.add_argument("--before", default="bc1329b", help="commit whose decisions are compared")
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
     parser.add_argument("--no-processes", action="store_true", help="virtual time only")
     parser.add_argument("--only-processes", action="store_true", help="real processes only")
-    parser.add_argument("--seeds", type=int, help="instead of eight, or two")
-    parser.add_argument("--sizes", help="proxies x servers, by comma: 300x100,200x80")
-    told = parser.parse_args()
-    began = time.monotonic()
-    sizes = [(60, 24)] if told.quick else [(300, 100), (200, 80)]
-    if told.sizes:
-        sizes = [(int(a), int(b)) for a, _, b in (row.partition("x") for row in told.sizes.split(","))]
-    seconds, seeds = (16.0, told.seeds or 2) if told.quick else (24.0, told.seeds or 8)
-    result: dict[str, Any] = {} if told.only_processes else in_virtual_time(told, sizes, seconds, seeds)
-    if not told.no_processes:
-        size = (100, 24) if told.quick else (300, 60)
+    parser.add_argument("--seeds", type=int, help="number of seeds; default: 8, with --quick 2")
+    parser.add_argument("--sizes", help="comma-separated PROXIESxSERVERS, e.g. 300x100,200x80")
+    args = parser.parse_args()
+    started_at = time.monotonic()
+    sizes = [(60, 24)] if args.quick else [(300, 100), (200, 80)]
+    if args.sizes:
+        sizes = [(int(a), int(b)) for a, _, b in (row.partition("x") for row in args.sizes.split(","))]
+    seconds, seeds = (16.0, args.seeds or 2) if args.quick else (24.0, args.seeds or 8)
+    result: dict[str, Any] = (
+        {} if args.only_processes else measure_in_virtual_time(args, sizes, seconds, seeds)
+    )
+    if not args.no_processes:
+        size = (100, 24) if args.quick else (300, 60)
         runs = []
-        for title, together in ((t, w) for t in ("calm", "mass-kill", "zone-cold") for w in (False, True)):
-            runs.append(processes(title, size, 16.0 if told.quick else 30.0, together))
+        for title, together in (
+            (name, gossip) for name in ("calm", "mass-kill", "zone-cold") for gossip in (False, True)
+        ):
+            runs.append(run_on_processes(title, size, 16.0 if args.quick else 30.0, together))
             print(json.dumps(runs[-1]), flush=True)
-        good = [row for row in runs if row["together"] and not row["void"]]
+        valid = [row for row in runs if row["together"] and not row["void"]]
         result |= {
             "processes": size[0],
-            "processes_idle": sum(row["idle_servers"] for row in good if row["day"] == "calm"),
-            "processes_herd_p99": round(max((row["herd_p99"] for row in good), default=0.0), 4),
+            "processes_idle": sum(row["idle_servers"] for row in valid if row["day"] == "calm"),
+            "processes_herd_p99": round(max((row["herd_p99"] for row in valid), default=0.0), 4),
             "processes_void": sum(bool(row["void"]) for row in runs),
             "rules_broken": result.get("rules_broken", 0)
             + sum(len(row["broken"]) for row in runs if not row["void"]),
         }
-    result["seconds"] = round(time.monotonic() - began, 1)
-    if told.out:
-        told.out.write_text(json.dumps(result))
+    result["seconds"] = round(time.monotonic() - started_at, 1)
+    if args.out:
+        args.out.write_text(json.dumps(result))
     print(json.dumps(result))
 
 
