--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -285,10 +285,10 @@
         checker = (
             Virtual(selected, 1, lambda host, settings, seed, _, kind=kind: kind(host, settings, seed))
             .run()
-            .referee
+            .checker
         )
-        correct = Virtual(selected, 1, decisions.find("module")).run().referee
-        count += bool(checker.counts[rule]) and correct.clean
+        correct = Virtual(selected, 1, decisions.find("module")).run().checker
+        count += bool(checker.violation_counts[rule]) and correct.is_clean
     return count
 
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -32,7 +32,8 @@
 from onyxhollow.lab.together import Trouble  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
 
-START_INTERVAL_SECONDS = 0.12  # between the starts of processes that were killed
+# Interval between restarts of killed processes: the fastest that one machine manages beside the others.
+START_INTERVAL_SECONDS = 0.12
 ZONES = ["north", "east", "south", "west"]
 # Title, faults, changes of the fleet.
 SCENARIOS: list[tuple[str, list[dict[str, Any]], dict[str, Any]]] = [
@@ -78,7 +79,7 @@
     policy = "module" if gossip or mode == "alone" else mode.removeprefix("before=")
     engine = Virtual(make_scenario(title, size, seconds), seed, decisions.find(policy), gossip, trouble)
     world = engine.run()
-    figures, verdict = world.ledger.figures(), world.referee.verdict()
+    figures, verdict = world.ledger.figures(), world.checker.summary()
     return {
         "figure": figures["figure"] if verdict["clean"] else 0.0,
         "probes": figures["counts"].get("probes", 0),
@@ -90,7 +91,7 @@
 def run_on_processes(title: str, size: tuple[int, int], seconds: float, together: bool) -> dict[str, Any]:
     """Run one scenario on real processes, with gossip if `together`."""
     selected = msgspec.structs.replace(make_scenario(title, size, seconds), title=f"{title}-processes")
-    if title == "mass-kill":  # a machine cannot start 150 processes at once
+    if title == "mass-kill":  # 150 processes cannot start at once
         staggered = [
             msgspec.structs.replace(fault, one_by_one=START_INTERVAL_SECONDS) for fault in selected.faults
         ]
@@ -102,7 +103,7 @@
         except OSError as error:  # the machine has too few descriptors or too little memory for this run
             return {"day": title, "together": together, "void": str(error), "broken": {}}
         findings, figures = engine.findings(), world.ledger.figures()
-    verdict = world.referee.verdict()
+    verdict = world.checker.summary()
     return {
         "day": title,
         "together": together,
