--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -176,7 +176,7 @@
 
 
 def run_scenarios(folder: Path, quick: bool) -> tuple[int, list[str]]:
-    """Run scenarios on sockets; return the number of rules that the proxies of the fleet broke and lines."""
+    """Run scenarios on sockets; return the number of rules that the proxies broke and a line for each run."""
     from msgspec.structs import replace
 
     from onyxhollow.lab import scenario
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -32,7 +32,8 @@
 from onyxhollow.lab.together import Trouble  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
 
-START_INTERVAL_SECONDS = 0.12  # between the starts of processes that were killed
+# Interval between restarts of killed processes: the fastest that one machine manages beside the others.
+START_INTERVAL_SECONDS = 0.12
 ZONES = ["north", "east", "south", "west"]
 # Title, faults, changes of the fleet.
 SCENARIOS: list[tuple[str, list[dict[str, Any]], dict[str, Any]]] = [
@@ -90,7 +91,7 @@
 def run_on_processes(title: str, size: tuple[int, int], seconds: float, together: bool) -> dict[str, Any]:
     """Run one scenario on real processes, with gossip if `together`."""
     selected = msgspec.structs.replace(make_scenario(title, size, seconds), title=f"{title}-processes")
-    if title == "mass-kill":  # a machine cannot start 150 processes at once
+    if title == "mass-kill":  # 150 processes cannot start at once
         staggered = [
             msgspec.structs.replace(fault, one_by_one=START_INTERVAL_SECONDS) for fault in selected.faults
         ]
