--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -74,7 +74,7 @@
     policy = "module" if terms or how == "alone" else how.removeprefix("before=")
     engine = Virtual(day(title, size, seconds), seed, decisions.find(policy), terms, trouble)
     world = engine.run()
-    figures, verdict = world.ledger.figures(), world.checker.summary()
+    figures, verdict = world.metrics.figures(), world.checker.summary()
     return {
         "figure": figures["figure"] if verdict["clean"] else 0.0,
         "probes": figures["counts"].get("probes", 0),
@@ -95,7 +95,7 @@
             world = engine.run()
         except OSError as error:  # no descriptors, no memory: the machine is too small for this run
             return {"day": title, "together": together, "void": str(error), "broken": {}}
-        found, figures = engine.findings(), world.ledger.figures()
+        found, figures = engine.findings(), world.metrics.figures()
     verdict = world.checker.summary()
     return {
         "day": title,
--- a/onyxhollow/lab/cli.py
+++ b/onyxhollow/lab/cli.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from onyxhollow.lab import decisions, experiment, runs, scenario
-from onyxhollow.lab.ledger import merged
+from onyxhollow.lab.run_metrics import merge_quantiles
 
 LOST_SHOWN = 0.0005  # share of the wanted utility from which a cause gets a line
 
@@ -255,7 +255,9 @@
     table.add_row(
         "mean", *(f"{sum(row[name] for row in means.values()) / len(means):.4f}" for name in policies)
     )
-    late = {name: merged((run for run in got if run["policy"] == name), "setup") for name in policies}
+    late = {
+        name: merge_quantiles((run for run in got if run["policy"] == name), "setup") for name in policies
+    }
     table.add_row("set-up 99%, ms", *(f"{late[name]['p99']:g}" for name in policies))
     Console().print(table)
     broken = [run for run in got if not run["rules"]["clean"]]
--- a/onyxhollow/lab/demo.py
+++ b/onyxhollow/lab/demo.py
@@ -74,7 +74,7 @@
                     console.print(f"{now:5.1f} s: {said}")
 
             world = engine.run(progress)
-    counts, figures, found = world.ledger.counts, world.ledger.figures(), engine.findings()
+    counts, figures, found = world.metrics.counts, world.metrics.figures(), engine.findings()
     sound = world.checker.is_clean and not found["crashes"] and not found["failures"]
     again = counts.get("cut: dropped", 0) + counts.get("cut: unreachable", 0)
     moved, cut = counts.get("moves", 0), counts.get("cut: torn down", 0)
--- a/onyxhollow/lab/pictures.py
+++ b/onyxhollow/lab/pictures.py
@@ -64,4 +64,4 @@
     ]
     views = [view(engine.instances[number], members) for number in sorted(up)]
     silent = [UnreachableMember(f"n{number}", "down") for number in range(number_of) if number not in up]
-    return Snapshot(engine.world.agenda.now, views, silent)
+    return Snapshot(engine.world.event_queue.now, views, silent)
--- a/onyxhollow/lab/runs.py
+++ b/onyxhollow/lab/runs.py
@@ -56,9 +56,9 @@
             virtual = Virtual(scenario, seed, maker)
             if picture:
                 virtual.begin()
-                virtual.world.agenda.run(min(picture[1], scenario.seconds))
+                virtual.world.event_queue.run_until(min(picture[1], scenario.seconds))
                 take(virtual, picture[0])
-                virtual.world.agenda.run(scenario.seconds)
+                virtual.world.event_queue.run_until(scenario.seconds)
                 world, log = virtual.end(), virtual.logs
             else:
                 world, log = virtual.run(), virtual.logs
@@ -67,7 +67,7 @@
     except RuntimeError as error:
         raise RunError(f"{scenario.title}: {error}") from None
     verdict = world.checker.summary()
-    figures = world.ledger.figures()
+    figures = world.metrics.figures()
     told: dict[str, Any] = {
         "scenario": scenario.title,
         "digest": digest(scenario),
@@ -79,7 +79,7 @@
         "rules": verdict,
         "size": [scenario.fleet.proxies, scenario.fleet.servers],
         "clients": len(world.clients),
-        "events": world.agenda.done,
+        "events": world.event_queue.executed,
         "list_lines": world.list.lines_sent,
         "crossings": world.crossings,
         "faults": [[begin, end, kind] for begin, end, kind in world.fault_marks],
@@ -87,7 +87,7 @@
     if found:
         told["sockets"] = found
     if series:
-        told["series"] = world.ledger.series()
+        told["series"] = world.metrics.series()
         told["log"] = [list(line) for line in log]
     return told
 
--- a/onyxhollow/lab/sockets/discovery.py
+++ b/onyxhollow/lab/sockets/discovery.py
@@ -82,7 +82,7 @@
         self.waiting += 1
         desk.watchers[self] = seen
         engine.world.checker.set_watching(desk.proxy, True)
-        engine.world.agenda.after(wait, self.waited, self.waiting)
+        engine.world.event_queue.schedule_after(wait, self.waited, self.waiting)
 
     def waited(self, which: int) -> None:
         if self.desk.watchers.get(self) is not None and which == self.waiting:
@@ -102,7 +102,7 @@
             )
             if engine.in_fleet and HEALTH[row.readiness] == "active":
                 engine.world.checker.record_return_to_service(row.name)
-        engine.world.agenda.after(STILL_WATCHING, self.desk.lapse, engine.now)
+        engine.world.event_queue.schedule_after(STILL_WATCHING, self.desk.lapse, engine.now)
         self.desk.told_at = engine.now
 
     def answer(self, status: int, body: Any) -> None:
--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -24,7 +24,7 @@
 from onyxhollow.lab.sockets.proxies import READY_WITHIN, Process, free_address, wire_settings
 from onyxhollow.lab.sockets.servers import Dial, Door
 from onyxhollow.lab.world.servers import Session, State
-from onyxhollow.lab.world.types import Cause
+from onyxhollow.lab.world.types import LossCause
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
 
@@ -70,8 +70,8 @@
         word, _, rest = line.strip().partition(b" ")
         if self.answered:
             if word == b"MOVE" and not sess.over:
-                engine.world.ledger.count("moves")
-                engine.world.cut(sess, Cause.MOVED)
+                engine.world.metrics.increment("moves")
+                engine.world.cut(sess, LossCause.MOVED)
                 self.lines.close()
             return
         self.answered = True
@@ -87,7 +87,7 @@
         if how == "up":
             dial = engine.dials.get(sess.number)
             if dial is None or dial.door.server.state is State.STOPPED:
-                engine.world.cut(sess, Cause.TORN_DOWN)  # its server has ended in this very moment
+                engine.world.cut(sess, LossCause.TORN_DOWN)  # its server has ended in this very moment
                 self.lines.close()
                 return
             engine.world.up(sess, dial.door.server)
@@ -106,7 +106,7 @@
         if self.lines.open and not self.sess.over:
             self.said += 1
             self.lines.say(b"line %d\r\n" % self.said)
-            self.engine.world.agenda.after(SAY_EVERY, self.say)
+            self.engine.world.event_queue.schedule_after(SAY_EVERY, self.say)
 
     def ended(self, _: bool) -> None:
         engine, sess = self.engine, self.sess
@@ -121,7 +121,7 @@
             engine.world.checker.record_client_gone(engine.now, sess.number)
             engine.world.lost(sess)
         elif self.answered:
-            engine.world.cut(sess, Cause.TORN_DOWN)
+            engine.world.cut(sess, LossCause.TORN_DOWN)
 
 
 class Sockets:
@@ -176,7 +176,7 @@
 
     @property
     def now(self) -> float:
-        return self.world.agenda.now
+        return self.world.event_queue.now
 
     def unix(self, when: float) -> float:
         """Unix time of a time of the world."""
@@ -240,7 +240,7 @@
         world = self.world
         # An entry that comes late on sockets is booked from when it came, not when it was due: hundreds of
         # processes on one machine missed one part in ten thousand. It is told, and bounded.
-        world.ledger.slack = UNACCOUNTED
+        world.metrics.tolerance = UNACCOUNTED
         world.start(self)
         for server in list(world.servers):
             self.door(server.name, 0)
@@ -267,21 +267,21 @@
             )
 
     def play(self, progress: Any) -> None:
-        agenda, end = self.world.agenda, self.scenario.seconds
+        event_queue, end = self.world.event_queue, self.scenario.seconds
         self.began = time.monotonic()
         # Those of the set-up are no part of the run: with sharing they were most of what was counted.
-        self.asked_before = self.world.ledger.counts.pop("probes", 0)
+        self.asked_before = self.world.metrics.counts.pop("probes", 0)
         psutil.cpu_percent()  # from here on
-        agenda.at(0.0, self.look)
-        agenda.at(0.5, self.bad_client)
+        event_queue.schedule_at(0.0, self.look)
+        event_queue.schedule_at(0.5, self.bad_client)
         shown = 0
-        while agenda.now < end:
-            turn, due = time.monotonic(), self.began + agenda.next
+        while event_queue.now < end:
+            turn, due = time.monotonic(), self.began + event_queue.next_due
             self.loop.turn(max(0.0, min(LOOK, due - time.monotonic())))
             now = min(end, time.monotonic() - self.began)
-            if agenda.next <= now:
-                self.lateness.append(now - agenda.next)
-            agenda.run(now)
+            if event_queue.next_due <= now:
+                self.lateness.append(now - event_queue.next_due)
+            event_queue.run_until(now)
             if (took := time.monotonic() - turn) > LATE:
                 self.behind += took
             if int(now) > shown:
@@ -331,7 +331,7 @@
                 desk.changed()
         for process in self.proxies:
             process.look()
-        self.world.agenda.after(LOOK, self.look)
+        self.world.event_queue.schedule_after(LOOK, self.look)
 
     def known(self, proxy: int) -> dict[str, Any]:
         rows = [self.desks[proxy].row(row) for row in self.world.list.rows.values()]
@@ -350,7 +350,7 @@
                 lines.say(BAD[self.bad_sent % len(BAD)])
                 self.bad.append(lines)
         self.bad_sent += 1
-        self.world.agenda.after(BAD_EVERY, self.bad_client)
+        self.world.event_queue.schedule_after(BAD_EVERY, self.bad_client)
 
     def bad_over(self, _: bool) -> None:
         self.bad_ended += 1
@@ -366,7 +366,7 @@
         self.connect(sess)
 
     def connect(self, sess: Session) -> None:
-        wish, scenario = sess.client.wish, self.scenario
+        request, scenario = sess.client.request, self.scenario
         self.sessions[sess.number] = sess
         sock = socket.socket()
         sock.setblocking(False)
@@ -378,9 +378,9 @@
             self.world.lost(sess)
             return
         end = self.ends[sess.number] = ClientEnd(self, sess, sock)
-        spec = scenario.listeners[wish.listener]
-        group = f"g{wish.group}" if wish.group >= 0 else f"k{wish.number}"
-        told = [f"c={spec.name}", f"t={scenario.customers[wish.customer].name}", f"g={group}"]
+        spec = scenario.listeners[request.listener]
+        group = f"g{request.group}" if request.group >= 0 else f"k{request.number}"
+        told = [f"c={spec.name}", f"t={scenario.customers[request.tenant].name}", f"g={group}"]
         if sess.answered:
             assert sess.server is not None
             told.append(f"at={sess.server.name}")
@@ -392,7 +392,7 @@
             self.world.checker.record_session(
                 self.now, sess.proxy, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
             )
-        end.lines.say(f"OPEN c{sess.number:x} k{wish.number} {','.join(told)}\r\n".encode())
+        end.lines.say(f"OPEN c{sess.number:x} k{request.number} {','.join(told)}\r\n".encode())
 
     def withdraw(self, sess: Session) -> None:
         self.world.checker.record_client_gone(self.now, sess.number)
@@ -449,7 +449,7 @@
 
         lines = Lines(self.loop, sock, heard, lambda _: None)
         lines.say(b"PING\r\n")
-        self.world.agenda.after(KNOCK, self.knock, number, life, lines)
+        self.world.event_queue.schedule_after(KNOCK, self.knock, number, life, lines)
 
     def ready(self, number: int) -> bool:
         return number in self.up
@@ -461,7 +461,7 @@
     def stall(self, number: int, span: float) -> None:
         self.proxies[number].tell(signal.SIGSTOP)
         self.world.checker.record_stall(number, self.now + span + SLACK)
-        self.world.agenda.after(span, self.proxies[number].tell, signal.SIGCONT)
+        self.world.event_queue.schedule_after(span, self.proxies[number].tell, signal.SIGCONT)
 
     # results
 
--- a/onyxhollow/lab/sockets/servers.py
+++ b/onyxhollow/lab/sockets/servers.py
@@ -53,7 +53,7 @@
         if self.up:
             self.lines.say(line)
         elif word == b"STATS" or word == b"PING":
-            engine.world.ledger.count("probes")
+            engine.world.metrics.increment("probes")
             now = engine.now
             load = server.told_load(now, engine.world.tables.normal(server.number, int(now * 1000)))
             self.lines.say(b"PONG x0=%.4f\r\n" % load if word == b"STATS" else b"PONG\r\n")
@@ -83,12 +83,12 @@
             self.lines.close()
             return
         world.checker.record_attempt(engine.now, sess.proxy, sess.number, server.name)
-        world.ledger.count("dials")
+        world.metrics.increment("dials")
         verdict, wait = world.offer(sess, server)
         far = 4.0 * world.one_way(world.proxies[sess.proxy].zone, server.zone)
         self.ran = verdict in (Verdict.UP, Verdict.ERROR, Verdict.SILENT)
         if verdict is not Verdict.SILENT:
-            world.agenda.after(wait + far, self.answer, verdict)
+            world.event_queue.schedule_after(wait + far, self.answer, verdict)
 
     def stands(self, sess: Session) -> None:
         """Open before the start: the world has placed it already."""
--- a/onyxhollow/lab/together.py
+++ b/onyxhollow/lab/together.py
@@ -75,17 +75,17 @@
 
     def joined(self, instance: GossipingProxy, epoch: int) -> None:
         """A proxy has started."""
-        now, zone = self.world.agenda.now, self.world.zone_name(instance.zone)
+        now, zone = self.world.event_queue.now, self.world.zone_name(instance.zone)
         core = LoadGossip(
             GossipMember(epoch, f"n{instance.number}", zone), self.terms, Random(epoch * 31 + 7), now
         )
         self.cores[instance.number], self.where[epoch] = core, instance.number
-        self.world.agenda.after(SEEN if now else 0.0, self.meet)
-        self.world.agenda.at(core.next_due, self.tick, instance, core)
+        self.world.event_queue.schedule_after(SEEN if now else 0.0, self.meet)
+        self.world.event_queue.schedule_at(core.next_due, self.tick, instance, core)
 
     def left(self, number: int) -> None:
         if self.cores.pop(number, None):
-            self.world.agenda.after(NOTICED, self.meet)
+            self.world.event_queue.schedule_after(NOTICED, self.meet)
 
     def meet(self) -> None:
         there = [core.local for core in self.cores.values()]
@@ -95,9 +95,9 @@
     def tick(self, instance: GossipingProxy, core: LoadGossip) -> None:
         if not instance.alive or self.cores.get(instance.number) is not core:
             return
-        now, balancer = self.world.agenda.now, instance.balancer
+        now, balancer = self.world.event_queue.now, instance.balancer
         if now < instance.stalled_until:
-            self.world.agenda.at(instance.stalled_until, self.tick, instance, core)
+            self.world.event_queue.schedule_at(instance.stalled_until, self.tick, instance, core)
             return
         core.set_endpoints({server.name: server.zone for server in balancer.endpoints})
         own = {s.name: len(s.connections) for s in balancer.tracked.values() if s.connections}
@@ -105,7 +105,7 @@
             own = {name: 1000 * count for name, count in own.items()}
         core.tick(own, now)
         self.pass_on(instance, core)
-        self.world.agenda.at(core.next_due, self.tick, instance, core)
+        self.world.event_queue.schedule_at(core.next_due, self.tick, instance, core)
 
     def pass_on(self, instance: GossipingProxy, core: LoadGossip) -> None:
         """What a core has left to be done."""
@@ -121,7 +121,7 @@
             there = self.world.proxies[other].zone
             self.messages += 1
             takes = self.engine.one_way(instance.zone, there, None)
-            self.world.agenda.after(takes, self.arrive, other, epoch, core.local.epoch, message)
+            self.world.event_queue.schedule_after(takes, self.arrive, other, epoch, core.local.epoch, message)
         for one in core.take_estimates():
             report_shared(instance.balancer, one)
 
@@ -129,16 +129,18 @@
         core, instance = self.cores.get(number), self.engine.instances.get(number)
         if core is None or instance is None or core.local.epoch != epoch:
             return
-        if self.world.agenda.now < instance.stalled_until:
-            self.world.agenda.at(instance.stalled_until, self.arrive, number, epoch, sender, message)
+        if self.world.event_queue.now < instance.stalled_until:
+            self.world.event_queue.schedule_at(
+                instance.stalled_until, self.arrive, number, epoch, sender, message
+            )
             return
-        core.on_message(sender, message, self.world.agenda.now)
+        core.on_message(sender, message, self.world.event_queue.now)
         self.pass_on(instance, core)
 
     def cut(self, one: int, other: int) -> bool:
         proxies, trouble = self.world.proxies, self.trouble
         if proxies[one].zone != proxies[other].zone and (
-            trouble.cut_from <= self.world.agenda.now < trouble.cut_until
+            trouble.cut_from <= self.world.event_queue.now < trouble.cut_until
         ):
             return True
         for cut in self.world.cuts.values():
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -27,7 +27,7 @@
 from onyxhollow.lab.together import Talk, Trouble
 from onyxhollow.lab.world.listing import Row
 from onyxhollow.lab.world.servers import Server, Session, State, Verdict
-from onyxhollow.lab.world.types import Cause
+from onyxhollow.lab.world.types import LossCause
 from onyxhollow.lab.world.world import World
 
 PROBE_TIME = 0.3  # seconds until a probe is given up
@@ -58,7 +58,12 @@
     """One proxy's life: the module's Host."""
 
     def __init__(self, engine: Virtual, number: int, rows: list[Row], seen: int, life: int) -> None:
-        self.engine, self.number, self.world, self.agenda = engine, number, engine.world, engine.world.agenda
+        self.engine, self.number, self.world, self.event_queue = (
+            engine,
+            number,
+            engine.world,
+            engine.world.event_queue,
+        )
         self.alive, self.stalled_until = True, 0.0
         self.seen, self.rows = seen, {row.name: row for row in rows}
         self.held: dict[int, Held] = {}
@@ -73,17 +78,17 @@
 
     @property
     def now(self) -> float:
-        return self.agenda.now
+        return self.event_queue.now
 
     def later(self, span: float, call: Any, *values: Any) -> None:
-        self.agenda.after(span, self.when_able, call, values)
+        self.event_queue.schedule_after(span, self.when_able, call, values)
 
     def when_able(self, call: Any, values: tuple[Any, ...]) -> None:
         """A proxy that stands still finds it all when it goes on, in order."""
         if not self.alive:
             return
-        if self.agenda.now < self.stalled_until:
-            self.agenda.at(self.stalled_until, self.when_able, call, values)
+        if self.event_queue.now < self.stalled_until:
+            self.event_queue.schedule_at(self.stalled_until, self.when_able, call, values)
         else:
             call(*values)
 
@@ -94,11 +99,11 @@
         now, target, engine = self.now, self.world.by_name[server], self.engine
         token.dial, token.out, token.server, token.sent_at = token.dial + 1, True, target, now
         self.world.checker.record_attempt(now, self.number, token.sess.number, server)
-        self.world.ledger.count("dials")
+        self.world.metrics.increment("dials")
         if self.zone != target.zone:
-            self.world.ledger.count("dials across zones")
+            self.world.metrics.increment("dials across zones")
         one_way = engine.one_way(self.zone, target.zone, token.sess)
-        self.agenda.after(3 * one_way, self.reach, token, token.dial, one_way)
+        self.event_queue.schedule_after(3 * one_way, self.reach, token, token.dial, one_way)
         self.later(min(timeout, max(0.0, token.sess.deadline - now)), self.timed_out, token, token.dial)
 
     def cancel_attempt(self, token: Hashable, dial: int) -> None:
@@ -108,18 +113,20 @@
     def reject(self, token: Hashable, retry_after: float) -> None:
         assert isinstance(token, Held)
         self.answer(token, "refused")
-        self.agenda.after(self.world.network.client, self.world.refused, token.sess, retry_after)
+        self.event_queue.schedule_after(
+            self.world.network.client, self.world.refused, token.sess, retry_after
+        )
 
     def tear_down(self, token: Hashable) -> None:
         assert isinstance(token, Held)
         self.answer(token, "failed")
-        self.agenda.after(self.world.network.client, self.world.failed, token.sess)
+        self.event_queue.schedule_after(self.world.network.client, self.world.failed, token.sess)
 
     def migrate(self, token: Hashable) -> None:
         assert isinstance(token, Held)
         if token.standing and not token.sess.over:
-            self.world.ledger.count("moves")
-            self.world.cut(token.sess, Cause.MOVED)
+            self.world.metrics.increment("moves")
+            self.world.cut(token.sess, LossCause.MOVED)
             self.later(0.0, self.dial_over, token, token.dial, AttemptOutcome.CANCELLED)
 
     def check_health(self, server: str, shared: bool = False) -> None:
@@ -129,7 +136,7 @@
             outcome = AttemptOutcome.OK
             self.later(0.0, self.balancer.on_health_check, server, outcome, 0.0, known.load, known.age)
             return
-        self.world.ledger.count("probes")
+        self.world.metrics.increment("probes")
         there = 3 * self.engine.one_way(self.zone, target.zone, None)
         reachable = not target.gone_silent and not self.world.blocked(self.number, target)
         if not reachable or target.hung:
@@ -153,7 +160,7 @@
         self.world.list.watch(self.number, self.seen, self.list_news, self.list_answer, self.list_ended)
 
     def set_timer(self, when: float) -> None:
-        self.agenda.at(when, self.when_able, self.tick, ())
+        self.event_queue.schedule_at(when, self.when_able, self.tick, ())
 
     def log(self, line: str) -> None:
         if len(self.engine.logs) < LOG_KEPT:
@@ -207,7 +214,7 @@
         """A session has reached the proxy."""
         if sess.over:
             return
-        spec = self.world.scenario.listeners[sess.client.wish.listener]
+        spec = self.world.scenario.listeners[sess.client.request.listener]
         self.world.checker.record_session(
             self.now, self.number, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
         )
@@ -242,7 +249,7 @@
             return
         verdict, wait = self.world.offer(held.sess, server)
         if verdict is Verdict.UP:
-            self.agenda.after(wait + one_way, self.verdict, held, dial, server, server.started)
+            self.event_queue.schedule_after(wait + one_way, self.verdict, held, dial, server, server.started)
         elif verdict is not Verdict.SILENT:
             end = {
                 Verdict.FULL: AttemptOutcome.OVERLOADED,
@@ -256,7 +263,7 @@
         if not self.alive or self.world.blocked(self.number, server) or server.mute:
             return
         if not held.out or held.dial != dial:
-            self.world.ledger.count("set up in vain")
+            self.world.metrics.increment("set up in vain")
         elif server.state is State.STOPPED or server.started != started:
             self.when_able(self.dial_over, (held, dial, AttemptOutcome.RESET))
         else:
@@ -279,7 +286,7 @@
             return
         held.out = False
         if end is not AttemptOutcome.OK:
-            self.world.ledger.count(f"dial: {end.value}")
+            self.world.metrics.increment(f"dial: {end.value}")
         self.world.checker.record_attempt_end(self.now, held.sess.number, held.sent_at, end.never_ran)
         final = held.answered or held.standing
         if self.talk and not final and end not in NOT_FAILURES and held.server:
@@ -394,9 +401,9 @@
         )
 
     def describe(self, sess: Session) -> tuple[Listener, Tenant, Hashable]:
-        wish = sess.client.wish
-        group = f"g{wish.group}" if wish.group >= 0 else f"k{wish.number}"
-        return self.listeners[wish.listener], self.customers[wish.customer], group
+        request = sess.client.request
+        group = f"g{request.group}" if request.group >= 0 else f"k{request.number}"
+        return self.listeners[request.listener], self.customers[request.tenant], group
 
     def one_way(self, zone: int, other: int, sess: Session | None) -> float:
         """Seconds, jitter included; a session's own draws, so that other sessions' delays move nothing
@@ -404,16 +411,16 @@
         base = self.world.one_way(zone, other)
         if sess is None:
             return base
-        draw = self.world.tables.uniform(sess.client.wish.number, sess.client.draw())
+        draw = self.world.tables.uniform(sess.client.request.number, sess.client.draw())
         return base * (1.0 + self.scenario.network.jitter * (2.0 * draw - 1.0))
 
     def run(self) -> World:
         self.begin()
-        self.world.agenda.run(self.scenario.seconds)
+        self.world.event_queue.run_until(self.scenario.seconds)
         return self.end()
 
     def begin(self) -> None:
-        """Everything up to the first instant: the agenda can be turned from here."""
+        """Everything up to the first instant: the event queue can be run from here."""
         world = self.world
         world.start(self)
         rows = list(world.list.rows.values())
@@ -424,14 +431,14 @@
             self.instances[sess.proxy].adopt(sess)
 
     def end(self) -> World:
-        """Closes the accounts; the agenda must have come to the scenario's end."""
+        """Closes the accounts; the event queue must have come to the scenario's end."""
         self.world.finish()
         return self.world
 
     # called by the world
 
     def submit(self, sess: Session) -> None:
-        self.world.agenda.after(self.world.network.client, self.arrives, sess)
+        self.world.event_queue.schedule_after(self.world.network.client, self.arrives, sess)
 
     def arrives(self, sess: Session) -> None:
         instance = self.instances.get(sess.proxy)
@@ -473,5 +480,5 @@
 
     def stall(self, number: int, span: float) -> None:
         instance = self.instances[number]
-        instance.stalled_until = max(instance.stalled_until, self.world.agenda.now + span)
+        instance.stalled_until = max(instance.stalled_until, self.world.event_queue.now + span)
         self.world.checker.record_stall(number, instance.stalled_until)
--- a/onyxhollow/lab/world/draws.py
+++ b/onyxhollow/lab/world/draws.py
@@ -16,14 +16,16 @@
 
 from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.world.streams import stream
-from onyxhollow.lab.world.types import Rates, Wish
+from onyxhollow.lab.world.types import RateFactors, Request
 
 # Calls over a working day, by the hour from midnight: a trough at night, a peak before noon and one in
 # the evening.
 HOURS = (22, 14, 9, 7, 7, 11, 24, 46, 68, 83, 92, 95, 88, 84, 86, 88, 91, 97, 100, 98, 90, 74, 52, 34)
 
 
-def shaping(scenario: Scenario, rates: Rates, rng: np.random.Generator) -> Callable[[np.ndarray], np.ndarray]:
+def shaping(
+    scenario: Scenario, rates: RateFactors, rng: np.random.Generator
+) -> Callable[[np.ndarray], np.ndarray]:
     clients = scenario.clients
     phase, period = rng.uniform(0, 2 * math.pi), scenario.seconds * rng.uniform(0.5, 1.0)
     pieces = rng.uniform(1 - clients.swing, 1 + clients.swing, size=1 + math.ceil(scenario.seconds / 4.0))
@@ -57,13 +59,13 @@
 
 @dataclass(slots=True)
 class Population:
-    wishes: list[Wish]
+    requests: list[Request]
     unit: float  # load of the average connection, cores
     quotas: list[float]  # open connections within each customer's share
     usual: list[float]  # load of an average connection of each listener
 
 
-def populate(scenario: Scenario, capacity: float, rates: Rates, seed: int) -> Population:
+def populate(scenario: Scenario, capacity: float, rates: RateFactors, seed: int) -> Population:
     """All clients of a run. capacity: what the fleet can do at the start, in cores of speed 1.
 
     Raises OSError or ValueError if a recorded file can't be read.
@@ -113,7 +115,7 @@
     else:
         group = np.full(count, -1)
     due = np.concatenate([np.zeros(before), times])
-    for begin, end, listener, part, factor in rates.costly:
+    for begin, end, listener, part, factor in rates.loads:
         hit = (due >= begin) & (due < end) & (traits.random(count) < part)
         if listener >= 0:
             hit &= which == listener
@@ -125,12 +127,14 @@
     over = beyond(due, due + left, customer, quotas)
     ends, loads = (due + left).tolist(), load.tolist()
     kinds, whose, zones_of, groups_of = which.tolist(), customer.tolist(), zone.tolist(), group.tolist()
-    wishes = [
-        Wish(n, came, ends[n], kinds[n], whose[n], zones_of[n], groups_of[n], loads[n], over[n], n < before)
+    requests = [
+        Request(
+            n, came, ends[n], kinds[n], whose[n], zones_of[n], groups_of[n], loads[n], over[n], n < before
+        )
         for n, came in enumerate(due.tolist())
     ]
     usual = [row.load * unit / mean_load for row in listeners]
-    return Population(wishes, unit, quotas, usual)
+    return Population(requests, unit, quotas, usual)
 
 
 def beyond(due: np.ndarray, end: np.ndarray, customer: np.ndarray, quotas: list[float]) -> list[bool]:
--- a/onyxhollow/lab/world/faults.py
+++ b/onyxhollow/lab/world/faults.py
@@ -17,16 +17,16 @@
 from msgspec import Meta
 
 from onyxhollow.lab.specs import NotNegative, Positive, Share
-from onyxhollow.lab.world.agenda import Agenda
+from onyxhollow.lab.world.event_queue import EventQueue
 from onyxhollow.lab.world.listing import ServerList
 from onyxhollow.lab.world.servers import Server
-from onyxhollow.lab.world.types import Rates
+from onyxhollow.lab.world.types import RateFactors
 
 
 class FaultTarget(Protocol):
     """What faults see of the world, and do to it."""
 
-    agenda: Agenda
+    event_queue: EventQueue
     servers: list[Server]
     struck: dict[int, list[Server]]  # servers of a fault that has begun, by the fault's number
 
@@ -92,7 +92,7 @@
             return "listener", f"one of {listeners}", listener
         return None
 
-    def shape(self, rates: Rates, listeners: list[str]) -> None:
+    def shape(self, rates: RateFactors, listeners: list[str]) -> None:
         """Changes the clients that are drawn ahead."""
 
     def begin(self, world: FaultTarget, number: int) -> None:
@@ -175,12 +175,12 @@
     def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         if number in world.struck and server in world.struck[number]:
             server.factors[number] = 1.0 - self.takes
-            world.agenda.after(self.on, self.rest, world, server, number)
+            world.event_queue.schedule_after(self.on, self.rest, world, server, number)
 
     def rest(self, world: FaultTarget, server: Server, number: int) -> None:
         server.factors.pop(number, None)
         if number in world.struck:
-            world.agenda.after(self.off, self.strike, world, server, number)
+            world.event_queue.schedule_after(self.off, self.strike, world, server, number)
 
     def lift(self, world: FaultTarget, server: Server, number: int) -> None:
         server.factors.pop(number, None)
@@ -262,7 +262,7 @@
 
     def strike(self, world: FaultTarget, server: Server, number: int) -> None:
         server.clock_off += self.step
-        world.agenda.after(self.lasts / 2, world.restart_server, server)
+        world.event_queue.schedule_after(self.lasts / 2, world.restart_server, server)
 
     def lift(self, world: FaultTarget, server: Server, number: int) -> None:
         server.clock_off -= self.step
@@ -275,9 +275,9 @@
     share: Share = 0.03
     listener: str = ""
 
-    def shape(self, rates: Rates, listeners: list[str]) -> None:
+    def shape(self, rates: RateFactors, listeners: list[str]) -> None:
         place = listeners.index(self.listener) if self.listener else -1
-        rates.costly.append((self.at, self.until, place, self.share, self.times))
+        rates.loads.append((self.at, self.until, place, self.share, self.times))
 
 
 class Burst(Plan, frozen=True, kw_only=True, tag="burst"):
@@ -285,7 +285,7 @@
 
     times: Positive = 2.0
 
-    def shape(self, rates: Rates, listeners: list[str]) -> None:
+    def shape(self, rates: RateFactors, listeners: list[str]) -> None:
         rates.arrivals.append((self.at, self.until, self.times))
 
 
@@ -306,7 +306,7 @@
 
     def begin(self, world: FaultTarget, number: int) -> None:
         for place in range(self.servers):
-            world.agenda.after(self.lasts * place / self.servers, world.add_server)
+            world.event_queue.schedule_after(self.lasts * place / self.servers, world.add_server)
 
 
 class Shrink(OnServers, frozen=True, kw_only=True, tag="shrink"):
@@ -317,7 +317,7 @@
     def begin(self, world: FaultTarget, number: int) -> None:
         hit = self.hit(world, number)
         for place, server in enumerate(hit):
-            world.agenda.after(
+            world.event_queue.schedule_after(
                 self.lasts * place / len(hit), world.drain_server, server, self.drain, False, False
             )
 
@@ -337,7 +337,9 @@
         for place, batch in enumerate(batches):
             for server in batch:
                 begins = self.lasts * place / len(batches)
-                world.agenda.after(begins, world.drain_server, server, self.drain, True, self.replaced)
+                world.event_queue.schedule_after(
+                    begins, world.drain_server, server, self.drain, True, self.replaced
+                )
 
 
 class ProxyCrash(Plan, frozen=True, kw_only=True, tag="proxy_crash"):
@@ -357,7 +359,7 @@
 
     def end(self, world: FaultTarget, number: int) -> None:
         for place, proxy in enumerate(self.chosen(world, number)):
-            world.agenda.after(place * self.one_by_one, world.restart_proxy, proxy)
+            world.event_queue.schedule_after(place * self.one_by_one, world.restart_proxy, proxy)
 
 
 class ProxyRestart(ProxyCrash, frozen=True, kw_only=True, tag="proxy_restart"):
@@ -369,7 +371,9 @@
 
     def begin(self, world: FaultTarget, number: int) -> None:
         for place, proxy in enumerate(self.chosen(world, number)):
-            world.agenda.after(place * self.apart, world.stop_proxy, proxy, self.stop, self.lasts)
+            world.event_queue.schedule_after(
+                place * self.apart, world.stop_proxy, proxy, self.stop, self.lasts
+            )
 
     def end(self, world: FaultTarget, number: int) -> None:
         """Each comes back by itself."""
--- a/onyxhollow/lab/world/listing.py
+++ b/onyxhollow/lab/world/listing.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from onyxhollow.lab.specs import ListSource
-from onyxhollow.lab.world.agenda import Agenda
+from onyxhollow.lab.world.event_queue import EventQueue
 
 IN_SERVICE, DRAINING, GONE = "in service", "draining", "gone"
 KEPT = 4096  # changes remembered; a proxy that missed more gets the whole list
@@ -28,8 +28,8 @@
 
 
 class ServerList:
-    def __init__(self, agenda: Agenda, settings: ListSource) -> None:
-        self.agenda, self.settings = agenda, settings
+    def __init__(self, event_queue: EventQueue, settings: ListSource) -> None:
+        self.event_queue, self.settings = event_queue, settings
         self.rows: dict[str, Row] = {}
         self.changes: list[tuple[int, Row]] = []
         self.version = self.learned = 0
@@ -45,7 +45,7 @@
     def learn(self, row: Row, notice: float) -> None:
         """A server has changed; the list shows it after notice and what faults add."""
         self.learned += 1
-        self.agenda.after(notice + sum(self.late.values()), self.publish, row, self.learned)
+        self.event_queue.schedule_after(notice + sum(self.late.values()), self.publish, row, self.learned)
 
     def publish(self, row: Row, serial: int) -> None:
         # Word of an end that was slow to come must not hide a server that has come back since.
@@ -69,7 +69,7 @@
             # Watchers are told one after another, each within the spread.
             wait = self.settings.spread * (0.2 + 0.8 * (place + 1) / len(self.watchers))
             self.lines_sent += 1
-            self.agenda.after(wait, self.deliver, proxy, tell, [row], version)
+            self.event_queue.schedule_after(wait, self.deliver, proxy, tell, [row], version)
 
     def deliver(
         self, proxy: int, tell: Callable[[list[Row], int], None], rows: list[Row], version: int
@@ -87,7 +87,7 @@
     ) -> None:
         """A call that then goes on as a watch. answered: rows (None: it failed), whether it is the whole
         list, and the version; tell: later changes; ended: the watch was broken."""
-        now = self.agenda.now
+        now = self.event_queue.now
         self.calls += 1
         lines = len(self.since(seen)[0])
         begins = max(now, self.free_at)
@@ -95,11 +95,11 @@
         if self.down or begins + takes - now > self.settings.timeout:
             self.failed_calls += 1
             wait = 0.002 if self.down else self.settings.timeout  # refused at once, or waited for in vain
-            self.agenda.after(wait, answered, None, False, seen)
+            self.event_queue.schedule_after(wait, answered, None, False, seen)
             return
         self.free_at = begins + takes
         self.lines_sent += lines
-        self.agenda.at(self.free_at, self.answer, proxy, seen, tell, answered, ended)
+        self.event_queue.schedule_at(self.free_at, self.answer, proxy, seen, tell, answered, ended)
 
     def answer(
         self,
--- a/onyxhollow/lab/world/servers.py
+++ b/onyxhollow/lab/world/servers.py
@@ -16,7 +16,7 @@
 from enum import Enum
 
 from onyxhollow.lab.specs import Fleet, Kind, ListenerSpec
-from onyxhollow.lab.world.types import Cause, Wish
+from onyxhollow.lab.world.types import LossCause, Request
 
 BUSIEST = 0.985  # load above which messages take no longer by the formula alone; the pile tells the rest
 SLACK = 3.0  # average connections by which a cold budget may be passed, for chance
@@ -40,7 +40,7 @@
 
 class Client:
     __slots__ = (
-        "wish",
+        "request",
         "cause",
         "since",
         "tries",
@@ -53,9 +53,9 @@
         "unsafe",
     )
 
-    def __init__(self, wish: Wish, honours: bool) -> None:
-        self.wish, self.honours = wish, honours
-        self.cause, self.since = Cause.LATE, wish.due
+    def __init__(self, request: Request, honours: bool) -> None:
+        self.request, self.honours = request, honours
+        self.cause, self.since = LossCause.LATE, request.due
         self.tries = self.spell = self.draws = 0
         self.session: Session | None = None
         self.done = self.was_up = False
@@ -63,7 +63,7 @@
 
     @property
     def group(self) -> int:
-        return self.wish.group
+        return self.request.group
 
     def draw(self) -> int:
         self.draws += 1
@@ -91,7 +91,7 @@
     def __init__(self, number: int, client: Client, proxy: int, deadline: float) -> None:
         self.number, self.client, self.proxy = number, client, proxy
         self.deadline = deadline
-        self.load = client.wish.load
+        self.load = client.request.load
         self.server: Server | None = None
         self.slot, self.up_at, self.earned_at = 0, -1.0, 0.0
         self.answered = False  # its client has an answer, or has gone
@@ -100,8 +100,8 @@
 
     @property
     def key(self) -> tuple[int, int]:
-        """What must not run twice: one wish for one connection."""
-        return self.client.wish.number, self.client.spell
+        """What must not run twice: one request for one connection."""
+        return self.client.request.number, self.client.spell
 
 
 class Server:
--- a/onyxhollow/lab/world/types.py
+++ b/onyxhollow/lab/world/types.py
@@ -1,4 +1,4 @@
-"""What the parts of the world share: why a client earns nothing, requests, and rates that faults change."""
+"""Types shared by the parts of the world model: causes of lost utility, requests, and rate factors."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from enum import Enum
 
 
-class Cause(Enum):
-    """Why a client earns nothing, or not all."""
+class LossCause(Enum):
+    """Why a client earns no utility, or less than the full utility."""
 
     LATE = "late"
     REFUSED = "refused"
@@ -16,29 +16,29 @@
     UNREACHABLE = "unreachable"
     DROPPED = "dropped"  # by the client's own side
     SLOW = "slow"
-    CROSSING = "crossing"
+    CROSSING = "crossing"  # of a zone boundary
 
 
 @dataclass(slots=True)
-class Wish:
-    """One client's wish for a connection, from due to end (seconds)."""
+class Request:
+    """One client's request for a connection, from due to end (seconds)."""
 
     number: int
     due: float
     end: float
     listener: int
-    customer: int
+    tenant: int
     zone: int
     group: int  # -1: none
-    load: float  # usual load, cores of work
-    over: bool  # beyond its customer's share when it came
-    stands: bool  # open before the start
+    load: float  # average load, cores of work
+    over_quota: bool  # its tenant's quota was used up when it was due
+    preexisting: bool  # connected before the start
 
 
 @dataclass(slots=True)
-class Rates:
-    """Factors on the rate of arrivals and on loads that faults bring, known before the start."""
+class RateFactors:
+    """Factors that faults apply to the arrival rate and to loads, known before the start."""
 
     arrivals: list[tuple[float, float, float]] = field(default_factory=list)  # from, to, factor
-    costly: list[tuple[float, float, int, float, float]] = field(default_factory=list)
-    # from, to, listener (-1: any), share, factor
+    loads: list[tuple[float, float, int, float, float]] = field(default_factory=list)
+    # from, to, listener (-1: any), share of the sessions, factor
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -1,4 +1,4 @@
-"""The world: servers, list, clients, fronts and faults, put together round one agenda. An engine carries
+"""The world: servers, list, clients, fronts and faults, around one event queue. An engine runs
 it.
 
 The world decides what servers, clients and the list do; the engine carries sessions between clients,
@@ -16,16 +16,16 @@
 
 from onyxhollow.lab.evenness import Seen
 from onyxhollow.lab.invariant_checker import InvariantChecker
-from onyxhollow.lab.ledger import Ledger
+from onyxhollow.lab.run_metrics import RunMetrics
 from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.world import listing
-from onyxhollow.lab.world.agenda import Agenda
 from onyxhollow.lab.world.clients import wait_after
 from onyxhollow.lab.world.draws import populate
+from onyxhollow.lab.world.event_queue import EventQueue
 from onyxhollow.lab.world.listing import Row, ServerList
 from onyxhollow.lab.world.servers import Client, Server, Session, State, Verdict
 from onyxhollow.lab.world.streams import Tables, stream
-from onyxhollow.lab.world.types import Cause, Rates
+from onyxhollow.lab.world.types import LossCause, RateFactors
 
 STEP = 0.1  # seconds between steps of the servers' work
 LOOK = 1.0  # seconds between entries of the load map and of message latencies
@@ -34,7 +34,7 @@
 
 
 class Engine(Protocol):
-    """What carries sessions. All calls come from the world, at the agenda's time."""
+    """What carries sessions. The world makes all calls, at the event queue's time."""
 
     def submit(self, sess: Session) -> None:
         """A client has opened a session at its proxy."""
@@ -93,14 +93,14 @@
 class World:
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
-        self.agenda, self.tables = Agenda(), Tables(seed)
+        self.event_queue, self.tables = EventQueue(), Tables(seed)
         fleet, network = scenario.fleet, scenario.network
         self.listener_names = [row.name for row in scenario.listeners]
         self.servers: list[Server] = []
         self.by_name: dict[str, Server] = {}
         self.speeds = stream(seed, "servers")
         self.store = Store(scenario.store.rate, scenario.store.time)
-        self.list = ServerList(self.agenda, scenario.server_list)
+        self.list = ServerList(self.event_queue, scenario.server_list)
         self.checker = InvariantChecker(
             scenario.proxies.drain_grace, scenario.proxies.answer_grace, scenario.proxies.ask_within
         )
@@ -109,18 +109,18 @@
         for _ in range(fleet.servers):
             self.make_server(-math.inf)
         self.capacity = sum(server.full for server in self.servers)  # cores of speed 1, at the start
-        rates = Rates()
+        rates = RateFactors()
         for fault in scenario.faults:
             fault.shape(rates, self.listener_names)
         population = populate(scenario, max(1.0, self.capacity), rates, seed)
-        self.unit, self.quotas, self.wishes = population.unit, population.quotas, population.wishes
+        self.unit, self.quotas, self.requests = population.unit, population.quotas, population.requests
         self.usual = population.usual
         for server in self.servers:
             server.unit = self.unit
-        self.ledger = Ledger(scenario, self.wishes)
+        self.metrics = RunMetrics(scenario, self.requests)
         self.clients = [
-            Client(wish, self.tables.uniform(wish.number, 0) < scenario.clients.honours)
-            for wish in self.wishes
+            Client(request, self.tables.uniform(request.number, 0) < scenario.clients.honours)
+            for request in self.requests
         ]
         self.struck: dict[int, list[Server]] = {}
         self.cuts: dict[int, Cut] = {}
@@ -144,23 +144,29 @@
         """Puts down all that is due. Those that stand at the start are the engine's: see standing."""
         self.engine = engine
         self.list.published.append(
-            lambda row: self.checker.record_listing(self.agenda.now, row.name, row.readiness, row.started)
+            lambda row: self.checker.record_listing(
+                self.event_queue.now, row.name, row.readiness, row.started
+            )
         )
         for server in self.servers:
             self.list.rows[server.name] = self.row(server, listing.IN_SERVICE)
-        self.agenda.at(STEP, self.step)
-        self.agenda.at(LOOK, self.look)
-        self.arrive(next((n for n, wish in enumerate(self.wishes) if not wish.stands), len(self.wishes)))
+        self.event_queue.schedule_at(STEP, self.step)
+        self.event_queue.schedule_at(LOOK, self.look)
+        self.arrive(
+            next(
+                (n for n, request in enumerate(self.requests) if not request.preexisting), len(self.requests)
+            )
+        )
         for number, fault in enumerate(self.scenario.faults):
             kind = str(type(fault).__struct_config__.tag)
             self.fault_marks.append((fault.at, min(fault.until, self.scenario.seconds), kind))
-            self.agenda.at(fault.at, fault.begin, self, number)
-            self.agenda.at(fault.until, fault.end, self, number)
+            self.event_queue.schedule_at(fault.at, fault.begin, self, number)
+            self.event_queue.schedule_at(fault.until, fault.end, self, number)
 
     def arrive(self, place: int) -> None:
-        """The next arrival puts down the one after it: the agenda need not hold them all."""
-        if place < len(self.wishes):
-            self.agenda.at(self.wishes[place].due, self.come, place)
+        """Schedule one arrival, which schedules the next: the event queue does not hold them all."""
+        if place < len(self.requests):
+            self.event_queue.schedule_at(self.requests[place].due, self.come, place)
 
     def come(self, place: int) -> None:
         self.arrive(place + 1)
@@ -171,7 +177,7 @@
         zone."""
         rng = stream(self.seed, "standing")
         rng.random(16)
-        clients = [client for client in self.clients if client.wish.stands]
+        clients = [client for client in self.clients if client.request.preexisting]
         if not self.servers:
             for client in clients:
                 self.begin(client)
@@ -184,36 +190,36 @@
             assert proxy is not None
             sess = self.new_session(client, proxy.number, math.inf)
             sess.answered = True
-            self.agenda.at(client.wish.end, self.wish_over, client)
+            self.event_queue.schedule_at(client.request.end, self.on_request_end, client)
             self.checker.final_answers[sess.number] = (proxy.number, "up")
             self.stand(sess, self.servers[place])
             made.append(sess)
         return made
 
     def step(self) -> None:
-        now = self.agenda.now
+        now = self.event_queue.now
         for server in self.servers:
-            server.step(now, lambda *told: self.ledger.served(now, *told))
+            server.step(now, lambda *told: self.metrics.record_step(now, *told))
             if server.pile > 0 and server.running:
                 for sess in server.overflow(now):
-                    self.ledger.count("shed")
+                    self.metrics.increment("shed")
                     self.end_by_server(sess, False)
         if now + STEP <= self.scenario.seconds + STEP / 2:
-            self.agenda.at(round(now / STEP + 1) * STEP, self.step)
+            self.event_queue.schedule_at(round(now / STEP + 1) * STEP, self.step)
 
     def look(self) -> None:
-        now = self.agenda.now
+        now = self.event_queue.now
         seen: list[Seen] = []
         for server in self.servers:
             if not server.running or server.mute:
                 continue
-            self.ledger.load(server.name, now, server.load)
+            self.metrics.record_load(server.name, now, server.load)
             if server.state is State.RUNNING and server.warmth(now) >= 1.0:
                 seen.append(Seen(server.name, server.load, server.capacity(now)))
             if server.sessions:
-                self.ledger.messages(server.delay, server.tau, len(server.sessions))
-        self.ledger.evenness.look(now, seen)
-        self.agenda.after(LOOK, self.look)
+                self.metrics.record_messages(server.delay, server.tau, len(server.sessions))
+        self.metrics.evenness.look(now, seen)
+        self.event_queue.schedule_after(LOOK, self.look)
 
     def finish(self) -> None:
         """The end: open accounts are closed. The last step must have been done."""
@@ -222,139 +228,143 @@
             sess = client.session
             if sess is not None and sess.up_at >= 0 and not sess.over:
                 self.close_account(sess, now)
-            elif not client.done and client.wish.due < now:
-                self.ledger.out(client.wish, client.since, now, client.cause)
+            elif not client.done and client.request.due < now:
+                self.metrics.record_disconnected(client.request, client.since, now, client.cause)
         for server in self.servers:
-            server.step(now, lambda *told: self.ledger.served(now, *told))
+            server.step(now, lambda *told: self.metrics.record_step(now, *told))
         self.checker.finish(now)
 
     # clients
 
     def begin(self, client: Client) -> None:
-        self.agenda.at(client.wish.end, self.wish_over, client)
+        self.event_queue.schedule_at(client.request.end, self.on_request_end, client)
         self.open(client)
 
     def front(self, client: Client) -> Proxy | None:
         """A proxy of the client's zone that the front believes in; of any zone if there is none."""
         listed = [proxy for proxy in self.proxies if proxy.listed]
-        near = [proxy for proxy in listed if proxy.zone == client.wish.zone] or listed
+        near = [proxy for proxy in listed if proxy.zone == client.request.zone] or listed
         if not near:
             return None
-        return near[int(self.tables.uniform(client.wish.number, client.draw()) * len(near))]
+        return near[int(self.tables.uniform(client.request.number, client.draw()) * len(near))]
 
     def new_session(self, client: Client, proxy: int, timeout: float) -> Session:
         self.sessions += 1
-        sess = client.session = Session(self.sessions, client, proxy, self.agenda.now + timeout)
+        sess = client.session = Session(self.sessions, client, proxy, self.event_queue.now + timeout)
         return sess
 
     def open(self, client: Client) -> None:
         """Comes, for the first time or again."""
         if client.done or client.session is not None:
             return
-        spec = self.scenario.listeners[client.wish.listener]
+        spec = self.scenario.listeners[client.request.listener]
         proxy = self.front(client)
         if proxy is None or not proxy.alive:
-            self.ledger.count("found no proxy")
-            self.out(client, Cause.UNREACHABLE)
+            self.metrics.increment("found no proxy")
+            self.out(client, LossCause.UNREACHABLE)
             return
-        self.ledger.count("sessions")
-        self.ledger.count("sessions again" if client.tries or client.was_up else "sessions first")
+        self.metrics.increment("sessions")
+        self.metrics.increment("sessions again" if client.tries or client.was_up else "sessions first")
         client.tries += 1
         sess = self.new_session(client, proxy.number, spec.timeout)
-        early = self.tables.uniform(client.wish.number, client.draw())
+        early = self.tables.uniform(client.request.number, client.draw())
         if early < self.scenario.clients.leaves_early:
-            self.agenda.after(
+            self.event_queue.schedule_after(
                 spec.timeout * (0.2 + 0.7 * early / self.scenario.clients.leaves_early),
                 self.leave_early,
                 sess,
             )
-        self.agenda.at(sess.deadline + self.scenario.proxies.answer_grace + 0.25, self.unanswered, sess)
+        self.event_queue.schedule_at(
+            sess.deadline + self.scenario.proxies.answer_grace + 0.25, self.unanswered, sess
+        )
         self.engine.submit(sess)
 
     def leave_early(self, sess: Session) -> None:
         if not sess.answered and not sess.over:
-            self.ledger.count("left early")
+            self.metrics.increment("left early")
             self.give_up(sess)
 
     def unanswered(self, sess: Session) -> None:
         """Long past its time: the client goes and comes again."""
         if not sess.answered and not sess.over:
-            self.ledger.count("never answered")
+            self.metrics.increment("never answered")
             self.give_up(sess)
 
     def give_up(self, sess: Session) -> None:
         sess.answered = sess.over = True
         sess.client.session = None
         self.engine.withdraw(sess)
-        self.out(sess.client, Cause.LATE)
+        self.out(sess.client, LossCause.LATE)
 
-    def wish_over(self, client: Client) -> None:
+    def on_request_end(self, client: Client) -> None:
         """The client wants no connection any more."""
         if client.done:
             return
         client.done, sess = True, client.session
         if sess is None:
-            self.ledger.out(client.wish, client.since, client.wish.end, client.cause)
+            self.metrics.record_disconnected(client.request, client.since, client.request.end, client.cause)
             return
         client.session = None
         if sess.up_at >= 0 and not sess.over:
             self.fall(sess)
         else:
-            self.ledger.out(client.wish, client.since, client.wish.end, client.cause)
+            self.metrics.record_disconnected(client.request, client.since, client.request.end, client.cause)
         sess.answered = sess.over = True
         self.engine.withdraw(sess)
 
-    def out(self, client: Client, cause: Cause, told: float = 0.0) -> None:
+    def out(self, client: Client, cause: LossCause, told: float = 0.0) -> None:
         """Why it is without a connection from now on, and when it comes again."""
-        now = self.agenda.now
+        now = self.event_queue.now
         if now > client.since:
-            self.ledger.out(client.wish, client.since, now, client.cause)
+            self.metrics.record_disconnected(client.request, client.since, now, client.cause)
         client.cause, client.since, client.session = cause, now, None
         if client.done:
             return
         wait = wait_after(cause, client, told, self.scenario.clients, self.tables)
         if wait is None or client.unsafe:
-            self.ledger.count("did not come again")
+            self.metrics.increment("did not come again")
             return
-        self.agenda.after(wait, self.open, client)
+        self.event_queue.schedule_after(wait, self.open, client)
 
     # told by the engine
 
     def up(self, sess: Session, server: Server) -> None:
         """A session is accepted: the client has its connection."""
-        client, now = sess.client, self.agenda.now
+        client, now = sess.client, self.event_queue.now
         sess.answered = True
         if client.done:
             return
-        spec = self.scenario.listeners[client.wish.listener]
+        spec = self.scenario.listeners[client.request.listener]
         first = not client.was_up
         if first:
-            took = now - client.wish.due
-            self.ledger.set_up(client.wish.listener, took)
+            took = now - client.request.due
+            self.metrics.record_setup(client.request.listener, took)
             in_time = took <= spec.target
-            self.ledger.out(client.wish, client.since, now, None if in_time else client.cause)
-            self.ledger.count("up in time" if in_time else "up late")
+            self.metrics.record_disconnected(
+                client.request, client.since, now, None if in_time else client.cause
+            )
+            self.metrics.increment("up in time" if in_time else "up late")
         else:
-            self.ledger.out(client.wish, client.since, now, client.cause)
-        self.ledger.count("up")
-        self.ledger.evenness.placed(now, server.name, sess.proxy)
+            self.metrics.record_disconnected(client.request, client.since, now, client.cause)
+        self.metrics.increment("up")
+        self.metrics.evenness.placed(now, server.name, sess.proxy)
         client.tries = 0
         self.stand(sess, server)
 
     def refused(self, sess: Session, wait: float) -> None:
-        self.answer(sess, Cause.REFUSED, wait)
+        self.answer(sess, LossCause.REFUSED, wait)
 
     def failed(self, sess: Session) -> None:
-        self.answer(sess, Cause.TORN_DOWN, 0.0)
+        self.answer(sess, LossCause.TORN_DOWN, 0.0)
 
-    def answer(self, sess: Session, cause: Cause, wait: float) -> None:
+    def answer(self, sess: Session, cause: LossCause, wait: float) -> None:
         sess.answered = sess.over = True
         if sess.client.done or sess.client.session is not sess:
             return
-        self.ledger.count("answered refused" if cause is Cause.REFUSED else "answered torn down")
-        spec = self.scenario.listeners[sess.client.wish.listener]
+        self.metrics.increment("answered refused" if cause is LossCause.REFUSED else "answered torn down")
+        spec = self.scenario.listeners[sess.client.request.listener]
         # Told nothing of whether it ran, a client repeats only what may be repeated.
-        sess.client.unsafe = cause is Cause.TORN_DOWN and (
+        sess.client.unsafe = cause is LossCause.TORN_DOWN and (
             spec.repeat == "once-only" or spec.repeat == "referenced" and spec.scope != "all"
         )
         self.out(sess.client, cause, wait)
@@ -365,9 +375,9 @@
             return
         sess.answered = sess.over = True
         if sess.client.session is sess:
-            self.out(sess.client, Cause.UNREACHABLE)
+            self.out(sess.client, LossCause.UNREACHABLE)
 
-    def cut(self, sess: Session, cause: Cause) -> None:
+    def cut(self, sess: Session, cause: LossCause) -> None:
         """An open connection has ended against the client's will."""
         if sess.over:
             return
@@ -375,11 +385,11 @@
         client = sess.client
         if client.session is not sess:
             return
-        self.ledger.count(f"cut: {cause.value}")
+        self.metrics.increment(f"cut: {cause.value}")
         if sess.up_at >= 0:
             self.fall(sess)
         client.spell += 1
-        client.since = self.agenda.now
+        client.since = self.event_queue.now
         client.tries = 0
         self.out(client, cause)
 
@@ -387,18 +397,18 @@
 
     def stand(self, sess: Session, server: Server) -> None:
         """A server holds the connection from now on, and it earns."""
-        client, now = sess.client, self.agenda.now
+        client, now = sess.client, self.event_queue.now
         crossed = self.proxies[sess.proxy].zone != server.zone
         if crossed:
             self.crossings += 1
-        sess.slot = 4 * client.wish.listener + 2 * crossed + client.wish.over
+        sess.slot = 4 * client.request.listener + 2 * crossed + client.request.over_quota
         sess.server, sess.up_at = server, now
         sess.earned_at = server.earned_by(sess.slot, now)
         server.add(sess, sess.slot, now)
         client.was_up, client.since = True, now
-        number = client.wish.number
-        self.agenda.after(
-            self.scenario.listeners[client.wish.listener].change
+        number = client.request.number
+        self.event_queue.schedule_after(
+            self.scenario.listeners[client.request.listener].change
             * self.tables.exponential(number, client.draw()),
             self.swing,
             sess,
@@ -408,16 +418,16 @@
         """The load of a connection changes."""
         if sess.over or sess.server is None:
             return
-        client, spec = sess.client, self.scenario.listeners[sess.client.wish.listener]
+        client, spec = sess.client, self.scenario.listeners[sess.client.request.listener]
         sigma = spec.swing_sigma
-        load = client.wish.load * math.exp(
-            sigma * self.tables.normal(client.wish.number, client.draw()) - sigma**2 / 2
+        load = client.request.load * math.exp(
+            sigma * self.tables.normal(client.request.number, client.draw()) - sigma**2 / 2
         )
         sess.server.change_load(sess, load)
         if self.scenario.fleet.tells_load and (tell := getattr(self.engine, "load_changed", None)):
             tell(sess)
-        self.agenda.after(
-            spec.change * self.tables.exponential(client.wish.number, client.draw()), self.swing, sess
+        self.event_queue.schedule_after(
+            spec.change * self.tables.exponential(client.request.number, client.draw()), self.swing, sess
         )
 
     def close_account(self, sess: Session, now: float) -> None:
@@ -425,14 +435,18 @@
         server = sess.server
         assert server is not None
         if not sess.muted:
-            self.ledger.connection_earned(sess.client.wish, server.earned_by(sess.slot, now) - sess.earned_at)
+            self.metrics.add_tenant_earnings(
+                sess.client.request, server.earned_by(sess.slot, now) - sess.earned_at
+            )
         else:
-            self.ledger.out(sess.client.wish, sess.client.since, now, Cause.UNREACHABLE)
+            self.metrics.record_disconnected(
+                sess.client.request, sess.client.since, now, LossCause.UNREACHABLE
+            )
             sess.client.since = now
 
     def fall(self, sess: Session) -> None:
         """The server holds the connection no more."""
-        server, now = sess.server, self.agenda.now
+        server, now = sess.server, self.event_queue.now
         if server is None or sess not in server.sessions:
             return
         self.close_account(sess, now)
@@ -442,7 +456,7 @@
 
     def mute(self, sess: Session, quiet: bool) -> None:
         """Nothing comes through to the server any more, though the connection is open; or it does again."""
-        server, now = sess.server, self.agenda.now
+        server, now = sess.server, self.event_queue.now
         if (
             sess.over
             or server is None
@@ -469,7 +483,7 @@
     def end_by_server(self, sess: Session, sent_away: bool) -> None:
         if sess.over:
             return
-        self.cut(sess, Cause.MOVED if sent_away else Cause.TORN_DOWN)
+        self.cut(sess, LossCause.MOVED if sent_away else LossCause.TORN_DOWN)
         self.engine.ended(sess, sent_away)
 
     # servers
@@ -496,7 +510,7 @@
             self.unit,
             started,
         )
-        server.step_at, server.crossing = self.agenda.now, 2.0 * self.scenario.network.cross
+        server.step_at, server.crossing = self.event_queue.now, 2.0 * self.scenario.network.cross
         self.servers.append(server)
         self.by_name[server.name] = server
         self.checker.server_locations[server.name] = (server.zone, server.cell)
@@ -510,14 +524,14 @@
         self.list.learn(self.row(server, readiness), notice)
 
     def add_server(self) -> None:
-        server = self.make_server(self.agenda.now)
+        server = self.make_server(self.event_queue.now)
         self.show(server, listing.IN_SERVICE, self.scenario.server_list.add)
 
     def start_server(self, server: Server) -> None:
         """It comes back, cold."""
         if server.state is not State.STOPPED:
             return
-        server.state, server.started = State.RUNNING, self.agenda.now
+        server.state, server.started = State.RUNNING, self.event_queue.now
         server.clear()
         self.show(server, listing.IN_SERVICE, self.scenario.server_list.add)
 
@@ -533,7 +547,7 @@
     def restart_server(self, server: Server) -> None:
         if server.state is State.RUNNING:
             self.stop_server(server, silently=True)
-            self.agenda.after(0.5, self.start_server, server)
+            self.event_queue.schedule_after(0.5, self.start_server, server)
 
     def cut_all(self, server: Server) -> None:
         for sess in list(server.sessions):
@@ -544,15 +558,15 @@
         if server.state is not State.RUNNING:
             return
         server.state = State.DRAINING
-        self.ledger.count("drains")
+        self.metrics.increment("drains")
         self.show(server, listing.DRAINING, self.scenario.server_list.notice)
         if self.scenario.fleet.drain == "at once":
             self.send_away(server, 1.0)
         elif self.scenario.fleet.drain == "paced":
             for part in range(PACED):
                 wait = span * (part + 1) / (PACED + 2)
-                self.agenda.after(wait, self.send_away, server, 1.0 / (PACED - part))
-        self.agenda.after(span, self.drained, server, returns, replaced)
+                self.event_queue.schedule_after(wait, self.send_away, server, 1.0 / (PACED - part))
+        self.event_queue.schedule_after(span, self.drained, server, returns, replaced)
 
     def send_away(self, server: Server, share: float) -> None:
         if server.state is State.DRAINING:
@@ -564,9 +578,9 @@
             return
         self.stop_server(server, silently=False)
         if replaced:
-            self.agenda.after(0.5, self.add_server)
+            self.event_queue.schedule_after(0.5, self.add_server)
         elif returns:
-            self.agenda.after(0.5, self.start_server, server)
+            self.event_queue.schedule_after(0.5, self.start_server, server)
 
     def vanish(self, server: Server, number: int) -> None:
         server.gone_silent.add(number)  # its connections earn nothing from the next step on
@@ -578,7 +592,7 @@
         if getattr(self.engine, "notices_silence", False):
             return
         for sess in list(server.sessions):
-            self.agenda.after(self.network.silence, self.silence, sess)
+            self.event_queue.schedule_after(self.network.silence, self.silence, sess)
 
     def reappear(self, server: Server, number: int) -> None:
         """The machine is back, with nothing of what it held."""
@@ -591,19 +605,19 @@
 
     def offer(self, sess: Session, server: Server) -> tuple[Verdict, float]:
         """A dial has reached a server. The verdict, and the seconds until the server gives it."""
-        now, wish = self.agenda.now, sess.client.wish
+        now, request = self.event_queue.now, sess.client.request
         draw = sess.client.draw()
-        spec = self.scenario.listeners[wish.listener]
-        work = spec.work * self.tables.exponential(wish.number, draw)
+        spec = self.scenario.listeners[request.listener]
+        work = spec.work * self.tables.exponential(request.number, draw)
         # What a session will ask for is known to nobody yet: against cold budgets its listener's usual load
         # counts, or one costly session would push a server over whatever a policy does.
-        chance = self.tables.uniform(wish.number, draw)
-        verdict, wait = server.offer(now, self.usual[wish.listener], work, sess.proxy, chance)
+        chance = self.tables.uniform(request.number, draw)
+        verdict, wait = server.offer(now, self.usual[request.listener], work, sess.proxy, chance)
         if (shares := server.falls(now)) is not None:
-            self.ledger.count("cold servers fell")
+            self.metrics.increment("cold servers fell")
             self.checker.record_overload_failure(now, server.name, server.started + server.clock_off, shares)
             self.stop_server(server, silently=True)
-            self.agenda.after(self.scenario.fleet.fall_out, self.start_server, server)
+            self.event_queue.schedule_after(self.scenario.fleet.fall_out, self.start_server, server)
             return Verdict.SILENT, 0.0
         if verdict is Verdict.UP:
             self.checker.record_execution(now, sess.key, spec.repeat, server.name)
@@ -634,7 +648,7 @@
                 if sess.proxy in cut.proxies:
                     self.mute(sess, True)
                     if not getattr(self.engine, "notices_silence", False):
-                        self.agenda.after(self.network.silence, self.silence, sess)
+                        self.event_queue.schedule_after(self.network.silence, self.silence, sess)
 
     def mend_links(self, number: int) -> None:
         cut = self.cuts.pop(number, None)
@@ -649,16 +663,16 @@
         if not proxy.alive:
             return
         proxy.alive = False
-        self.ledger.count("proxy crashes")
+        self.metrics.increment("proxy crashes")
         self.list.forget(number)
         self.engine.crash(number)
         self.checker.record_proxy_crash(number)
-        self.agenda.after(self.scenario.front.notice, self.notice, proxy)
+        self.event_queue.schedule_after(self.scenario.front.notice, self.notice, proxy)
         for client in self.clients_of(number):
             sess = client.session
             assert sess is not None
             if sess.up_at >= 0:
-                self.cut(sess, Cause.UNREACHABLE)
+                self.cut(sess, LossCause.UNREACHABLE)
             else:
                 self.lost(sess)
 
@@ -671,7 +685,7 @@
         ready = proxy.alive and self.engine.ready(proxy.number)
         proxy.listed = ready and not proxy.stopping
         if proxy.alive and not ready:
-            self.agenda.after(FRONT_LOOKS, self.notice, proxy)
+            self.event_queue.schedule_after(FRONT_LOOKS, self.notice, proxy)
 
     def restart_proxy(self, number: int) -> None:
         proxy = self.proxies[number]
@@ -679,7 +693,7 @@
             return
         proxy.alive, proxy.stopping = True, False
         self.engine.restart(number)
-        self.agenda.after(FRONT_LOOKS, self.notice, proxy)
+        self.event_queue.schedule_after(FRONT_LOOKS, self.notice, proxy)
 
     def stop_proxy(self, number: int, span: float, away: float) -> None:
         """A planned restart: the front lets it be, it moves its clients, ends, and is back after a while."""
@@ -687,11 +701,11 @@
         if not proxy.alive or proxy.stopping:
             return
         proxy.stopping = True
-        self.ledger.count("proxy restarts")
-        self.agenda.after(0.3, self.notice, proxy)
+        self.metrics.increment("proxy restarts")
+        self.event_queue.schedule_after(0.3, self.notice, proxy)
         self.engine.stop(number, span)
-        self.agenda.after(span, self.crash_proxy, number)
-        self.agenda.after(span + away, self.restart_proxy, number)
+        self.event_queue.schedule_after(span, self.crash_proxy, number)
+        self.event_queue.schedule_after(span + away, self.restart_proxy, number)
 
     def stall_proxy(self, number: int, span: float) -> None:
         if self.proxies[number].alive:
@@ -702,12 +716,12 @@
         # Drawn for all clients, those without a connection too: the same drop out whatever a policy does.
         chances, waits = rng.random(len(self.clients)), rng.random(len(self.clients))
         for client, chance, wait in zip(self.clients, chances.tolist(), waits.tolist(), strict=True):
-            if chance < share and client.wish.due <= self.agenda.now and not client.done:
-                self.agenda.after(wait * span, self.drop, client)
+            if chance < share and client.request.due <= self.event_queue.now and not client.done:
+                self.event_queue.schedule_after(wait * span, self.drop, client)
 
     def drop(self, client: Client) -> None:
         sess = client.session
         if sess is None or sess.up_at < 0 or sess.over:
             return
-        self.cut(sess, Cause.DROPPED)
+        self.cut(sess, LossCause.DROPPED)
         self.engine.withdraw(sess)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -218,8 +218,8 @@
     ):
         engine = virtual.Virtual(test_scenario, 1, decisions.find("module"), gossip_config, trouble)
         world = engine.run()
-        assert world.checker.summary()["clean"] and world.ledger.figures()["service"] > 0.9
-        probe_counts.append(world.ledger.counts["probes"])
+        assert world.checker.summary()["clean"] and world.metrics.figures()["service"] > 0.9
+        probe_counts.append(world.metrics.counts["probes"])
     # The reduction is limited because endpoints with a high load are polled each second with gossip too.
     assert probe_counts[1] < 0.7 * probe_counts[0], probe_counts
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,11 +11,11 @@
 
 from onyxhollow.lab import broken, decisions, runs, scenario  # noqa: E402
 from onyxhollow.lab.invariant_checker import InvariantChecker  # noqa: E402
-from onyxhollow.lab.ledger import merged  # noqa: E402
+from onyxhollow.lab.run_metrics import merge_quantiles  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
 from onyxhollow.lab.world import faults  # noqa: E402
 from onyxhollow.lab.world.servers import State  # noqa: E402
-from onyxhollow.lab.world.types import Cause  # noqa: E402
+from onyxhollow.lab.world.types import LossCause  # noqa: E402
 from onyxhollow.lab.world.world import World  # noqa: E402
 from onyxhollow.policy import Balancer  # noqa: E402
 
@@ -43,7 +43,7 @@
 
 
 def begun(day, seed=1, policy="module"):
-    """An engine whose agenda can be turned by hand."""
+    """Return a started engine and its world; the test runs the event queue step by step."""
     engine = Virtual(day, seed, decisions.find(policy))
     engine.begin()
     return engine, engine.world
@@ -73,13 +73,13 @@
     called unanswered."""
     day = small(fault("proxy_crash", at=1.0, lasts=1.0, part=1.0, one_by_one=2.0))
     engine, world = begun(day)
-    monkeypatch.setattr(engine, "ready", lambda number: world.agenda.now >= 6.0)
+    monkeypatch.setattr(engine, "ready", lambda number: world.event_queue.now >= 6.0)
     dealt, submit = [], engine.submit
-    monkeypatch.setattr(engine, "submit", lambda sess: (dealt.append(world.agenda.now), submit(sess)))
+    monkeypatch.setattr(engine, "submit", lambda sess: (dealt.append(world.event_queue.now), submit(sess)))
     started = []
     restart = engine.restart
-    monkeypatch.setattr(engine, "restart", lambda n: (started.append(world.agenda.now), restart(n)))
-    world.agenda.run(8.0)
+    monkeypatch.setattr(engine, "restart", lambda n: (started.append(world.event_queue.now), restart(n)))
+    world.event_queue.run_until(8.0)
     assert started == pytest.approx([2.0, 4.0])
     noticed = 1.0 + day.front.notice
     assert not [at for at in dealt if noticed < at < 6.0] and [at for at in dealt if at >= 6.0]
@@ -88,14 +88,14 @@
 def test_what_clients_want_depends_on_no_policy_and_accounts_balance():
     day = small(fault("crash", at=3.0, lasts=3.0, part=0.5) + fault("reconnect", at=8.0, share=0.5))
     told = {name: Virtual(day, 2, decisions.find(name)).run() for name in ("module", "random", "true-state")}
-    assert len({tuple(world.ledger.wanted) for world in told.values()}) == 1
-    assert len({tuple(world.ledger.earned) for world in told.values()}) == 3
+    assert len({tuple(world.metrics.wanted) for world in told.values()}) == 1
+    assert len({tuple(world.metrics.earned) for world in told.values()}) == 3
     for world in told.values():
-        figures = world.ledger.figures()  # raises where wanted is not earned and lost
+        figures = world.metrics.figures()  # raises where wanted is not earned and lost
         assert sum(figures["lost"].values()) == pytest.approx(1 - figures["service"], abs=1e-6)
         assert figures["lost"]["torn down"] > 0 and figures["lost"]["dropped"] > 0
-        by_listener = sum(world.ledger.listener_earned)
-        assert by_listener == pytest.approx(sum(world.ledger.earned))
+        by_listener = sum(world.metrics.earned_by_listener)
+        assert by_listener == pytest.approx(sum(world.metrics.earned))
 
 
 @pytest.mark.parametrize("rule", [1, 2, 3, 4])
@@ -216,11 +216,11 @@
 def test_a_fault_bites_while_it_lasts_and_leaves_nothing_behind(kind):
     values = {"at": 4.0, "lasts": 3.0, **MORE.get(kind, {})}
     engine, world = begun(small(fault(kind, **values)))
-    world.agenda.run(3.9)
+    world.event_queue.run_until(3.9)
     assert not MARKS[kind](world)
-    world.agenda.run(5.9)
+    world.event_queue.run_until(5.9)
     assert MARKS[kind](world)
-    world.agenda.run(13.5)
+    world.event_queue.run_until(13.5)
     assert not MARKS[kind](world) and not world.struck
     assert all(s.running for s in world.servers) and all(p.alive and p.listed for p in world.proxies)
     engine.end()
@@ -228,8 +228,8 @@
 
 # faults that are over at once or change what comes: what the run shows of them
 SHOWN = {
-    "reset": ({}, lambda w: w.ledger.counts["cut: torn down"] >= 5),
-    "reconnect": ({"share": 0.5}, lambda w: w.ledger.counts["cut: dropped"] >= 20),
+    "reset": ({}, lambda w: w.metrics.counts["cut: torn down"] >= 5),
+    "reconnect": ({"share": 0.5}, lambda w: w.metrics.counts["cut: dropped"] >= 20),
     "grow": ({"servers": 3}, lambda w: len(w.servers) == 9 and all(s.sessions for s in w.servers)),
     "shrink": ({"part": 0.5, "drain": 2.0}, lambda w: sum(s.running for s in w.servers) == 3),
     "deploy": ({"part": 1.0, "batch": 0.5, "drain": 1.0}, lambda w: all(s.started > 0 for s in w.servers)),
@@ -239,12 +239,12 @@
     ),
     "proxy_restart": (
         {"part": 1.0, "apart": 0.2, "stop": 2.0},
-        lambda w: w.ledger.counts["proxy restarts"] == 2,
+        lambda w: w.metrics.counts["proxy restarts"] == 2,
     ),
-    "proxy_stall": ({"at": 3.0, "part": 1.0, "lasts": 2.0}, lambda w: w.ledger.counts["up late"] >= 3),
+    "proxy_stall": ({"at": 3.0, "part": 1.0, "lasts": 2.0}, lambda w: w.metrics.counts["up late"] >= 3),
     "watch_ended": ({}, lambda w: w.list.calls == 4 and len(w.list.watchers) == 2),
-    "burst": ({"times": 4.0}, lambda w: sum(4 <= c.wish.due < 7 for c in w.clients) > 30),
-    "costly": ({"share": 1.0, "times": 50.0}, lambda w: max(c.wish.load for c in w.clients) > 50 * w.unit),
+    "burst": ({"times": 4.0}, lambda w: sum(4 <= c.request.due < 7 for c in w.clients) > 30),
+    "costly": ({"share": 1.0, "times": 50.0}, lambda w: max(c.request.load for c in w.clients) > 50 * w.unit),
 }
 
 
@@ -255,9 +255,9 @@
         small(fault(kind, **{"at": 4.0, "lasts": 3.0, **values})), 1, decisions.find("module")
     ).run()
     without = Virtual(small(), 1, decisions.find("module")).run()
-    without.ledger.counts = dict.fromkeys(
+    without.metrics.counts = dict.fromkeys(
         ["cut: torn down", "cut: dropped", "proxy restarts", "up late"], 0
-    ) | (without.ledger.counts)
+    ) | (without.metrics.counts)
     assert shows(with_it) and not shows(without)
     assert with_it.checker.is_clean
 
@@ -274,7 +274,7 @@
     engine, world = begun(small(both))
     shares = []
     for when in (3.0, 5.0, 7.0, 9.0):
-        world.agenda.run(when)
+        world.event_queue.run_until(when)
         shares.append(1 / world.servers[0].capacity(when) * world.servers[0].full)
     assert [round(share) for share in shares] == [4, 8, 4, 1]
 
@@ -288,15 +288,17 @@
 def test_a_life_that_ends_in_the_instant_of_its_drain_is_answered_once():
     for early in (0.0, 1e-9):  # its end before the drain, and the drain before its end
         engine, world = begun(small())
-        client = next(c for c in world.clients if 3.0 < c.wish.end < 8.0 and c.session)
+        client = next(c for c in world.clients if 3.0 < c.request.end < 8.0 and c.session)
         sess, server = client.session, client.session.server
-        world.agenda.at(client.wish.end - early, world.drain_server, server, 2.0, False, False)
-        world.agenda.at(client.wish.end - early, world.drop, client)
-        world.agenda.at(client.wish.end - early, world.end_by_server, sess, True)
-        world.agenda.run(world.scenario.seconds)
+        world.event_queue.schedule_at(
+            client.request.end - early, world.drain_server, server, 2.0, False, False
+        )
+        world.event_queue.schedule_at(client.request.end - early, world.drop, client)
+        world.event_queue.schedule_at(client.request.end - early, world.end_by_server, sess, True)
+        world.event_queue.run_until(world.scenario.seconds)
         engine.end()
         assert sess.over and client.done and client.session is None and sess not in server.sessions
-        assert world.checker.is_clean and world.ledger.figures()["service"] > 0.9
+        assert world.checker.is_clean and world.metrics.figures()["service"] > 0.9
 
 
 def test_a_proxy_that_crashes_with_dials_out_owes_nothing_and_its_clients_come_again():
@@ -304,7 +306,7 @@
         fault("hung", at=2.0, lasts=4.0, part=1.0) + fault("proxy_crash", at=3.5, lasts=1.0, part=1.0)
     )
     engine, world = begun(day)
-    world.agenda.run(3.45)
+    world.event_queue.run_until(3.45)
     out = [
         held.sess
         for instance in engine.instances.values()
@@ -312,7 +314,7 @@
         if held.out and not held.standing
     ]
     assert out
-    world.agenda.run(day.seconds)
+    world.event_queue.run_until(day.seconds)
     engine.end()
     assert world.checker.is_clean
     assert all(sess.client.done or sess.client.was_up or sess.client.session for sess in out)
@@ -327,14 +329,14 @@
 
 def test_cut_links_mute_what_stands_on_them_and_mending_lets_it_go_on():
     engine, world = begun(small(fault("partition", at=2.0, lasts=3.0, part=1.0, proxies=0.5, one_way=True)))
-    world.agenda.run(2.5)
+    world.event_queue.run_until(2.5)
     muted = [sess for server in world.servers for sess in server.sessions if sess.muted]
     assert muted and {sess.proxy for sess in muted} == set(world.cuts[0].proxies)
-    world.agenda.run(5.5)
+    world.event_queue.run_until(5.5)
     assert not any(sess.muted for server in world.servers for sess in server.sessions)
-    world.agenda.run(world.scenario.seconds)
+    world.event_queue.run_until(world.scenario.seconds)
     engine.end()
-    assert world.ledger.figures()["lost"][Cause.UNREACHABLE.value] > 0.05 and world.checker.is_clean
+    assert world.metrics.figures()["lost"][LossCause.UNREACHABLE.value] > 0.05 and world.checker.is_clean
 
 
 @pytest.mark.parametrize(
@@ -389,7 +391,7 @@
     record.write_text("1.0\n2.5\n2.6\n")
     clients = msgspec.structs.replace(small().clients, record=str(record))
     world = World(small(clients=clients), 1)
-    assert [wish.due for wish in world.wishes if not wish.stands] == [1.0, 2.5, 2.6]
+    assert [request.due for request in world.requests if not request.preexisting] == [1.0, 2.5, 2.6]
     record.write_text("soon\n")
     path = tmp_path / "day.toml"
     path.write_bytes(scenario.encode(small(clients=clients)))
@@ -418,7 +420,7 @@
 
 def test_a_daily_curve_has_its_trough_and_peak_and_a_burst_its_place():
     day = small(seconds=240.0, clients=msgspec.structs.replace(small().clients, shape="daily", swing=0.9))
-    due = [wish.due for wish in World(day, 1).wishes if not wish.stands]
+    due = [request.due for request in World(day, 1).requests if not request.preexisting]
     night, noon = (sum(begin <= at < begin + 40 for at in due) for begin in (20, 100))
     assert noon > 4 * night > 0
     assert max(day.clients.swing, 0) < 1 and all(0 <= at < 240 for at in due)
@@ -428,6 +430,6 @@
     told = [runs.play(small(), seed, "module") for seed in (1, 2)]
     told.append(runs.play(small(fault("hung", at=2.0, lasts=8.0, part=0.9)), 3, "random"))
     each = [run["setup_ms"]["p99"] for run in told]
-    assert merged(told, "setup")["p50"] < 100 and each[2] > 10 * each[0]
-    assert merged(told, "setup")["p99"] != pytest.approx(sum(each) / 3, rel=0.02)
-    assert merged(told[:1], "setup") == told[0]["setup_ms"]
+    assert merge_quantiles(told, "setup")["p50"] < 100 and each[2] > 10 * each[0]
+    assert merge_quantiles(told, "setup")["p99"] != pytest.approx(sum(each) / 3, rel=0.02)
+    assert merge_quantiles(told[:1], "setup") == told[0]["setup_ms"]
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -40,12 +40,12 @@
     )
     engine = Sockets(day, 1, tmp_path)
     world = engine.run()
-    told, counts = engine.findings(), world.ledger.counts
+    told, counts = engine.findings(), world.metrics.counts
     assert world.checker.summary() == {"clean": True, "broken": {}, "first": []}
     assert not told["crashes"] and not told["complaints"] and not told["failures"]
     assert counts["up"] > 20 and counts["cut: torn down"] > 3 and counts["proxy crashes"] == 1
     assert told["bad_clients"] >= 6 and engine.proxies[0].lives + engine.proxies[1].lives == 3
-    assert 0.5 < world.ledger.figures()["service"] < 1
+    assert 0.5 < world.metrics.figures()["service"] < 1
     assert not left_over(tmp_path)
     # The same run, had this side been late: void, not flattering.
     engine.lateness = [0.2] * 2 + [0.0] * 98
