--- a/onyxhollow/lab/baselines.py
+++ b/onyxhollow/lab/baselines.py
@@ -295,17 +295,26 @@
     its way."""
 
     def truth(self, server: Known) -> servers.Server:
-        return self.world.by_name[server.name]
+        return self.world.servers_by_name[server.name]
 
     def choose(self, fit: list[Known], sess: Plain.Session) -> Known | None:
-        now, mine, unit = self.host.now, self.settings.zone, self.world.unit
+        now, mine, unit = self.host.now, self.settings.zone, self.world.average_load
         group = self.world.group_of(sess.token)
 
         def look(known: Known) -> tuple[float, bool]:
             """Load over capacity once it has the session too, and whether its group is there already."""
             server = self.truth(known)
-            bad = not server.running or server.mute or server.errors or server.state.value == "draining"
-            if bad or self.world.cuts and self.world.blocked(self.settings.instance_index, server):
+            bad = (
+                not server.is_running
+                or server.is_unresponsive
+                or server.error_shares
+                or server.state.value == "draining"
+            )
+            if (
+                bad
+                or self.world.blocked_links
+                and self.world.blocked_direction(self.settings.instance_index, server)
+            ):
                 return 100.0, False
             there = group < 0 or group in server.groups
             out = sum(1 for other in known.open if not other.established)
@@ -313,7 +322,7 @@
             wanted += 0.0 if there else self.world.scenario.fleet.group_cost * unit
             capacity = server.capacity(now)
             far = 0.0 if known.zone == mine else FAR
-            return wanted / capacity + server.pile / capacity + far, there
+            return wanted / capacity + server.backlog / capacity + far, there
 
         seen = sorted((not there, load, s.name, s) for s in fit for load, there in [look(s)] if load < FULL)
         roomy = [row for row in seen if row[1] < ROOMY]
--- a/onyxhollow/lab/demo.py
+++ b/onyxhollow/lab/demo.py
@@ -13,16 +13,16 @@
 
 from onyxhollow.lab import scenario
 from onyxhollow.lab.sockets.engine import Sockets
-from onyxhollow.lab.world.servers import State
+from onyxhollow.lab.world.servers import ServerState
 
 BAR = 40
-STATES = {State.RUNNING: "in service", State.DRAINING: "draining", State.STOPPED: "stopped"}
+STATES = {ServerState.RUNNING: "in service", ServerState.DRAINING: "draining", ServerState.STOPPED: "stopped"}
 
 
 def told_now(engine: Sockets) -> list[str]:
     """What goes wrong at the moment, and what the proxies do about it."""
     now, said = engine.now, []
-    for begin, _, kind in engine.world.fault_marks:
+    for begin, _, kind in engine.world.fault_spans:
         if begin <= now < begin + 3.0:
             said.append(
                 {
@@ -40,7 +40,7 @@
     table = Table("server", "state", "connections", "", box=None)
     for server in world.servers:
         held = len(server.sessions)
-        cold = " (cold)" if server.running and server.warmth(engine.now) < 1 else ""
+        cold = " (cold)" if server.is_running and server.warm_up_factor(engine.now) < 1 else ""
         bar = "#" * min(BAR, held) + ("+" if held > BAR else "")
         table.add_row(server.name, STATES[server.state] + cold, str(held), bar)
     proxies = Table("proxy", "", "clients", "", box=None)
--- a/onyxhollow/lab/run_metrics.py
+++ b/onyxhollow/lab/run_metrics.py
@@ -79,7 +79,7 @@
     def record_disconnected(
         self, request: Request, since: float, until: float, cause: LossCause | None
     ) -> None:
-        """Account for time without a connection; with cause None it is within the target and earns in full."""
+        """Account for time without a connection; with cause None, within the target, it earns in full."""
         since, until = max(0.0, since), min(until, request.end, self.horizon)
         if until <= since:
             return
--- a/onyxhollow/lab/runs.py
+++ b/onyxhollow/lab/runs.py
@@ -80,9 +80,9 @@
         "size": [scenario.fleet.proxies, scenario.fleet.servers],
         "clients": len(world.clients),
         "events": world.event_queue.executed,
-        "list_lines": world.list.lines_sent,
+        "list_lines": world.list_service.lines_sent,
         "crossings": world.crossings,
-        "faults": [[begin, end, kind] for begin, end, kind in world.fault_marks],
+        "faults": [[begin, end, kind] for begin, end, kind in world.fault_spans],
     }
     if found:
         told["sockets"] = found
--- a/onyxhollow/lab/scenario.py
+++ b/onyxhollow/lab/scenario.py
@@ -19,7 +19,7 @@
     Front,
     Goal,
     ListenerSpec,
-    ListSource,
+    ListServiceSettings,
     Name,
     Network,
     Proxies,
@@ -42,7 +42,7 @@
     fleet: Fleet = Fleet()
     store: Store = Store()
     network: Network = Network()
-    server_list: ListSource = ListSource()
+    server_list: ListServiceSettings = ListServiceSettings()
     front: Front = Front()
     clients: Clients = Clients()
     proxies: Proxies = Proxies()
@@ -149,7 +149,7 @@
         if fault.at >= scenario.seconds:
             fail(f"faults[{place}].at", f"a time before the end at {scenario.seconds}", fault.at)
         if (
-            told := fault.impossible(scenario.fleet.zones, [row.name for row in scenario.listeners])
+            told := fault.find_invalid_key(scenario.fleet.zones, [row.name for row in scenario.listeners])
         ) is not None:
             fail(f"faults[{place}].{told[0]}", told[1], told[2])
 
--- a/onyxhollow/lab/search.py
+++ b/onyxhollow/lab/search.py
@@ -15,7 +15,7 @@
 
 from onyxhollow.lab import experiment
 from onyxhollow.lab.scenario import Scenario, check
-from onyxhollow.lab.specs import Clients, Fleet, ListSource
+from onyxhollow.lab.specs import Clients, Fleet, ListServiceSettings
 from onyxhollow.lab.world import faults
 
 KEEP = 0.75  # share of a day's gap that its cut-down form must show
@@ -93,7 +93,7 @@
         group_size=rng.choice([1.0, 1.0, 30.0]),
     )
     plan = sorted((draw_fault(rng) for _ in range(rng.randint(1, MOST_FAULTS))), key=lambda fault: fault.at)
-    listed = ListSource(notice=round(rng.uniform(0.5, 3), 1), add=round(rng.uniform(0.3, 2), 1))
+    listed = ListServiceSettings(notice=round(rng.uniform(0.5, 3), 1), add=round(rng.uniform(0.3, 2), 1))
     if base is not None:
         clients = msgspec.structs.replace(
             base.clients, load=clients.load, shape=clients.shape, rejoin=clients.rejoin
--- a/onyxhollow/lab/sockets/discovery.py
+++ b/onyxhollow/lab/sockets/discovery.py
@@ -12,7 +12,7 @@
 
 from onyxhollow.lab.sockets.lines import Lines, accepting, listening
 from onyxhollow.lab.sockets.servers import Door
-from onyxhollow.lab.world.listing import GONE, Row
+from onyxhollow.lab.world.listing import GONE, ListedServer
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
 
@@ -72,11 +72,11 @@
         seen, wait = int(told.get("index", ["-1"])[0]), min(60.0, int(told.get("wait", ["0"])[0]) / 1000)
         desk, engine = self.desk, self.desk.engine
         engine.world.checker.record_poll(engine.now, desk.proxy)
-        engine.world.list.calls += 1
-        if engine.world.list.down:
+        engine.world.list_service.calls += 1
+        if engine.world.list_service.down_by:
             self.answer(503, {})
             return
-        if seen < 0 or engine.world.list.version > seen:
+        if seen < 0 or engine.world.list_service.version > seen:
             self.tell(seen)
             return
         self.waiting += 1
@@ -90,17 +90,17 @@
 
     def tell(self, seen: int) -> None:
         self.desk.watchers.pop(self, None)
-        engine, shown = self.desk.engine, self.desk.engine.world.list
-        rows, whole = shown.since(seen)
+        engine, shown = self.desk.engine, self.desk.engine.world.list_service
+        rows, whole = shown.changes_since(seen)
         shown.lines_sent += len(rows)
         self.answer(
             200, {"seq": shown.version, "whole": whole, "hosts": [self.desk.row(row) for row in rows]}
         )
         for row in rows:
             engine.world.checker.record_notification(
-                engine.now, self.desk.proxy, row.name, row.readiness, row.started
+                engine.now, self.desk.proxy, row.name, row.state, row.started
             )
-            if engine.in_fleet and HEALTH[row.readiness] == "active":
+            if engine.in_fleet and HEALTH[row.state] == "active":
                 engine.world.checker.record_return_to_service(row.name)
         engine.world.event_queue.schedule_after(STILL_WATCHING, self.desk.lapse, engine.now)
         self.desk.told_at = engine.now
@@ -135,7 +135,7 @@
     def took(self, sock: socket.socket) -> None:
         self.askers[Asker(self, sock)] = None
 
-    def row(self, row: Row) -> dict[str, Any]:
+    def row(self, row: ListedServer) -> dict[str, Any]:
         host, port = self.engine.door(row.name, self.proxy).address
         born = 0 if row.started is None else max(1, round(self.engine.unix(row.started) * 1000))
         return {
@@ -144,9 +144,9 @@
             "site": row.zone,
             "class": "lab",
             "block": row.cell,
-            "health": HEALTH[row.readiness],
-            "share": row.size,
-            "born_ms": born if row.readiness != GONE else 0,
+            "health": HEALTH[row.state],
+            "share": row.weight,
+            "born_ms": born if row.state != GONE else 0,
         }
 
     def lapse(self, told_at: float) -> None:
--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -23,7 +23,7 @@
 from onyxhollow.lab.sockets.lines import Lines
 from onyxhollow.lab.sockets.proxies import READY_WITHIN, Process, free_address, wire_settings
 from onyxhollow.lab.sockets.servers import Dial, Door
-from onyxhollow.lab.world.servers import Session, State
+from onyxhollow.lab.world.servers import ServerState, Session
 from onyxhollow.lab.world.types import LossCause
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
@@ -69,13 +69,13 @@
         engine, sess = self.engine, self.sess
         word, _, rest = line.strip().partition(b" ")
         if self.answered:
-            if word == b"MOVE" and not sess.over:
+            if word == b"MOVE" and not sess.ended:
                 engine.world.metrics.increment("moves")
-                engine.world.cut(sess, LossCause.MOVED)
+                engine.world.end_connection(sess, LossCause.MOVED)
                 self.lines.close()
             return
         self.answered = True
-        if sess.over:
+        if sess.ended:
             self.lines.close()
             return
         if sess.answered:  # it stood before the start
@@ -86,24 +86,26 @@
         engine.world.checker.record_answer(engine.now, sess.proxy, sess.number, how)
         if how == "up":
             dial = engine.dials.get(sess.number)
-            if dial is None or dial.door.server.state is State.STOPPED:
-                engine.world.cut(sess, LossCause.TORN_DOWN)  # its server has ended in this very moment
+            if dial is None or dial.door.server.state is ServerState.STOPPED:
+                engine.world.end_connection(
+                    sess, LossCause.TORN_DOWN
+                )  # its server has ended in this very moment
                 self.lines.close()
                 return
-            engine.world.up(sess, dial.door.server)
-            if dial.door.server.mute or dial.door.blocked:
-                engine.world.mute(sess, True)
+            engine.world.on_established(sess, dial.door.server)
+            if dial.door.server.is_unresponsive or dial.door.blocked:
+                engine.world.set_blackholed(sess, True)
             self.say()
             return
         self.lines.close()
         if how == "refused":
             wait = float(rest) / 1000 if rest.isdigit() else 0.0
-            engine.world.refused(sess, wait)
+            engine.world.on_rejected(sess, wait)
         else:
-            engine.world.failed(sess)
+            engine.world.on_failed(sess)
 
     def say(self) -> None:
-        if self.lines.open and not self.sess.over:
+        if self.lines.open and not self.sess.ended:
             self.said += 1
             self.lines.say(b"line %d\r\n" % self.said)
             self.engine.world.event_queue.schedule_after(SAY_EVERY, self.say)
@@ -111,7 +113,7 @@
     def ended(self, _: bool) -> None:
         engine, sess = self.engine, self.sess
         engine.ends.pop(sess.number, None)
-        if sess.over:
+        if sess.ended:
             return
         if not self.answered and not sess.answered:
             if engine.world.proxies[sess.proxy].alive and self.lines.sent:
@@ -119,9 +121,9 @@
                     1, engine.now, f"session {sess.number}: ended without an answer"
                 )
             engine.world.checker.record_client_gone(engine.now, sess.number)
-            engine.world.lost(sess)
+            engine.world.on_proxy_lost(sess)
         elif self.answered:
-            engine.world.cut(sess, LossCause.TORN_DOWN)
+            engine.world.end_connection(sess, LossCause.TORN_DOWN)
 
 
 class Sockets:
@@ -150,7 +152,7 @@
         self.busy = 0.0  # percent of all cores, over the run
         self.behind = 0.0  # seconds spent in turns so long that servers and list answered late
         self.asked_before = 0  # questions to servers until the run began: hundreds come up for half a minute
-        self.states: dict[str, State] = {}
+        self.states: dict[str, ServerState] = {}
         self.bad: list[Lines] = []
         self.bad_sent = self.bad_ended = 0
         self.list_was_down = False
@@ -193,7 +195,7 @@
     def door(self, server: str, proxy: int) -> Door:
         doors = self.doors.get(server)
         if doors is None:
-            known = self.world.by_name[server]
+            known = self.world.servers_by_name[server]
             doors = self.doors[server] = [Door(self, known, n) for n in range(self.lanes)]
             self.states[server] = known.state
         return doors[proxy % self.lanes]
@@ -252,7 +254,7 @@
                     f"proxy n{process.number} did not come up; see {self.folder}/n{process.number}.log"
                 )
         self.up = set(range(len(self.proxies)))
-        standing = world.standing()
+        standing = world.create_preexisting_sessions()
         self.waiting_up = {sess.number for sess in standing}
         until = time.monotonic() + UP_WITHIN
         for place, sess in enumerate(standing):
@@ -315,18 +317,18 @@
             if server.state is not self.states[server.name]:
                 before, self.states[server.name] = self.states[server.name], server.state
                 for door in doors:
-                    if server.state is State.STOPPED:
+                    if server.state is ServerState.STOPPED:
                         door.shut()
-                    elif before is State.STOPPED:
+                    elif before is ServerState.STOPPED:
                         door.open()
             for door in doors:
-                door.block(bool(server.gone_silent) or bool(world.blocked(door.proxy, server)))
-        if world.list.down and not self.list_was_down:
+                door.block(bool(server.vanished_by) or bool(world.blocked_direction(door.proxy, server)))
+        if world.list_service.down_by and not self.list_was_down:
             for desk in self.desks:
                 desk.down()
-        self.list_was_down = bool(world.list.down)
-        if world.list.version != self.version and not world.list.down:
-            self.version = world.list.version
+        self.list_was_down = bool(world.list_service.down_by)
+        if world.list_service.version != self.version and not world.list_service.down_by:
+            self.version = world.list_service.version
             for desk in self.desks:
                 desk.changed()
         for process in self.proxies:
@@ -334,8 +336,8 @@
         self.world.event_queue.schedule_after(LOOK, self.look)
 
     def known(self, proxy: int) -> dict[str, Any]:
-        rows = [self.desks[proxy].row(row) for row in self.world.list.rows.values()]
-        return {"seq": self.world.list.version, "whole": True, "hosts": rows}
+        rows = [self.desks[proxy].row(row) for row in self.world.list_service.rows.values()]
+        return {"seq": self.world.list_service.version, "whole": True, "hosts": rows}
 
     def bad_client(self) -> None:
         """Those that do not follow the protocol: they must harm nobody."""
@@ -375,7 +377,7 @@
                 sock.connect(self.proxies[sess.proxy].listen)
         except OSError:
             sock.close()
-            self.world.lost(sess)
+            self.world.on_proxy_lost(sess)
             return
         end = self.ends[sess.number] = ClientEnd(self, sess, sock)
         spec = scenario.listeners[request.listener]
@@ -387,24 +389,24 @@
         else:
             left = sess.deadline - self.now
             told.append(f"d={max(1, round(left * 1000))}")
-            if sess.client.was_up:
+            if sess.client.was_connected:
                 told.append("again=1")
             self.world.checker.record_session(
                 self.now, sess.proxy, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
             )
         end.lines.say(f"OPEN c{sess.number:x} k{request.number} {','.join(told)}\r\n".encode())
 
-    def withdraw(self, sess: Session) -> None:
+    def cancel(self, sess: Session) -> None:
         self.world.checker.record_client_gone(self.now, sess.number)
         if end := self.ends.pop(sess.number, None):
             end.lines.close()
 
-    def ended(self, sess: Session, sent_away: bool) -> None:
+    def close_by_server(self, sess: Session, move: bool) -> None:
         dial = self.dials.get(sess.number)
         if dial is not None and not dial.over:
-            if sent_away:
+            if move:
                 dial.lines.say(b"MOVE\r\n")
-            dial.finish(reset=not sent_away)
+            dial.finish(reset=not move)
 
     def load_changed(self, sess: Session) -> None:
         dial = self.dials.get(sess.number)
@@ -413,7 +415,7 @@
             and dial.up
             and not dial.over
             and not dial.door.blocked
-            and not dial.door.server.mute
+            and not dial.door.server.is_unresponsive
         ):
             dial.lines.say(b"LOAD %d\r\n" % round(sess.load * 1e6))
 
@@ -451,7 +453,7 @@
         lines.say(b"PING\r\n")
         self.world.event_queue.schedule_after(KNOCK, self.knock, number, life, lines)
 
-    def ready(self, number: int) -> bool:
+    def is_ready(self, number: int) -> bool:
         return number in self.up
 
     def stop(self, number: int, span: float) -> None:
--- a/onyxhollow/lab/sockets/servers.py
+++ b/onyxhollow/lab/sockets/servers.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from onyxhollow.lab.sockets.lines import Lines, accepting, listening
-from onyxhollow.lab.world.servers import Server, Session, State, Verdict
+from onyxhollow.lab.world.servers import OpenResult, Server, ServerState, Session
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
 
@@ -48,14 +48,16 @@
     def got(self, line: bytes) -> None:
         engine, server = self.door.engine, self.door.server
         word = line.split(b" ", 1)[0].strip()
-        if server.mute or self.door.blocked:
+        if server.is_unresponsive or self.door.blocked:
             return  # read by nobody
         if self.up:
             self.lines.say(line)
         elif word == b"STATS" or word == b"PING":
             engine.world.metrics.increment("probes")
             now = engine.now
-            load = server.told_load(now, engine.world.tables.normal(server.number, int(now * 1000)))
+            load = server.reported_load(
+                now, engine.world.random_tables.normal(server.number, int(now * 1000))
+            )
             self.lines.say(b"PONG x0=%.4f\r\n" % load if word == b"STATS" else b"PONG\r\n")
         elif word == b"OPEN" and self.sess is None:
             self.opened(line)
@@ -84,10 +86,10 @@
             return
         world.checker.record_attempt(engine.now, sess.proxy, sess.number, server.name)
         world.metrics.increment("dials")
-        verdict, wait = world.offer(sess, server)
-        far = 4.0 * world.one_way(world.proxies[sess.proxy].zone, server.zone)
-        self.ran = verdict in (Verdict.UP, Verdict.ERROR, Verdict.SILENT)
-        if verdict is not Verdict.SILENT:
+        verdict, wait = world.open_at_server(sess, server)
+        far = 4.0 * world.one_way_delay(world.proxies[sess.proxy].zone, server.zone)
+        self.ran = verdict in (OpenResult.ACCEPTED, OpenResult.ERROR, OpenResult.NO_ANSWER)
+        if verdict is not OpenResult.NO_ANSWER:
             world.event_queue.schedule_after(wait + far, self.answer, verdict)
 
     def stands(self, sess: Session) -> None:
@@ -95,21 +97,21 @@
         self.up = self.ran = True
         self.lines.say(b"UP %d\r\n" % sess.number)
 
-    def answer(self, verdict: Verdict) -> None:
+    def answer(self, verdict: OpenResult) -> None:
         if (
             self.over
             or not self.lines.open
-            or self.door.server.mute
+            or self.door.server.is_unresponsive
             or self.door.blocked
             or self.sess is None
         ):
             return
-        if verdict is Verdict.UP and self.door.server.state is not State.STOPPED:
+        if verdict is OpenResult.ACCEPTED and self.door.server.state is not ServerState.STOPPED:
             self.up = True
             self.lines.say(b"UP %d\r\n" % self.sess.number)
             return
-        self.lines.say(b"ERR\r\n" if verdict is Verdict.ERROR else b"BUSY\r\n")
-        self.ran = verdict is Verdict.ERROR
+        self.lines.say(b"ERR\r\n" if verdict is OpenResult.ERROR else b"BUSY\r\n")
+        self.ran = verdict is OpenResult.ERROR
         self.finish()
 
     def finish(self, reset: bool = False) -> None:
--- a/onyxhollow/lab/specs.py
+++ b/onyxhollow/lab/specs.py
@@ -75,7 +75,7 @@
     silence: Positive = 5.0  # seconds until a proxy takes a silent connection for lost
 
 
-class ListSource(Strict, frozen=True):
+class ListServiceSettings(Strict, frozen=True):
     """The server list: a service that must be asked and then tells changes."""
 
     notice: NotNegative = 1.5  # seconds until it knows that a server drains or has stopped in order
--- a/onyxhollow/lab/together.py
+++ b/onyxhollow/lab/together.py
@@ -143,10 +143,12 @@
             trouble.cut_from <= self.world.event_queue.now < trouble.cut_until
         ):
             return True
-        for cut in self.world.cuts.values():
+        for cut in self.world.blocked_links.values():
             for here, there in ((one, other), (other, one)):
                 zone = proxies[there].zone
-                if here in cut.proxies and any(self.world.by_name[s].zone == zone for s in cut.servers):
+                if here in cut.proxies and any(
+                    self.world.servers_by_name[s].zone == zone for s in cut.servers
+                ):
                     return True
         return False
 
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -25,8 +25,8 @@
 from onyxhollow.lab.decisions import Maker
 from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.together import Talk, Trouble
-from onyxhollow.lab.world.listing import Row
-from onyxhollow.lab.world.servers import Server, Session, State, Verdict
+from onyxhollow.lab.world.listing import ListedServer
+from onyxhollow.lab.world.servers import OpenResult, Server, ServerState, Session
 from onyxhollow.lab.world.types import LossCause
 from onyxhollow.lab.world.world import World
 
@@ -51,13 +51,13 @@
 
     @property
     def came_back(self) -> bool:
-        return self.sess.client.was_up
+        return self.sess.client.was_connected
 
 
 class Instance:
     """One proxy's life: the module's Host."""
 
-    def __init__(self, engine: Virtual, number: int, rows: list[Row], seen: int, life: int) -> None:
+    def __init__(self, engine: Virtual, number: int, rows: list[ListedServer], seen: int, life: int) -> None:
         self.engine, self.number, self.world, self.event_queue = (
             engine,
             number,
@@ -96,7 +96,7 @@
 
     def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
         assert isinstance(token, Held)
-        now, target, engine = self.now, self.world.by_name[server], self.engine
+        now, target, engine = self.now, self.world.servers_by_name[server], self.engine
         token.dial, token.out, token.server, token.sent_at = token.dial + 1, True, target, now
         self.world.checker.record_attempt(now, self.number, token.sess.number, server)
         self.world.metrics.increment("dials")
@@ -114,39 +114,39 @@
         assert isinstance(token, Held)
         self.answer(token, "refused")
         self.event_queue.schedule_after(
-            self.world.network.client, self.world.refused, token.sess, retry_after
+            self.world.network.client, self.world.on_rejected, token.sess, retry_after
         )
 
     def tear_down(self, token: Hashable) -> None:
         assert isinstance(token, Held)
         self.answer(token, "failed")
-        self.event_queue.schedule_after(self.world.network.client, self.world.failed, token.sess)
+        self.event_queue.schedule_after(self.world.network.client, self.world.on_failed, token.sess)
 
     def migrate(self, token: Hashable) -> None:
         assert isinstance(token, Held)
-        if token.standing and not token.sess.over:
+        if token.standing and not token.sess.ended:
             self.world.metrics.increment("moves")
-            self.world.cut(token.sess, LossCause.MOVED)
+            self.world.end_connection(token.sess, LossCause.MOVED)
             self.later(0.0, self.dial_over, token, token.dial, AttemptOutcome.CANCELLED)
 
     def check_health(self, server: str, shared: bool = False) -> None:
         """shared: asked for all members, and not by the module."""
-        target, now = self.world.by_name[server], self.now
+        target, now = self.world.servers_by_name[server], self.now
         if self.talk and not shared and (known := self.talk.cores[self.number].load_estimate(server, now)):
             outcome = AttemptOutcome.OK
             self.later(0.0, self.balancer.on_health_check, server, outcome, 0.0, known.load, known.age)
             return
         self.world.metrics.increment("probes")
         there = 3 * self.engine.one_way(self.zone, target.zone, None)
-        reachable = not target.gone_silent and not self.world.blocked(self.number, target)
-        if not reachable or target.hung:
+        reachable = not target.vanished_by and not self.world.blocked_direction(self.number, target)
+        if not reachable or target.hung_by:
             self.later(PROBE_TIME, self.probed, server, AttemptOutcome.TIMEOUT, PROBE_TIME, None)
-        elif target.state is State.STOPPED:
+        elif target.state is ServerState.STOPPED:
             self.later(there, self.probed, server, AttemptOutcome.CONNECT_FAILED, there, None)
         else:
-            target.pile += PROBE_WORK
+            target.backlog += PROBE_WORK
             draw = int(now * 1000) + self.number
-            load = target.told_load(now, self.world.tables.normal(target.number, draw))
+            load = target.reported_load(now, self.world.random_tables.normal(target.number, draw))
             self.later(1.3 * there, self.probed, server, AttemptOutcome.OK, 1.3 * there, load)
 
     def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
@@ -157,7 +157,9 @@
 
     def poll_endpoint_list(self) -> None:
         self.world.checker.record_poll(self.now, self.number)
-        self.world.list.watch(self.number, self.seen, self.list_news, self.list_answer, self.list_ended)
+        self.world.list_service.watch(
+            self.number, self.seen, self.list_news, self.list_answer, self.list_ended
+        )
 
     def set_timer(self, when: float) -> None:
         self.event_queue.schedule_at(when, self.when_able, self.tick, ())
@@ -171,18 +173,16 @@
     def tick(self) -> None:
         self.balancer.tick()
 
-    def told(self, kind: EndpointListKind, rows: list[Row]) -> None:
+    def told(self, kind: EndpointListKind, rows: list[ListedServer]) -> None:
         entries = [
-            Endpoint(row.name, READINESS[row.readiness], row.size, row.started, row.zone, row.cell)
+            Endpoint(row.name, READINESS[row.state], row.weight, row.started, row.zone, row.cell)
             for row in rows
         ]
         for row in rows:
-            self.world.checker.record_notification(
-                self.now, self.number, row.name, row.readiness, row.started
-            )
+            self.world.checker.record_notification(self.now, self.number, row.name, row.state, row.started)
         self.balancer.on_endpoint_list(kind, entries)
 
-    def note(self, rows: list[Row], whole: bool, version: int) -> None:
+    def note(self, rows: list[ListedServer], whole: bool, version: int) -> None:
         self.seen = version
         if whole:
             for name in [name for name in self.rows if name not in {row.name for row in rows}]:
@@ -192,10 +192,10 @@
             self.rows[row.name] = row
         self.told(EndpointListKind.SNAPSHOT if whole else EndpointListKind.DELTA, rows)
 
-    def list_news(self, rows: list[Row], version: int) -> None:
+    def list_news(self, rows: list[ListedServer], version: int) -> None:
         self.when_able(self.note, (rows, False, version))
 
-    def list_answer(self, rows: list[Row] | None, whole: bool, version: int) -> None:
+    def list_answer(self, rows: list[ListedServer] | None, whole: bool, version: int) -> None:
         if not self.alive:
             return
         if rows is None:
@@ -212,7 +212,7 @@
 
     def come(self, sess: Session) -> None:
         """A session has reached the proxy."""
-        if sess.over:
+        if sess.ended:
             return
         spec = self.world.scenario.listeners[sess.client.request.listener]
         self.world.checker.record_session(
@@ -243,39 +243,39 @@
         if not self.alive or not held.out or held.dial != dial or held.server is None:
             return
         server = held.server
-        if server.gone_silent or self.world.blocked(self.number, server):
+        if server.vanished_by or self.world.blocked_direction(self.number, server):
             left = self.world.network.connect_time - (self.now - held.sent_at)
             self.later(max(0.0, left), self.dial_over, held, dial, AttemptOutcome.CONNECT_FAILED)
             return
-        verdict, wait = self.world.offer(held.sess, server)
-        if verdict is Verdict.UP:
+        verdict, wait = self.world.open_at_server(held.sess, server)
+        if verdict is OpenResult.ACCEPTED:
             self.event_queue.schedule_after(wait + one_way, self.verdict, held, dial, server, server.started)
-        elif verdict is not Verdict.SILENT:
+        elif verdict is not OpenResult.NO_ANSWER:
             end = {
-                Verdict.FULL: AttemptOutcome.OVERLOADED,
-                Verdict.ERROR: AttemptOutcome.ERROR,
-                Verdict.REFUSED: AttemptOutcome.CONNECT_FAILED,
+                OpenResult.OVERLOADED: AttemptOutcome.OVERLOADED,
+                OpenResult.ERROR: AttemptOutcome.ERROR,
+                OpenResult.CONNECTION_REFUSED: AttemptOutcome.CONNECT_FAILED,
             }[verdict]
             self.later(wait + one_way, self.dial_over, held, dial, end)
 
     def verdict(self, held: Held, dial: int, server: Server, started: float) -> None:
         """The server's UP has come, unless something stands between."""
-        if not self.alive or self.world.blocked(self.number, server) or server.mute:
+        if not self.alive or self.world.blocked_direction(self.number, server) or server.is_unresponsive:
             return
         if not held.out or held.dial != dial:
             self.world.metrics.increment("set up in vain")
-        elif server.state is State.STOPPED or server.started != started:
+        elif server.state is ServerState.STOPPED or server.started != started:
             self.when_able(self.dial_over, (held, dial, AttemptOutcome.RESET))
         else:
             self.when_able(self.stands, (held, dial, server))
 
     def stands(self, held: Held, dial: int, server: Server) -> None:
-        if not held.out or held.dial != dial or held.sess.over:
+        if not held.out or held.dial != dial or held.sess.ended:
             return
         held.standing = held.answered = True
         self.world.checker.record_answer(self.now, self.number, held.sess.number, "up")
         held.handle.on_established(self.now - held.sent_at)
-        self.world.up(held.sess, server)
+        self.world.on_established(held.sess, server)
 
     def timed_out(self, held: Held, dial: int) -> None:
         if held.out and held.dial == dial and not held.standing:
@@ -358,7 +358,7 @@
         self.talk = Talk(self, terms, trouble or Trouble()) if terms else None
         self.instances: dict[int, Instance] = {}
         self.lives: dict[int, int] = {}
-        self.lists: dict[int, tuple[list[Row], int]] = {}
+        self.lists: dict[int, tuple[list[ListedServer], int]] = {}
         self.logs: list[tuple[float, int, str]] = []
         self.listeners = [
             Listener(
@@ -408,10 +408,10 @@
     def one_way(self, zone: int, other: int, sess: Session | None) -> float:
         """Seconds, jitter included; a session's own draws, so that other sessions' delays move nothing
         here."""
-        base = self.world.one_way(zone, other)
+        base = self.world.one_way_delay(zone, other)
         if sess is None:
             return base
-        draw = self.world.tables.uniform(sess.client.request.number, sess.client.draw())
+        draw = self.world.random_tables.uniform(sess.client.request.number, sess.client.next_draw())
         return base * (1.0 + self.scenario.network.jitter * (2.0 * draw - 1.0))
 
     def run(self) -> World:
@@ -423,11 +423,11 @@
         """Everything up to the first instant: the event queue can be run from here."""
         world = self.world
         world.start(self)
-        rows = list(world.list.rows.values())
+        rows = list(world.list_service.rows.values())
         for number in range(self.scenario.fleet.proxies):
-            self.lists[number], self.lives[number] = (rows, world.list.version), 0
-            self.instances[number] = Instance(self, number, rows, world.list.version, 0)
-        for sess in world.standing():
+            self.lists[number], self.lives[number] = (rows, world.list_service.version), 0
+            self.instances[number] = Instance(self, number, rows, world.list_service.version, 0)
+        for sess in world.create_preexisting_sessions():
             self.instances[sess.proxy].adopt(sess)
 
     def end(self) -> World:
@@ -443,17 +443,17 @@
     def arrives(self, sess: Session) -> None:
         instance = self.instances.get(sess.proxy)
         if instance is None:
-            self.world.lost(sess)
+            self.world.on_proxy_lost(sess)
         else:
             instance.when_able(instance.come, (sess,))
 
-    def withdraw(self, sess: Session) -> None:
+    def cancel(self, sess: Session) -> None:
         if instance := self.instances.get(sess.proxy):
             instance.when_able(instance.left, (sess,))
 
-    def ended(self, sess: Session, sent_away: bool) -> None:
+    def close_by_server(self, sess: Session, move: bool) -> None:
         if instance := self.instances.get(sess.proxy):
-            instance.when_able(instance.ended, (sess, sent_away))
+            instance.when_able(instance.ended, (sess, move))
 
     def load_changed(self, sess: Session) -> None:
         if (instance := self.instances.get(sess.proxy)) and (held := instance.held.get(sess.number)):
@@ -472,7 +472,7 @@
         rows, seen = self.lists[number]
         self.instances[number] = Instance(self, number, rows, seen, self.lives[number])
 
-    def ready(self, number: int) -> bool:
+    def is_ready(self, number: int) -> bool:
         return True
 
     def stop(self, number: int, span: float) -> None:
--- a/onyxhollow/lab/world/__init__.py
+++ b/onyxhollow/lab/world/__init__.py
@@ -1,1 +1,1 @@
-"""The world model: pure, told the time, drawing from seeded generators, used by both engines."""
+"""The world model: servers, clients, list service and faults in virtual time, used by both engines."""
--- a/onyxhollow/lab/world/streams.py
+++ b/onyxhollow/lab/world/streams.py
@@ -1,4 +1,4 @@
-"""Random streams of a run, one a purpose, and numbers drawn ahead. They depend on the seed alone."""
+"""Random streams of a run, one per purpose, and tables of random numbers. Both depend on the seed alone."""
 
 from __future__ import annotations
 
@@ -6,28 +6,30 @@
 
 import numpy as np
 
-TABLE = 1 << 16
+TABLE_SIZE = 1 << 16  # a power of two: indices are masked
 PURPOSES = ("arrivals", "lives", "traits", "standing", "tables", "servers", "network", "faults")
 
 
-def stream(seed: int, purpose: str) -> np.random.Generator:
+def random_stream(seed: int, purpose: str) -> np.random.Generator:
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, PURPOSES.index(purpose)])))
 
 
-class Tables:
-    """Numbers drawn ahead that a client or server reads by its own number: the k-th draw of number i is the
-    same whatever happened to others meanwhile."""
+class RandomTables:
+    """Random numbers drawn in advance, read by the number of a client or server and the index of the draw.
+
+    A draw is therefore the same whatever happened to other clients and servers meanwhile.
+    """
 
     def __init__(self, seed: int) -> None:
-        rng = stream(seed, "tables")
-        self.uniforms: list[float] = rng.random(TABLE).tolist()
-        self.normals: list[float] = rng.standard_normal(TABLE).tolist()
+        rng = random_stream(seed, "tables")
+        self.uniforms: list[float] = rng.random(TABLE_SIZE).tolist()
+        self.normals: list[float] = rng.standard_normal(TABLE_SIZE).tolist()
 
-    def uniform(self, who: int, draw: int) -> float:
-        return self.uniforms[(who * 40503 + draw * 977) & (TABLE - 1)]
+    def uniform(self, number: int, draw: int) -> float:
+        return self.uniforms[(number * 40503 + draw * 977) & (TABLE_SIZE - 1)]
 
-    def normal(self, who: int, draw: int) -> float:
-        return self.normals[(who * 30011 + draw * 1471) & (TABLE - 1)]
+    def normal(self, number: int, draw: int) -> float:
+        return self.normals[(number * 30011 + draw * 1471) & (TABLE_SIZE - 1)]
 
-    def exponential(self, who: int, draw: int) -> float:
-        return -math.log(1.0 - self.uniforms[(who * 52361 + draw * 613 + 17) & (TABLE - 1)])
+    def exponential(self, number: int, draw: int) -> float:
+        return -math.log(1.0 - self.uniforms[(number * 52361 + draw * 613 + 17) & (TABLE_SIZE - 1)])
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -1,9 +1,8 @@
-"""The world: servers, list, clients, fronts and faults, around one event queue. An engine runs
-it.
+"""The world: servers, list service, clients, front end and faults around one event queue.
 
-The world decides what servers, clients and the list do; the engine carries sessions between clients,
-proxies and servers (in virtual time, or over sockets) and calls back what came of them. No I/O and no
-clock here.
+The world decides what servers, clients and the list service do. An engine carries sessions between clients,
+proxies and servers, in virtual time or over sockets, and calls back with the results. The world does no I/O
+and reads no clock.
 """
 
 from __future__ import annotations
@@ -19,71 +18,73 @@
 from onyxhollow.lab.run_metrics import RunMetrics
 from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.world import listing
-from onyxhollow.lab.world.clients import wait_after
+from onyxhollow.lab.world.clients import retry_wait
 from onyxhollow.lab.world.draws import populate
 from onyxhollow.lab.world.event_queue import EventQueue
-from onyxhollow.lab.world.listing import Row, ServerList
-from onyxhollow.lab.world.servers import Client, Server, Session, State, Verdict
-from onyxhollow.lab.world.streams import Tables, stream
+from onyxhollow.lab.world.listing import ListedServer, ListService
+from onyxhollow.lab.world.servers import Client, OpenResult, Server, ServerState, Session
+from onyxhollow.lab.world.streams import RandomTables, random_stream
 from onyxhollow.lab.world.types import LossCause, RateFactors
 
-STEP = 0.1  # seconds between steps of the servers' work
-LOOK = 1.0  # seconds between entries of the load map and of message latencies
-FRONT_LOOKS = 0.2  # seconds between looks of the front at a proxy that was started
-PACED = 20  # parts in which a draining server sends its clients away
+STEP_SECONDS = 0.1  # between steps of the servers' work
+SAMPLE_SECONDS = 1.0  # between samples of loads and of message latencies
+FRONT_END_CHECK_SECONDS = 0.2  # between checks of the front end on a proxy that was started
+DRAIN_BATCHES = 20  # batches in which a draining server moves its clients away
 
 
 class Engine(Protocol):
-    """What carries sessions. The world makes all calls, at the event queue's time."""
+    """Carries sessions. The world makes all calls, at the event queue's time."""
 
     def submit(self, sess: Session) -> None:
-        """A client has opened a session at its proxy."""
+        """Open a client's session at its proxy."""
 
-    def withdraw(self, sess: Session) -> None:
-        """Its client has left, before or after the answer."""
+    def cancel(self, sess: Session) -> None:
+        """Close the client's side of a session, before or after its final answer."""
 
-    def ended(self, sess: Session, sent_away: bool) -> None:
-        """Its server has ended a connection: reset, or told the client to move."""
+    def close_by_server(self, sess: Session, move: bool) -> None:
+        """Close the server's side of a connection: tell the client to move, or reset it."""
 
     def crash(self, proxy: int) -> None: ...
 
     def restart(self, proxy: int) -> None: ...
 
-    def ready(self, proxy: int) -> bool:
-        """Whether one that was started takes clients by now."""
+    def is_ready(self, proxy: int) -> bool:
+        """Return whether a proxy that was started accepts clients."""
 
     def stop(self, proxy: int, span: float) -> None:
-        """In order: moves its clients over the span, seconds."""
+        """Shut a proxy down gracefully: it migrates its clients over the span in seconds."""
 
     def stall(self, proxy: int, span: float) -> None: ...
 
 
 @dataclass(slots=True)
 class Proxy:
+    """A proxy as the front end sees it."""
+
     number: int
     zone: int
     alive: bool = True
-    listed: bool = True  # the front deals clients to it
+    in_rotation: bool = True  # the front end sends clients to it
     stopping: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
-    """A partition."""
+class BlockedLinks:
+    """The links between some servers and some proxies, blocked by a partition."""
 
     servers: frozenset[str]
     proxies: frozenset[int]
     one_way: bool
 
 
-class Store:
-    """Every set-up asks it once, in turn."""
+class SessionStore:
+    """The session store; each session set-up calls it once, and it handles calls in turn."""
 
     def __init__(self, rate: float, time: float) -> None:
         self.rate, self.time, self.free_at = rate, time, 0.0
 
-    def ask(self, now: float) -> float:
-        """Seconds until it has answered a call made now."""
+    def call(self, now: float) -> float:
+        """Return the seconds until a call made now is answered."""
         if self.rate <= 0:
             return self.time
         self.free_at = max(now, self.free_at) + 1.0 / self.rate
@@ -91,42 +92,48 @@
 
 
 class World:
+    """The state of a run, and the handlers of its events."""
+
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
-        self.event_queue, self.tables = EventQueue(), Tables(seed)
+        self.event_queue, self.random_tables = EventQueue(), RandomTables(seed)
         fleet, network = scenario.fleet, scenario.network
         self.listener_names = [row.name for row in scenario.listeners]
         self.servers: list[Server] = []
-        self.by_name: dict[str, Server] = {}
-        self.speeds = stream(seed, "servers")
-        self.store = Store(scenario.store.rate, scenario.store.time)
-        self.list = ServerList(self.event_queue, scenario.server_list)
+        self.servers_by_name: dict[str, Server] = {}
+        self.speed_stream = random_stream(seed, "servers")
+        self.store = SessionStore(scenario.store.rate, scenario.store.time)
+        self.list_service = ListService(self.event_queue, scenario.server_list)
         self.checker = InvariantChecker(
             scenario.proxies.drain_grace, scenario.proxies.answer_grace, scenario.proxies.ask_within
         )
         self.proxies = [Proxy(n, n % len(fleet.zones)) for n in range(fleet.proxies)]
-        self.unit = 1.0
+        self.average_load = 1.0
         for _ in range(fleet.servers):
             self.make_server(-math.inf)
-        self.capacity = sum(server.full for server in self.servers)  # cores of speed 1, at the start
+        self.capacity = sum(server.full_capacity for server in self.servers)  # cores of speed 1, at the start
         rates = RateFactors()
         for fault in scenario.faults:
-            fault.shape(rates, self.listener_names)
+            fault.adjust_rates(rates, self.listener_names)
         population = populate(scenario, max(1.0, self.capacity), rates, seed)
-        self.unit, self.quotas, self.requests = population.unit, population.quotas, population.requests
-        self.usual = population.usual
+        self.average_load, self.quotas, self.requests = (
+            population.average_load,
+            population.quotas,
+            population.requests,
+        )
+        self.average_load_by_listener = population.average_load_by_listener
         for server in self.servers:
-            server.unit = self.unit
+            server.average_load = self.average_load
         self.metrics = RunMetrics(scenario, self.requests)
         self.clients = [
-            Client(request, self.tables.uniform(request.number, 0) < scenario.clients.honours)
+            Client(request, self.random_tables.uniform(request.number, 0) < scenario.clients.honours)
             for request in self.requests
         ]
-        self.struck: dict[int, list[Server]] = {}
-        self.cuts: dict[int, Cut] = {}
-        self.sessions, self.network = 0, network
-        self.fault_marks: list[tuple[float, float, str]] = []
-        self.engine: Engine = None  # type: ignore[assignment]  # told in start
+        self.affected_servers: dict[int, list[Server]] = {}
+        self.blocked_links: dict[int, BlockedLinks] = {}
+        self.session_count, self.network = 0, network
+        self.fault_spans: list[tuple[float, float, str]] = []
+        self.engine: Engine = None  # type: ignore[assignment]  # set in start
         self.crossings = 0
 
     def zone_name(self, zone: int) -> str:
@@ -135,139 +142,147 @@
     def fault_stream(self, number: int) -> np.random.Generator:
         return np.random.Generator(np.random.PCG64(np.random.SeedSequence([self.seed, 1000 + number])))
 
-    def one_way(self, zone: int, other: int) -> float:
+    def one_way_delay(self, zone: int, other: int) -> float:
         return self.network.same if zone == other else self.network.cross
 
-    # the course of a run
+    # progress of a run
 
     def start(self, engine: Engine) -> None:
-        """Puts down all that is due. Those that stand at the start are the engine's: see standing."""
+        """Schedule the run's events. The engine adds the connections that exist at the start.
+
+        See create_preexisting_sessions for those.
+        """
         self.engine = engine
-        self.list.published.append(
-            lambda row: self.checker.record_listing(
-                self.event_queue.now, row.name, row.readiness, row.started
-            )
+        self.list_service.publish_callbacks.append(
+            lambda row: self.checker.record_listing(self.event_queue.now, row.name, row.state, row.started)
         )
         for server in self.servers:
-            self.list.rows[server.name] = self.row(server, listing.IN_SERVICE)
-        self.event_queue.schedule_at(STEP, self.step)
-        self.event_queue.schedule_at(LOOK, self.look)
-        self.arrive(
+            self.list_service.rows[server.name] = self.list_row(server, listing.IN_SERVICE)
+        self.event_queue.schedule_at(STEP_SECONDS, self.step)
+        self.event_queue.schedule_at(SAMPLE_SECONDS, self.sample)
+        self.schedule_arrival(
             next(
                 (n for n, request in enumerate(self.requests) if not request.preexisting), len(self.requests)
             )
         )
         for number, fault in enumerate(self.scenario.faults):
             kind = str(type(fault).__struct_config__.tag)
-            self.fault_marks.append((fault.at, min(fault.until, self.scenario.seconds), kind))
+            self.fault_spans.append((fault.at, min(fault.until, self.scenario.seconds), kind))
             self.event_queue.schedule_at(fault.at, fault.begin, self, number)
             self.event_queue.schedule_at(fault.until, fault.end, self, number)
 
-    def arrive(self, place: int) -> None:
+    def schedule_arrival(self, place: int) -> None:
         """Schedule one arrival, which schedules the next: the event queue does not hold them all."""
         if place < len(self.requests):
-            self.event_queue.schedule_at(self.requests[place].due, self.come, place)
+            self.event_queue.schedule_at(self.requests[place].due, self.on_arrival, place)
 
-    def come(self, place: int) -> None:
-        self.arrive(place + 1)
-        self.begin(self.clients[place])
+    def on_arrival(self, place: int) -> None:
+        self.schedule_arrival(place + 1)
+        self.start_client(self.clients[place])
 
-    def standing(self) -> list[Session]:
-        """The connections that stood before the start: each on a server drawn by size, at a proxy of its
-        zone."""
-        rng = stream(self.seed, "standing")
+    def create_preexisting_sessions(self) -> list[Session]:
+        """Create the connections that exist at the start.
+
+        Each is at a proxy of its client's zone, on a server drawn at random by weight.
+        """
+        rng = random_stream(self.seed, "standing")
         rng.random(16)
         clients = [client for client in self.clients if client.request.preexisting]
         if not self.servers:
             for client in clients:
-                self.begin(client)
+                self.start_client(client)
             return []
-        sizes = np.array([server.size for server in self.servers])
-        drawn = rng.choice(len(self.servers), size=len(clients), p=sizes / sizes.sum())
-        made = []
-        for client, place in zip(clients, drawn.tolist(), strict=True):
-            proxy = self.front(client)
+        weights = np.array([server.weight for server in self.servers])
+        server_numbers = rng.choice(len(self.servers), size=len(clients), p=weights / weights.sum())
+        sessions = []
+        for client, place in zip(clients, server_numbers.tolist(), strict=True):
+            proxy = self.choose_proxy(client)
             assert proxy is not None
             sess = self.new_session(client, proxy.number, math.inf)
             sess.answered = True
             self.event_queue.schedule_at(client.request.end, self.on_request_end, client)
             self.checker.final_answers[sess.number] = (proxy.number, "up")
-            self.stand(sess, self.servers[place])
-            made.append(sess)
-        return made
+            self.attach(sess, self.servers[place])
+            sessions.append(sess)
+        return sessions
 
     def step(self) -> None:
         now = self.event_queue.now
         for server in self.servers:
-            server.step(now, lambda *told: self.metrics.record_step(now, *told))
-            if server.pile > 0 and server.running:
-                for sess in server.overflow(now):
+            server.step(now, lambda *step: self.metrics.record_step(now, *step))
+            if server.backlog > 0 and server.is_running:
+                for sess in server.shed_load(now):
                     self.metrics.increment("shed")
                     self.end_by_server(sess, False)
-        if now + STEP <= self.scenario.seconds + STEP / 2:
-            self.event_queue.schedule_at(round(now / STEP + 1) * STEP, self.step)
+        if now + STEP_SECONDS <= self.scenario.seconds + STEP_SECONDS / 2:
+            self.event_queue.schedule_at(round(now / STEP_SECONDS + 1) * STEP_SECONDS, self.step)
 
-    def look(self) -> None:
+    def sample(self) -> None:
+        """Sample the servers' loads and message latencies."""
         now = self.event_queue.now
         seen: list[Seen] = []
         for server in self.servers:
-            if not server.running or server.mute:
+            if not server.is_running or server.is_unresponsive:
                 continue
             self.metrics.record_load(server.name, now, server.load)
-            if server.state is State.RUNNING and server.warmth(now) >= 1.0:
+            if server.state is ServerState.RUNNING and server.warm_up_factor(now) >= 1.0:
                 seen.append(Seen(server.name, server.load, server.capacity(now)))
             if server.sessions:
                 self.metrics.record_messages(server.delay, server.tau, len(server.sessions))
         self.metrics.evenness.look(now, seen)
-        self.event_queue.schedule_after(LOOK, self.look)
+        self.event_queue.schedule_after(SAMPLE_SECONDS, self.sample)
 
     def finish(self) -> None:
-        """The end: open accounts are closed. The last step must have been done."""
+        """Close all accounts at the end of the run, after the last step."""
         now = self.scenario.seconds
         for client in self.clients:
             sess = client.session
-            if sess is not None and sess.up_at >= 0 and not sess.over:
-                self.close_account(sess, now)
-            elif not client.done and client.request.due < now:
-                self.metrics.record_disconnected(client.request, client.since, now, client.cause)
+            if sess is not None and sess.established_at >= 0 and not sess.ended:
+                self.settle_earnings(sess, now)
+            elif not client.finished and client.request.due < now:
+                self.metrics.record_disconnected(client.request, client.cause_since, now, client.cause)
         for server in self.servers:
-            server.step(now, lambda *told: self.metrics.record_step(now, *told))
+            server.step(now, lambda *step: self.metrics.record_step(now, *step))
         self.checker.finish(now)
 
     # clients
 
-    def begin(self, client: Client) -> None:
+    def start_client(self, client: Client) -> None:
         self.event_queue.schedule_at(client.request.end, self.on_request_end, client)
-        self.open(client)
+        self.open_session(client)
 
-    def front(self, client: Client) -> Proxy | None:
-        """A proxy of the client's zone that the front believes in; of any zone if there is none."""
-        listed = [proxy for proxy in self.proxies if proxy.listed]
-        near = [proxy for proxy in listed if proxy.zone == client.request.zone] or listed
-        if not near:
+    def choose_proxy(self, client: Client) -> Proxy | None:
+        """Return a proxy in rotation of the client's zone, or of any zone if it has none."""
+        in_rotation = [proxy for proxy in self.proxies if proxy.in_rotation]
+        same_zone = [proxy for proxy in in_rotation if proxy.zone == client.request.zone] or in_rotation
+        if not same_zone:
             return None
-        return near[int(self.tables.uniform(client.request.number, client.draw()) * len(near))]
+        return same_zone[
+            int(self.random_tables.uniform(client.request.number, client.next_draw()) * len(same_zone))
+        ]
 
     def new_session(self, client: Client, proxy: int, timeout: float) -> Session:
-        self.sessions += 1
-        sess = client.session = Session(self.sessions, client, proxy, self.event_queue.now + timeout)
+        self.session_count += 1
+        sess = client.session = Session(self.session_count, client, proxy, self.event_queue.now + timeout)
         return sess
 
-    def open(self, client: Client) -> None:
-        """Comes, for the first time or again."""
-        if client.done or client.session is not None:
+    def open_session(self, client: Client) -> None:
+        """Open a session at a proxy, for the first time or again."""
+        if client.finished or client.session is not None:
             return
         spec = self.scenario.listeners[client.request.listener]
-        proxy = self.front(client)
+        proxy = self.choose_proxy(client)
         if proxy is None or not proxy.alive:
             self.metrics.increment("found no proxy")
-            self.out(client, LossCause.UNREACHABLE)
+            self.disconnect(client, LossCause.UNREACHABLE)
             return
         self.metrics.increment("sessions")
-        self.metrics.increment("sessions again" if client.tries or client.was_up else "sessions first")
-        client.tries += 1
+        self.metrics.increment(
+            "sessions again" if client.open_count or client.was_connected else "sessions first"
+        )
+        client.open_count += 1
         sess = self.new_session(client, proxy.number, spec.timeout)
-        early = self.tables.uniform(client.request.number, client.draw())
+        early = self.random_tables.uniform(client.request.number, client.next_draw())
         if early < self.scenario.clients.leaves_early:
             self.event_queue.schedule_after(
                 spec.timeout * (0.2 + 0.7 * early / self.scenario.clients.leaves_early),
@@ -275,229 +290,237 @@
                 sess,
             )
         self.event_queue.schedule_at(
-            sess.deadline + self.scenario.proxies.answer_grace + 0.25, self.unanswered, sess
+            sess.deadline + self.scenario.proxies.answer_grace + 0.25, self.on_unanswered, sess
         )
         self.engine.submit(sess)
 
     def leave_early(self, sess: Session) -> None:
-        if not sess.answered and not sess.over:
+        if not sess.answered and not sess.ended:
             self.metrics.increment("left early")
             self.give_up(sess)
 
-    def unanswered(self, sess: Session) -> None:
-        """Long past its time: the client goes and comes again."""
-        if not sess.answered and not sess.over:
+    def on_unanswered(self, sess: Session) -> None:
+        """Give the session up long after its deadline; the client opens another."""
+        if not sess.answered and not sess.ended:
             self.metrics.increment("never answered")
             self.give_up(sess)
 
     def give_up(self, sess: Session) -> None:
-        sess.answered = sess.over = True
+        sess.answered = sess.ended = True
         sess.client.session = None
-        self.engine.withdraw(sess)
-        self.out(sess.client, LossCause.LATE)
+        self.engine.cancel(sess)
+        self.disconnect(sess.client, LossCause.LATE)
 
     def on_request_end(self, client: Client) -> None:
-        """The client wants no connection any more."""
-        if client.done:
+        """End the request: the client wants no connection any more."""
+        if client.finished:
             return
-        client.done, sess = True, client.session
+        client.finished, sess = True, client.session
         if sess is None:
-            self.metrics.record_disconnected(client.request, client.since, client.request.end, client.cause)
+            self.metrics.record_disconnected(
+                client.request, client.cause_since, client.request.end, client.cause
+            )
             return
         client.session = None
-        if sess.up_at >= 0 and not sess.over:
-            self.fall(sess)
+        if sess.established_at >= 0 and not sess.ended:
+            self.detach(sess)
         else:
-            self.metrics.record_disconnected(client.request, client.since, client.request.end, client.cause)
-        sess.answered = sess.over = True
-        self.engine.withdraw(sess)
+            self.metrics.record_disconnected(
+                client.request, client.cause_since, client.request.end, client.cause
+            )
+        sess.answered = sess.ended = True
+        self.engine.cancel(sess)
 
-    def out(self, client: Client, cause: LossCause, told: float = 0.0) -> None:
-        """Why it is without a connection from now on, and when it comes again."""
+    def disconnect(self, client: Client, cause: LossCause, retry_after: float = 0.0) -> None:
+        """Set why the client has no connection from now on, and schedule its next session."""
         now = self.event_queue.now
-        if now > client.since:
-            self.metrics.record_disconnected(client.request, client.since, now, client.cause)
-        client.cause, client.since, client.session = cause, now, None
-        if client.done:
+        if now > client.cause_since:
+            self.metrics.record_disconnected(client.request, client.cause_since, now, client.cause)
+        client.cause, client.cause_since, client.session = cause, now, None
+        if client.finished:
             return
-        wait = wait_after(cause, client, told, self.scenario.clients, self.tables)
-        if wait is None or client.unsafe:
+        wait = retry_wait(cause, client, retry_after, self.scenario.clients, self.random_tables)
+        if wait is None or client.must_not_retry:
             self.metrics.increment("did not come again")
             return
-        self.event_queue.schedule_after(wait, self.open, client)
+        self.event_queue.schedule_after(wait, self.open_session, client)
 
-    # told by the engine
+    # called by the engine
 
-    def up(self, sess: Session, server: Server) -> None:
-        """A session is accepted: the client has its connection."""
+    def on_established(self, sess: Session, server: Server) -> None:
+        """Handle an accepted session: the client has its connection."""
         client, now = sess.client, self.event_queue.now
         sess.answered = True
-        if client.done:
+        if client.finished:
             return
         spec = self.scenario.listeners[client.request.listener]
-        first = not client.was_up
+        first = not client.was_connected
         if first:
-            took = now - client.request.due
-            self.metrics.record_setup(client.request.listener, took)
-            in_time = took <= spec.target
+            setup_time = now - client.request.due
+            self.metrics.record_setup(client.request.listener, setup_time)
+            in_time = setup_time <= spec.target
             self.metrics.record_disconnected(
-                client.request, client.since, now, None if in_time else client.cause
+                client.request, client.cause_since, now, None if in_time else client.cause
             )
             self.metrics.increment("up in time" if in_time else "up late")
         else:
-            self.metrics.record_disconnected(client.request, client.since, now, client.cause)
+            self.metrics.record_disconnected(client.request, client.cause_since, now, client.cause)
         self.metrics.increment("up")
         self.metrics.evenness.placed(now, server.name, sess.proxy)
-        client.tries = 0
-        self.stand(sess, server)
+        client.open_count = 0
+        self.attach(sess, server)
 
-    def refused(self, sess: Session, wait: float) -> None:
-        self.answer(sess, LossCause.REFUSED, wait)
+    def on_rejected(self, sess: Session, retry_after: float) -> None:
+        self.handle_failed_answer(sess, LossCause.REFUSED, retry_after)
 
-    def failed(self, sess: Session) -> None:
-        self.answer(sess, LossCause.TORN_DOWN, 0.0)
+    def on_failed(self, sess: Session) -> None:
+        self.handle_failed_answer(sess, LossCause.TORN_DOWN, 0.0)
 
-    def answer(self, sess: Session, cause: LossCause, wait: float) -> None:
-        sess.answered = sess.over = True
-        if sess.client.done or sess.client.session is not sess:
+    def handle_failed_answer(self, sess: Session, cause: LossCause, retry_after: float) -> None:
+        """Handle a final answer that is not an accepted session."""
+        sess.answered = sess.ended = True
+        if sess.client.finished or sess.client.session is not sess:
             return
         self.metrics.increment("answered refused" if cause is LossCause.REFUSED else "answered torn down")
         spec = self.scenario.listeners[sess.client.request.listener]
-        # Told nothing of whether it ran, a client repeats only what may be repeated.
-        sess.client.unsafe = cause is LossCause.TORN_DOWN and (
+        # A failed session may have run, so the client opens another only if it may run twice.
+        sess.client.must_not_retry = cause is LossCause.TORN_DOWN and (
             spec.repeat == "once-only" or spec.repeat == "referenced" and spec.scope != "all"
         )
-        self.out(sess.client, cause, wait)
+        self.disconnect(sess.client, cause, retry_after)
 
-    def lost(self, sess: Session) -> None:
-        """Its proxy has died, or can't be reached, before any answer."""
-        if sess.over:
+    def on_proxy_lost(self, sess: Session) -> None:
+        """Handle a proxy that died or became unreachable before its final answer."""
+        if sess.ended:
             return
-        sess.answered = sess.over = True
+        sess.answered = sess.ended = True
         if sess.client.session is sess:
-            self.out(sess.client, LossCause.UNREACHABLE)
+            self.disconnect(sess.client, LossCause.UNREACHABLE)
 
-    def cut(self, sess: Session, cause: LossCause) -> None:
-        """An open connection has ended against the client's will."""
-        if sess.over:
+    def end_connection(self, sess: Session, cause: LossCause) -> None:
+        """Handle the end of an established connection that its client still wants."""
+        if sess.ended:
             return
-        sess.over = True
+        sess.ended = True
         client = sess.client
         if client.session is not sess:
             return
         self.metrics.increment(f"cut: {cause.value}")
-        if sess.up_at >= 0:
-            self.fall(sess)
-        client.spell += 1
-        client.since = self.event_queue.now
-        client.tries = 0
-        self.out(client, cause)
+        if sess.established_at >= 0:
+            self.detach(sess)
+        client.connection_number += 1
+        client.cause_since = self.event_queue.now
+        client.open_count = 0
+        self.disconnect(client, cause)
 
     # connections at servers
 
-    def stand(self, sess: Session, server: Server) -> None:
-        """A server holds the connection from now on, and it earns."""
+    def attach(self, sess: Session, server: Server) -> None:
+        """Add the connection to a server; it earns from now on."""
         client, now = sess.client, self.event_queue.now
         crossed = self.proxies[sess.proxy].zone != server.zone
         if crossed:
             self.crossings += 1
         sess.slot = 4 * client.request.listener + 2 * crossed + client.request.over_quota
-        sess.server, sess.up_at = server, now
-        sess.earned_at = server.earned_by(sess.slot, now)
+        sess.server, sess.established_at = server, now
+        sess.earned_at_start = server.earned_integral(sess.slot, now)
         server.add(sess, sess.slot, now)
-        client.was_up, client.since = True, now
+        client.was_connected, client.cause_since = True, now
         number = client.request.number
         self.event_queue.schedule_after(
             self.scenario.listeners[client.request.listener].change
-            * self.tables.exponential(number, client.draw()),
-            self.swing,
+            * self.random_tables.exponential(number, client.next_draw()),
+            self.change_load,
             sess,
         )
 
-    def swing(self, sess: Session) -> None:
-        """The load of a connection changes."""
-        if sess.over or sess.server is None:
+    def change_load(self, sess: Session) -> None:
+        """Draw a new load for a connection, and schedule the next change."""
+        if sess.ended or sess.server is None:
             return
         client, spec = sess.client, self.scenario.listeners[sess.client.request.listener]
         sigma = spec.swing_sigma
         load = client.request.load * math.exp(
-            sigma * self.tables.normal(client.request.number, client.draw()) - sigma**2 / 2
+            sigma * self.random_tables.normal(client.request.number, client.next_draw()) - sigma**2 / 2
         )
         sess.server.change_load(sess, load)
-        if self.scenario.fleet.tells_load and (tell := getattr(self.engine, "load_changed", None)):
-            tell(sess)
+        if self.scenario.fleet.tells_load and (load_changed := getattr(self.engine, "load_changed", None)):
+            load_changed(sess)
         self.event_queue.schedule_after(
-            spec.change * self.tables.exponential(client.request.number, client.draw()), self.swing, sess
+            spec.change * self.random_tables.exponential(client.request.number, client.next_draw()),
+            self.change_load,
+            sess,
         )
 
-    def close_account(self, sess: Session, now: float) -> None:
-        """What it earned at its server goes to its customer."""
+    def settle_earnings(self, sess: Session, now: float) -> None:
+        """Account for what the connection has earned, or lost while blackholed, up to now."""
         server = sess.server
         assert server is not None
-        if not sess.muted:
+        if not sess.blackholed:
             self.metrics.add_tenant_earnings(
-                sess.client.request, server.earned_by(sess.slot, now) - sess.earned_at
+                sess.client.request, server.earned_integral(sess.slot, now) - sess.earned_at_start
             )
         else:
             self.metrics.record_disconnected(
-                sess.client.request, sess.client.since, now, LossCause.UNREACHABLE
+                sess.client.request, sess.client.cause_since, now, LossCause.UNREACHABLE
             )
-            sess.client.since = now
+            sess.client.cause_since = now
 
-    def fall(self, sess: Session) -> None:
-        """The server holds the connection no more."""
+    def detach(self, sess: Session) -> None:
+        """Remove the connection from its server."""
         server, now = sess.server, self.event_queue.now
         if server is None or sess not in server.sessions:
             return
-        self.close_account(sess, now)
-        if not sess.muted:
+        self.settle_earnings(sess, now)
+        if not sess.blackholed:
             server.pause(sess.slot, now)
         server.remove(sess)
 
-    def mute(self, sess: Session, quiet: bool) -> None:
-        """Nothing comes through to the server any more, though the connection is open; or it does again."""
+    def set_blackholed(self, sess: Session, blackholed: bool) -> None:
+        """Stop or restore the arrival of packets at the server; the connection stays open."""
         server, now = sess.server, self.event_queue.now
         if (
-            sess.over
+            sess.ended
             or server is None
-            or sess.up_at < 0
-            or sess.muted == quiet
+            or sess.established_at < 0
+            or sess.blackholed == blackholed
             or sess not in server.sessions
         ):
             return
-        self.close_account(sess, now)
-        sess.muted = quiet
-        if quiet:
+        self.settle_earnings(sess, now)
+        sess.blackholed = blackholed
+        if blackholed:
             server.pause(sess.slot, now)
         else:
             server.resume(sess.slot, now)
-            sess.earned_at = server.earned_by(sess.slot, now)
-        sess.client.since = now
+            sess.earned_at_start = server.earned_integral(sess.slot, now)
+        sess.client.cause_since = now
 
-    def silence(self, sess: Session) -> None:
-        """The proxy has heard nothing for too long and takes the connection for lost."""
+    def on_silence_timeout(self, sess: Session) -> None:
+        """End a connection from which the proxy has received nothing for too long."""
         server = sess.server
-        if not sess.over and server is not None and (sess.muted or server.mute):
+        if not sess.ended and server is not None and (sess.blackholed or server.is_unresponsive):
             self.end_by_server(sess, False)
 
-    def end_by_server(self, sess: Session, sent_away: bool) -> None:
-        if sess.over:
+    def end_by_server(self, sess: Session, move: bool) -> None:
+        if sess.ended:
             return
-        self.cut(sess, LossCause.MOVED if sent_away else LossCause.TORN_DOWN)
-        self.engine.ended(sess, sent_away)
+        self.end_connection(sess, LossCause.MOVED if move else LossCause.TORN_DOWN)
+        self.engine.close_by_server(sess, move)
 
     # servers
 
     def make_server(self, started: float) -> Server:
         fleet, number = self.scenario.fleet, len(self.servers)
         total = sum(kind.share for kind in fleet.kinds)
-        mark, kind = (number * 0.6180339887) % 1.0 * total, fleet.kinds[-1]
+        # Multiples of the golden ratio spread the kinds evenly over the servers.
+        position, kind = (number * 0.6180339887) % 1.0 * total, fleet.kinds[-1]
         for candidate in fleet.kinds:
-            if mark < candidate.share:
+            if position < candidate.share:
                 kind = candidate
                 break
-            mark -= candidate.share
-        speed = kind.speed * math.exp(kind.spread * float(self.speeds.standard_normal()))
+            position -= candidate.share
+        speed = kind.speed * math.exp(kind.spread * float(self.speed_stream.standard_normal()))
         server = Server(
             number,
             f"s{number:04d}",
@@ -507,74 +530,79 @@
             speed,
             self.scenario.listeners,
             self.scenario.proxies.message_work,
-            self.unit,
+            self.average_load,
             started,
         )
-        server.step_at, server.crossing = self.event_queue.now, 2.0 * self.scenario.network.cross
+        server.step_began_at, server.crossing_delay = self.event_queue.now, 2.0 * self.scenario.network.cross
         self.servers.append(server)
-        self.by_name[server.name] = server
+        self.servers_by_name[server.name] = server
         self.checker.server_locations[server.name] = (server.zone, server.cell)
         return server
 
-    def row(self, server: Server, readiness: str) -> Row:
-        started = None if server.started == -math.inf else server.started + server.clock_off
-        return Row(server.name, readiness, server.size, started, self.zone_name(server.zone), server.cell)
+    def list_row(self, server: Server, state: str) -> ListedServer:
+        started = None if server.started == -math.inf else server.started + server.clock_offset
+        return ListedServer(
+            server.name, state, server.weight, started, self.zone_name(server.zone), server.cell
+        )
 
-    def show(self, server: Server, readiness: str, notice: float) -> None:
-        self.list.learn(self.row(server, readiness), notice)
+    def publish_state(self, server: Server, state: str, notice: float) -> None:
+        """Show a state of the server in the list after notice seconds."""
+        self.list_service.schedule_change(self.list_row(server, state), notice)
 
     def add_server(self) -> None:
         server = self.make_server(self.event_queue.now)
-        self.show(server, listing.IN_SERVICE, self.scenario.server_list.add)
+        self.publish_state(server, listing.IN_SERVICE, self.scenario.server_list.add)
 
     def start_server(self, server: Server) -> None:
-        """It comes back, cold."""
-        if server.state is not State.STOPPED:
+        """Start a stopped server; it warms up."""
+        if server.state is not ServerState.STOPPED:
             return
-        server.state, server.started = State.RUNNING, self.event_queue.now
+        server.state, server.started = ServerState.RUNNING, self.event_queue.now
         server.clear()
-        self.show(server, listing.IN_SERVICE, self.scenario.server_list.add)
+        self.publish_state(server, listing.IN_SERVICE, self.scenario.server_list.add)
 
     def stop_server(self, server: Server, silently: bool) -> None:
-        if server.state is State.STOPPED:
+        if server.state is ServerState.STOPPED:
             return
-        self.cut_all(server)
-        server.state = State.STOPPED
+        self.reset_connections(server)
+        server.state = ServerState.STOPPED
         server.clear()
         settings = self.scenario.server_list
-        self.show(server, listing.GONE, settings.silent_notice if silently else settings.notice)
+        self.publish_state(server, listing.GONE, settings.silent_notice if silently else settings.notice)
 
     def restart_server(self, server: Server) -> None:
-        if server.state is State.RUNNING:
+        if server.state is ServerState.RUNNING:
             self.stop_server(server, silently=True)
             self.event_queue.schedule_after(0.5, self.start_server, server)
 
-    def cut_all(self, server: Server) -> None:
+    def reset_connections(self, server: Server) -> None:
         for sess in list(server.sessions):
             self.end_by_server(sess, False)
 
     def drain_server(self, server: Server, span: float, returns: bool, replaced: bool) -> None:
-        """It takes nothing new, ends after span seconds, and comes back or is replaced."""
-        if server.state is not State.RUNNING:
+        """Drain a server, stop it after span seconds, and restart or replace it if wanted."""
+        if server.state is not ServerState.RUNNING:
             return
-        server.state = State.DRAINING
+        server.state = ServerState.DRAINING
         self.metrics.increment("drains")
-        self.show(server, listing.DRAINING, self.scenario.server_list.notice)
+        self.publish_state(server, listing.DRAINING, self.scenario.server_list.notice)
         if self.scenario.fleet.drain == "at once":
-            self.send_away(server, 1.0)
+            self.move_clients(server, 1.0)
         elif self.scenario.fleet.drain == "paced":
-            for part in range(PACED):
-                wait = span * (part + 1) / (PACED + 2)
-                self.event_queue.schedule_after(wait, self.send_away, server, 1.0 / (PACED - part))
-        self.event_queue.schedule_after(span, self.drained, server, returns, replaced)
-
-    def send_away(self, server: Server, share: float) -> None:
-        if server.state is State.DRAINING:
+            for batch in range(DRAIN_BATCHES):
+                wait = span * (batch + 1) / (DRAIN_BATCHES + 2)
+                self.event_queue.schedule_after(
+                    wait, self.move_clients, server, 1.0 / (DRAIN_BATCHES - batch)
+                )
+        self.event_queue.schedule_after(span, self.finish_drain, server, returns, replaced)
+
+    def move_clients(self, server: Server, share: float) -> None:
+        if server.state is ServerState.DRAINING:
             for sess in list(server.sessions)[: math.ceil(len(server.sessions) * share)]:
                 self.end_by_server(sess, True)
 
-    def drained(self, server: Server, returns: bool, replaced: bool) -> None:
-        if server.state is not State.DRAINING:
+    def finish_drain(self, server: Server, returns: bool, replaced: bool) -> None:
+        if server.state is not ServerState.DRAINING:
             return
         self.stop_server(server, silently=False)
         if replaced:
@@ -583,80 +611,86 @@
             self.event_queue.schedule_after(0.5, self.start_server, server)
 
     def vanish(self, server: Server, number: int) -> None:
-        server.gone_silent.add(number)  # its connections earn nothing from the next step on
-        self.show(server, listing.GONE, self.scenario.server_list.silent_notice)
-        self.fall_silent(server)
+        server.vanished_by.add(number)  # its connections earn nothing from the next step on
+        self.publish_state(server, listing.GONE, self.scenario.server_list.silent_notice)
+        self.schedule_silence_timeouts(server)
 
-    def fall_silent(self, server: Server) -> None:
-        """Proxies will miss what its connections should bring back; real ones do so by themselves."""
+    def schedule_silence_timeouts(self, server: Server) -> None:
+        """Schedule the timeouts by which simulated proxies notice silent connections."""
         if getattr(self.engine, "notices_silence", False):
             return
         for sess in list(server.sessions):
-            self.event_queue.schedule_after(self.network.silence, self.silence, sess)
+            self.event_queue.schedule_after(self.network.silence, self.on_silence_timeout, sess)
 
     def reappear(self, server: Server, number: int) -> None:
-        """The machine is back, with nothing of what it held."""
-        server.gone_silent.discard(number)
-        if server.gone_silent or server.state is State.STOPPED:
+        """Restart a vanished machine, without its connections."""
+        server.vanished_by.discard(number)
+        if server.vanished_by or server.state is ServerState.STOPPED:
             return
-        self.cut_all(server)
-        server.state = State.STOPPED
+        self.reset_connections(server)
+        server.state = ServerState.STOPPED
         self.start_server(server)
 
-    def offer(self, sess: Session, server: Server) -> tuple[Verdict, float]:
-        """A dial has reached a server. The verdict, and the seconds until the server gives it."""
+    def open_at_server(self, sess: Session, server: Server) -> tuple[OpenResult, float]:
+        """Handle an attempt that has reached a server: return the result and the seconds until it is sent."""
         now, request = self.event_queue.now, sess.client.request
-        draw = sess.client.draw()
+        draw = sess.client.next_draw()
         spec = self.scenario.listeners[request.listener]
-        work = spec.work * self.tables.exponential(request.number, draw)
-        # What a session will ask for is known to nobody yet: against cold budgets its listener's usual load
-        # counts, or one costly session would push a server over whatever a policy does.
-        chance = self.tables.uniform(request.number, draw)
-        verdict, wait = server.offer(now, self.usual[request.listener], work, sess.proxy, chance)
-        if (shares := server.falls(now)) is not None:
+        work = spec.work * self.random_tables.exponential(request.number, draw)
+        # No policy can know a session's future load. The average load of its listener counts towards the slow
+        # start: otherwise one costly session would make a server fail whatever the policy does.
+        chance = self.random_tables.uniform(request.number, draw)
+        result, wait = server.handle_open(
+            now, self.average_load_by_listener[request.listener], work, sess.proxy, chance
+        )
+        if (shares := server.detect_overload_failure(now)) is not None:
             self.metrics.increment("cold servers fell")
-            self.checker.record_overload_failure(now, server.name, server.started + server.clock_off, shares)
+            self.checker.record_overload_failure(
+                now, server.name, server.started + server.clock_offset, shares
+            )
             self.stop_server(server, silently=True)
             self.event_queue.schedule_after(self.scenario.fleet.fall_out, self.start_server, server)
-            return Verdict.SILENT, 0.0
-        if verdict is Verdict.UP:
-            self.checker.record_execution(now, sess.key, spec.repeat, server.name)
-            wait += self.store.ask(now)
-        return verdict, wait
+            return OpenResult.NO_ANSWER, 0.0
+        if result is OpenResult.ACCEPTED:
+            self.checker.record_execution(now, sess.execution_key, spec.repeat, server.name)
+            wait += self.store.call(now)
+        return result, wait
 
     def group_of(self, token: object) -> int:
-        """The group of a session by the token that an engine gave it; -1: none."""
+        """Return the group of the session behind an engine's token, or -1."""
         sess = getattr(token, "sess", None)
         return sess.client.group if isinstance(sess, Session) else -1
 
     # links and proxies
 
-    def blocked(self, proxy: int, server: Server) -> str:
-        """Whether a proxy's packets reach a server: "", "answers" (only those are lost) or "both"."""
-        found = ""
-        for cut in self.cuts.values():
-            if server.name in cut.servers and proxy in cut.proxies:
-                if not cut.one_way:
+    def blocked_direction(self, proxy: int, server: Server) -> str:
+        """Return which packets between a proxy and a server are lost: "", "answers" or "both"."""
+        direction = ""
+        for links in self.blocked_links.values():
+            if server.name in links.servers and proxy in links.proxies:
+                if not links.one_way:
                     return "both"
-                found = "answers"
-        return found
+                direction = "answers"
+        return direction
 
-    def cut_links(self, number: int, servers: list[Server], proxies: list[int], one_way: bool) -> None:
-        self.cuts[number] = cut = Cut(frozenset(s.name for s in servers), frozenset(proxies), one_way)
+    def block_links(self, number: int, servers: list[Server], proxies: list[int], one_way: bool) -> None:
+        self.blocked_links[number] = links = BlockedLinks(
+            frozenset(s.name for s in servers), frozenset(proxies), one_way
+        )
         for server in servers:
             for sess in list(server.sessions):
-                if sess.proxy in cut.proxies:
-                    self.mute(sess, True)
+                if sess.proxy in links.proxies:
+                    self.set_blackholed(sess, True)
                     if not getattr(self.engine, "notices_silence", False):
-                        self.event_queue.schedule_after(self.network.silence, self.silence, sess)
+                        self.event_queue.schedule_after(self.network.silence, self.on_silence_timeout, sess)
 
-    def mend_links(self, number: int) -> None:
-        cut = self.cuts.pop(number, None)
-        for name in sorted(cut.servers) if cut else ():
-            server = self.by_name[name]
+    def restore_links(self, number: int) -> None:
+        links = self.blocked_links.pop(number, None)
+        for name in sorted(links.servers) if links else ():
+            server = self.servers_by_name[name]
             for sess in list(server.sessions):
-                if sess.muted and not self.blocked(sess.proxy, server):
-                    self.mute(sess, False)
+                if sess.blackholed and not self.blocked_direction(sess.proxy, server):
+                    self.set_blackholed(sess, False)
 
     def crash_proxy(self, number: int) -> None:
         proxy = self.proxies[number]
@@ -664,28 +698,35 @@
             return
         proxy.alive = False
         self.metrics.increment("proxy crashes")
-        self.list.forget(number)
+        self.list_service.remove_watch(number)
         self.engine.crash(number)
         self.checker.record_proxy_crash(number)
-        self.event_queue.schedule_after(self.scenario.front.notice, self.notice, proxy)
+        self.event_queue.schedule_after(self.scenario.front.notice, self.update_rotation, proxy)
         for client in self.clients_of(number):
             sess = client.session
             assert sess is not None
-            if sess.up_at >= 0:
-                self.cut(sess, LossCause.UNREACHABLE)
+            if sess.established_at >= 0:
+                self.end_connection(sess, LossCause.UNREACHABLE)
             else:
-                self.lost(sess)
+                self.on_proxy_lost(sess)
 
     def clients_of(self, proxy: int) -> list[Client]:
-        return [c for c in self.clients if c.session is not None and c.session.proxy == proxy and not c.done]
+        return [
+            client
+            for client in self.clients
+            if client.session is not None and client.session.proxy == proxy and not client.finished
+        ]
+
+    def update_rotation(self, proxy: Proxy) -> None:
+        """Take a dead proxy out of the front end's rotation, and a restarted one in once it is ready.
 
-    def notice(self, proxy: Proxy) -> None:
-        """The front looks: it takes a dead proxy out, and a live one in once that is ready. (Where it did not
-        wait, clients of 150 processes that came up together met closed ports, and were called unanswered.)"""
-        ready = proxy.alive and self.engine.ready(proxy.number)
-        proxy.listed = ready and not proxy.stopping
+        Without the wait, 150 processes that start at once leave clients with refused connections, which then
+        count as unanswered.
+        """
+        ready = proxy.alive and self.engine.is_ready(proxy.number)
+        proxy.in_rotation = ready and not proxy.stopping
         if proxy.alive and not ready:
-            self.event_queue.schedule_after(FRONT_LOOKS, self.notice, proxy)
+            self.event_queue.schedule_after(FRONT_END_CHECK_SECONDS, self.update_rotation, proxy)
 
     def restart_proxy(self, number: int) -> None:
         proxy = self.proxies[number]
@@ -693,16 +734,16 @@
             return
         proxy.alive, proxy.stopping = True, False
         self.engine.restart(number)
-        self.event_queue.schedule_after(FRONT_LOOKS, self.notice, proxy)
+        self.event_queue.schedule_after(FRONT_END_CHECK_SECONDS, self.update_rotation, proxy)
 
     def stop_proxy(self, number: int, span: float, away: float) -> None:
-        """A planned restart: the front lets it be, it moves its clients, ends, and is back after a while."""
+        """Restart a proxy gracefully: it leaves the rotation, migrates its clients, exits and starts."""
         proxy = self.proxies[number]
         if not proxy.alive or proxy.stopping:
             return
         proxy.stopping = True
         self.metrics.increment("proxy restarts")
-        self.event_queue.schedule_after(0.3, self.notice, proxy)
+        self.event_queue.schedule_after(0.3, self.update_rotation, proxy)
         self.engine.stop(number, span)
         self.event_queue.schedule_after(span, self.crash_proxy, number)
         self.event_queue.schedule_after(span + away, self.restart_proxy, number)
@@ -711,17 +752,17 @@
         if self.proxies[number].alive:
             self.engine.stall(number, span)
 
-    def mass_drop(self, share: float, span: float, number: int) -> None:
+    def drop_connections(self, share: float, span: float, number: int) -> None:
         rng = self.fault_stream(number)
-        # Drawn for all clients, those without a connection too: the same drop out whatever a policy does.
+        # Drawn for all clients, connected or not, so that every policy loses the same ones.
         chances, waits = rng.random(len(self.clients)), rng.random(len(self.clients))
         for client, chance, wait in zip(self.clients, chances.tolist(), waits.tolist(), strict=True):
-            if chance < share and client.request.due <= self.event_queue.now and not client.done:
-                self.event_queue.schedule_after(wait * span, self.drop, client)
+            if chance < share and client.request.due <= self.event_queue.now and not client.finished:
+                self.event_queue.schedule_after(wait * span, self.drop_client, client)
 
-    def drop(self, client: Client) -> None:
+    def drop_client(self, client: Client) -> None:
         sess = client.session
-        if sess is None or sess.up_at < 0 or sess.over:
+        if sess is None or sess.established_at < 0 or sess.ended:
             return
-        self.cut(sess, LossCause.DROPPED)
-        self.engine.withdraw(sess)
+        self.end_connection(sess, LossCause.DROPPED)
+        self.engine.cancel(sess)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,7 +14,7 @@
 from onyxhollow.lab.run_metrics import merge_quantiles  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
 from onyxhollow.lab.world import faults  # noqa: E402
-from onyxhollow.lab.world.servers import State  # noqa: E402
+from onyxhollow.lab.world.servers import ServerState  # noqa: E402
 from onyxhollow.lab.world.types import LossCause  # noqa: E402
 from onyxhollow.lab.world.world import World  # noqa: E402
 from onyxhollow.policy import Balancer  # noqa: E402
@@ -73,7 +73,7 @@
     called unanswered."""
     day = small(fault("proxy_crash", at=1.0, lasts=1.0, part=1.0, one_by_one=2.0))
     engine, world = begun(day)
-    monkeypatch.setattr(engine, "ready", lambda number: world.event_queue.now >= 6.0)
+    monkeypatch.setattr(engine, "is_ready", lambda number: world.event_queue.now >= 6.0)
     dealt, submit = [], engine.submit
     monkeypatch.setattr(engine, "submit", lambda sess: (dealt.append(world.event_queue.now), submit(sess)))
     started = []
@@ -196,17 +196,21 @@
 
 # what can be seen of a fault half-way, and of the world after it
 MARKS = {
-    "slow": lambda w: any(s.factors for s in w.servers),
-    "hung": lambda w: any(s.hung for s in w.servers),
-    "fast_errors": lambda w: any(s.errors for s in w.servers),
-    "noisy_neighbour": lambda w: w.struck and any(s.capacity(5.9) < 0.5 * s.full for s in w.servers),
-    "vanish": lambda w: any(s.gone_silent for s in w.servers),
-    "zone_lost": lambda w: sum(bool(s.gone_silent) for s in w.servers) == 3,
-    "crash": lambda w: any(s.state is State.STOPPED for s in w.servers),
-    "partition": lambda w: any(w.blocked(p.number, s) == "both" for p in w.proxies for s in w.servers),
-    "lying_reports": lambda w: any(s.lies for s in w.servers),
-    "list_down": lambda w: w.list.down and not w.list.watchers,
-    "list_stale": lambda w: w.list.late,
+    "slow": lambda w: any(s.capacity_factors for s in w.servers),
+    "hung": lambda w: any(s.hung_by for s in w.servers),
+    "fast_errors": lambda w: any(s.error_shares for s in w.servers),
+    "noisy_neighbour": lambda w: (
+        w.affected_servers and any(s.capacity(5.9) < 0.5 * s.full_capacity for s in w.servers)
+    ),
+    "vanish": lambda w: any(s.vanished_by for s in w.servers),
+    "zone_lost": lambda w: sum(bool(s.vanished_by) for s in w.servers) == 3,
+    "crash": lambda w: any(s.state is ServerState.STOPPED for s in w.servers),
+    "partition": lambda w: any(
+        w.blocked_direction(p.number, s) == "both" for p in w.proxies for s in w.servers
+    ),
+    "lying_reports": lambda w: any(s.report_factors for s in w.servers),
+    "list_down": lambda w: w.list_service.down_by and not w.list_service.watchers,
+    "list_stale": lambda w: w.list_service.delay_by_fault,
     "proxy_crash": lambda w: not all(p.alive for p in w.proxies),
 }
 MORE = {"zone_lost": {"zone": "north"}, "noisy_neighbour": {"on": 10.0, "takes": 0.8}}
@@ -221,8 +225,8 @@
     world.event_queue.run_until(5.9)
     assert MARKS[kind](world)
     world.event_queue.run_until(13.5)
-    assert not MARKS[kind](world) and not world.struck
-    assert all(s.running for s in world.servers) and all(p.alive and p.listed for p in world.proxies)
+    assert not MARKS[kind](world) and not world.affected_servers
+    assert all(s.is_running for s in world.servers) and all(p.alive and p.in_rotation for p in world.proxies)
     engine.end()
 
 
@@ -231,20 +235,23 @@
     "reset": ({}, lambda w: w.metrics.counts["cut: torn down"] >= 5),
     "reconnect": ({"share": 0.5}, lambda w: w.metrics.counts["cut: dropped"] >= 20),
     "grow": ({"servers": 3}, lambda w: len(w.servers) == 9 and all(s.sessions for s in w.servers)),
-    "shrink": ({"part": 0.5, "drain": 2.0}, lambda w: sum(s.running for s in w.servers) == 3),
+    "shrink": ({"part": 0.5, "drain": 2.0}, lambda w: sum(s.is_running for s in w.servers) == 3),
     "deploy": ({"part": 1.0, "batch": 0.5, "drain": 1.0}, lambda w: all(s.started > 0 for s in w.servers)),
     "clock_step": (
         {"part": 1.0, "step": 60.0},
-        lambda w: all((r.started or 0) > 60 for r in w.list.rows.values()),
+        lambda w: all((r.started or 0) > 60 for r in w.list_service.rows.values()),
     ),
     "proxy_restart": (
         {"part": 1.0, "apart": 0.2, "stop": 2.0},
         lambda w: w.metrics.counts["proxy restarts"] == 2,
     ),
     "proxy_stall": ({"at": 3.0, "part": 1.0, "lasts": 2.0}, lambda w: w.metrics.counts["up late"] >= 3),
-    "watch_ended": ({}, lambda w: w.list.calls == 4 and len(w.list.watchers) == 2),
+    "watch_ended": ({}, lambda w: w.list_service.calls == 4 and len(w.list_service.watchers) == 2),
     "burst": ({"times": 4.0}, lambda w: sum(4 <= c.request.due < 7 for c in w.clients) > 30),
-    "costly": ({"share": 1.0, "times": 50.0}, lambda w: max(c.request.load for c in w.clients) > 50 * w.unit),
+    "costly": (
+        {"share": 1.0, "times": 50.0},
+        lambda w: max(c.request.load for c in w.clients) > 50 * w.average_load,
+    ),
 }
 
 
@@ -275,7 +282,7 @@
     shares = []
     for when in (3.0, 5.0, 7.0, 9.0):
         world.event_queue.run_until(when)
-        shares.append(1 / world.servers[0].capacity(when) * world.servers[0].full)
+        shares.append(1 / world.servers[0].capacity(when) * world.servers[0].full_capacity)
     assert [round(share) for share in shares] == [4, 8, 4, 1]
 
 
@@ -293,11 +300,11 @@
         world.event_queue.schedule_at(
             client.request.end - early, world.drain_server, server, 2.0, False, False
         )
-        world.event_queue.schedule_at(client.request.end - early, world.drop, client)
+        world.event_queue.schedule_at(client.request.end - early, world.drop_client, client)
         world.event_queue.schedule_at(client.request.end - early, world.end_by_server, sess, True)
         world.event_queue.run_until(world.scenario.seconds)
         engine.end()
-        assert sess.over and client.done and client.session is None and sess not in server.sessions
+        assert sess.ended and client.finished and client.session is None and sess not in server.sessions
         assert world.checker.is_clean and world.metrics.figures()["service"] > 0.9
 
 
@@ -317,7 +324,7 @@
     world.event_queue.run_until(day.seconds)
     engine.end()
     assert world.checker.is_clean
-    assert all(sess.client.done or sess.client.was_up or sess.client.session for sess in out)
+    assert all(sess.client.finished or sess.client.was_connected or sess.client.session for sess in out)
 
 
 @pytest.mark.parametrize("name", ["one-server", "no-server", "one-proxy", "once-only", "partition-one-way"])
@@ -330,10 +337,10 @@
 def test_cut_links_mute_what_stands_on_them_and_mending_lets_it_go_on():
     engine, world = begun(small(fault("partition", at=2.0, lasts=3.0, part=1.0, proxies=0.5, one_way=True)))
     world.event_queue.run_until(2.5)
-    muted = [sess for server in world.servers for sess in server.sessions if sess.muted]
-    assert muted and {sess.proxy for sess in muted} == set(world.cuts[0].proxies)
+    muted = [sess for server in world.servers for sess in server.sessions if sess.blackholed]
+    assert muted and {sess.proxy for sess in muted} == set(world.blocked_links[0].proxies)
     world.event_queue.run_until(5.5)
-    assert not any(sess.muted for server in world.servers for sess in server.sessions)
+    assert not any(sess.blackholed for server in world.servers for sess in server.sessions)
     world.event_queue.run_until(world.scenario.seconds)
     engine.end()
     assert world.metrics.figures()["lost"][LossCause.UNREACHABLE.value] > 0.05 and world.checker.is_clean
