--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -289,7 +289,7 @@
         return
     out["deterministic"] = same_everywhere()
     out["broken_policies_caught"] = caught()
-    out["scenarios"] = len(scenario.shipped())
+    out["scenarios"] = len(scenario.shipped_scenarios())
     out["cost_linear"] = round(linear(), 2)
     out |= ranking(1, quick=True) if told.quick else ranking(told.seeds)
     out |= gaps(8.0, ("calm", "crash")) if told.quick else gaps(None, FIVE)
--- a/onyxhollow/lab/cli.py
+++ b/onyxhollow/lab/cli.py
@@ -99,7 +99,7 @@
 
 def do_list(_: argparse.Namespace) -> int:
     table = Table("scenario", "proxies x servers", "seconds", "about", box=None)
-    for name in scenario.shipped():
+    for name in scenario.shipped_scenarios():
         row = scenario.read(name)
         table.add_row(name, f"{row.fleet.proxies} x {row.fleet.servers}", f"{row.seconds:g}", row.about)
     console = Console()
@@ -214,7 +214,9 @@
 def days(told: argparse.Namespace) -> list[scenario.Scenario]:
     names = told.scenarios.split(",") if told.scenarios else []
     return [
-        scenario.read(name) for name in names or scenario.shipped() if names or not name.startswith("grown")
+        scenario.read(name)
+        for name in names or scenario.shipped_scenarios()
+        if names or not name.startswith("grown")
     ]
 
 
--- a/onyxhollow/lab/invariant_checker.py
+++ b/onyxhollow/lab/invariant_checker.py
@@ -3,9 +3,9 @@
 1. Every session that a running proxy has received gets exactly one final answer, in time.
 2. No session runs twice. A session has one attempt in flight at a time. A once-only session is attempted
    again only if it is known not to have run, a referenced one only within its deduplication scope and window.
-3. A proxy starts no attempt at a server that it was told is draining or gone, after the grace period.
+3. After the grace period, a proxy starts no attempt at a server of whose drain or removal it was notified.
 4. Proxies respect the slow start: no warming-up server fails from overload while at least two thirds of its
-   load come from proxies that were told of its start.
+   load come from proxies that were notified of its start.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class TrackedSession:
-    """A session at a proxy, with what the rules need to know of its attempts."""
+    """A session at a proxy, with its attempts as far as the rules concern them."""
 
     proxy: int
     deadline: float
@@ -45,18 +45,22 @@
 
 
 class InvariantChecker:
-    """Records the events of a run and reports each violation of the four rules."""
+    """Records the events of a run and reports each violation of the four rules.
+
+    The grace periods and ask_within, the longest interval between polls of the list, are in seconds.
+    """
 
     def __init__(self, drain_grace: float, answer_grace: float, ask_within: float) -> None:
-        """Take all three in seconds; ask_within is the longest interval between polls of the list."""
         self.drain_grace, self.answer_grace, self.ask_within = drain_grace, answer_grace, ask_within
         self.sessions: dict[Hashable, TrackedSession] = {}
         self.server_locations: dict[str, tuple[int, int]] = {}  # zone and cell of each server
         self.violations: list[Violation] = []
         self.violation_counts = {1: 0, 2: 0, 3: 0, 4: 0}  # by rule
-        # Time from which a proxy has known that a server accepts no new sessions.
+        # When a proxy was first notified that a server accepts no new sessions.
         self.out_of_service_since: dict[tuple[int, str], float] = {}
-        self.notified_starts: dict[tuple[int, str], float] = {}  # start time of a server as told to a proxy
+        self.notified_starts: dict[
+            tuple[int, str], float
+        ] = {}  # start time of a server that a proxy received
         # When the list last changed for a server, with the state and start time that it shows since then.
         self.listed: dict[str, tuple[float, str, float | None]] = {}
         self.watching_proxies: set[int] = set()
@@ -133,7 +137,7 @@
             self.sessions.pop(sess, None)
 
     def record_proxy_crash(self, proxy: int) -> None:
-        """Drop the sessions of a dead proxy and all that it was told; it restarts without either."""
+        """Discard the sessions and notifications of a dead proxy; it restarts without them."""
         for sess in [sess for sess, tracked in self.sessions.items() if tracked.proxy == proxy]:
             del self.sessions[sess]
         for table in (self.out_of_service_since, self.notified_starts):
@@ -199,7 +203,7 @@
         self.discard_if_complete(sess, tracked)
 
     def record_execution(self, now: float, key: Hashable, repeat: str, server: str) -> None:
-        """Record that a server has actually carried out a session, whatever the proxy observed."""
+        """Record that a server has executed a session, whatever the proxy observed."""
         self.executions[key] = times = self.executions.get(key, 0) + 1
         if times > 1 and repeat == "once-only":
             self.add_violation(2, now, f"once-only session {key} ran {times} times, last on {server}")
@@ -213,7 +217,7 @@
     def record_notification(
         self, now: float, proxy: int, server: str, state: str, started: float | None
     ) -> None:
-        """Record that a proxy was told the state and start time of a server."""
+        """Record that a proxy has received the state and start time of a server."""
         if state == "in service":
             self.out_of_service_since.pop((proxy, server), None)
             if started is not None:
@@ -224,8 +228,8 @@
     def record_return_to_service(self, server: str) -> None:
         """End every proxy's drain of a server that is in service again.
 
-        In a fleet, the proxy that was told so passes it on to the others. Drains are not passed on: each
-        proxy is held to what it was told itself.
+        In a fleet, the notified proxy passes this on to the others. Drains are not passed on: each proxy is
+        held to its own notifications.
         """
         for proxy, name in [key for key in self.out_of_service_since if key[1] == server]:
             del self.out_of_service_since[proxy, name]
@@ -243,14 +247,14 @@
     def check_drain(self, now: float, proxy: int, sess: Hashable, server: str) -> None:
         since = self.out_of_service_since.get((proxy, server), math.inf)
         if proxy not in self.watching_proxies and (row := self.listed.get(server)) and row[1] != "in service":
-            # A proxy that neither watches nor polls counts as told of a change after the poll interval.
+            # A proxy that neither watches nor polls counts as notified of a change after the poll interval.
             poll_due = self.last_polls.get(proxy, 0.0) + self.ask_within
             since = min(since, max(row[0] + self.ask_within, poll_due))
         if now > since + self.drain_grace:
             self.add_violation(
                 3,
                 now,
-                f"session {sess}: proxy {proxy} sent to {server} {now - since:.3f} s after it was told",
+                f"session {sess}: proxy {proxy} sent to {server} {now - since:.3f} s after it was notified",
             )
 
     # rule 4
@@ -268,11 +272,11 @@
                 4,
                 now,
                 f"warming-up server {server} failed from overload, "
-                f"{informed / total:.0%} of the load from proxies told of its start",
+                f"{informed / total:.0%} of the load from proxies notified of its start",
             )
 
     def is_informed(self, now: float, proxy: int, server: str, started: float) -> bool:
-        """Return whether a proxy was told, or should have polled, that the server started then."""
+        """Return whether a proxy was notified of the start of the server, or should have polled it."""
         if abs(self.notified_starts.get((proxy, server), -math.inf) - started) < 1e-6:
             return True
         row = self.listed.get(server)
--- a/onyxhollow/lab/scenario.py
+++ b/onyxhollow/lab/scenario.py
@@ -1,6 +1,7 @@
-"""Scenarios: typed TOML. A file is checked whole; an error names file, key path and what was expected.
+"""Scenarios in typed TOML, validated as a whole; errors name the file, the key path and the expected value.
 
-Times are seconds, loads are cores of work a second on a core of speed 1, rates are per second.
+Times are in seconds, rates per second. A load is in cores: core seconds of work per second on a core of
+speed 1.
 """
 
 from __future__ import annotations
@@ -14,39 +15,41 @@
 
 from onyxhollow.lab.specs import (
     Clients,
-    CustomerSpec,
     Fleet,
-    Front,
-    Goal,
+    FrontEndSettings,
     ListenerSpec,
     ListServiceSettings,
     Name,
     Network,
     Proxies,
-    Store,
-    Strict,
+    ScenarioSection,
+    ScoreWeights,
+    SessionStoreSettings,
+    TenantSpec,
 )
 from onyxhollow.lab.world.faults import Fault
 
-T = TypeVar("T")
+Model = TypeVar("Model")
 
 
 class ScenarioError(Exception):
-    """A scenario that can't be played; one line with file, key path, and what was expected."""
+    """An invalid scenario; the text is one line with the file, the key path and the expected value."""
 
 
-class Scenario(Strict, frozen=True):
+class Scenario(ScenarioSection, frozen=True):
+    """A scenario file: fleet, network, clients, faults and the weights of the score."""
+
     title: Name
     about: str = ""
     seconds: Annotated[float, Meta(gt=0, le=86400)] = 50.0
     fleet: Fleet = Fleet()
-    store: Store = Store()
+    store: SessionStoreSettings = SessionStoreSettings()
     network: Network = Network()
     server_list: ListServiceSettings = ListServiceSettings()
-    front: Front = Front()
+    front: FrontEndSettings = FrontEndSettings()
     clients: Clients = Clients()
     proxies: Proxies = Proxies()
-    goal: Goal = Goal()
+    goal: ScoreWeights = ScoreWeights()
     listeners: Annotated[list[ListenerSpec], Meta(min_length=1, max_length=64)] = msgspec.field(
         default_factory=lambda: [
             ListenerSpec(name="balance", share=0.42, target=0.3, timeout=1.8, utility=2.0, load=1.0),
@@ -63,10 +66,10 @@
             ),
         ]
     )
-    customers: Annotated[list[CustomerSpec], Meta(min_length=1, max_length=1000)] = msgspec.field(
+    customers: Annotated[list[TenantSpec], Meta(min_length=1, max_length=1000)] = msgspec.field(
         default_factory=lambda: [
-            CustomerSpec(name=f"c{place + 1}", share=share, usage=usage)
-            for place, (share, usage) in enumerate(
+            TenantSpec(name=f"c{index + 1}", share=share, usage=usage)
+            for index, (share, usage) in enumerate(
                 [(0.3, 1.1), (0.25, 0.9), (0.2, 1.0), (0.15, 1.1), (0.1, 0.8)]
             )
         ]
@@ -74,23 +77,23 @@
     faults: Annotated[list[Fault], Meta(max_length=200)] = msgspec.field(default_factory=list)
 
 
-class Experiment(Strict, frozen=True):
-    """A matrix of runs: scenarios x policies x seeds 1 to seeds."""
+class Experiment(ScenarioSection, frozen=True):
+    """A matrix of runs: scenarios x policies x seeds, with seeds from 1 to the given number."""
 
     scenarios: Annotated[list[str], Meta(min_length=1, max_length=1000)]
     policies: Annotated[list[str], Meta(min_length=1, max_length=100)]
     seeds: Annotated[int, Meta(ge=1, le=100000)] = 5
 
 
-def shipped() -> dict[str, Path]:
-    """The scenarios that come with the package, by name."""
+def shipped_scenarios() -> dict[str, Path]:
+    """Return the files of the scenarios that come with the package, by name."""
     folder = Path(str(resources.files("onyxhollow.lab") / "scenarios"))
     return {path.stem: path for path in sorted(folder.glob("*.toml"))}
 
 
 def read(name: str) -> Scenario:
-    """A shipped scenario by name, or a file. Raises ScenarioError."""
-    path = shipped().get(name) or Path(name)
+    """Read a shipped scenario by name, or a file. Raises ScenarioError."""
+    path = shipped_scenarios().get(name) or Path(name)
     try:
         raw = path.read_bytes()
     except OSError as error:
@@ -99,35 +102,35 @@
     return decode(raw, str(path.name))
 
 
-def typed(raw: bytes, where: str, kind: type[T]) -> T:
-    """TOML as a type. Raises ScenarioError; nothing is taken over from a file with a single fault in it."""
+def decode_toml(raw: bytes, where: str, kind: type[Model]) -> Model:
+    """Decode TOML into a type. Raises ScenarioError on the first error; where names the file in it."""
     try:
         return msgspec.toml.decode(raw, type=kind)
     except msgspec.ValidationError as error:
-        said, _, path = str(error).partition(" - at ")
-        raise ScenarioError(f"{where}: {path.strip('`') or '$'}: {said}") from None
+        reason, _, path = str(error).partition(" - at ")
+        raise ScenarioError(f"{where}: {path.strip('`') or '$'}: {reason}") from None
     except (msgspec.DecodeError, ValueError) as error:
         raise ScenarioError(f"{where}: not TOML: {error}") from None
 
 
 def decode(raw: bytes, where: str) -> Scenario:
-    """Raises ScenarioError."""
-    scenario = typed(raw, where, Scenario)
+    """Decode and validate a scenario. Raises ScenarioError."""
+    scenario = decode_toml(raw, where, Scenario)
     check(scenario, where)
     return scenario
 
 
 def read_experiment(name: str) -> Experiment:
-    """Raises ScenarioError."""
+    """Read an experiment from a file. Raises ScenarioError."""
     path = Path(name)
     try:
-        return typed(path.read_bytes(), path.name, Experiment)
+        return decode_toml(path.read_bytes(), path.name, Experiment)
     except OSError as error:
         raise ScenarioError(f"{name}: {error.strerror}") from None
 
 
 def check(scenario: Scenario, where: str) -> None:
-    """What the types alone can't tell. Raises ScenarioError."""
+    """Validate what the types cannot express. Raises ScenarioError."""
 
     def fail(path: str, expected: str, got: object) -> None:
         raise ScenarioError(f"{where}: $.{path}: expected {expected}, got {got!r}")
@@ -140,22 +143,22 @@
     ):
         if len(set(names)) != len(names):
             fail(path, "names that differ", names)
-    for place, row in enumerate(scenario.listeners):
+    for index, row in enumerate(scenario.listeners):
         if row.target > row.timeout:
-            fail(f"listeners[{place}].target", f"at most the timeout {row.timeout}", row.target)
+            fail(f"listeners[{index}].target", f"at most the timeout {row.timeout}", row.target)
     if scenario.goal.whole + scenario.goal.window + scenario.goal.listener + scenario.goal.customer <= 0:
         fail("goal", "weights that are not all 0", 0)
-    for place, fault in enumerate(scenario.faults):
+    for index, fault in enumerate(scenario.faults):
         if fault.at >= scenario.seconds:
-            fail(f"faults[{place}].at", f"a time before the end at {scenario.seconds}", fault.at)
+            fail(f"faults[{index}].at", f"a time before the end at {scenario.seconds}", fault.at)
         if (
-            told := fault.find_invalid_key(scenario.fleet.zones, [row.name for row in scenario.listeners])
+            invalid := fault.find_invalid_key(scenario.fleet.zones, [row.name for row in scenario.listeners])
         ) is not None:
-            fail(f"faults[{place}].{told[0]}", told[1], told[2])
+            fail(f"faults[{index}].{invalid[0]}", invalid[1], invalid[2])
 
 
 def encode(scenario: Scenario) -> bytes:
-    """The scenario as TOML, whole; reading it back gives the same."""
+    """Encode the whole scenario as TOML; decoding it gives an equal scenario."""
     import tomli_w
 
     return tomli_w.dumps(msgspec.to_builtins(scenario)).encode()
--- a/onyxhollow/lab/world/faults.py
+++ b/onyxhollow/lab/world/faults.py
@@ -16,7 +16,7 @@
 import numpy as np
 from msgspec import Meta
 
-from onyxhollow.lab.specs import NotNegative, Positive, Share
+from onyxhollow.lab.specs import NonNegative, Positive, Share
 from onyxhollow.lab.world.event_queue import EventQueue
 from onyxhollow.lab.world.listing import ListService
 from onyxhollow.lab.world.servers import Server
@@ -76,8 +76,8 @@
 class FaultSpec(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True, tag_field="kind"):
     """The settings common to all faults: start and duration in seconds."""
 
-    at: NotNegative
-    lasts: NotNegative = 10.0
+    at: NonNegative
+    lasts: NonNegative = 10.0
 
     @property
     def until(self) -> float:
@@ -220,7 +220,7 @@
 class ResetAll(ServerFault, frozen=True, kw_only=True, tag="reset"):
     """All connections of some servers are reset at once; the servers keep running."""
 
-    lasts: NotNegative = 0.0
+    lasts: NonNegative = 0.0
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
         world.reset_connections(server)
@@ -249,7 +249,7 @@
 class LyingReports(ServerFault, frozen=True, kw_only=True, tag="lying_reports"):
     """Servers report their true load times a factor."""
 
-    factor: NotNegative = 0.2
+    factor: NonNegative = 0.2
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
         server.report_factors[number] = self.factor
@@ -299,7 +299,7 @@
     """A share of the clients drops its connections during the fault and reconnects."""
 
     share: Share = 0.4
-    lasts: NotNegative = 1.0
+    lasts: NonNegative = 1.0
 
     def begin(self, world: FaultTarget, number: int) -> None:
         world.drop_connections(self.share, self.lasts, number)
@@ -318,7 +318,7 @@
 class Shrink(ServerFault, frozen=True, kw_only=True, tag="shrink"):
     """Servers drain and stop for good, one after another over the duration."""
 
-    drain: NotNegative = 4.0
+    drain: NonNegative = 4.0
 
     def begin(self, world: FaultTarget, number: int) -> None:
         selected = self.select_servers(world, number)
@@ -333,7 +333,7 @@
 
     part: Share = 1.0
     batch: Annotated[float, Meta(gt=0, le=1)] = 0.15
-    drain: NotNegative = 4.0
+    drain: NonNegative = 4.0
     replaced: bool = False
 
     def begin(self, world: FaultTarget, number: int) -> None:
@@ -352,8 +352,8 @@
     """Proxies are killed and restart with the list they had, one_by_one seconds after one another."""
 
     part: Share = 0.3
-    lasts: NotNegative = 3.0
-    one_by_one: NotNegative = 0.0
+    lasts: NonNegative = 3.0
+    one_by_one: NonNegative = 0.0
 
     def select_proxies(self, world: FaultTarget, number: int) -> list[int]:
         count = max(1, round(self.part * len(world.proxies)))
@@ -371,7 +371,7 @@
 class ProxyRestart(ProxyCrash, frozen=True, kw_only=True, tag="proxy_restart"):
     """Planned restarts, one after another: each proxy migrates its clients, stops and starts again."""
 
-    apart: NotNegative = 3.0
+    apart: NonNegative = 3.0
     stop: Positive = 3.0
 
     def begin(self, world: FaultTarget, number: int) -> None:
@@ -387,7 +387,7 @@
 class ProxyStall(ProxyCrash, frozen=True, kw_only=True, tag="proxy_stall"):
     """Proxies stall and then process at once everything that arrived meanwhile."""
 
-    lasts: NotNegative = 0.5
+    lasts: NonNegative = 0.5
 
     def begin(self, world: FaultTarget, number: int) -> None:
         for proxy in self.select_proxies(world, number):
@@ -422,7 +422,7 @@
 class WatchEnded(FaultSpec, frozen=True, kw_only=True, tag="watch_ended"):
     """All watches break once; the list service answers again immediately."""
 
-    lasts: NotNegative = 0.0
+    lasts: NonNegative = 0.0
 
     def begin(self, world: FaultTarget, number: int) -> None:
         world.list_service.take_down(number)
--- a/onyxhollow/lab/world/listing.py
+++ b/onyxhollow/lab/world/listing.py
@@ -71,9 +71,9 @@
         if self.down_by:
             return  # all watches have ended
         version = self.version
-        for place, (proxy, on_change) in enumerate(list(self.watchers.items())):
+        for index, (proxy, on_change) in enumerate(list(self.watchers.items())):
             # Watchers are notified one after another, each within the spread.
-            wait = self.settings.spread * (0.2 + 0.8 * (place + 1) / len(self.watchers))
+            wait = self.settings.spread * (0.2 + 0.8 * (index + 1) / len(self.watchers))
             self.lines_sent += 1
             self.event_queue.schedule_after(wait, self.deliver, proxy, on_change, [row], version)
 
--- a/onyxhollow/lab/world/servers.py
+++ b/onyxhollow/lab/world/servers.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from onyxhollow.lab.specs import Fleet, Kind, ListenerSpec
+from onyxhollow.lab.specs import Fleet, ListenerSpec, MachineKind
 from onyxhollow.lab.world.types import LossCause, Request
 
 MAX_FORMULA_LOAD = 0.985  # above this load the formula stays constant; the backlog accounts for the rest
@@ -118,7 +118,7 @@
         name: str,
         zone: int,
         fleet: Fleet,
-        kind: Kind,
+        kind: MachineKind,
         speed: float,
         listeners: list[ListenerSpec],
         message_work: float,
@@ -140,7 +140,8 @@
         self.groups: Counter[int] = Counter()
         self.demand = self.backlog = 0.0  # cores of work asked for; core seconds of work waiting
         slots = 4 * len(listeners)
-        # By slot; extra_seconds corrects the connection seconds of the current step.
+        # By slot, which is 4 * listener + 2 * (crosses a zone) + (over quota). extra_seconds corrects the
+        # connection seconds of the current step.
         self.connection_counts, self.extra_seconds = [0] * slots, [0.0] * slots
         self.earned = [0.0] * slots  # integral of quality over time
         self.quality, self.quality_without_crossing = [1.0] * slots, [1.0] * slots
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -171,14 +171,14 @@
             self.event_queue.schedule_at(fault.at, fault.begin, self, number)
             self.event_queue.schedule_at(fault.until, fault.end, self, number)
 
-    def schedule_arrival(self, place: int) -> None:
+    def schedule_arrival(self, index: int) -> None:
         """Schedule one arrival, which schedules the next: the event queue does not hold them all."""
-        if place < len(self.requests):
-            self.event_queue.schedule_at(self.requests[place].due, self.on_arrival, place)
+        if index < len(self.requests):
+            self.event_queue.schedule_at(self.requests[index].due, self.on_arrival, index)
 
-    def on_arrival(self, place: int) -> None:
-        self.schedule_arrival(place + 1)
-        self.start_client(self.clients[place])
+    def on_arrival(self, index: int) -> None:
+        self.schedule_arrival(index + 1)
+        self.start_client(self.clients[index])
 
     def create_preexisting_sessions(self) -> list[Session]:
         """Create the connections that exist at the start.
@@ -195,14 +195,14 @@
         weights = np.array([server.weight for server in self.servers])
         server_numbers = rng.choice(len(self.servers), size=len(clients), p=weights / weights.sum())
         sessions = []
-        for client, place in zip(clients, server_numbers.tolist(), strict=True):
+        for client, index in zip(clients, server_numbers.tolist(), strict=True):
             proxy = self.choose_proxy(client)
             assert proxy is not None
             sess = self.new_session(client, proxy.number, math.inf)
             sess.answered = True
             self.event_queue.schedule_at(client.request.end, self.on_request_end, client)
             self.checker.final_answers[sess.number] = (proxy.number, "up")
-            self.attach(sess, self.servers[place])
+            self.attach(sess, self.servers[index])
             sessions.append(sess)
         return sessions
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -383,7 +383,7 @@
 
 
 def test_shipped_scenarios_are_sound_and_read_back_as_written():
-    names = scenario.shipped()
+    names = scenario.shipped_scenarios()
     assert len(names) >= 24
     for name in names:
         day = scenario.read(name)
