--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -29,12 +29,12 @@
 """
 
 
-def small(more="", **changes):
+def small_scenario(more="", **changes):
     made = scenario.decode((SMALL + more).encode(), "small")
     return msgspec.structs.replace(made, **changes)
 
 
-def fault(kind, **values):
+def fault_section(kind, **values):
     rows = [
         f'{key} = "{value}"' if isinstance(value, str) else f"{key} = {str(value).lower()}"
         for key, value in values.items()
@@ -71,7 +71,7 @@
 def test_the_front_takes_a_proxy_that_was_started_once_it_is_ready_and_each_in_its_turn(monkeypatch):
     """150 of 300 processes came up at once on one machine: clients met closed ports, and 1,820 of them were
     called unanswered."""
-    day = small(fault("proxy_crash", at=1.0, lasts=1.0, part=1.0, one_by_one=2.0))
+    day = small_scenario(fault_section("proxy_crash", at=1.0, lasts=1.0, part=1.0, one_by_one=2.0))
     engine, world = begun(day)
     monkeypatch.setattr(engine, "is_ready", lambda number: world.event_queue.now >= 6.0)
     dealt, submit = [], engine.submit
@@ -86,7 +86,9 @@
 
 
 def test_what_clients_want_depends_on_no_policy_and_accounts_balance():
-    day = small(fault("crash", at=3.0, lasts=3.0, part=0.5) + fault("reconnect", at=8.0, share=0.5))
+    day = small_scenario(
+        fault_section("crash", at=3.0, lasts=3.0, part=0.5) + fault_section("reconnect", at=8.0, share=0.5)
+    )
     told = {name: Virtual(day, 2, decisions.find(name)).run() for name in ("module", "random", "true-state")}
     assert len({tuple(world.metrics.wanted) for world in told.values()}) == 1
     assert len({tuple(world.metrics.earned) for world in told.values()}) == 3
@@ -219,7 +221,7 @@
 @pytest.mark.parametrize("kind", sorted(MARKS))
 def test_a_fault_bites_while_it_lasts_and_leaves_nothing_behind(kind):
     values = {"at": 4.0, "lasts": 3.0, **MORE.get(kind, {})}
-    engine, world = begun(small(fault(kind, **values)))
+    engine, world = begun(small_scenario(fault_section(kind, **values)))
     world.event_queue.run_until(3.9)
     assert not MARKS[kind](world)
     world.event_queue.run_until(5.9)
@@ -259,9 +261,11 @@
 def test_a_fault_shows_in_the_run_and_not_without_it(kind):
     values, shows = SHOWN[kind]
     with_it = Virtual(
-        small(fault(kind, **{"at": 4.0, "lasts": 3.0, **values})), 1, decisions.find("module")
+        small_scenario(fault_section(kind, **{"at": 4.0, "lasts": 3.0, **values})),
+        1,
+        decisions.find("module"),
     ).run()
-    without = Virtual(small(), 1, decisions.find("module")).run()
+    without = Virtual(small_scenario(), 1, decisions.find("module")).run()
     without.metrics.counts = dict.fromkeys(
         ["cut: torn down", "cut: dropped", "proxy restarts", "up late"], 0
     ) | (without.metrics.counts)
@@ -275,10 +279,10 @@
 
 
 def test_two_faults_on_one_server_are_undone_one_by_one():
-    both = fault("slow", at=2.0, lasts=6.0, part=1.0, times=4.0) + fault(
+    both = fault_section("slow", at=2.0, lasts=6.0, part=1.0, times=4.0) + fault_section(
         "slow", at=4.0, lasts=2.0, part=1.0, times=2.0
     )
-    engine, world = begun(small(both))
+    engine, world = begun(small_scenario(both))
     shares = []
     for when in (3.0, 5.0, 7.0, 9.0):
         world.event_queue.run_until(when)
@@ -287,14 +291,16 @@
 
 
 def test_a_fault_that_ends_before_it_bites_changes_nothing_of_the_service():
-    day = small(fault("slow", at=4.0, lasts=0.0) + fault("hung", at=4.0, lasts=0.0, part=1.0))
-    told, plain = runs.play(day, 1, "module"), runs.play(small(), 1, "module")
+    day = small_scenario(
+        fault_section("slow", at=4.0, lasts=0.0) + fault_section("hung", at=4.0, lasts=0.0, part=1.0)
+    )
+    told, plain = runs.play(day, 1, "module"), runs.play(small_scenario(), 1, "module")
     assert told["service"] == plain["service"] and told["faults"][0][2] == "slow"
 
 
 def test_a_life_that_ends_in_the_instant_of_its_drain_is_answered_once():
     for early in (0.0, 1e-9):  # its end before the drain, and the drain before its end
-        engine, world = begun(small())
+        engine, world = begun(small_scenario())
         client = next(c for c in world.clients if 3.0 < c.request.end < 8.0 and c.session)
         sess, server = client.session, client.session.server
         world.event_queue.schedule_at(
@@ -309,8 +315,9 @@
 
 
 def test_a_proxy_that_crashes_with_dials_out_owes_nothing_and_its_clients_come_again():
-    day = small(
-        fault("hung", at=2.0, lasts=4.0, part=1.0) + fault("proxy_crash", at=3.5, lasts=1.0, part=1.0)
+    day = small_scenario(
+        fault_section("hung", at=2.0, lasts=4.0, part=1.0)
+        + fault_section("proxy_crash", at=3.5, lasts=1.0, part=1.0)
     )
     engine, world = begun(day)
     world.event_queue.run_until(3.45)
@@ -335,7 +342,9 @@
 
 
 def test_cut_links_mute_what_stands_on_them_and_mending_lets_it_go_on():
-    engine, world = begun(small(fault("partition", at=2.0, lasts=3.0, part=1.0, proxies=0.5, one_way=True)))
+    engine, world = begun(
+        small_scenario(fault_section("partition", at=2.0, lasts=3.0, part=1.0, proxies=0.5, one_way=True))
+    )
     world.event_queue.run_until(2.5)
     muted = [sess for server in world.servers for sess in server.sessions if sess.blackholed]
     assert muted and {sess.proxy for sess in muted} == set(world.blocked_links[0].proxies)
@@ -396,12 +405,12 @@
 
     record = tmp_path / "arrivals"
     record.write_text("1.0\n2.5\n2.6\n")
-    clients = msgspec.structs.replace(small().clients, record=str(record))
-    world = World(small(clients=clients), 1)
+    clients = msgspec.structs.replace(small_scenario().clients, record=str(record))
+    world = World(small_scenario(clients=clients), 1)
     assert [request.due for request in world.requests if not request.preexisting] == [1.0, 2.5, 2.6]
     record.write_text("soon\n")
     path = tmp_path / "day.toml"
-    path.write_bytes(scenario.encode(small(clients=clients)))
+    path.write_bytes(scenario.encode(small_scenario(clients=clients)))
     assert main(["lab", "run", str(path)]) == 2
     assert "$.clients.record" in capfd.readouterr().err
     assert main(["lab", "run", "calm", "--policy", "no such; thing"]) == 2
@@ -426,7 +435,9 @@
 
 
 def test_a_daily_curve_has_its_trough_and_peak_and_a_burst_its_place():
-    day = small(seconds=240.0, clients=msgspec.structs.replace(small().clients, shape="daily", swing=0.9))
+    day = small_scenario(
+        seconds=240.0, clients=msgspec.structs.replace(small_scenario().clients, shape="daily", swing=0.9)
+    )
     due = [request.due for request in World(day, 1).requests if not request.preexisting]
     night, noon = (sum(begin <= at < begin + 40 for at in due) for begin in (20, 100))
     assert noon > 4 * night > 0
@@ -434,8 +445,8 @@
 
 
 def test_latencies_of_several_runs_are_merged_not_averaged():
-    told = [runs.play(small(), seed, "module") for seed in (1, 2)]
-    told.append(runs.play(small(fault("hung", at=2.0, lasts=8.0, part=0.9)), 3, "random"))
+    told = [runs.play(small_scenario(), seed, "module") for seed in (1, 2)]
+    told.append(runs.play(small_scenario(fault_section("hung", at=2.0, lasts=8.0, part=0.9)), 3, "random"))
     each = [run["setup_ms"]["p99"] for run in told]
     assert merge_quantiles(told, "setup")["p50"] < 100 and each[2] > 10 * each[0]
     assert merge_quantiles(told, "setup")["p99"] != pytest.approx(sum(each) / 3, rel=0.02)
--- a/tests/test_lab_evenness.py
+++ b/tests/test_lab_evenness.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from test_lab import fault, small
+from test_lab import fault_section, small_scenario
 
 from onyxhollow.lab import experiment, report, runs
 from onyxhollow.lab.evenness import Evenness, Seen
@@ -54,7 +54,7 @@
 
 
 def test_runs_tell_evenness_and_reports_draw_it(tmp_path):
-    day = small(fault("vanish", at=2.0, lasts=4.0, part=0.3))
+    day = small_scenario(fault_section("vanish", at=2.0, lasts=4.0, part=0.3))
     told = [runs.play(day, seed, policy, series=True) for seed, policy in ((1, "module"), (1, "random"))]
     for run in told:
         even = run["evenness"]
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from test_lab import fault, small
+from test_lab import fault_section, small_scenario
 
 from onyxhollow.lab import runs
 from onyxhollow.lab.sockets.engine import Sockets
@@ -30,12 +30,12 @@
 
 
 def test_proxies_keep_the_rules_through_faults_and_bad_clients_and_nothing_is_left(tmp_path):
-    day = small(
-        fault("proxy_crash", at=1.5, lasts=1.0, part=0.5)
-        + fault("vanish", at=2.0, lasts=4.0, part=0.2)
-        + fault("shrink", at=3.0, lasts=1.0, part=0.2, drain=2.0)
-        + fault("reset", at=4.0, part=0.2)
-        + fault("watch_ended", at=5.0),
+    day = small_scenario(
+        fault_section("proxy_crash", at=1.5, lasts=1.0, part=0.5)
+        + fault_section("vanish", at=2.0, lasts=4.0, part=0.2)
+        + fault_section("shrink", at=3.0, lasts=1.0, part=0.2, drain=2.0)
+        + fault_section("reset", at=4.0, part=0.2)
+        + fault_section("watch_ended", at=5.0),
         seconds=8.0,
     )
     engine = Sockets(day, 1, tmp_path)
@@ -56,8 +56,10 @@
 
 
 def test_a_drain_moves_clients_by_the_lines_of_the_protocol(tmp_path):
-    own = fault("reconnect", at=0.2, lasts=0.8, share=1.0)  # those from before the start are not moved
-    day = small(own + fault("shrink", at=2.0, lasts=0.0, part=0.2, drain=6.0), seconds=7.0)
+    own = fault_section(
+        "reconnect", at=0.2, lasts=0.8, share=1.0
+    )  # those from before the start are not moved
+    day = small_scenario(own + fault_section("shrink", at=2.0, lasts=0.0, part=0.2, drain=6.0), seconds=7.0)
     keeps = msgspec.structs.replace(day.fleet, drain="keeps")
     day = msgspec.structs.replace(
         day, fleet=keeps, server_list=msgspec.structs.replace(day.server_list, notice=0.2)
@@ -99,4 +101,4 @@
 
 def test_only_what_serve_carries_is_played_on_sockets():
     with pytest.raises(runs.RunError, match="expected module"):
-        runs.play(small(), 1, "random", engine="sockets")
+        runs.play(small_scenario(), 1, "random", engine="sockets")
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -11,12 +11,12 @@
 
 import msgspec
 import pytest
-from test_lab import fault, small
+from test_lab import fault_section, small_scenario
 
 from onyxhollow.__main__ import main
 from onyxhollow.lab import experiment, report, runs, scenario, search
 
-DAY = small(fault("crash", at=3.0, lasts=3.0, part=0.5), seconds=8.0)
+DAY = small_scenario(fault_section("crash", at=3.0, lasts=3.0, part=0.5), seconds=8.0)
 POLICIES = ["module", "random"]
 
 
@@ -144,8 +144,10 @@
 
 def test_search_cuts_a_day_down_to_what_matters(monkeypatch):
     monkeypatch.setattr(search, "SEEDS", (1,))
-    noise = fault("list_stale", at=2.0, lasts=3.0) + fault("hung", at=2.0, lasts=11.0, part=0.5)
-    day = msgspec.structs.replace(small(noise), title="wide")
+    noise = fault_section("list_stale", at=2.0, lasts=3.0) + fault_section(
+        "hung", at=2.0, lasts=11.0, part=0.5
+    )
+    day = msgspec.structs.replace(small_scenario(noise), title="wide")
     gap = search.gaps([day], "random", 1)[0]
     less, left, tries = search.cut_down(day, gap, "random", 1)
     assert [type(row).__struct_config__.tag for row in less.faults] == ["hung"]
