--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -304,7 +304,7 @@
         return
     result["deterministic"] = is_deterministic()
     result["broken_policies_caught"] = count_caught_policies()
-    result["scenarios"] = len(scenario.shipped())
+    result["scenarios"] = len(scenario.shipped_scenarios())
     result["cost_linear"] = round(measure_linearity(), 2)
     result |= measure_ranking(1, quick=True) if args.quick else measure_ranking(args.seeds)
     result |= (
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -79,7 +79,7 @@
     policy = "module" if gossip or mode == "alone" else mode.removeprefix("before=")
     engine = Virtual(make_scenario(title, size, seconds), seed, decisions.find(policy), gossip, trouble)
     world = engine.run()
-    figures, verdict = world.ledger.figures(), world.checker.summary()
+    figures, verdict = world.metrics.figures(), world.checker.summary()
     return {
         "figure": figures["figure"] if verdict["clean"] else 0.0,
         "probes": figures["counts"].get("probes", 0),
@@ -102,7 +102,7 @@
             world = engine.run()
         except OSError as error:  # the machine has too few descriptors or too little memory for this run
             return {"day": title, "together": together, "void": str(error), "broken": {}}
-        findings, figures = engine.findings(), world.ledger.figures()
+        findings, figures = engine.findings(), world.metrics.figures()
     verdict = world.checker.summary()
     return {
         "day": title,
--- a/onyxhollow/lab/cli.py
+++ b/onyxhollow/lab/cli.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from onyxhollow.lab import decisions, experiment, runs, scenario
-from onyxhollow.lab.ledger import merged
+from onyxhollow.lab.run_metrics import merge_quantiles
 
 LOST_SHOWN = 0.0005  # share of the wanted utility from which a cause gets a line
 
@@ -99,7 +99,7 @@
 
 def do_list(_: argparse.Namespace) -> int:
     table = Table("scenario", "proxies x servers", "seconds", "about", box=None)
-    for name in scenario.shipped():
+    for name in scenario.shipped_scenarios():
         row = scenario.read(name)
         table.add_row(name, f"{row.fleet.proxies} x {row.fleet.servers}", f"{row.seconds:g}", row.about)
     console = Console()
@@ -214,7 +214,9 @@
 def days(told: argparse.Namespace) -> list[scenario.Scenario]:
     names = told.scenarios.split(",") if told.scenarios else []
     return [
-        scenario.read(name) for name in names or scenario.shipped() if names or not name.startswith("grown")
+        scenario.read(name)
+        for name in names or scenario.shipped_scenarios()
+        if names or not name.startswith("grown")
     ]
 
 
@@ -255,7 +257,9 @@
     table.add_row(
         "mean", *(f"{sum(row[name] for row in means.values()) / len(means):.4f}" for name in policies)
     )
-    late = {name: merged((run for run in got if run["policy"] == name), "setup") for name in policies}
+    late = {
+        name: merge_quantiles((run for run in got if run["policy"] == name), "setup") for name in policies
+    }
     table.add_row("set-up 99%, ms", *(f"{late[name]['p99']:g}" for name in policies))
     Console().print(table)
     broken = [run for run in got if not run["rules"]["clean"]]
