--- a/onyxhollow/lifecycle/draining.py
+++ b/onyxhollow/lifecycle/draining.py
@@ -12,7 +12,7 @@
 
 MIGRATION_INTERVAL_SECONDS = 0.05  # between two batches of migrated connections
 DRAIN_SECONDS = 3.6  # from an operator's request until all clients have been sent MOVE
-DRAIN_DELAY_SECONDS = 0.4  # before the first MOVE: until then the front may route clients back here
+DRAIN_DELAY_SECONDS = 0.4  # before the first MOVE: until then the front end may route clients back here
 DRAIN_MARGIN_SECONDS = 0.1  # before the end of the drain, by when every migration must have started
 CLOSING_SECONDS = 0.2  # after the drain, for clients that do not read their MOVE
 
--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -139,7 +139,7 @@
         self.start_coroutines(must_wait and not is_successor)
 
     def make_replacement(self, context: NetworkContext, handover: Handover | None) -> Replacement | None:
-        """Return the replacement coordinator, or None if there is no shared listening socket."""
+        """Return the replacement coordinator, or None without a handover between processes."""
         if handover is None:
             return None
         return Replacement(
--- a/onyxhollow/lifecycle/shutdown.py
+++ b/onyxhollow/lifecycle/shutdown.py
@@ -50,8 +50,8 @@
     def run(self) -> Generator[float, None, None]:
         """Stop accepting, hand off or migrate open connections, answer the remaining sessions, end the loop.
 
-        New sessions are accepted and served for a while before the first migration: the front may still send
-        clients here, and migrated clients would come back to this process.
+        New sessions are accepted and served for a while before the first migration: the front end may still
+        send clients here, and migrated clients would come back to this process.
         """
         started_at = self.loop.now
         deadline = started_at + self.stop_time
--- a/onyxhollow/loop.py
+++ b/onyxhollow/loop.py
@@ -29,7 +29,7 @@
     if not registered_events and events:
         epoll.register(fd, events)
     elif registered_events and not events:
-        with contextlib.suppress(OSError):  # the descriptor is not watched any more in any case
+        with contextlib.suppress(OSError):  # even after an error the descriptor is no longer watched
             epoll.unregister(fd)
     elif registered_events != events:
         epoll.modify(fd, events)
@@ -122,7 +122,7 @@
             heapq.heappush(self.due, (task.until, self.armed_count, task))
 
     def sleep(self, duration: float) -> Coroutine:
-        """Wait for so many seconds, even if the coroutine is woken."""
+        """Wait for `duration` seconds, even if the coroutine is woken."""
         until = self.now + duration
         while self.now < until:
             yield until
--- a/onyxhollow/policy/arrivals.py
+++ b/onyxhollow/policy/arrivals.py
@@ -29,7 +29,8 @@
     endpoint.arrival = StagedMigration(int(fair_share + state.rng.random()))
     reason = "cold" if state.slow_start.warming_up(endpoint, now) else "back"
     state.host.log(f"arrival {endpoint.name}: {reason}, size {endpoint.size:g}, share {fair_share:.1f}")
-    # The endpoint joins as many instances' subsets as the other endpoints.
+    # Joins the subset with the probability that any other endpoint is in it, so that as many instances select
+    # from the new endpoint as from each of the others.
     if state.rng.random() * len(state.endpoints) < len(state.subset) and endpoint not in state.subset:
         state.subset[state.rng.randrange(len(state.subset))] = endpoint
 
--- a/onyxhollow/policy/endpoints.py
+++ b/onyxhollow/policy/endpoints.py
@@ -99,7 +99,8 @@
 def on_endpoint_update(state: PolicyState, entry: Endpoint, is_first_list: bool) -> None:
     """Process one entry of the list.
 
-    In the first list only endpoints that are still warming up count as arrivals.
+    Endpoints of the first list were in service before this instance started. Of these only the ones that are
+    still warming up count as arrivals.
     """
     endpoint = state.tracked.get(entry.name)
     if endpoint is None and entry.state is EndpointState.REMOVED:
--- a/onyxhollow/policy/handoff.py
+++ b/onyxhollow/policy/handoff.py
@@ -61,8 +61,8 @@
         source.migration = None
         return
     receivers = [s for s in state.subset if s is not source and not s.migration and state.eligible(s)]
-    # A drain does not migrate adopted connections. A failing endpoint in service does not serve them well, so
-    # they are migrated too if most other endpoints have capacity.
+    # A drain does not migrate adopted connections. A failing or overloaded endpoint in service does not serve
+    # them well, so they are migrated too if most other endpoints have capacity.
     include_adopted = (
         source.state is EndpointState.IN_SERVICE and state.eligible_share > 0.5 and not state.few_connections
     )
--- a/onyxhollow/policy/selection.py
+++ b/onyxhollow/policy/selection.py
@@ -82,14 +82,16 @@
 
 
 def affinity_endpoint(state: PolicyState, session: Session) -> TrackedEndpoint | None:
-    """Return the endpoint of the last placement of the session's group, or of any session without groups.
+    """Return the endpoint of the group's last placement, or without groups of the last one of any session.
 
-    For a group without one this is the first eligible endpoint from the group's position on the ring, which
-    is the same at all instances without communication.
+    Placements on arriving endpoints do not count. For a group without a last placement this is the first
+    eligible endpoint from the group's position on the ring, which is the same at all instances without
+    communication.
     """
     group = session.group if state.group_affinity else None
     last_endpoint = state.affinity.get(group)
-    if group is None:  # with few own connections it is chance, or the same at all instances
+    if group is None:
+        # With few own connections the last placement is a random choice, or the choice of all instances.
         return None if state.few_connections else last_endpoint
     if last_endpoint and state.eligible(last_endpoint, session):
         return last_endpoint
@@ -166,7 +168,10 @@
 
 
 def sample_endpoints(state: PolicyState, others: list[TrackedEndpoint]) -> list[TrackedEndpoint]:
-    """Draw two endpoints at random, or with few own connections two local ones and one of any zone."""
+    """Draw two endpoints at random, or with few own connections two local ones and one of any zone.
+
+    Few own connections say less about the cost of an endpoint than its zone does.
+    """
     local_endpoints = [s for s in others if s in state.local_endpoints]
     drawn = state.rng.sample(local_endpoints, min(2, len(local_endpoints)))
     return drawn + state.rng.sample(others, min(1 if local_endpoints else 2, len(others)))
--- a/onyxhollow/policy/state.py
+++ b/onyxhollow/policy/state.py
@@ -20,8 +20,8 @@
 
 TICK_SECONDS = 0.05  # interval of the instance's only timer
 LIST_POLLS_PER_SECOND = 8.0  # capacity of the endpoint list, shared by all instances
-HEALTH_CHECK_BUDGET = 0.002  # share of a session's result spent on checks while nothing is overloaded
-MIN_CHECK_PRICE = 1e-4  # replaces a health check price of 0
+HEALTH_CHECK_BUDGET = 0.002  # utility spent on health checks per session while no endpoint is overloaded
+MIN_CHECK_PRICE = 1e-4  # lower bound of a health check's price, which may be 0
 EJECTION_SCORE = 2.0  # lower bound of the outlier score that ejects an endpoint
 
 
@@ -50,7 +50,7 @@
         self.mean_connections = 0.0  # own connections per size
         self.connections_at_capacity = 1.0  # own connections that fill an endpoint of size 1
         self.few_connections = False  # so few own connections that differences are chance
-        self.loads_unknown = False  # no endpoint reports load
+        self.loads_unknown = False  # no endpoint reports load; only set if tenants have connection quotas
         self.prefer_local = False  # the load is low enough for affinity within the own zone
         self.eligible_share = 0.0  # of the subset, from 0 to 1
         self.ejection_threshold = EJECTION_SCORE
--- a/onyxhollow/policy/subset.py
+++ b/onyxhollow/policy/subset.py
@@ -19,7 +19,7 @@
 CONNECTIONS_PER_ENDPOINT = 4  # own connections per endpoint of the subset
 FEW_CONNECTIONS_PER_ENDPOINT = 3.0  # up to this mean, differences in own connections are mostly chance
 LOCAL_LOAD_PER_PRICE = 10.0  # times the cross-zone price: the fleet's load below which affinity is local
-MIN_USABLE_LOAD = 0.25  # lower reported loads do not allow an estimate of the capacity
+MIN_USABLE_LOAD = 0.25  # lower reported loads say too little about the capacity and are raised to this
 
 
 def rebalance_subset(state: PolicyState) -> None:
--- a/onyxhollow/simulator_adapter/wire.py
+++ b/onyxhollow/simulator_adapter/wire.py
@@ -74,7 +74,7 @@
     try:
         message = json.loads(line)
     except ValueError as error:
-        raise WireError(f"not JSON: {error}") from None
+        raise WireError(f"message: expected JSON, got invalid text: {error}") from None
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
         raise WireError(f"message: expected an array that starts with a name, got {message!r:.40}")
     return message[0], message[1:]
--- a/onyxhollow/state_snapshot.py
+++ b/onyxhollow/state_snapshot.py
@@ -1,8 +1,8 @@
 """Encodes the policy's state for a successor process and restores it there.
 
-Timestamps are encoded as ages in seconds, because the clocks of the two processes differ. The keys are those
-that earlier builds write and read, because a process can be replaced by one of an older build. All values are
-checked before any is applied. Endpoints that are not in the successor's list are skipped.
+Timestamps are encoded as ages in seconds, as the clock of the successor's host may have another origin. The
+keys are those that earlier builds write and read, because a process can be replaced by one of an older build.
+All values are checked before any is applied. Endpoints that are not in the successor's list are skipped.
 """
 
 from __future__ import annotations
--- a/onyxhollow/wire/attempts.py
+++ b/onyxhollow/wire/attempts.py
@@ -38,7 +38,7 @@
         """Callback for received bytes and state changes of the connection to the endpoint."""
 
     def opening_line(self, wait: float) -> bytes:
-        """Return the OPEN line for the endpoint; it states the seconds that are left for the answer."""
+        """Return the OPEN line for the endpoint, which states the `wait` left for its answer, in seconds."""
 
     def may_send(self) -> bool:
         """Return whether the OPEN line may still be written; called right before the write."""
--- a/onyxhollow/wire/channel.py
+++ b/onyxhollow/wire/channel.py
@@ -13,8 +13,8 @@
 from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.system_errors import SHORTAGE_RETRY_SECONDS, ErrorCause, classify_error
 
-# A connection that is shut down is read until the peer has been silent for so long. Closing it earlier could
-# reset it, and the peer would lose the last bytes.
+# Silence of the peer after which a connection that was shut down is closed. Closing it earlier could reset
+# it, and the peer would lose the last bytes.
 LINGER_SECONDS = 0.5
 MAX_LINGER_SECONDS = 2.0  # limit of that reading for a peer that keeps sending
 FLUSH_TIMEOUT_SECONDS = 10.0  # for sending the last bytes to a peer that reads slowly
@@ -241,7 +241,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether so many bytes are pending that the source of the data must not be read."""
+        """Whether more bytes are pending than the high-water mark, so that their source must not be read."""
         return len(self.outgoing) > self.pool.high_water_mark
 
     # Closing.
--- a/onyxhollow/wire/echo_timing.py
+++ b/onyxhollow/wire/echo_timing.py
@@ -24,7 +24,7 @@
 
     If every connection reported each echo, a short pause of an endpoint would look like dozens of faults, and
     echoes of 0.2 ms would outweigh the connection set-up times that pace migrations. The time for which this
-    process itself stalled is subtracted from the delay.
+    process itself stalled is subtracted from the delay, and a delay shorter than that stall is not reported.
     """
 
     def __init__(self, loop: Loop) -> None:
--- a/onyxhollow/wire/handoff_channel.py
+++ b/onyxhollow/wire/handoff_channel.py
@@ -147,7 +147,7 @@
                 self.close()
                 return
             answer = self.process_message(message, fds)
-            with contextlib.suppress(OSError):  # a failed sender's connections are served all the same
+            with contextlib.suppress(OSError):  # the sender has failed; its connections are served here
                 sender.send(answer)
 
     def process_message(self, message: bytes, fds: list[int]) -> bytes:
--- a/onyxhollow/wire/messages.py
+++ b/onyxhollow/wire/messages.py
@@ -34,7 +34,7 @@
     previous_endpoint: str | None  # the at= field: where the session was open before this proxy started
 
     def forwarded_line(self, wait: float) -> bytes:
-        """Return the line for an endpoint: the client's line, with `wait` seconds in its d field."""
+        """Return the line for an endpoint: the client's, with `wait` (seconds) as milliseconds in field d."""
         head, _, tail = self.line[:-2].rpartition(b" ")
         wait_field = b"d=%d" % max(1, round(wait * MILLISECONDS_PER_SECOND))
         fields = [wait_field if field.startswith(b"d=") else field for field in tail.split(b",")]
--- a/onyxhollow/wire/session_core.py
+++ b/onyxhollow/wire/session_core.py
@@ -106,7 +106,7 @@
     def end_disconnected(self, handle: SessionHandle, rejected: bool) -> None:
         """End a session whose client disconnected before it was answered.
 
-        The final answer is written all the same: a client that has only shut down its sending side still
+        The final answer is written nevertheless: a client that has only shut down its sending side still
         reads it.
         """
         handle.report_client_gone()
--- a/onyxhollow/wire/session_registry.py
+++ b/onyxhollow/wire/session_registry.py
@@ -16,11 +16,11 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_table import SessionTable
 
-# A new connection is not closed to free descriptors for so long, as its first line may be in transit.
+# Age up to which a connection without a request is kept at the limit, as its first line may be in transit.
 NEW_CONNECTION_GRACE_SECONDS = 0.3
-# A connection that is shutting down is not closed to free descriptors for so long.
+# Time for which a connection that is shutting down is kept at the limit.
 CLOSING_GRACE_SECONDS = 0.1
-# Sessions of a listener that a reload removed are served for so long, as their requests may be in transit.
+# Time for which a listener that a reload removed is still served, as requests may be in transit.
 REMOVED_LISTENER_GRACE_SECONDS = 2.0
 ADOPTION_PERIOD_SECONDS = 39.0  # in which a session that was open before the start may reconnect
 DEFAULT_CONNECTION_LIMIT = 1000  # until the configured limits are applied
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize(
     "line, expected",
     [
-        ("{not json", "line 8: not JSON"),
+        ("{not json", "line 8: message: expected JSON, got invalid text: "),
         (["unknown", 3], "line 9: message: expected a known name, got 'unknown'"),
         (
             ["order", 3, 9, "no such", None, "s-1", 1, None, None, 0],
