--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -36,7 +36,7 @@
 from onyxhollow.wire.network_context import NetworkContext
 from onyxhollow.wire.session_registry import SessionRegistry, SessionSettings
 
-TIMER_RETRY_SECONDS = 0.05  # until the next call after a failure in the decisions' timer
+TIMER_RETRY_SECONDS = 0.05  # until the next call after a failure in the policy's timer
 MAX_LOGGED_TRACE_CHARACTERS = 2000
 
 Routes = dict[str, Mapping[str, Callable[[str], Answer]]]  # by path and method
@@ -211,7 +211,7 @@
     def on_health_check(
         self, endpoint: str, outcome: AttemptOutcome, duration: float, load: float | None
     ) -> None:
-        """Log the result of a health check and report it to the decisions.
+        """Log the result of a health check and report it to the policy.
 
         Args:
             endpoint: The endpoint's name.
@@ -223,7 +223,7 @@
         self.decisions.report_health_check(endpoint, outcome, duration, load)
 
     def run_timer(self) -> Generator[float, None, None]:
-        """Call the decisions whenever their timer is due; a failure is logged and the timer continues."""
+        """Call the policy whenever its timer is due; a failure is logged and the timer continues."""
         while True:
             while self.loop.now < self.decisions.next_tick_at:
                 yield self.decisions.next_tick_at
--- a/onyxhollow/loop.py
+++ b/onyxhollow/loop.py
@@ -70,7 +70,7 @@
         self.due: list[tuple[float, int, Task]] = []  # a heap, ordered by time and then by insertion
         self.armed_count = 0
         self.running = True
-        self.now = time.monotonic()  # at which the present turn began
+        self.now = time.monotonic()  # when the present turn began, or `read_clock` was called in it
         self.stalled = 0.0  # total seconds for which this process did not run, as far as its late timers show
         self.urgent: UrgentDescriptors | None = None
 
--- a/onyxhollow/policy/__init__.py
+++ b/onyxhollow/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of onyxhollow, from `balancer.py`, which a host calls, down to `estimators.py`.
+"""The policy of onyxhollow: its decisions, from `balancer.py`, which a host calls, to `estimators.py`.
 
 A host (`onyxhollow.interface.Host`) creates one `Balancer` per instance and passes it the endpoint list
 (`on_endpoint_list`), sessions (`admit`, `adopt`), load reports (`on_health_check`) and its timer (`tick`).
--- a/onyxhollow/policy/balancer.py
+++ b/onyxhollow/policy/balancer.py
@@ -27,7 +27,7 @@
 
 
 class Balancer(PolicyState):
-    """The decisions of one proxy, on behalf of its host.
+    """The policy of one proxy, which decides on behalf of its host.
 
     The host passes the endpoint list (`on_endpoint_list`), sessions (`admit`, `adopt`), load reports
     (`on_health_check`) and its timer (`tick`). Later events of a session are calls on the `Session`.
--- a/onyxhollow/policy/health_checks.py
+++ b/onyxhollow/policy/health_checks.py
@@ -59,9 +59,9 @@
 def awaits_load_report(state: PolicyState, session: Session, endpoint: TrackedEndpoint, now: float) -> bool:
     """Return whether the session must not be placed on the selected endpoint now.
 
-    With few own connections a session needs a recent load report, and this instance must win part of the
-    reported capacity. An endpoint that does not answer in time, or has no capacity left, is skipped for a
-    while.
+    With few own connections a session needs a recent load report, and this instance must win a part of the
+    reported capacity in the random draw of `may_claim_capacity`. An endpoint that does not answer in time, or
+    whose draw is lost, is not eligible for a short time, as after a sign of overload.
     """
     if not state.few_connections or not state.checks_per_session:
         return False
--- a/onyxhollow/policy/subset.py
+++ b/onyxhollow/policy/subset.py
@@ -18,7 +18,7 @@
 REPLACEMENT_SECONDS = 10.0  # mean time until the oldest endpoint of the subset is replaced
 CONNECTIONS_PER_ENDPOINT = 4  # own connections per endpoint of the subset
 FEW_CONNECTIONS_PER_ENDPOINT = 3.0  # up to this mean, differences in own connections are mostly chance
-LOCAL_LOAD_PER_PRICE = 10.0  # times the cross-zone price: the fleet's load below which affinity is local
+LOCAL_LOAD_PER_PRICE = 10.0  # fleet load below which affinity is local, per unit of the cross-zone price
 MIN_USABLE_LOAD = 0.25  # lower reported loads say too little about the capacity and are raised to this
 
 
--- a/onyxhollow/wire/client_session.py
+++ b/onyxhollow/wire/client_session.py
@@ -90,7 +90,7 @@
             self.answer_malformed(
                 str(error) or "line longer than 4 KiB", first_line or self.client.inbox.take_rest()
             )
-        except Exception as error:  # noqa: BLE001 -- a bug here or in the decisions must not stop the proxy
+        except Exception as error:  # noqa: BLE001 -- a bug here or in the policy must not stop the proxy
             self.loop.report_failure("session", error)
             self.answer_after_failure()
         finally:
--- a/onyxhollow/wire/connection_states.py
+++ b/onyxhollow/wire/connection_states.py
@@ -13,7 +13,7 @@
     """State of a client connection."""
 
     AWAITING_FIRST_LINE = "awaiting its first line"  # connected, no request received yet
-    AWAITING_ENDPOINT = "awaiting an endpoint"  # the request is valid; the decisions select or queue it
+    AWAITING_ENDPOINT = "awaiting an endpoint"  # valid request; the policy selects an endpoint or queues it
     ATTEMPTING = "attempting"  # one attempt at an endpoint is in flight
     ESTABLISHED = "established"  # UP was forwarded; lines are forwarded in both directions
     HANDING_OFF = "handing off"  # its descriptors were sent to the successor, which has not answered yet
--- a/onyxhollow/wire/echo_timing.py
+++ b/onyxhollow/wire/echo_timing.py
@@ -1,4 +1,4 @@
-"""Delay between a line sent to an endpoint and its echo, and the delays reported to the decisions."""
+"""Delay between a line sent to an endpoint and its echo, and the delays reported to the policy."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class EchoMonitor:
-    """Reports late echoes to the decisions, at most once a second for each endpoint.
+    """Reports late echoes to the policy, at most once a second for each endpoint.
 
     If every connection reported each echo, a short pause of an endpoint would look like dozens of faults, and
-    echoes of 0.2 ms would outweigh the connection set-up times that pace migrations. The time for which this
+    echoes of 0.2 ms would outweigh the handshake times that pace migrations. The time for which this
     process itself stalled is subtracted from the delay, and a delay shorter than that stall is not reported.
     """
 
--- a/onyxhollow/wire/endpoint_list_watch.py
+++ b/onyxhollow/wire/endpoint_list_watch.py
@@ -24,7 +24,7 @@
 ANSWER_TIMEOUT_SECONDS = 3.5  # for an answer that is due at once; a busy service answers calls one by one
 SILENCE_TIMEOUT_SECONDS = 1.0  # after a poll's wait, until it counts as unanswered; the protocol allows 2 s
 WAIT_JITTER = (0.75, 1.25)  # factors of the wait, so that polls that start together do not end together
-REJECTED_BACKOFF_SECONDS = 0.5  # after a rejected call, if the decisions expect pushed updates
+REJECTED_BACKOFF_SECONDS = 0.5  # after a rejected call, if the policy expects pushed updates
 # The same after a call that did not reach the service: by the protocol, a change during the outage counts as
 # notified as soon as the service returns, apart from a short grace period.
 UNREACHABLE_BACKOFF_SECONDS = 0.1
@@ -50,7 +50,7 @@
     """Settings that apply to a watch."""
 
     poll_wait: float  # seconds that one poll waits for a change
-    pushed: bool  # the decisions expect updates without requesting them
+    pushed: bool  # the policy expects updates without requesting them
 
     @classmethod
     def of(cls, settings: Settings) -> WatchConfig:
@@ -99,7 +99,7 @@
         self.task = self.loop.spawn(self.run())
 
     def poll(self) -> None:
-        """Start polling for an update that the decisions have requested."""
+        """Start polling for an update that the policy has requested."""
         self.poll_requested = True
         self.task.wake()
 
@@ -232,7 +232,7 @@
             if isinstance(error, DiscoveryStatusError)
             else UNREACHABLE_BACKOFF_SECONDS
         )
-        self.poll_requested = False  # the decisions request the next poll
+        self.poll_requested = False  # the policy requests the next poll
         self.log("list failed", why=str(error)[:200], version=self.version)
         if isinstance(error, ValueError):
             self.version = UNKNOWN_VERSION
--- a/onyxhollow/wire/established_connection.py
+++ b/onyxhollow/wire/established_connection.py
@@ -142,7 +142,7 @@
         self.session.wake()
 
     def build_handoff(self) -> ConnectionHandoff | None:
-        """Return the state that the successor needs; None if the decisions no longer track the session."""
+        """Return the state that the successor needs; None if the policy no longer tracks the session."""
         tracked = self.handle.session
         request = self.session.request
         if tracked is None or request is None:
@@ -162,7 +162,7 @@
         )
 
     def end_handed_off(self) -> None:
-        """Close this process's descriptors, and remove the connection from the decisions here."""
+        """Close this process's descriptors, and remove the connection from the policy here."""
         session = self.session
         session.counters.add("connections passed on")
         session.end(ConnectionEvent.HANDOFF_ACCEPTED, "passed on")
--- a/onyxhollow/wire/placement.py
+++ b/onyxhollow/wire/placement.py
@@ -99,7 +99,7 @@
         return time_left - min(ANSWER_MARGIN_SECONDS, time_left / 10)
 
     def attempt_until_up(self, handle: SessionHandle) -> Generator[float, None, SessionHandle | None]:
-        """Make the attempts that the decisions select; return None if the session was answered instead."""
+        """Make the attempts that the policy selects; return None if the session was answered instead."""
         session = self.session
         while True:
             selection = yield from handle.wait_for_selection(session.is_abandoned)
@@ -225,6 +225,6 @@
             cancelled = self.session.is_disconnected()
         else:
             if self.session.is_disconnected() and not handle.answered:
-                handle.report_client_gone()  # the decisions cancel the attempt if that is allowed
+                handle.report_client_gone()  # the policy cancels the attempt if that is allowed
             cancelled = handle.cancel_requested
         return AttemptOutcome.CANCELLED if cancelled or self.session.stopping else None
--- a/onyxhollow/wire/session_registry.py
+++ b/onyxhollow/wire/session_registry.py
@@ -88,7 +88,7 @@
         # Removed listeners by name, with the loop time until which they are served.
         self.removed_listeners: dict[str, tuple[Listener, float]] = {}
         self.active_count = 0  # sessions with a valid request that have not ended
-        self.connection_limit = DEFAULT_CONNECTION_LIMIT  # idle connections are closed from here on
+        self.connection_limit = DEFAULT_CONNECTION_LIMIT  # idle connections are closed from this number on
         self.adoption_deadline = self.loop.now + ADOPTION_PERIOD_SECONDS
         self.counters.add_listeners(settings.listeners)
 
