--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab: accounts, faults, determinism, and a checker that bites. All in virtual time."""
+"""The emulator in virtual time: utility accounts, faults, determinism, invariant checker, scenario files."""
 
 import os
 import subprocess
@@ -19,7 +19,7 @@
 from onyxhollow.lab.world.world import World  # noqa: E402
 from onyxhollow.policy import Balancer  # noqa: E402
 
-SMALL = """
+SMALL_SCENARIO = """
 title = "small"
 seconds = 14.0
 [fleet]
@@ -29,12 +29,14 @@
 """
 
 
-def small_scenario(more="", **changes):
-    made = scenario.decode((SMALL + more).encode(), "small")
-    return msgspec.structs.replace(made, **changes)
+def small_scenario(sections="", **changes):
+    """Return the small scenario with more TOML sections and with changed settings."""
+    decoded = scenario.decode((SMALL_SCENARIO + sections).encode(), "small")
+    return msgspec.structs.replace(decoded, **changes)
 
 
 def fault_section(kind, **values):
+    """Return a fault as TOML."""
     rows = [
         f'{key} = "{value}"' if isinstance(value, str) else f"{key} = {str(value).lower()}"
         for key, value in values.items()
@@ -42,58 +44,69 @@
     return f'\n[[faults]]\nkind = "{kind}"\n' + "\n".join(rows) + "\n"
 
 
-def begun(day, seed=1, policy="module"):
+def started_engine(spec, seed=1, policy="module"):
     """Return a started engine and its world; the test runs the event queue step by step."""
-    engine = Virtual(day, seed, decisions.find(policy))
+    engine = Virtual(spec, seed, decisions.find(policy))
     engine.begin()
     return engine, engine.world
 
 
-def test_the_same_run_is_the_same_to_the_byte_in_any_process():
+def test_a_run_gives_the_same_bytes_in_every_process():
     code = (
         "import sys; from onyxhollow.lab import runs, scenario; sys.stdout.buffer.write("
         "runs.text(runs.play(scenario.read('reload'), 3, 'module', series=True)))"
     )
-    outs = [
+    outputs = [
         subprocess.run(
             [sys.executable, "-c", code],
             capture_output=True,
             check=True,
             timeout=120,
-            env={**os.environ, "PYTHONHASHSEED": salt},
+            env={**os.environ, "PYTHONHASHSEED": hash_seed},
         ).stdout
-        for salt in ("1", "77")
+        for hash_seed in ("1", "77")
     ]
-    assert outs[0] == outs[1] and b'"score"' in outs[0]
-    assert outs[0] != runs.text(runs.play(scenario.read("reload"), 4, "module", series=True))
+    assert outputs[0] == outputs[1] and b'"score"' in outputs[0]
+    assert outputs[0] != runs.text(runs.play(scenario.read("reload"), 4, "module", series=True))
 
 
-def test_the_front_takes_a_proxy_that_was_started_once_it_is_ready_and_each_in_its_turn(monkeypatch):
-    """150 of 300 processes came up at once on one machine: clients met closed ports, and 1,820 of them were
-    called unanswered."""
-    day = small_scenario(fault_section("proxy_crash", at=1.0, lasts=1.0, part=1.0, one_by_one=2.0))
-    engine, world = begun(day)
+def test_a_restarted_proxy_gets_clients_only_once_it_is_ready(monkeypatch):
+    """Guards against sending clients to a proxy that does not listen yet.
+
+    When 150 of 300 processes restarted at once on one machine, connections were refused and 1,820 sessions
+    counted as unanswered.
+    """
+    spec = small_scenario(fault_section("proxy_crash", at=1.0, lasts=1.0, part=1.0, one_by_one=2.0))
+    engine, world = started_engine(spec)
     monkeypatch.setattr(engine, "is_ready", lambda number: world.event_queue.now >= 6.0)
-    dealt, submit = [], engine.submit
-    monkeypatch.setattr(engine, "submit", lambda sess: (dealt.append(world.event_queue.now), submit(sess)))
-    started = []
+    submitted_at, submit = [], engine.submit
+    monkeypatch.setattr(
+        engine, "submit", lambda sess: (submitted_at.append(world.event_queue.now), submit(sess))
+    )
+    restarted_at = []
     restart = engine.restart
-    monkeypatch.setattr(engine, "restart", lambda n: (started.append(world.event_queue.now), restart(n)))
+    monkeypatch.setattr(
+        engine, "restart", lambda number: (restarted_at.append(world.event_queue.now), restart(number))
+    )
     world.event_queue.run_until(8.0)
-    assert started == pytest.approx([2.0, 4.0])
-    noticed = 1.0 + day.front.notice
-    assert not [at for at in dealt if noticed < at < 6.0] and [at for at in dealt if at >= 6.0]
+    assert restarted_at == pytest.approx([2.0, 4.0])
+    out_of_rotation_at = 1.0 + spec.front.notice
+    assert not [time for time in submitted_at if out_of_rotation_at < time < 6.0] and [
+        time for time in submitted_at if time >= 6.0
+    ]
 
 
-def test_what_clients_want_depends_on_no_policy_and_accounts_balance():
-    day = small_scenario(
+def test_wanted_utility_does_not_depend_on_the_policy_and_accounts_balance():
+    spec = small_scenario(
         fault_section("crash", at=3.0, lasts=3.0, part=0.5) + fault_section("reconnect", at=8.0, share=0.5)
     )
-    told = {name: Virtual(day, 2, decisions.find(name)).run() for name in ("module", "random", "true-state")}
-    assert len({tuple(world.metrics.wanted) for world in told.values()}) == 1
-    assert len({tuple(world.metrics.earned) for world in told.values()}) == 3
-    for world in told.values():
-        figures = world.metrics.figures()  # raises where wanted is not earned and lost
+    worlds = {
+        name: Virtual(spec, 2, decisions.find(name)).run() for name in ("module", "random", "true-state")
+    }
+    assert len({tuple(world.metrics.wanted) for world in worlds.values()}) == 1
+    assert len({tuple(world.metrics.earned) for world in worlds.values()}) == 3
+    for world in worlds.values():
+        figures = world.metrics.figures()  # raises unless wanted = earned + lost
         assert sum(figures["lost"].values()) == pytest.approx(1 - figures["service"], abs=1e-6)
         assert figures["lost"]["torn down"] > 0 and figures["lost"]["dropped"] > 0
         by_listener = sum(world.metrics.earned_by_listener)
@@ -101,166 +114,201 @@
 
 
 @pytest.mark.parametrize("rule", [1, 2, 3, 4])
-def test_each_rule_is_broken_by_its_policy_and_kept_by_the_module(rule):
-    kind, day = broken.days()[rule]
-    caught = Virtual(day, 1, lambda host, settings, seed, _: kind(host, settings, seed)).run().checker
-    kept = Virtual(day, 1, lambda host, settings, seed, _: Balancer(host, settings, seed)).run().checker
-    assert caught.violation_counts[rule] and kept.is_clean
+def test_the_checker_reports_the_policy_that_breaks_a_rule_and_not_the_module(rule):
+    kind, spec = broken.days()[rule]
+    violating = Virtual(spec, 1, lambda host, settings, seed, _: kind(host, settings, seed)).run().checker
+    compliant = Virtual(spec, 1, lambda host, settings, seed, _: Balancer(host, settings, seed)).run().checker
+    assert violating.violation_counts[rule] and compliant.is_clean
 
 
-def test_the_referee_judges_the_edge_of_each_rule():
-    def judge(act):
+def test_the_checker_applies_the_exact_limits_of_each_rule():
+    def broken_rules(record):
+        """Return the rules that the recorded events break."""
         checker = InvariantChecker(drain_grace=0.25, answer_grace=0.016, ask_within=10.0)
         checker.server_locations = {"a": (0, 0), "b": (0, 1), "c": (1, 1)}
         checker.set_watching(0, True)
-        act(checker)
+        record(checker)
         checker.finish(100.0)
         return [rule for rule, count in checker.violation_counts.items() if count]
 
-    def session(checker, repeat="repeatable", scope="all", window=0.0):
+    def receive_session(checker, repeat="repeatable", scope="all", window=0.0):
         checker.record_session(1.0, 0, 7, 3.0, repeat, scope, window)
 
     def answered_at(when):
-        return judge(lambda r: (session(r), r.record_answer(when, 0, 7, "refused")))
+        return broken_rules(
+            lambda checker: (receive_session(checker), checker.record_answer(when, 0, 7, "refused"))
+        )
 
     assert answered_at(3.015) == [] and answered_at(3.02) == [1]
-    assert judge(session) == [1]  # never
-    assert judge(lambda r: (session(r), r.record_client_gone(2.0, 7))) == []
-    assert judge(lambda r: (session(r), r.record_client_gone(3.2, 7))) == [1]
-    twice = judge(
-        lambda r: (session(r), r.record_answer(2.0, 0, 7, "up"), r.record_answer(2.1, 1, 7, "refused"))
+    assert broken_rules(receive_session) == [1]  # never answered
+    assert broken_rules(lambda checker: (receive_session(checker), checker.record_client_gone(2.0, 7))) == []
+    assert broken_rules(lambda checker: (receive_session(checker), checker.record_client_gone(3.2, 7))) == [1]
+    answered_twice = broken_rules(
+        lambda checker: (
+            receive_session(checker),
+            checker.record_answer(2.0, 0, 7, "up"),
+            checker.record_answer(2.1, 1, 7, "refused"),
+        )
+    )
+    assert answered_twice == [1]  # by two proxies
+    assert 2 in broken_rules(
+        lambda checker: (
+            receive_session(checker),
+            checker.record_session(1.5, 1, 7, 3.0, "repeatable", "all", 0.0),
+        )
     )
-    assert twice == [1]  # by two proxies
-    assert 2 in judge(lambda r: (session(r), r.record_session(1.5, 1, 7, 3.0, "repeatable", "all", 0.0)))
-
-    def again(repeat, never_ran, scope="all", second="b", when=1.5, window=0.0):
-        return judge(
-            lambda r: (
-                session(r, repeat, scope, window),
-                r.record_attempt(1.1, 0, 7, "a"),
-                r.record_attempt_end(1.4, 7, 1.1, never_ran),
-                r.record_attempt(when, 0, 7, second),
-                r.record_answer(2.0, 0, 7, "up"),
+
+    def attempted_again(repeat, never_ran, scope="all", second="b", when=1.5, window=0.0):
+        return broken_rules(
+            lambda checker: (
+                receive_session(checker, repeat, scope, window),
+                checker.record_attempt(1.1, 0, 7, "a"),
+                checker.record_attempt_end(1.4, 7, 1.1, never_ran),
+                checker.record_attempt(when, 0, 7, second),
+                checker.record_answer(2.0, 0, 7, "up"),
             )
         )
 
-    assert again("once-only", True) == [] and again("once-only", False) == [2]
-    assert again("referenced", False, "zone", "b", window=1.0) == []
-    assert again("referenced", False, "zone", "c", window=1.0) == [2]
-    assert again("referenced", False, "cell", "b", window=1.0) == [2]
-    assert again("referenced", False, "all", "c", when=2.15, window=1.0) == [2]
-    out = judge(
-        lambda r: (
-            session(r),
-            r.record_attempt(1.1, 0, 7, "a"),
-            r.record_attempt(1.2, 0, 7, "b"),
-            r.record_answer(2.0, 0, 7, "up"),
+    assert attempted_again("once-only", True) == [] and attempted_again("once-only", False) == [2]
+    assert attempted_again("referenced", False, "zone", "b", window=1.0) == []
+    assert attempted_again("referenced", False, "zone", "c", window=1.0) == [2]
+    assert attempted_again("referenced", False, "cell", "b", window=1.0) == [2]
+    assert attempted_again("referenced", False, "all", "c", when=2.15, window=1.0) == [2]
+    concurrent_attempts = broken_rules(
+        lambda checker: (
+            receive_session(checker),
+            checker.record_attempt(1.1, 0, 7, "a"),
+            checker.record_attempt(1.2, 0, 7, "b"),
+            checker.record_answer(2.0, 0, 7, "up"),
         )
     )
-    assert out == [2]  # two dials out
-
-    def sent_at(when):
-        return judge(
-            lambda r: (
-                r.record_notification(1.0, 0, "a", "draining", None),
-                session(r),
-                r.record_attempt(when, 0, 7, "a"),
-                r.record_answer(2.0, 0, 7, "up"),
+    assert concurrent_attempts == [2]
+
+    def attempted_at(when):
+        return broken_rules(
+            lambda checker: (
+                checker.record_notification(1.0, 0, "a", "draining", None),
+                receive_session(checker),
+                checker.record_attempt(when, 0, 7, "a"),
+                checker.record_answer(2.0, 0, 7, "up"),
             )
         )
 
-    assert sent_at(1.25) == [] and sent_at(1.26) == [3]
-
-    def unwatched(when):
-        """It neither watches nor asks: what the list showed at 1.0 counts as told at 11.0."""
-        return judge(
-            lambda r: (
-                r.set_watching(0, False),
-                r.record_listing(1.0, "a", "gone", None),
-                r.record_session(when, 0, 7, when + 1, "repeatable", "all", 0.0),
-                r.record_attempt(when, 0, 7, "a"),
-                r.record_answer(when, 0, 7, "up"),
+    assert attempted_at(1.25) == [] and attempted_at(1.26) == [3]
+
+    def attempted_unwatched_at(when):
+        """Without a watch or a poll, a change listed at 1.0 counts as notified at 11.0."""
+        return broken_rules(
+            lambda checker: (
+                checker.set_watching(0, False),
+                checker.record_listing(1.0, "a", "gone", None),
+                checker.record_session(when, 0, 7, when + 1, "repeatable", "all", 0.0),
+                checker.record_attempt(when, 0, 7, "a"),
+                checker.record_answer(when, 0, 7, "up"),
             )
         )
 
-    assert unwatched(11.2) == [] and unwatched(11.3) == [3]
+    assert attempted_unwatched_at(11.2) == [] and attempted_unwatched_at(11.3) == [3]
 
-    def fell(share):
-        return judge(
-            lambda r: (
-                r.record_notification(1.0, 0, "a", "in service", 0.9),
-                r.record_overload_failure(2.0, "a", 0.9, {0: share, 1: 1.0}),
+    def overload_failure(share):
+        return broken_rules(
+            lambda checker: (
+                checker.record_notification(1.0, 0, "a", "in service", 0.9),
+                checker.record_overload_failure(2.0, "a", 0.9, {0: share, 1: 1.0}),
             )
         )
 
-    assert fell(2.1) == [4] and fell(1.9) == []
+    assert overload_failure(2.1) == [4] and overload_failure(1.9) == []
 
 
-# what can be seen of a fault half-way, and of the world after it
-MARKS = {
-    "slow": lambda w: any(s.capacity_factors for s in w.servers),
-    "hung": lambda w: any(s.hung_by for s in w.servers),
-    "fast_errors": lambda w: any(s.error_shares for s in w.servers),
-    "noisy_neighbour": lambda w: (
-        w.affected_servers and any(s.capacity(5.9) < 0.5 * s.full_capacity for s in w.servers)
+# Conditions that hold in the middle of a fault, and neither before nor after it.
+ACTIVE_CONDITIONS = {
+    "slow": lambda world: any(server.capacity_factors for server in world.servers),
+    "hung": lambda world: any(server.hung_by for server in world.servers),
+    "fast_errors": lambda world: any(server.error_shares for server in world.servers),
+    "noisy_neighbour": lambda world: (
+        world.affected_servers
+        and any(server.capacity(5.9) < 0.5 * server.full_capacity for server in world.servers)
     ),
-    "vanish": lambda w: any(s.vanished_by for s in w.servers),
-    "zone_lost": lambda w: sum(bool(s.vanished_by) for s in w.servers) == 3,
-    "crash": lambda w: any(s.state is ServerState.STOPPED for s in w.servers),
-    "partition": lambda w: any(
-        w.blocked_direction(p.number, s) == "both" for p in w.proxies for s in w.servers
+    "vanish": lambda world: any(server.vanished_by for server in world.servers),
+    "zone_lost": lambda world: sum(bool(server.vanished_by) for server in world.servers) == 3,
+    "crash": lambda world: any(server.state is ServerState.STOPPED for server in world.servers),
+    "partition": lambda world: any(
+        world.blocked_direction(proxy.number, server) == "both"
+        for proxy in world.proxies
+        for server in world.servers
     ),
-    "lying_reports": lambda w: any(s.report_factors for s in w.servers),
-    "list_down": lambda w: w.list_service.down_by and not w.list_service.watchers,
-    "list_stale": lambda w: w.list_service.delay_by_fault,
-    "proxy_crash": lambda w: not all(p.alive for p in w.proxies),
+    "lying_reports": lambda world: any(server.report_factors for server in world.servers),
+    "list_down": lambda world: world.list_service.down_by and not world.list_service.watchers,
+    "list_stale": lambda world: world.list_service.delay_by_fault,
+    "proxy_crash": lambda world: not all(proxy.alive for proxy in world.proxies),
 }
-MORE = {"zone_lost": {"zone": "north"}, "noisy_neighbour": {"on": 10.0, "takes": 0.8}}
+EXTRA_SETTINGS = {"zone_lost": {"zone": "north"}, "noisy_neighbour": {"on": 10.0, "takes": 0.8}}
 
 
-@pytest.mark.parametrize("kind", sorted(MARKS))
-def test_a_fault_bites_while_it_lasts_and_leaves_nothing_behind(kind):
-    values = {"at": 4.0, "lasts": 3.0, **MORE.get(kind, {})}
-    engine, world = begun(small_scenario(fault_section(kind, **values)))
+@pytest.mark.parametrize("kind", sorted(ACTIVE_CONDITIONS))
+def test_a_fault_takes_effect_while_it_lasts_and_is_fully_reverted(kind):
+    values = {"at": 4.0, "lasts": 3.0, **EXTRA_SETTINGS.get(kind, {})}
+    engine, world = started_engine(small_scenario(fault_section(kind, **values)))
     world.event_queue.run_until(3.9)
-    assert not MARKS[kind](world)
+    assert not ACTIVE_CONDITIONS[kind](world)
     world.event_queue.run_until(5.9)
-    assert MARKS[kind](world)
+    assert ACTIVE_CONDITIONS[kind](world)
     world.event_queue.run_until(13.5)
-    assert not MARKS[kind](world) and not world.affected_servers
-    assert all(s.is_running for s in world.servers) and all(p.alive and p.in_rotation for p in world.proxies)
+    assert not ACTIVE_CONDITIONS[kind](world) and not world.affected_servers
+    assert all(server.is_running for server in world.servers) and all(
+        proxy.alive and proxy.in_rotation for proxy in world.proxies
+    )
     engine.end()
 
 
-# faults that are over at once or change what comes: what the run shows of them
-SHOWN = {
-    "reset": ({}, lambda w: w.metrics.counts["cut: torn down"] >= 5),
-    "reconnect": ({"share": 0.5}, lambda w: w.metrics.counts["cut: dropped"] >= 20),
-    "grow": ({"servers": 3}, lambda w: len(w.servers) == 9 and all(s.sessions for s in w.servers)),
-    "shrink": ({"part": 0.5, "drain": 2.0}, lambda w: sum(s.is_running for s in w.servers) == 3),
-    "deploy": ({"part": 1.0, "batch": 0.5, "drain": 1.0}, lambda w: all(s.started > 0 for s in w.servers)),
+# Faults without a lasting state: extra settings, and a condition that only a run with the fault meets.
+RESULT_CONDITIONS = {
+    "reset": ({}, lambda world: world.metrics.counts["cut: torn down"] >= 5),
+    "reconnect": ({"share": 0.5}, lambda world: world.metrics.counts["cut: dropped"] >= 20),
+    "grow": (
+        {"servers": 3},
+        lambda world: len(world.servers) == 9 and all(server.sessions for server in world.servers),
+    ),
+    "shrink": (
+        {"part": 0.5, "drain": 2.0},
+        lambda world: sum(server.is_running for server in world.servers) == 3,
+    ),
+    "deploy": (
+        {"part": 1.0, "batch": 0.5, "drain": 1.0},
+        lambda world: all(server.started > 0 for server in world.servers),
+    ),
     "clock_step": (
         {"part": 1.0, "step": 60.0},
-        lambda w: all((r.started or 0) > 60 for r in w.list_service.rows.values()),
+        lambda world: all((row.started or 0) > 60 for row in world.list_service.rows.values()),
     ),
     "proxy_restart": (
         {"part": 1.0, "apart": 0.2, "stop": 2.0},
-        lambda w: w.metrics.counts["proxy restarts"] == 2,
+        lambda world: world.metrics.counts["proxy restarts"] == 2,
+    ),
+    "proxy_stall": (
+        {"at": 3.0, "part": 1.0, "lasts": 2.0},
+        lambda world: world.metrics.counts["up late"] >= 3,
+    ),
+    "watch_ended": (
+        {},
+        lambda world: world.list_service.calls == 4 and len(world.list_service.watchers) == 2,
+    ),
+    "burst": (
+        {"times": 4.0},
+        lambda world: sum(4 <= client.request.due < 7 for client in world.clients) > 30,
     ),
-    "proxy_stall": ({"at": 3.0, "part": 1.0, "lasts": 2.0}, lambda w: w.metrics.counts["up late"] >= 3),
-    "watch_ended": ({}, lambda w: w.list_service.calls == 4 and len(w.list_service.watchers) == 2),
-    "burst": ({"times": 4.0}, lambda w: sum(4 <= c.request.due < 7 for c in w.clients) > 30),
     "costly": (
         {"share": 1.0, "times": 50.0},
-        lambda w: max(c.request.load for c in w.clients) > 50 * w.average_load,
+        lambda world: max(client.request.load for client in world.clients) > 50 * world.average_load,
     ),
 }
 
 
-@pytest.mark.parametrize("kind", sorted(SHOWN))
-def test_a_fault_shows_in_the_run_and_not_without_it(kind):
-    values, shows = SHOWN[kind]
-    with_it = Virtual(
+@pytest.mark.parametrize("kind", sorted(RESULT_CONDITIONS))
+def test_a_fault_changes_the_results_of_a_run(kind):
+    values, condition = RESULT_CONDITIONS[kind]
+    with_fault = Virtual(
         small_scenario(fault_section(kind, **{"at": 4.0, "lasts": 3.0, **values})),
         1,
         decisions.find("module"),
@@ -269,39 +317,39 @@
     without.metrics.counts = dict.fromkeys(
         ["cut: torn down", "cut: dropped", "proxy restarts", "up late"], 0
     ) | (without.metrics.counts)
-    assert shows(with_it) and not shows(without)
-    assert with_it.checker.is_clean
+    assert condition(with_fault) and not condition(without)
+    assert with_fault.checker.is_clean
 
 
-def test_every_kind_of_fault_has_its_test():
+def test_every_fault_kind_is_tested():
     kinds = {kind.__struct_config__.tag for kind in faults.Fault.__args__}
-    assert kinds == set(MARKS) | set(SHOWN)
+    assert kinds == set(ACTIVE_CONDITIONS) | set(RESULT_CONDITIONS)
 
 
-def test_two_faults_on_one_server_are_undone_one_by_one():
-    both = fault_section("slow", at=2.0, lasts=6.0, part=1.0, times=4.0) + fault_section(
+def test_two_faults_of_one_server_are_reverted_independently():
+    overlapping = fault_section("slow", at=2.0, lasts=6.0, part=1.0, times=4.0) + fault_section(
         "slow", at=4.0, lasts=2.0, part=1.0, times=2.0
     )
-    engine, world = begun(small_scenario(both))
-    shares = []
+    engine, world = started_engine(small_scenario(overlapping))
+    slowdowns = []
     for when in (3.0, 5.0, 7.0, 9.0):
         world.event_queue.run_until(when)
-        shares.append(1 / world.servers[0].capacity(when) * world.servers[0].full_capacity)
-    assert [round(share) for share in shares] == [4, 8, 4, 1]
+        slowdowns.append(1 / world.servers[0].capacity(when) * world.servers[0].full_capacity)
+    assert [round(slowdown) for slowdown in slowdowns] == [4, 8, 4, 1]
 
 
-def test_a_fault_that_ends_before_it_bites_changes_nothing_of_the_service():
-    day = small_scenario(
+def test_a_fault_of_no_duration_does_not_change_the_service():
+    spec = small_scenario(
         fault_section("slow", at=4.0, lasts=0.0) + fault_section("hung", at=4.0, lasts=0.0, part=1.0)
     )
-    told, plain = runs.play(day, 1, "module"), runs.play(small_scenario(), 1, "module")
-    assert told["service"] == plain["service"] and told["faults"][0][2] == "slow"
+    result, plain = runs.play(spec, 1, "module"), runs.play(small_scenario(), 1, "module")
+    assert result["service"] == plain["service"] and result["faults"][0][2] == "slow"
 
 
-def test_a_life_that_ends_in_the_instant_of_its_drain_is_answered_once():
-    for early in (0.0, 1e-9):  # its end before the drain, and the drain before its end
-        engine, world = begun(small_scenario())
-        client = next(c for c in world.clients if 3.0 < c.request.end < 8.0 and c.session)
+def test_a_request_that_ends_at_the_moment_of_a_drain_is_answered_once():
+    for early in (0.0, 1e-9):  # the request ends before the drain, and after it
+        engine, world = started_engine(small_scenario())
+        client = next(client for client in world.clients if 3.0 < client.request.end < 8.0 and client.session)
         sess, server = client.session, client.session.server
         world.event_queue.schedule_at(
             client.request.end - early, world.drain_server, server, 2.0, False, False
@@ -314,40 +362,40 @@
         assert world.checker.is_clean and world.metrics.figures()["service"] > 0.9
 
 
-def test_a_proxy_that_crashes_with_dials_out_owes_nothing_and_its_clients_come_again():
-    day = small_scenario(
+def test_a_proxy_crash_with_attempts_in_flight_breaks_no_rule_and_clients_reconnect():
+    spec = small_scenario(
         fault_section("hung", at=2.0, lasts=4.0, part=1.0)
         + fault_section("proxy_crash", at=3.5, lasts=1.0, part=1.0)
     )
-    engine, world = begun(day)
+    engine, world = started_engine(spec)
     world.event_queue.run_until(3.45)
-    out = [
+    in_flight = [
         held.sess
         for instance in engine.instances.values()
         for held in instance.held.values()
         if held.out and not held.standing
     ]
-    assert out
-    world.event_queue.run_until(day.seconds)
+    assert in_flight
+    world.event_queue.run_until(spec.seconds)
     engine.end()
     assert world.checker.is_clean
-    assert all(sess.client.finished or sess.client.was_connected or sess.client.session for sess in out)
+    assert all(sess.client.finished or sess.client.was_connected or sess.client.session for sess in in_flight)
 
 
 @pytest.mark.parametrize("name", ["one-server", "no-server", "one-proxy", "once-only", "partition-one-way"])
 @pytest.mark.parametrize("policy", ["module", "true-state", "round-robin"])
-def test_small_and_strange_fleets_are_played_to_the_end(name, policy):
-    told = runs.play(scenario.read(name), 1, policy)
-    assert told["rules"]["clean"] and 0 < told["service"] <= 1
+def test_unusual_fleets_complete_the_run(name, policy):
+    result = runs.play(scenario.read(name), 1, policy)
+    assert result["rules"]["clean"] and 0 < result["service"] <= 1
 
 
-def test_cut_links_mute_what_stands_on_them_and_mending_lets_it_go_on():
-    engine, world = begun(
+def test_blocked_links_blackhole_their_connections_until_they_are_restored():
+    engine, world = started_engine(
         small_scenario(fault_section("partition", at=2.0, lasts=3.0, part=1.0, proxies=0.5, one_way=True))
     )
     world.event_queue.run_until(2.5)
-    muted = [sess for server in world.servers for sess in server.sessions if sess.blackholed]
-    assert muted and {sess.proxy for sess in muted} == set(world.blocked_links[0].proxies)
+    blackholed = [sess for server in world.servers for sess in server.sessions if sess.blackholed]
+    assert blackholed and {sess.proxy for sess in blackholed} == set(world.blocked_links[0].proxies)
     world.event_queue.run_until(5.5)
     assert not any(sess.blackholed for server in world.servers for sess in server.sessions)
     world.event_queue.run_until(world.scenario.seconds)
@@ -381,26 +429,26 @@
         ("title = ", "not TOML"),
     ],
 )
-def test_a_bad_scenario_is_one_line_with_file_place_and_what_was_expected(text, expected, tmp_path, capfd):
+def test_a_scenario_error_is_one_line_with_file_key_path_and_expected_value(text, expected, tmp_path, capfd):
     path = tmp_path / "bad.toml"
     path.write_text(text if text.startswith("title") else 'title = "x"\n' + text)
     from onyxhollow.__main__ import main
 
     assert main(["lab", "run", str(path)]) == 2
-    said = capfd.readouterr().err
-    assert said.count("\n") == 1 and said.startswith("onyxhollow: bad.toml: ") and expected in said
+    error = capfd.readouterr().err
+    assert error.count("\n") == 1 and error.startswith("onyxhollow: bad.toml: ") and expected in error
 
 
-def test_shipped_scenarios_are_sound_and_read_back_as_written():
+def test_shipped_scenarios_are_valid_and_survive_encoding():
     names = scenario.shipped_scenarios()
     assert len(names) >= 24
     for name in names:
-        day = scenario.read(name)
-        assert day.title == name and day.about
-        assert scenario.decode(scenario.encode(day), name) == day
+        spec = scenario.read(name)
+        assert spec.title == name and spec.about
+        assert scenario.decode(scenario.encode(spec), name) == spec
 
 
-def test_a_recorded_day_is_played_and_a_bad_record_is_one_line(tmp_path, capfd):
+def test_recorded_arrivals_are_replayed_and_a_malformed_file_is_an_error(tmp_path, capfd):
     from onyxhollow.__main__ import main
 
     record = tmp_path / "arrivals"
@@ -416,7 +464,7 @@
     assert main(["lab", "run", "calm", "--policy", "no such; thing"]) == 2
 
 
-def test_serve_loads_nothing_of_the_lab_or_the_fleet_and_no_library_of_theirs():
+def test_serve_imports_neither_the_lab_nor_the_fleet_nor_their_libraries():
     code = (
         "import sys, onyxhollow.__main__, onyxhollow.lifecycle.serve\n"
         "print(*sorted({name.partition('.')[0] for name in sys.modules if not name.startswith('_')}"
@@ -424,30 +472,30 @@
         " 'onyxhollow.leases', 'onyxhollow.membership', 'onyxhollow.append_log')) for name in sys.modules),"
         " 'urllib.parse' in sys.modules)"
     )
-    got = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-S", "-c", code],
         capture_output=True,
         text=True,
         check=True,
         env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
     )
-    assert got.stdout.split() == ["h11", "onyxhollow", "orjson", "0", "False"]
+    assert finished.stdout.split() == ["h11", "onyxhollow", "orjson", "0", "False"]
 
 
-def test_a_daily_curve_has_its_trough_and_peak_and_a_burst_its_place():
-    day = small_scenario(
+def test_daily_arrivals_have_a_trough_at_night_and_a_peak_at_noon():
+    spec = small_scenario(
         seconds=240.0, clients=msgspec.structs.replace(small_scenario().clients, shape="daily", swing=0.9)
     )
-    due = [request.due for request in World(day, 1).requests if not request.preexisting]
-    night, noon = (sum(begin <= at < begin + 40 for at in due) for begin in (20, 100))
+    due = [request.due for request in World(spec, 1).requests if not request.preexisting]
+    night, noon = (sum(begin <= time < begin + 40 for time in due) for begin in (20, 100))
     assert noon > 4 * night > 0
-    assert max(day.clients.swing, 0) < 1 and all(0 <= at < 240 for at in due)
+    assert max(spec.clients.swing, 0) < 1 and all(0 <= time < 240 for time in due)
 
 
-def test_latencies_of_several_runs_are_merged_not_averaged():
-    told = [runs.play(small_scenario(), seed, "module") for seed in (1, 2)]
-    told.append(runs.play(small_scenario(fault_section("hung", at=2.0, lasts=8.0, part=0.9)), 3, "random"))
-    each = [run["setup_ms"]["p99"] for run in told]
-    assert merge_quantiles(told, "setup")["p50"] < 100 and each[2] > 10 * each[0]
-    assert merge_quantiles(told, "setup")["p99"] != pytest.approx(sum(each) / 3, rel=0.02)
-    assert merge_quantiles(told[:1], "setup") == told[0]["setup_ms"]
+def test_latency_histograms_of_several_runs_are_merged_not_averaged():
+    results = [runs.play(small_scenario(), seed, "module") for seed in (1, 2)]
+    results.append(runs.play(small_scenario(fault_section("hung", at=2.0, lasts=8.0, part=0.9)), 3, "random"))
+    p99s = [result["setup_ms"]["p99"] for result in results]
+    assert merge_quantiles(results, "setup")["p50"] < 100 and p99s[2] > 10 * p99s[0]
+    assert merge_quantiles(results, "setup")["p99"] != pytest.approx(sum(p99s) / 3, rel=0.02)
+    assert merge_quantiles(results[:1], "setup") == results[0]["setup_ms"]
