--- a/onyxhollow/lab/invariant_checker.py
+++ b/onyxhollow/lab/invariant_checker.py
@@ -69,6 +69,7 @@
         self.final_answers: dict[Hashable, tuple[int, str]] = {}  # proxy and outcome
 
     def add_violation(self, rule: int, at: float, text: str) -> None:
+        """Count a violation and keep the text of the first ones."""
         self.violation_counts[rule] += 1
         if len(self.violations) < MAX_RECORDED_VIOLATIONS:
             self.violations.append(Violation(rule, at, text))
@@ -195,6 +196,7 @@
             tracked.ran_on = server
 
     def record_attempt_end(self, now: float, sess: Hashable, sent_at: float, never_ran: bool) -> None:
+        """Record the end of an attempt; never_ran if the session certainly did not run."""
         if (tracked := self.sessions.get(sess)) is None:
             return
         tracked.current_attempt = -1
@@ -239,12 +241,14 @@
         self.last_polls[proxy] = now
 
     def set_watching(self, proxy: int, watching: bool) -> None:
+        """Record whether a proxy has a watch on the list."""
         if watching:
             self.watching_proxies.add(proxy)
         else:
             self.watching_proxies.discard(proxy)
 
     def check_drain(self, now: float, proxy: int, sess: Hashable, server: str) -> None:
+        """Check rule 3 for an attempt at a server."""
         since = self.out_of_service_since.get((proxy, server), math.inf)
         if proxy not in self.watching_proxies and (row := self.listed.get(server)) and row[1] != "in service":
             # A proxy that neither watches nor polls counts as notified of a change after the poll interval.
--- a/onyxhollow/lab/run_metrics.py
+++ b/onyxhollow/lab/run_metrics.py
@@ -25,6 +25,7 @@
 
 
 def new_histogram() -> HdrHistogram:
+    """Return a histogram of microseconds with two significant digits."""
     return HdrHistogram(1, MAX_LATENCY_MICROSECONDS, 2)
 
 
@@ -63,6 +64,7 @@
         return self.utility[listener] * (self.over_quota_factor if over_quota else 1.0)
 
     def increment(self, name: str, amount: int = 1) -> None:
+        """Increment a counter."""
         self.counts[name] = self.counts.get(name, 0) + amount
 
     def add_to_bins(self, row: list[float], begin: float, end: float, rate: float) -> None:
@@ -110,6 +112,7 @@
         self.earned_by_listener[listener] += utility * quality
 
     def add_tenant_earnings(self, request: Request, seconds: float) -> None:
+        """Credit a request's tenant with seconds of full utility; requests over quota earn it nothing."""
         if not request.over_quota:
             self.earned_by_tenant[request.tenant] += self.utility_rate(request.listener, False) * seconds
 
@@ -120,11 +123,13 @@
         self.setup_by_listener[listener].record_value(microseconds)
 
     def record_messages(self, delay: float, tau: float, count: int) -> None:
+        """Record the quantiles of the latencies of a server's messages, count times each."""
         for quantile in MESSAGE_QUANTILES:
             value = delay - tau * math.log(1.0 - quantile)
             self.message.record_value(min(MAX_LATENCY_MICROSECONDS, max(1, round(value * 1e6))), count)
 
     def record_load(self, server: str, now: float, load: float) -> None:
+        """Add a sample to the load map."""
         self.loads.setdefault(server, []).append((int(now / LOAD_MAP_STEP_SECONDS), round(load, 3)))
 
     # results
--- a/onyxhollow/lab/specs.py
+++ b/onyxhollow/lab/specs.py
@@ -50,10 +50,8 @@
     fall_time: Positive = 2.0  # seconds over which that load is counted
     fall_out: Positive = 12.0  # seconds that a server stays down after failing from overload
     drain: Literal["keeps", "paced", "at once"] = "paced"  # how a draining server treats its clients
-    sheds: Literal["nothing", "newest", "heaviest"] = (
-        "newest"  # connections dropped when the backlog is too large
-    )
-    sheds_at: Positive = 2.0  # seconds of backlog
+    sheds: Literal["nothing", "newest", "heaviest"] = "newest"  # connections to shed
+    sheds_at: Positive = 2.0  # seconds of backlog above which a server sheds load
     group_cost: NonNegative = 0.0  # load of one group on a server, in average connections
     crowding: Share = 0.1  # share of the capacity lost with all connections taken
     tells_load: bool = True
--- a/onyxhollow/lab/world/event_queue.py
+++ b/onyxhollow/lab/world/event_queue.py
@@ -20,6 +20,7 @@
         self.scheduled = self.executed = 0
 
     def schedule_at(self, when: float, call: Callable[..., None], *values: Any) -> None:
+        """Schedule a call at a time in seconds, but not before now."""
         self.scheduled += 1
         # A time in the past becomes now: otherwise time would run backwards.
         heapq.heappush(self.heap, (when if when > self.now else self.now, self.scheduled, call, values))
@@ -29,6 +30,7 @@
 
     @property
     def next_due(self) -> float:
+        """Time of the next event; infinite if there is none."""
         return self.heap[0][0] if self.heap else math.inf
 
     def run_until(self, until: float) -> None:
--- a/onyxhollow/lab/world/faults.py
+++ b/onyxhollow/lab/world/faults.py
@@ -109,6 +109,7 @@
     zone: str = ""
 
     def select_servers(self, world: FaultTarget, number: int) -> list[Server]:
+        """Draw the affected servers from the fault's own random stream."""
         running = [server for server in world.servers if server.is_running and not server.vanished_by]
         if self.zone:
             running = [server for server in running if world.zone_name(server.zone) == self.zone]
@@ -178,6 +179,7 @@
             world.event_queue.schedule_after(self.on, self.pause, world, server, number)
 
     def pause(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Lift the fault for a while."""
         server.capacity_factors.pop(number, None)
         if number in world.affected_servers:
             world.event_queue.schedule_after(self.off, self.apply, world, server, number)
@@ -356,6 +358,7 @@
     one_by_one: NonNegative = 0.0
 
     def select_proxies(self, world: FaultTarget, number: int) -> list[int]:
+        """Draw the affected proxies; every call returns the same ones."""
         count = max(1, round(self.part * len(world.proxies)))
         return sorted(world.fault_stream(number).permutation(len(world.proxies))[:count].tolist())
 
--- a/onyxhollow/lab/world/servers.py
+++ b/onyxhollow/lab/world/servers.py
@@ -25,6 +25,8 @@
 
 
 class ServerState(Enum):
+    """State of a server process."""
+
     RUNNING = "running"
     DRAINING = "draining"
     STOPPED = "stopped"
@@ -179,6 +181,7 @@
         return max(1e-3, available * (1.0 - self.fleet.crowding * min(1.0, connection_share)))
 
     def group_load(self) -> float:
+        """Return the load of the groups on the server, in cores."""
         return len(self.groups) * self.fleet.group_cost * self.average_load
 
     # sessions
@@ -227,6 +230,7 @@
         return shares
 
     def add(self, sess: Session, slot: int, now: float) -> None:
+        """Add an established connection."""
         self.sessions[sess] = None
         self.demand += sess.load
         if sess.client.group >= 0:
@@ -257,6 +261,7 @@
         return self.earned[slot] + self.quality[slot] * (now - self.step_began_at)
 
     def change_load(self, sess: Session, load: float) -> None:
+        """Change the load of a connection."""
         self.demand = max(0.0, self.demand + load - sess.load)
         sess.load = load
 
--- a/onyxhollow/lab/world/streams.py
+++ b/onyxhollow/lab/world/streams.py
@@ -11,6 +11,7 @@
 
 
 def random_stream(seed: int, purpose: str) -> np.random.Generator:
+    """Return the generator of a purpose."""
     return np.random.Generator(np.random.PCG64(np.random.SeedSequence([seed, PURPOSES.index(purpose)])))
 
 
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -140,9 +140,11 @@
         return self.scenario.fleet.zones[zone]
 
     def fault_stream(self, number: int) -> np.random.Generator:
+        """Return a new generator for a fault; its draws are the same on every call."""
         return np.random.Generator(np.random.PCG64(np.random.SeedSequence([self.seed, 1000 + number])))
 
     def one_way_delay(self, zone: int, other: int) -> float:
+        """Return the seconds that a packet takes between two zones."""
         return self.network.same if zone == other else self.network.cross
 
     # progress of a run
@@ -177,6 +179,7 @@
             self.event_queue.schedule_at(self.requests[index].due, self.on_arrival, index)
 
     def on_arrival(self, index: int) -> None:
+        """Start the client of a request that is due."""
         self.schedule_arrival(index + 1)
         self.start_client(self.clients[index])
 
@@ -207,6 +210,7 @@
         return sessions
 
     def step(self) -> None:
+        """Run a step of all servers, and shed their excess load."""
         now = self.event_queue.now
         for server in self.servers:
             server.step(now, lambda *step: self.metrics.record_step(now, *step))
@@ -248,6 +252,7 @@
     # clients
 
     def start_client(self, client: Client) -> None:
+        """Schedule the end of the client's request and open its first session."""
         self.event_queue.schedule_at(client.request.end, self.on_request_end, client)
         self.open_session(client)
 
@@ -295,6 +300,7 @@
         self.engine.submit(sess)
 
     def leave_early(self, sess: Session) -> None:
+        """Give the session up before its timeout, as impatient clients do."""
         if not sess.answered and not sess.ended:
             self.metrics.increment("left early")
             self.give_up(sess)
@@ -306,6 +312,7 @@
             self.give_up(sess)
 
     def give_up(self, sess: Session) -> None:
+        """End an unanswered session from the client's side."""
         sess.answered = sess.ended = True
         sess.client.session = None
         self.engine.cancel(sess)
@@ -503,6 +510,7 @@
             self.end_by_server(sess, False)
 
     def end_by_server(self, sess: Session, move: bool) -> None:
+        """End a connection from the server's side: tell the client to move, or reset it."""
         if sess.ended:
             return
         self.end_connection(sess, LossCause.MOVED if move else LossCause.TORN_DOWN)
@@ -511,6 +519,7 @@
     # servers
 
     def make_server(self, started: float) -> Server:
+        """Create a server; zones are assigned in turn and machine kinds by their shares."""
         fleet, number = self.scenario.fleet, len(self.servers)
         total = sum(kind.share for kind in fleet.kinds)
         # Multiples of the golden ratio spread the kinds evenly over the servers.
@@ -540,6 +549,7 @@
         return server
 
     def list_row(self, server: Server, state: str) -> ListedServer:
+        """Return the server as the list shows it."""
         started = None if server.started == -math.inf else server.started + server.clock_offset
         return ListedServer(
             server.name, state, server.weight, started, self.zone_name(server.zone), server.cell
@@ -562,6 +572,7 @@
         self.publish_state(server, listing.IN_SERVICE, self.scenario.server_list.add)
 
     def stop_server(self, server: Server, silently: bool) -> None:
+        """Stop a server process; silently means that the list notices it late, as after a crash."""
         if server.state is ServerState.STOPPED:
             return
         self.reset_connections(server)
@@ -571,6 +582,7 @@
         self.publish_state(server, listing.GONE, settings.silent_notice if silently else settings.notice)
 
     def restart_server(self, server: Server) -> None:
+        """Crash a running server and start it again half a second later."""
         if server.state is ServerState.RUNNING:
             self.stop_server(server, silently=True)
             self.event_queue.schedule_after(0.5, self.start_server, server)
@@ -597,11 +609,13 @@
         self.event_queue.schedule_after(span, self.finish_drain, server, returns, replaced)
 
     def move_clients(self, server: Server, share: float) -> None:
+        """Move a share of a draining server's connections away, oldest first."""
         if server.state is ServerState.DRAINING:
             for sess in list(server.sessions)[: math.ceil(len(server.sessions) * share)]:
                 self.end_by_server(sess, True)
 
     def finish_drain(self, server: Server, returns: bool, replaced: bool) -> None:
+        """Stop a drained server, and replace or restart it if wanted."""
         if server.state is not ServerState.DRAINING:
             return
         self.stop_server(server, silently=False)
@@ -674,6 +688,7 @@
         return direction
 
     def block_links(self, number: int, servers: list[Server], proxies: list[int], one_way: bool) -> None:
+        """Block the links between servers and proxies; packets of their connections are lost."""
         self.blocked_links[number] = links = BlockedLinks(
             frozenset(s.name for s in servers), frozenset(proxies), one_way
         )
@@ -685,6 +700,7 @@
                         self.event_queue.schedule_after(self.network.silence, self.on_silence_timeout, sess)
 
     def restore_links(self, number: int) -> None:
+        """Restore the links that a fault blocked."""
         links = self.blocked_links.pop(number, None)
         for name in sorted(links.servers) if links else ():
             server = self.servers_by_name[name]
@@ -693,6 +709,7 @@
                     self.set_blackholed(sess, False)
 
     def crash_proxy(self, number: int) -> None:
+        """Kill a proxy; its clients lose their sessions."""
         proxy = self.proxies[number]
         if not proxy.alive:
             return
@@ -711,6 +728,7 @@
                 self.on_proxy_lost(sess)
 
     def clients_of(self, proxy: int) -> list[Client]:
+        """Return the clients with a session at a proxy."""
         return [
             client
             for client in self.clients
@@ -729,6 +747,7 @@
             self.event_queue.schedule_after(FRONT_END_CHECK_SECONDS, self.update_rotation, proxy)
 
     def restart_proxy(self, number: int) -> None:
+        """Start a dead proxy; it enters the rotation once it is ready."""
         proxy = self.proxies[number]
         if proxy.alive:
             return
@@ -753,6 +772,7 @@
             self.engine.stall(number, span)
 
     def drop_connections(self, share: float, span: float, number: int) -> None:
+        """Drop the connections of a share of the clients, at random times within the span."""
         rng = self.fault_stream(number)
         # Drawn for all clients, connected or not, so that every policy loses the same ones.
         chances, waits = rng.random(len(self.clients)), rng.random(len(self.clients))
