--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -224,16 +224,16 @@
     def sample(self) -> None:
         """Sample the servers' loads and message latencies."""
         now = self.event_queue.now
-        seen: list[Seen] = []
+        samples: list[Seen] = []
         for server in self.servers:
             if not server.is_running or server.is_unresponsive:
                 continue
             self.metrics.record_load(server.name, now, server.load)
             if server.state is ServerState.RUNNING and server.warm_up_factor(now) >= 1.0:
-                seen.append(Seen(server.name, server.load, server.capacity(now)))
+                samples.append(Seen(server.name, server.load, server.capacity(now)))
             if server.sessions:
                 self.metrics.record_messages(server.delay, server.tau, len(server.sessions))
-        self.metrics.evenness.look(now, seen)
+        self.metrics.evenness.look(now, samples)
         self.event_queue.schedule_after(SAMPLE_SECONDS, self.sample)
 
     def finish(self) -> None:
@@ -259,14 +259,15 @@
     def choose_proxy(self, client: Client) -> Proxy | None:
         """Return a proxy in rotation of the client's zone, or of any zone if it has none."""
         in_rotation = [proxy for proxy in self.proxies if proxy.in_rotation]
-        same_zone = [proxy for proxy in in_rotation if proxy.zone == client.request.zone] or in_rotation
-        if not same_zone:
+        candidates = [proxy for proxy in in_rotation if proxy.zone == client.request.zone] or in_rotation
+        if not candidates:
             return None
-        return same_zone[
-            int(self.random_tables.uniform(client.request.number, client.next_draw()) * len(same_zone))
+        return candidates[
+            int(self.random_tables.uniform(client.request.number, client.next_draw()) * len(candidates))
         ]
 
     def new_session(self, client: Client, proxy: int, timeout: float) -> Session:
+        """Create the client's current session; its deadline is timeout seconds from now."""
         self.session_count += 1
         sess = client.session = Session(self.session_count, client, proxy, self.event_queue.now + timeout)
         return sess
@@ -588,6 +589,7 @@
             self.event_queue.schedule_after(0.5, self.start_server, server)
 
     def reset_connections(self, server: Server) -> None:
+        """Reset all connections of a server."""
         for sess in list(server.sessions):
             self.end_by_server(sess, False)
 
