--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -27,8 +27,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.lab.fleet import places, wander  # noqa: E402
-from onyxhollow.lab.fleet.rig import RigError  # noqa: E402
+from onyxhollow.lab.fleet import address_explorer, wander  # noqa: E402
+from onyxhollow.lab.fleet.process_cluster import ClusterError  # noqa: E402
 from onyxhollow.lab.fleet.sites import Sites  # noqa: E402
 
 AT_ONCE = {"ill_for": 0.0, "dead_for": 0.0, "well_for": 0.0, "step": 0.0, "most_at_once": 1000, "fill": 1.0}
@@ -62,21 +62,21 @@
         self.sites = Sites(
             folder,
             sites=told.sites,
-            each=told.each,
+            members_per_site=told.each,
             addresses=told.addresses,
             servers=1,
             capacity=3.0 * usual,
             policy=policy,
             cut_off=cut_off,
             own_servers=True,
-            each_load=0.5 / (3.0 * usual),
+            load_per_session=0.5 / (3.0 * usual),
             orphaned_after=min(FOR_EVER, orphaned_after * told.slower),
             partners=told.partners,
-            slower=told.slower,
+            time_scale=told.slower,
             period=0.4 * told.slower,
             lease=told.slower,
         )
-        self.each = self.sites.echo[0].each
+        self.each = self.sites.echo_servers[0].load_per_session
         self.served: dict[str, list[float]] = {}
         self.gone: list[float] = []  # seconds from loss to the speaker's withdrawal
         self.moved: list[float] = []  # seconds from loss to the last client elsewhere
@@ -90,30 +90,30 @@
         """Lets the fault last, and looks who is served meanwhile."""
         end = time.monotonic() + span * self.slower
         while time.monotonic() < end:
-            self.sites.rig.play(SAMPLE)
+            self.sites.cluster.run_for(SAMPLE)
             self.sample(case)
 
     def sample(self, case: str) -> None:
-        self.served.setdefault(case, []).append(self.sites.served())
+        self.served.setdefault(case, []).append(self.sites.served_share())
         self.look()
 
     def look(self) -> None:
         for place in range(self.told.addresses):
-            stands = [self.sites.standing(zone)[place] for zone in self.sites.zones]
+            stands = [self.sites.route_states(zone)[place] for zone in self.sites.zones]
             self.least = min(self.least, sum(state > 0 for state in stands))
 
     def well(self, case: str) -> None:
         """All faults are over; who is served is looked at until all are: coming back moves clients too."""
         sites = self.sites
         for zone in sites.zones:
-            for server in sites.of(zone):
-                server.base, server.each = 0.1, self.each
-        for name, process in sites.rig.now_by.items():
+            for server in sites.servers_at(zone):
+                server.base_load, server.load_per_session = 0.1, self.each
+        for name, process in sites.cluster.current.items():
             if process.stopped:
-                sites.rig.go_on(name)
-        gone = [name for name, process in sites.rig.now_by.items() if not process.alive]
+                sites.cluster.resume(name)
+        gone = [name for name, process in sites.cluster.current.items() if not process.alive]
         if gone:
-            sites.rig.start(*gone)
+            sites.cluster.start(*gone)
         looked = 0.0
 
         def back() -> bool:
@@ -121,11 +121,11 @@
             if time.monotonic() - looked >= SAMPLE:
                 looked = time.monotonic()
                 self.sample(case)
-            stand = all(set(sites.standing(zone)) == {2} for zone in sites.zones)
-            return stand and sites.served() == 1.0
+            stand = all(set(sites.route_states(zone)) == {2} for zone in sites.zones)
+            return stand and sites.served_share() == 1.0
 
-        sites.rig.wait(back, 90 * self.slower, "all sites advertise all, all are served")
-        sites.rig.wait_members(within=90)
+        sites.cluster.wait(back, 90 * self.slower, "all sites advertise all, all are served")
+        sites.cluster.wait_members(within=90)
         self.watch(case, AFTER)
 
     def case(self, name: str, zone: str, begin: Callable[[], None], lost: bool, span: float = 8.0) -> None:
@@ -135,7 +135,7 @@
         begin()
         self.watch(name, span)
         if lost and self.way == "ours":
-            changes = sites.speakers[zone].changes
+            changes = sites.routing_daemons[zone].changes
             out = [change.at for change in changes if change.at >= began and not change.state]
             if out:
                 self.gone.append(max(out[: self.told.addresses]) - began)
@@ -153,25 +153,25 @@
     def end(self, name: str) -> None:
         try:
             self.well(name)
-        except RigError as error:
+        except ClusterError as error:
             self.notes.append(f"{name}: {str(error)[:300]}")
 
     def play(self) -> None:
         sites = self.sites
         sites.start()
-        sites.wait_standing(90.0 * self.slower, **{zone: 2 for zone in sites.zones})
-        sites.rig.wait(lambda: sites.served() == 1.0, 60, "all are served")
-        sites.rig.play(1.5 * self.slower)  # the gates have been told that none is the last
-        rig, zones = sites.rig, sites.zones
+        sites.wait_for_route_states(90.0 * self.slower, **{zone: 2 for zone in sites.zones})
+        sites.cluster.wait(lambda: sites.served_share() == 1.0, 60, "all are served")
+        sites.cluster.run_for(1.5 * self.slower)  # the gates have been told that none is the last
+        cluster, zones = sites.cluster, sites.zones
 
         def stopped(zone: str) -> None:
             for name in sites.members(zone):
-                rig.stop(name)
+                cluster.stop(name)
 
         kinds: dict[str, Callable[[int], None]] = {
             "site stopped": lambda n: self.case("site stopped", zones[n], lambda: stopped(zones[n]), True),
             "site killed": lambda n: self.case(
-                "site killed", zones[n + 1], lambda: rig.kill(*sites.members(zones[n + 1])), True, 10.0
+                "site killed", zones[n + 1], lambda: cluster.kill(*sites.members(zones[n + 1])), True, 10.0
             ),
             "servers full": lambda n: self.case("servers full", zones[n], lambda: self.fill(zones[n]), False),
             "all look ill": lambda n: self.case("all look ill", "", lambda: self.fill(*zones), False, 5.0),
@@ -191,19 +191,19 @@
         if self.way == "ours":
             self.orders()
             self.short(self.told.short)
-        rig.read_logs()
+        cluster.read_logs()
 
     def fill(self, *zones: str) -> None:
         """Servers there have no room; all processes are well."""
         for zone in zones:
-            for server in self.sites.of(zone):
-                server.base = 1.2
+            for server in self.sites.servers_at(zone):
+                server.base_load = 1.2
 
     def wave(self) -> None:
         """One site fails, and its sessions are too much for the next, and theirs for the one after it."""
         usual = self.told.partners * self.told.addresses / self.told.sites
-        for server in self.sites.echo:
-            server.each = 0.8 / (2.0 * usual)
+        for server in self.sites.echo_servers:
+            server.load_per_session = 0.8 / (2.0 * usual)
         self.case("a wave", "", lambda: self.fill(self.sites.zones[0]), False)
 
     def flap(self, name: str, harm: Callable[[], None], zone: str) -> None:
@@ -214,9 +214,9 @@
             harm()
             self.watch(name, 1.5)
             for member in sites.members(zone):
-                sites.rig.go_on(member)
-            for server in sites.of(zone):
-                server.base = 0.1
+                sites.cluster.resume(member)
+            for server in sites.servers_at(zone):
+                server.base_load = 0.1
             self.watch(name, 1.5)
         self.end(name)
 
@@ -227,15 +227,15 @@
             zone = self.sites.zones[number % len(self.sites.zones)]
             self.fill(zone)
             self.watch("short troubles", 0.5)
-            for server in self.sites.of(zone):
-                server.base = 0.1
+            for server in self.sites.servers_at(zone):
+                server.base_load = 0.1
             self.watch("short troubles", 1.5)
         self.end("short troubles")
 
     def short(self, count: int) -> None:
         """Troubles that are over before any dwell: nothing may be withdrawn."""
-        rig, sites = self.sites.rig, self.sites
-        rig.play(sites.told["policy"]["window"])
+        cluster, sites = self.sites.cluster, self.sites
+        cluster.run_for(sites.config["policy"]["window"])
         for _ in range(count):
             self.faults += 1
             zone = self.rng.choice(sites.zones)
@@ -248,64 +248,64 @@
             else:
                 names = []
             for name in names:
-                rig.stop(name)
+                cluster.stop(name)
             if kind == "full":
-                for server in sites.of(zone):
-                    server.base = 1.2
-            rig.play((0.3 if kind != "one" else 2.0) * self.slower)
+                for server in sites.servers_at(zone):
+                    server.base_load = 1.2
+            cluster.run_for((0.3 if kind != "one" else 2.0) * self.slower)
             for name in names:
-                rig.go_on(name)
-            for server in sites.of(zone):
-                server.base = 0.1
-            rig.play(0.9 * self.slower)
-            rig.read_logs()
+                cluster.resume(name)
+            for server in sites.servers_at(zone):
+                server.base_load = 0.1
+            cluster.run_for(0.9 * self.slower)
+            cluster.read_logs()
             self.false += self.withdrawn() > before
-        sites.wait_standing(60.0, **{zone: 2 for zone in sites.zones})
+        sites.wait_for_route_states(60.0, **{zone: 2 for zone in sites.zones})
 
     def withdrawn(self) -> int:
-        return sum(row["standing"] == "withdrawn" for row in self.sites.decided())
+        return sum(row["standing"] == "withdrawn" for row in self.sites.decisions())
 
     def orders(self) -> None:
         """Given at any member while keepers are killed: each that is kept is in the history, once."""
-        rig, sites = self.sites.rig, self.sites
+        cluster, sites = self.sites.cluster, self.sites
         given: list[str] = []
         for number in range(6):
-            name = self.rng.choice([name for name in rig.names if rig.now_by[name].alive])
+            name = self.rng.choice([name for name in cluster.names if cluster.current[name].alive])
             verb = "drain" if number % 2 == 0 else "undrain"
             words = f"verb={verb}&site={sites.zones[0]}&who=bench&why=trial+{number}&until=30"
-            id = sites.call(name, "/order", words, "POST")["id"]
+            id = sites.request(name, "/order", words, "POST")["id"]
             if number % 3 == 1:
-                keeper = rig.wait_holder("addresses", within=30)
+                keeper = cluster.wait_holder("addresses", within=30)
                 if keeper != name:
-                    rig.kill(keeper)
-                    rig.start(keeper)
+                    cluster.kill(keeper)
+                    cluster.start(keeper)
             state = f"id={id}"
-            kept = lambda n=name, s=state: sites.call(n, "/order", s).get("done")  # noqa: E731
-            rig.wait(kept, 20, "an order is kept")
+            kept = lambda n=name, s=state: sites.request(n, "/order", s).get("done")  # noqa: E731
+            cluster.wait(kept, 20, "an order is kept")
             given.append(id)
-        rig.wait_members(within=60)
-        voter = next(name for name in rig.names if name in rig.voters)
-        told = [row["id"] for row in sites.ask(voter, "/history")["orders"]]
+        cluster.wait_members(within=60)
+        voter = next(name for name in cluster.names if name in cluster.voters)
+        told = [row["id"] for row in sites.query(voter, "/history")["orders"]]
         self.lost_orders = sum(told.count(id) != 1 for id in given)
-        sites.wait_standing(90.0, **{zone: 2 for zone in sites.zones})
+        sites.wait_for_route_states(90.0, **{zone: 2 for zone in sites.zones})
 
     def stale(self) -> int:
         """Commands that reached a speaker under a term older than one before."""
         found = 0
-        for gate in self.sites.gates.values():
+        for gate in self.sites.route_guards.values():
             terms = [row["term"] for row in gate.events("set")]
             found += sum(b < a for a, b in zip(terms, terms[1:], strict=False))
-            found += self.sites.speakers[gate.site].most_owners > 1
+            found += self.sites.routing_daemons[gate.site].max_connections > 1
         return found
 
     def over_budget(self) -> int:
         """Windows in which more sites were withdrawn for health than the policy says."""
         rows = [
             (row["at"], row["site"])
-            for row in self.sites.decided()
+            for row in self.sites.decisions()
             if row["standing"] == "withdrawn" and row["cause"] == "health"
         ]
-        window, most = self.sites.told["policy"]["window"], self.sites.told["policy"]["most_at_once"]
+        window, most = self.sites.config["policy"]["window"], self.sites.config["policy"]["most_at_once"]
         return sum(
             len({site for at, site in rows if begin <= at < begin + 0.95 * window}) > most
             for begin, _ in rows
@@ -338,7 +338,7 @@
                 run.play()
             finally:
                 stale, over = run.stale(), run.over_budget()
-                crashes = list(run.sites.rig.crashes)
+                crashes = list(run.sites.cluster.crashes)
                 run.sites.close()
             run.budget = over
             print(
@@ -367,7 +367,9 @@
     found = {name: wander.found(name, range(400)) for name in wander.BUGS}
     every = 23 if told.quick else 1
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
-        at_places = list(pool.map(places.explore, places.COURSES, [1] * 99, [every] * 99))
+        at_places = list(
+            pool.map(address_explorer.explore, address_explorer.SCENARIOS, [1] * 99, [every] * 99)
+        )
     for tried in at_places:
         print(f"places: {tried}", flush=True)
     result = {
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -25,10 +25,10 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.lab.fleet import broken, explore  # noqa: E402
-from onyxhollow.lab.fleet.bugs import found  # noqa: E402
+from onyxhollow.lab.fleet import explore, injected_bugs  # noqa: E402
+from onyxhollow.lab.fleet.bug_detection import detect_bug  # noqa: E402
+from onyxhollow.lab.fleet.process_cluster import ClusterError, ProcessCluster  # noqa: E402
 from onyxhollow.lab.fleet.record import Hold  # noqa: E402
-from onyxhollow.lab.fleet.rig import Rig, RigError  # noqa: E402
 
 LEASE = 1.0
 KINDS = ("kill", "stop", "cut", "planned", "term", "one-way")
@@ -46,7 +46,7 @@
     def __init__(self, folder: Path, members: int, seed: int) -> None:
         period = 0.4 if members <= 20 else 1.0
         zones = ("a", "b") if members >= 20 else ("a",)
-        self.rig = Rig(
+        self.cluster = ProcessCluster(
             folder,
             members=members,
             zones=zones,
@@ -60,51 +60,55 @@
         self.notes: list[str] = []
 
     def last_hold(self) -> Hold:
-        return max((hold for hold in self.rig.holds() if hold.duty == "ledger"), key=lambda hold: hold.since)
+        return max(
+            (hold for hold in self.cluster.holds() if hold.duty == "ledger"), key=lambda hold: hold.since
+        )
 
     def begin(self) -> None:
-        self.rig.start()
-        self.rig.wait_members(within=60)
-        self.rig.wait_holder(within=60)
-        self.rig.play(1.0)
+        self.cluster.start()
+        self.cluster.wait_members(within=60)
+        self.cluster.wait_holder(within=60)
+        self.cluster.run_for(1.0)
 
     def fault(self, kind: str) -> None:
-        rig = self.rig
-        name = rig.wait_holder()
+        cluster = self.cluster
+        name = cluster.wait_holder()
         before, began = self.last_hold(), time.monotonic()
         rules: list[Any] = []
         if kind == "kill":
-            rig.kill(name)
+            cluster.kill(name)
         elif kind == "stop":
-            rig.stop(name)
+            cluster.stop(name)
         elif kind == "cut":
-            rules = rig.cut([name], None)
+            rules = cluster.cut([name], None)
         elif kind == "one-way":
-            rules = rig.cut([name], None, both=False)
+            rules = cluster.cut([name], None, both=False)
         elif kind == "term":
-            rig.now_by[name].expected_end = True
-            rig.now_by[name].child.terminate()  # type: ignore[union-attr]
+            cluster.current[name].expected_end = True
+            cluster.current[name].child.terminate()  # type: ignore[union-attr]
         else:
-            others = [other for other in rig.names if other != name and rig.now_by[other].alive]
-            rig.ask(name, f"/hand-over?name=ledger&to={self.rng.choice(others)}", "POST")
-        rig.wait(
+            others = [other for other in cluster.names if other != name and cluster.current[other].alive]
+            cluster.query(name, f"/hand-over?name=ledger&to={self.rng.choice(others)}", "POST")
+        cluster.wait(
             lambda: self.last_hold().since > before.since, 20 * LEASE, f"a holder after {kind} of {name}"
         )
         after = self.last_hold()
-        told = next(hold for hold in rig.holds() if hold.since == before.since and hold.duty == "ledger")
+        told = next(hold for hold in cluster.holds() if hold.since == before.since and hold.duty == "ledger")
         start = {"kill": began, "stop": began}.get(kind, told.until)
         self.gaps[kind].append(max(0.0, after.since - start))
-        rig.play(SETTLE if kind != "stop" else LEASE)
+        cluster.run_for(SETTLE if kind != "stop" else LEASE)
         if kind == "stop":
-            rig.go_on(name)
-        rig.mend(rules) if rules else None
+            cluster.resume(name)
+        cluster.heal(rules) if rules else None
         if kind == "kill":
-            rig.start(name)
+            cluster.start(name)
         elif kind == "term":
-            rig.wait(lambda: not rig.now_by[name].alive, 10, f"{name} has ended")
-            rig.start(name)
-        rig.wait(lambda: rig.there(rig.now_by[name]) > 1, 10, f"{name} is back among the others")
-        rig.play(SETTLE)
+            cluster.wait(lambda: not cluster.current[name].alive, 10, f"{name} has ended")
+            cluster.start(name)
+        cluster.wait(
+            lambda: cluster.visible_members(cluster.current[name]) > 1, 10, f"{name} is back among the others"
+        )
+        cluster.run_for(SETTLE)
 
     def run(self, faults: int) -> None:
         """Kinds in turn."""
@@ -113,17 +117,17 @@
             for number in range(faults):
                 try:
                     self.fault(KINDS[number % len(KINDS)])
-                except RigError as error:
+                except ClusterError as error:
                     self.notes.append(str(error)[:300])
-                    self.rig.mend()
-                    for name, process in self.rig.now_by.items():
+                    self.cluster.heal()
+                    for name, process in self.cluster.current.items():
                         if process.stopped:
-                            self.rig.go_on(name)
+                            self.cluster.resume(name)
                         if not process.alive:
-                            self.rig.start(name)
-                    self.rig.wait_holder(within=30)
+                            self.cluster.start(name)
+                    self.cluster.wait_holder(within=30)
         finally:
-            self.rig.close()
+            self.cluster.close()
 
 
 def costs(folder: Path, members: int, fleet: bool, seconds: float) -> dict[str, float]:
@@ -132,7 +136,7 @@
         {"name": "ledger", "work": "call", "every": 0.5},
         {"name": "list", "work": "list", "per": "zone", "every": 1.0},
     ]
-    rig = Rig(
+    cluster = ProcessCluster(
         folder,
         members=members,
         zones=("a", "b"),
@@ -144,32 +148,32 @@
         ask_within=8.0,
     )
     try:
-        rig.start()
+        cluster.start()
         if fleet:
-            rig.wait_members(within=90)
-            rig.wait_holder(within=60)
-            tells = len(rig.names) - 2
-            rig.wait(lambda: sum(rig.ask_rests()) >= 0.9 * tells, 60, "the list told to all")
-        rig.play(12.0)  # the news of the start have gone round
-        calls = len(rig.list.calls)
-        sent, size = sum(rig.links.sent.values()), sum(rig.links.bytes.values())
+            cluster.wait_members(within=90)
+            cluster.wait_holder(within=60)
+            tells = len(cluster.names) - 2
+            cluster.wait(lambda: sum(cluster.polling_suspended()) >= 0.9 * tells, 60, "the list told to all")
+        cluster.run_for(12.0)  # the news of the start have gone round
+        calls = len(cluster.list_service.calls)
+        sent, size = sum(cluster.links.sent.values()), sum(cluster.links.bytes.values())
         began = time.monotonic()
-        processes = [psutil.Process(process.pid) for process in rig.now_by.values()]
+        processes = [psutil.Process(process.pid) for process in cluster.current.values()]
         cpu = sum(sum(process.cpu_times()[:2]) for process in processes)
-        rig.play(seconds)
+        cluster.run_for(seconds)
         span = time.monotonic() - began
         cpu = sum(sum(process.cpu_times()[:2]) for process in processes) - cpu
         memory = statistics.median(process.memory_info().rss for process in processes) / 2**20
         return {
-            "datagrams": (sum(rig.links.sent.values()) - sent) / span / members,
-            "bytes": (sum(rig.links.bytes.values()) - size) / span / members,
+            "datagrams": (sum(cluster.links.sent.values()) - sent) / span / members,
+            "bytes": (sum(cluster.links.bytes.values()) - size) / span / members,
             "cpu_ms": 1000 * cpu / span / members,
             "memory_mb": memory,
-            "list_callers": rig.list.callers(began, time.monotonic()),
-            "list_calls": (len(rig.list.calls) - calls) / span,
+            "list_callers": cluster.list_service.count_callers(began, time.monotonic()),
+            "list_calls": (len(cluster.list_service.calls) - calls) / span,
         }
     finally:
-        rig.close()
+        cluster.close()
 
 
 def days(folder: Path, quick: bool) -> tuple[int, list[str]]:
@@ -225,14 +229,14 @@
         began = time.monotonic()
         run = gaps[members] = Gaps(folder / f"gaps{members}", members, seed=members)
         run.run(count)
-        verdict = run.rig.verdict()
+        verdict = run.cluster.verdict()
         faults += sum(map(len, run.gaps.values()))
         overlaps, stale, late = (
             overlaps + len(verdict.overlaps),
             stale + len(verdict.stale),
             late + len(verdict.late),
         )
-        crashes += run.rig.crashes
+        crashes += run.cluster.crashes
         notes += run.notes
         count = sum(map(len, run.gaps.values()))
         say(
@@ -247,7 +251,12 @@
                     f"p99 {percentile(rows, 0.99) / LEASE:.3f}  worst {max(rows) / LEASE:.3f}"
                 )
         for row in (
-            verdict.overlaps + verdict.late + verdict.stale + verdict.falling + run.rig.crashes + run.notes
+            verdict.overlaps
+            + verdict.late
+            + verdict.stale
+            + verdict.falling
+            + run.cluster.crashes
+            + run.notes
         )[:5]:
             say(f"  {row}")
     cost: dict[str, dict[str, float]] = {}
@@ -260,7 +269,7 @@
             f"{members} members, fleet {'on' if fleet else 'off'}: "
             + ", ".join(f"{name} {value:.3g}" for name, value in row.items())
         )
-    by_rig = {name: found(name, folder / f"bug-{name}") for name in broken.BUGS}
+    by_rig = {name: detect_bug(name, folder / f"bug-{name}") for name in injected_bugs.BUGS}
     plans = [
         (1, 14, "apart", "", 1, 60.0),
         (1, 14, "even", "", 1, 60.0),
@@ -287,11 +296,11 @@
                 f"{'whole' if done.whole else 'cut off'} {done.found and 'FOUND ' + done.found}"
             )
     by_explorer = {}
-    for name in broken.BUGS:
+    for name in injected_bugs.BUGS:
         with explore.bug(name):
             only = "restarts" if name == "forgets" else ""
             by_explorer[name] = explore.explore(3 if only else 1, 12, only=only).found
-    for name in broken.BUGS:
+    for name in injected_bugs.BUGS:
         say(f"bug {name}: explorer: {by_explorer[name] or 'NOT FOUND'}; rig: {by_rig[name] or 'NOT FOUND'}")
     lost = [
         gap for run in gaps.values() for kind in ("kill", "stop", "cut", "one-way") for gap in run.gaps[kind]
@@ -321,8 +330,8 @@
         "crashes": crashes[:5],
         "not_seen": notes[:5],
         "states_explored": states,
-        "seeded_bugs": len(broken.BUGS),
-        "seeded_bugs_found": sum(bool(by_rig[name] and by_explorer[name]) for name in broken.BUGS),
+        "seeded_bugs": len(injected_bugs.BUGS),
+        "seeded_bugs_found": sum(bool(by_rig[name] and by_explorer[name]) for name in injected_bugs.BUGS),
         "by": Counter(
             {"rig": sum(map(bool, by_rig.values())), "explorer": sum(map(bool, by_explorer.values()))}
         ),
--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -22,7 +22,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.lab.fleet.rig import Rig, text  # noqa: E402
+from onyxhollow.lab.fleet.process_cluster import ProcessCluster, format_address  # noqa: E402
 from onyxhollow.topology import draw, fault_types, gather, layout  # noqa: E402
 from onyxhollow.topology.faults import find_faults  # noqa: E402
 from onyxhollow.topology.model import EndpointStatus, LinkStatus, MemberStatus, MemberView, Snapshot  # noqa: E402
@@ -59,30 +59,34 @@
     }
 
 
-def poll(rig: Rig, names: list[str]) -> tuple[Snapshot, float]:
+def poll(cluster: ProcessCluster, names: list[str]) -> tuple[Snapshot, float]:
     """The rig goes on meanwhile."""
     result: list[Snapshot] = []
-    at = [text(rig.now_by[name].management) for name in names]
+    at = [format_address(cluster.current[name].management) for name in names]
     began = time.monotonic()
     worker = threading.Thread(target=lambda: result.append(gather.gather(at, addresses=False)))
     worker.start()
     while worker.is_alive():
-        rig.turn()
+        cluster.run_once()
     return result[0], time.monotonic() - began
 
 
-def named(rig: Rig, wanted: list[tuple[str, tuple[str, ...]]], within: float) -> tuple[int, int]:
+def named(
+    cluster: ProcessCluster, wanted: list[tuple[str, tuple[str, ...]]], within: float
+) -> tuple[int, int]:
     """How many of the faults are named at last, and how many others beside them."""
     until, best = time.monotonic() + within, (0, 99)
     while time.monotonic() < until:
-        names = [name for name, process in rig.now_by.items() if process.alive and not process.stopped]
-        found = {(one.kind, one.subjects) for one in find_faults(poll(rig, names)[0]) if one.kind != "silent"}
+        names = [name for name, process in cluster.current.items() if process.alive and not process.stopped]
+        found = {
+            (one.kind, one.subjects) for one in find_faults(poll(cluster, names)[0]) if one.kind != "silent"
+        }
         hit, other = len(found & set(wanted)), len(found - set(wanted))
         if (hit, -other) > (best[0], -best[1]):
             best = hit, other
         if hit == len(wanted) and not other:
             return best
-        rig.play(0.5)
+        cluster.run_for(0.5)
     return best
 
 
@@ -90,68 +94,68 @@
     """One fault after another on five processes, each repaired before the next."""
     fault_types.STALL_MEMORY = 6.0
     total = hits = others = 0
-    with Rig(folder, members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
-        rig.start()
-        rig.wait_members()
-        rig.wait_holder()
+    with ProcessCluster(folder, members=5, zones=("a", "b"), period=0.25, lease=0.8) as cluster:
+        cluster.start()
+        cluster.wait_members()
+        cluster.wait_holder()
 
         def case(wanted: list[tuple[str, tuple[str, ...]]]) -> None:
             nonlocal total, hits, others
-            hit, other = named(rig, wanted, 30.0)
+            hit, other = named(cluster, wanted, 30.0)
             total, hits, others = total + len(wanted), hits + hit, others + other
             print(f"{wanted}: {hit} named, {other} others", flush=True)
 
         case([])
-        rig.stop("n4")
-        rig.play(1.2)
-        rig.go_on("n4")
+        cluster.stop("n4")
+        cluster.run_for(1.2)
+        cluster.resume("n4")
         case([("stalled", ("n4",))])
         case([])
-        rules = rig.cut(["n3"], ["n1"], both=False)
+        rules = cluster.cut(["n3"], ["n1"], both=False)
         case([("one-way", ("n3", "n1"))])
-        rig.mend(rules)
+        cluster.heal(rules)
         case([])
-        rules = rig.cut(["n1", "n3"], ["n0", "n2", "n4"])
+        rules = cluster.cut(["n1", "n3"], ["n0", "n2", "n4"])
         case([("cut", ("n1", "n3"))])
-        rig.mend(rules)
-        rig.wait_members(within=60)
+        cluster.heal(rules)
+        cluster.wait_members(within=60)
         case([])
         for name in ("n1", "n3"):
-            rig.ask(name, "/out-of-service", "POST", base="/control")
+            cluster.query(name, "/out-of-service", "POST", base="/control")
         case([("zone draining", ("b",))])
         for name in ("n1", "n3"):
-            rig.ask(name, "/in-service", "POST", base="/control")
+            cluster.query(name, "/in-service", "POST", base="/control")
         case([])
-        rig.kill("n4")
+        cluster.kill("n4")
         case([("gone", ("n4",))])
-        rig.trial("n4", version="9.9")
-        rig.start("n4")
-        rig.wait_members(within=40)
+        cluster.set_process_faults("n4", version="9.9")
+        cluster.start("n4")
+        cluster.wait_members(within=40)
         case([("versions", ("0.2.0", "9.9"))])
     return {"troubles": total, "troubles_named": hits, "false_troubles": others}
 
 
 def cost(folder: Path, members: int, seconds: float) -> dict[str, Any]:
     """All are polled at once; one is polled each second while the others are not."""
-    with Rig(
+    with ProcessCluster(
         folder, members=members, zones=("a", "b", "c", "d"), period=1.0 if members > 20 else 0.4, duties=[]
-    ) as rig:
-        rig.start()
-        rig.wait_members(within=120)
-        rig.play(2.0)
-        snapshot, took = poll(rig, rig.names)
+    ) as cluster:
+        cluster.start()
+        cluster.wait_members(within=120)
+        cluster.run_for(2.0)
+        snapshot, took = poll(cluster, cluster.names)
         found = [one for one in find_faults(snapshot) if one.kind != "silent"]
-        polled, others = rig.names[-1], rig.names[members // 2 : members // 2 + 5]
+        polled, others = cluster.names[-1], cluster.names[members // 2 : members // 2 + 5]
 
         def cpu(names: list[str]) -> float:
-            times = [psutil.Process(rig.now_by[name].pid).cpu_times() for name in names]
+            times = [psutil.Process(cluster.current[name].pid).cpu_times() for name in names]
             return sum(one.user + one.system for one in times) / len(names)
 
         before, until = (cpu([polled]), cpu(others)), time.monotonic() + seconds
         while time.monotonic() < until:
             due = time.monotonic() + 1.0
-            poll(rig, [polled])
-            rig.play(max(0.0, due - time.monotonic()))
+            poll(cluster, [polled])
+            cluster.run_for(max(0.0, due - time.monotonic()))
         mine, theirs = cpu([polled]) - before[0], cpu(others) - before[1]
     print(
         f"{members} members: {len(snapshot.views)} answered, {len(snapshot.unreachable)} silent; "
--- a/onyxhollow/lab/cli.py
+++ b/onyxhollow/lab/cli.py
@@ -112,7 +112,7 @@
     from onyxhollow.lab.fleet import course, show
 
     try:
-        return show.listed() if told.part == "list" else show.play(told)
+        return show.print_scenarios() if told.part == "list" else show.play(told)
     except course.CourseError as error:
         raise runs.RunError(str(error)) from None
 
--- a/onyxhollow/lab/fleet/places.py
+++ b/onyxhollow/lab/fleet/address_explorer.py
@@ -54,7 +54,7 @@
 
 
 # What happens in the window anyhow, by step.
-COURSES: dict[str, dict[int, Callable[[World], None]]] = {
+SCENARIOS: dict[str, dict[int, Callable[[World], None]]] = {
     "one ill and back": {2: ill("a"), 20: ill("a", 1.0)},
     "two ill together": {2: ill("a"), 3: ill("b", 0.3), 24: ill("b", 1.0)},
     "a drain, and another ill": {2: told("drain", "a", 1), 6: ill("b"), 26: ill("b", 1.0)},
@@ -77,7 +77,7 @@
     broken: list[str] = field(default_factory=list)
 
 
-class Placed(World):
+class ExploredWorld(World):
     def __init__(self, harms: Iterable[Harm]) -> None:
         super().__init__(0)
         self.rng = Plain(0)
@@ -141,7 +141,7 @@
             self.step()
         self.open = True
         for step in range(WINDOW):
-            if change := COURSES[name].get(step):
+            if change := SCENARIOS[name].get(step):
                 change(self)
             for what in self.at_step.get(step, ()):
                 self.harm(what, step)
@@ -164,7 +164,7 @@
 
 def places(name: str) -> tuple[list[Harm], list[Harm]]:
     """All faults of one message, and all of one step, for a course as it goes without any."""
-    plain = Placed(())
+    plain = ExploredWorld(())
     if plain.course(name):
         return [], []  # it breaks without any: the plan of none tells
     messages = [(fate, number + 1) for number in range(plain.sent) for fate in FATES]
@@ -189,7 +189,7 @@
         if time.monotonic() > until:
             found.cut_off = True
             break
-        world = Placed(plan)
+        world = ExploredWorld(plan)
         broken = world.course(name)
         found.runs += 1
         found.messages += world.sent
--- a/onyxhollow/lab/fleet/course.py
+++ b/onyxhollow/lab/fleet/course.py
@@ -14,9 +14,9 @@
 from msgspec.structs import replace
 
 from onyxhollow.fleet.file import explain_validation_error
-from onyxhollow.lab.fleet.links import Harm, Rule
+from onyxhollow.lab.fleet.process_cluster import ClusterError, ProcessCluster
+from onyxhollow.lab.fleet.proxied_links import LinkFault, LinkRule
 from onyxhollow.lab.fleet.record import Hold, Verdict
-from onyxhollow.lab.fleet.rig import Rig, RigError
 
 HERE = Path(__file__).parent / "courses"
 Processes = Literal["kill", "stop", "term", "restart", "disk", "fsync", "wall"]
@@ -167,7 +167,7 @@
         duties: list[dict[str, Any]] = [{"name": "ledger", "work": "call", "every": 0.1}]
         if course.listing:
             duties.append({"name": "list", "work": "list", "per": "zone", "every": 0.5})
-        self.rig = Rig(
+        self.cluster = ProcessCluster(
             folder,
             members=course.members,
             voters=course.voters,
@@ -180,9 +180,9 @@
             period=course.period,
             duties=duties,
         )
-        for name in self.rig.names:
+        for name in self.cluster.names:
             told = {"rate": course.rates[name]} if name in course.rates else {}
-            self.rig.trials[name] = told | ({"broken": course.broken} if course.broken else {})
+            self.cluster.process_faults[name] = told | ({"broken": course.broken} if course.broken else {})
         self.faults = 0
         self.agenda: list[tuple[float, int, Callable[[], None]]] = []
         self.number = 0
@@ -196,16 +196,16 @@
         for word in told:
             kind, _, rest = word.partition(":")
             if word == "all":
-                found += self.rig.names
+                found += self.cluster.names
             elif word == "voters":
-                found += self.rig.voters
+                found += self.cluster.voters
             elif kind == "holder":
-                found += [name for name in [self.rig.holder(rest)] if name]
+                found += [name for name in [self.cluster.holder(rest)] if name]
             elif kind == "zone":
-                found += [name for name in self.rig.names if self.rig.zones[name] == rest]
+                found += [name for name in self.cluster.names if self.cluster.zones[name] == rest]
             elif kind == "random":
-                found += self.rng.sample(self.rig.names, min(len(self.rig.names), int(rest)))
-            elif word in self.rig.names or word in ("list", "ledger"):
+                found += self.rng.sample(self.cluster.names, min(len(self.cluster.names), int(rest)))
+            elif word in self.cluster.names or word in ("list", "ledger"):
                 found.append(word)
             else:
                 raise CourseError(f"who, to: expected a member or a group, got {word!r}")
@@ -223,44 +223,50 @@
             self.at(now + fault.lasts, undo)
 
     def begin(self, fault: Fault, who: list[str]) -> Callable[[], None] | None:
-        rig, kind = self.rig, fault.kind
+        cluster, kind = self.cluster, fault.kind
         if kind in ("kill", "restart", "term"):
             if kind == "term":
                 for name in who:
-                    rig.now_by[name].expected_end = True
-                    rig.now_by[name].tell(signal.SIGTERM)
+                    cluster.current[name].expected_end = True
+                    cluster.current[name].send_signal(signal.SIGTERM)
             else:
-                rig.kill(*who)
+                cluster.kill(*who)
             if kind == "restart":
                 self.again(who, fault.folder)
                 return None
             return lambda: self.again(who, fault.folder)
         if kind == "stop":
             for name in who:
-                rig.stop(name)
-            return lambda: self.each(who, rig.go_on)
+                cluster.stop(name)
+            return lambda: self.each(who, cluster.resume)
         if kind in ("cut", "loss", "delay", "copies"):
             return self.harm(fault, who)
         if kind in ("disk", "fsync", "wall"):
             at_work = {"disk": ("write", "full"), "fsync": ("fsync", "fails"), "wall": ("wall", fault.value)}
             key, value = at_work[kind]
-            self.each(who, lambda name: rig.trial(name, **{key: value}))
-            return lambda: self.each(who, lambda name: rig.trial(name, **{key: 0 if kind == "wall" else ""}))
+            self.each(who, lambda name: cluster.set_process_faults(name, **{key: value}))
+            return lambda: self.each(
+                who, lambda name: cluster.set_process_faults(name, **{key: 0 if kind == "wall" else ""})
+            )
         if kind == "list":
-            setattr(rig.list, fault.how, True)
-            return lambda: setattr(rig.list, fault.how, False)
+            setattr(cluster.list_service, fault.how, True)
+            return lambda: setattr(cluster.list_service, fault.how, False)
         if kind == "ledger":
-            rig.ledger.silent = True
-            return lambda: setattr(rig.ledger, "silent", False)
+            cluster.ledger.silent = True
+            return lambda: setattr(cluster.ledger, "silent", False)
         if kind == "drain":
-            rig.list.change(self.rng.choice(sorted(rig.list.rows)), health="leaving")
+            cluster.list_service.update_row(
+                self.rng.choice(sorted(cluster.list_service.rows)), health="leaving"
+            )
             return None
         duty = fault.to[0] if fault.to != ("all",) else "ledger"
         if kind == "hand-over":
-            others = [name for name in rig.names if name != rig.holder(duty) and rig.now_by[name].alive]
-            rig.ask(who[0], f"/hand-over?name={duty}&to={self.rng.choice(others)}", "POST")
+            others = [
+                name for name in cluster.names if name != cluster.holder(duty) and cluster.current[name].alive
+            ]
+            cluster.query(who[0], f"/hand-over?name={duty}&to={self.rng.choice(others)}", "POST")
         else:
-            rig.ask(who[0], f"/release?name={duty}", "POST")
+            cluster.query(who[0], f"/release?name={duty}", "POST")
         return None
 
     @staticmethod
@@ -270,75 +276,79 @@
 
     def again(self, who: list[str], folder: bool) -> None:
         for name in who:
-            if self.rig.now_by[name].alive:
-                self.rig.kill(name)
+            if self.cluster.current[name].alive:
+                self.cluster.kill(name)
             if not folder:
-                self.rig.lose_folder(name)
-            self.rig.start(name, wait=False)
+                self.cluster.delete_state_folder(name)
+            self.cluster.start(name, wait=False)
 
     def harm(self, fault: Fault, who: list[str]) -> Callable[[], None]:
         harm = {
-            "cut": Harm(cut=True),
-            "loss": Harm(loss=fault.value),
-            "delay": Harm(delay=fault.between),
-            "copies": Harm(copies=fault.value, copy_delay=fault.between),
+            "cut": LinkFault(cut=True),
+            "loss": LinkFault(loss=fault.value),
+            "delay": LinkFault(delay=fault.between),
+            "copies": LinkFault(copies=fault.value, copy_delay=fault.between),
         }[fault.kind]
         to = None if fault.to == ("all",) else self.names(fault.to)
-        rules: list[Rule] = []
+        rules: list[LinkRule] = []
         if fault.way in ("both", "out"):
-            rules += self.rig.harm(harm, who, to, both=False)
+            rules += self.cluster.add_link_fault(harm, who, to, both=False)
         if fault.way in ("both", "in"):
-            rules += self.rig.harm(harm, to, who, both=False)
-        return lambda: self.rig.mend(rules)
+            rules += self.cluster.add_link_fault(harm, to, who, both=False)
+        return lambda: self.cluster.heal(rules)
 
     def play(self, progress: Callable[[Player, float], None] = lambda player, now: None) -> Report:
-        rig, course = self.rig, self.course
+        cluster, course = self.cluster, self.course
         try:
-            rig.start()
-            rig.wait_members(within=30)
-            rig.wait_holder("ledger", within=30)
-            began = rig.loop.now
+            cluster.start()
+            cluster.wait_members(within=30)
+            cluster.wait_holder("ledger", within=30)
+            began = cluster.loop.now
             for fault in course.fault:
                 self.at(fault.at, lambda fault=fault: self.befall(fault, fault.at))  # type: ignore[misc]
             shown = 0.0
-            while (now := rig.loop.now - began) < course.seconds:
+            while (now := cluster.loop.now - began) < course.seconds:
                 for row in sorted(row for row in self.agenda if row[0] <= now):
                     self.agenda.remove(row)
                     row[2]()
-                rig.turn()
+                cluster.run_once()
                 if now - shown >= 0.5:
                     shown = now
                     progress(self, now)
-            rig.mend()
-            rig.list.down = rig.list.silent = rig.list.frozen = rig.ledger.silent = False
+            cluster.heal()
+            cluster.list_service.down = cluster.list_service.silent = cluster.list_service.frozen = (
+                cluster.ledger.silent
+            ) = False
             holder = self.holder_comes()
-            rig.read_logs()
-            found = rig.holds()
+            cluster.read_logs()
+            found = cluster.holds()
             every, planned = gaps(found)
             failed = [
-                f"{line.process}: {line.told.get('error')}" for line in rig.lines if line.event == "failure"
+                f"{line.process}: {line.fields.get('error')}"
+                for line in cluster.lines
+                if line.event == "failure"
             ]
-            callers = rig.list.callers(rig.loop.now - 5.0, rig.loop.now + 1.0)
+            callers = cluster.list_service.count_callers(cluster.loop.now - 5.0, cluster.loop.now + 1.0)
             return Report(
-                rig.verdict(),
+                cluster.verdict(),
                 self.faults,
                 every,
                 planned,
                 holder,
-                rig.crashes,
-                [*failed, *rig.failures],
+                cluster.crashes,
+                [*failed, *cluster.failures],
                 callers,
             )
         finally:
-            rig.close()
+            cluster.close()
 
     def holder_comes(self) -> bool:
         """All faults over, somebody holds within some leases."""
-        for name, process in self.rig.now_by.items():
+        for name, process in self.cluster.current.items():
             if process.stopped:
-                self.rig.go_on(name)
+                self.cluster.resume(name)
         try:
-            self.rig.wait_holder("ledger", within=20 * self.course.lease + 10)
-        except RigError:
+            self.cluster.wait_holder("ledger", within=20 * self.course.lease + 10)
+        except ClusterError:
             return False
         return True
--- a/onyxhollow/lab/fleet/demo.py
+++ b/onyxhollow/lab/fleet/demo.py
@@ -24,14 +24,14 @@
         shown.add_column(f"site {zone}")
     shown.add_column("partners served")
     for place, (name, prefix) in enumerate(sites.prefixes.items()):
-        rows = [WORDS[sites.standing(zone)[place]] for zone in sites.zones]
+        rows = [WORDS[sites.route_states(zone)[place]] for zone in sites.zones]
         counts = {
             zone: sum(one.site == zone and one.prefix == prefix for one in sites.internet.partners)
             for zone in sites.zones
         }
         cells = [f"{row}, {counts[zone]} partners" for zone, row in zip(sites.zones, rows, strict=True)]
-        shown.add_row(name, *cells, f"{sites.served(prefix):.0%}")
-    last = [row for row in sites.decided() if row["standing"]][-4:]
+        shown.add_row(name, *cells, f"{sites.served_share(prefix):.0%}")
+    last = [row for row in sites.decisions() if row["standing"]][-4:]
     words = "\n".join(f"{row['address']} at {row['site']}: {row['standing']}, {row['why']}" for row in last)
     shown.caption, shown.caption_justify = words, "left"
     return shown
@@ -47,14 +47,14 @@
             while (at := time.monotonic() - began) < END:
                 if at > LOST and not lost:
                     lost = True
-                    sites.rig.kill(*sites.members("a"))
+                    sites.cluster.kill(*sites.members("a"))
                 if at > BACK and not back:
                     back = True
-                    sites.rig.start(*sites.members("a"))
+                    sites.cluster.start(*sites.members("a"))
                 state = "all is well" if not lost else "site a is lost" if not back else "site a is back"
-                sites.rig.play(0.3)
+                sites.cluster.run_for(0.3)
                 live.update(table(sites, f"{at:4.1f} s: {state}"), refresh=True)
-        ended = all(set(sites.standing(zone)) == {2} for zone in sites.zones)
+        ended = all(set(sites.route_states(zone)) == {2} for zone in sites.zones)
     shutil.rmtree(folder, ignore_errors=True)
     console.print("all sites advertise again" if ended else "expected all sites to advertise again")
     return 0 if ended else 1
--- a/onyxhollow/lab/fleet/explore.py
+++ b/onyxhollow/lab/fleet/explore.py
@@ -21,7 +21,7 @@
 from random import Random
 from typing import Any
 
-from onyxhollow.lab.fleet import broken
+from onyxhollow.lab.fleet import injected_bugs
 from onyxhollow.leases.candidate import Candidate
 from onyxhollow.leases.messages import LeaseOffer, Message, VoteResponse, VoterMessage, VoterSet, encode
 from onyxhollow.leases.timing import LeaseTiming
@@ -422,7 +422,7 @@
 def bug(name: str) -> Iterator[None]:
     """One of broken.py put in, and taken out again."""
     kept = Voter.restore, LeaseTiming.holder_span, Candidate.holds, Candidate.end
-    broken.put_in(name)
+    injected_bugs.inject(name)
     try:
         yield
     finally:
--- a/onyxhollow/lab/fleet/broken.py
+++ b/onyxhollow/lab/fleet/injected_bugs.py
@@ -54,5 +54,5 @@
 }
 
 
-def put_in(name: str) -> None:
+def inject(name: str) -> None:
     BUGS[name]()
--- a/onyxhollow/lab/fleet/member.py
+++ b/onyxhollow/lab/fleet/member.py
@@ -58,9 +58,9 @@
             true, began = clock.now, clock.now()
             clock.now = lambda: began + (true() - began) * rate
         if name := self.told.get("broken"):
-            from onyxhollow.lab.fleet.broken import put_in
+            from onyxhollow.lab.fleet.injected_bugs import inject
 
-            put_in(name)
+            inject(name)
 
 
 def main() -> int:
--- a/onyxhollow/lab/fleet/rig.py
+++ b/onyxhollow/lab/fleet/process_cluster.py
@@ -22,9 +22,9 @@
 import orjson
 import tomli_w
 
-from onyxhollow.lab.fleet.links import Harm, Links, Rule
-from onyxhollow.lab.fleet.record import Hold, Holds, Line, Verdict, judge
-from onyxhollow.lab.fleet.stands import Ledger, ListService
+from onyxhollow.lab.fleet.proxied_links import LinkFault, LinkRule, ProxiedLinks
+from onyxhollow.lab.fleet.record import Hold, HoldTracker, LogLine, Verdict, check_holds
+from onyxhollow.lab.fleet.stand_ins import LedgerService, ListService
 from onyxhollow.lab.sockets.proxies import free_address
 from onyxhollow.loop import Loop
 
@@ -32,15 +32,15 @@
 KEY = "6f6e7978686f6c6c6f772d747269616c"
 TURN = 0.02  # seconds of one turn of the rig at the most
 READ_EVERY = 0.05  # seconds between readings of the logs
-CUT = Harm(cut=True)
+CUT = LinkFault(cut=True)
 MANY = 20  # members past which what each sees of each is not kept line by line
 
 
-class RigError(Exception):
+class ClusterError(Exception):
     """What was waited for did not come, or a process did not start."""
 
 
-def text(address: tuple[str, int]) -> str:
+def format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
 
 
@@ -61,13 +61,13 @@
 class Process:
     """One life of one member."""
 
-    def __init__(self, rig: Rig, name: str, life: int, successor: bool = False) -> None:
-        self.rig, self.name, self.life, self.successor = rig, name, life, successor
+    def __init__(self, cluster: ProcessCluster, name: str, life: int, successor: bool = False) -> None:
+        self.cluster, self.name, self.life, self.successor = cluster, name, life, successor
         self.slot = f"{name}+" if successor else name
         self.title = f"{name}.{life}"
-        self.log = rig.folder / f"{self.title}.log"
-        self.trial = rig.folder / f"{self.title}.trial"
-        self.management = free_address(rig.host(name, 2), socket.SOCK_STREAM)
+        self.log = cluster.folder / f"{self.title}.log"
+        self.fault_file = cluster.folder / f"{self.title}.trial"
+        self.management = free_address(cluster.host(name, 2), socket.SOCK_STREAM)
         self.child: subprocess.Popen[bytes] | None = None
         self.read_to, self.rest = 0, b""
         self.stopped = False
@@ -81,7 +81,11 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=subprocess.STDOUT,
-                env={**environment, "LB_MANAGEMENT": text(self.management), "ONYX_TRIAL": str(self.trial)},
+                env={
+                    **environment,
+                    "LB_MANAGEMENT": format_address(self.management),
+                    "ONYX_TRIAL": str(self.fault_file),
+                },
                 cwd=ROOT,
                 start_new_session=True,
                 pass_fds=tuple(fds),
@@ -96,13 +100,13 @@
     def alive(self) -> bool:
         return self.child is not None and self.child.poll() is None
 
-    def tell(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         if self.alive:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.pid, number)
 
 
-class Rig:
+class ProcessCluster:
     def __init__(
         self,
         folder: Path,
@@ -120,7 +124,7 @@
         ask_within: float = 8.0,
         fleet: bool = True,
         settings: dict[str, Any] | None = None,
-        more: dict[str, Any] | None = None,
+        extra_fleet_settings: dict[str, Any] | None = None,
     ) -> None:
         """more: further keys of the fleet file."""
         self.folder, self.seed, self.lease = folder, seed, lease
@@ -131,44 +135,51 @@
         self.failures: list[str] = []
         self.loop = Loop(lambda where, error: self.failures.append(f"{where}: {error!r}"))
         self.rng = Random(seed)
-        self.links = Links(self.loop, self.rng)
+        self.links = ProxiedLinks(self.loop, self.rng)
         rows = [server_row(number, zones) for number in range(servers)]
-        self.list = ListService(self.loop, self.links, rows)
-        self.ledger = Ledger(self.loop, self.links)
-        self.stands = (self.list, self.ledger)
+        self.list_service = ListService(self.loop, self.links, rows)
+        self.ledger = LedgerService(self.loop, self.links)
+        self.stand_ins = (self.list_service, self.ledger)
         self.names = [f"n{number}" for number in range(members)]
         self.zones = {name: zones[number % len(zones)] for number, name in enumerate(self.names)}
         self.voters = self.names[:voters]
         self.duties = [{"name": "ledger", "work": "call", "every": 0.1}] if duties is None else duties
         self.fleet, self.ask_within, self.settings = fleet, ask_within, settings or {}
-        self.more = more or {}
-        self.terms = {"lease": lease, "rate_bound": rate_bound, "steady": steady, "patience": patience}
+        self.extra_fleet_settings = extra_fleet_settings or {}
+        self.lease_settings = {
+            "lease": lease,
+            "rate_bound": rate_bound,
+            "steady": steady,
+            "patience": patience,
+        }
         self.membership = {"period": period, "timeout": period / 3, "sync": max(1.0, 5 * period)}
-        self.at: dict[str, tuple[str, int]] = {}  # where the others find a member
-        self.own: dict[str, tuple[str, int]] = {}
+        self.advertised_addresses: dict[str, tuple[str, int]] = {}  # where the others find a member
+        self.process_addresses: dict[str, tuple[str, int]] = {}
         self.processes: list[Process] = []
-        self.now_by: dict[str, Process] = {}
-        self.lines: list[Line] = []
-        self.rates: dict[str, float] = {}
-        self.held = Holds(self.rates)
-        self.sees: dict[str, int] = {}  # by process: how many it sees
-        self.trials: dict[str, dict[str, Any]] = {}
+        self.current: dict[str, Process] = {}
+        self.lines: list[LogLine] = []
+        self.clock_rates: dict[str, float] = {}
+        self.hold_tracker = HoldTracker(self.clock_rates)
+        self.member_counts: dict[str, int] = {}  # by process: how many it sees
+        self.process_faults: dict[str, dict[str, Any]] = {}
         self.read_at = 0.0
         self.crashes: list[str] = []
-        self.given: dict[str, socket.socket] = {}  # clients' sockets that are held for members, by name
-        self.listen: dict[str, tuple[str, int]] = {}
+        self.held_sockets: dict[
+            str, socket.socket
+        ] = {}  # clients' sockets that are held for members, by name
+        self.listen_addresses: dict[str, tuple[str, int]] = {}
         for name in self.names:
             self.give_addresses(name, name)
-            self.listen[name] = free_address(self.host(name, 1), socket.SOCK_STREAM)
+            self.listen_addresses[name] = free_address(self.host(name, 1), socket.SOCK_STREAM)
 
     def host(self, name: str, net: int) -> str:
         number = int(name.rstrip("+")[1:])
         return f"127.{net}.{number // 200}.{number % 200 + 1}"
 
     def give_addresses(self, name: str, slot: str) -> None:
-        self.own[slot] = free_address(self.host(name, 2), socket.SOCK_DGRAM)
-        self.at[slot] = free_address(self.host(name, 3), socket.SOCK_DGRAM)
-        self.links.add(slot, self.own[slot], self.at[slot])
+        self.process_addresses[slot] = free_address(self.host(name, 2), socket.SOCK_DGRAM)
+        self.advertised_addresses[slot] = free_address(self.host(name, 3), socket.SOCK_DGRAM)
+        self.links.add(slot, self.process_addresses[slot], self.advertised_addresses[slot])
 
     # processes
 
@@ -201,8 +212,8 @@
             orjson.dumps(
                 {
                     "name": name,
-                    "listen": text(self.listen[name]),
-                    "discovery": text(self.list.desk(name).address),
+                    "listen": format_address(self.listen_addresses[name]),
+                    "discovery": format_address(self.list_service.listener_for(name).address),
                     "seed": f"{self.seed * 7919 + int(name[1:]) * 31 + process.life:x}",
                     "limits": {"memory_mb": 64, "sockets": 256},
                     "known": {"seq": -1, "hosts": []},
@@ -210,27 +221,27 @@
                 }
             )
         )
-        call = text(self.ledger.desk(name).address)
+        call = format_address(self.ledger.listener_for(name).address)
         duties = [
             duty | ({"call": call} if duty["work"] == "call" else {"service": "rig"}) for duty in self.duties
         ]
         told: dict[str, Any] = {
             "fleet": "rig",
             "key_file": "key",
-            "listen": text(self.own[slot]),
-            "advertise": text(self.at[slot]),
+            "listen": format_address(self.process_addresses[slot]),
+            "advertise": format_address(self.advertised_addresses[slot]),
             "voters": self.voters,
-            "seeds": [text(self.at[seed]) for seed in self.names[:3]],
+            "seeds": [format_address(self.advertised_addresses[seed]) for seed in self.names[:3]],
             "record": True,
             "membership": self.membership,
-            "leases": self.terms,
+            "leases": self.lease_settings,
             "duty": duties,
-        } | self.more
+        } | self.extra_fleet_settings
         if name in self.voters or name in self.spare_voters:
             told["folder"] = f"state-{name}"
         fleet = self.folder / f"{process.title}.toml"
         fleet.write_text(tomli_w.dumps(told))
-        process.trial.write_bytes(orjson.dumps(self.trials.get(name, {})))
+        process.fault_file.write_bytes(orjson.dumps(self.process_faults.get(name, {})))
         return config, fleet
 
     spare_voters: tuple[str, ...] = ()  # members with a folder who are no voters yet
@@ -244,17 +255,17 @@
 
     def replace(self, name: str) -> Process:
         """A second process of a member takes the clients' socket over, and the first is told to stop."""
-        first = self.now_by[name]
+        first = self.current[name]
         second = Process(
             self, name, 1 + sum(known.name == name for known in self.processes), not first.successor
         )
-        if second.slot not in self.own:
+        if second.slot not in self.process_addresses:
             self.give_addresses(name, second.slot)
         self.launch(second)
-        self.wait(lambda: self.said(second.title, "successor"), 10, f"{second.title} takes clients")
-        self.now_by[name] = second
+        self.wait(lambda: self.log_lines(second.title, "successor"), 10, f"{second.title} takes clients")
+        self.current[name] = second
         first.expected_end = True
-        first.tell(signal.SIGTERM)
+        first.send_signal(signal.SIGTERM)
         self.wait(lambda: not first.alive, 10, f"{first.title} has ended")
         first.ended_at = time.monotonic()
         return second
@@ -265,132 +276,134 @@
         config, fleet = self.write_files(process)
         told = self.environment(name, config, fleet)
         fds: tuple[int, ...] = ()
-        if name in self.given:
-            told["LB_LISTEN_FD"] = str(self.given[name].fileno())
-            fds = (self.given[name].fileno(),)
+        if name in self.held_sockets:
+            told["LB_LISTEN_FD"] = str(self.held_sockets[name].fileno())
+            fds = (self.held_sockets[name].fileno(),)
         process.start(told, fds)
         self.processes.append(process)
-        if rate := self.trials.get(name, {}).get("rate"):
-            self.rates[process.title] = rate
+        if rate := self.process_faults.get(name, {}).get("rate"):
+            self.clock_rates[process.title] = rate
 
     def start(self, *names: str, wait: bool = True) -> None:
         for name in names or self.names:
             process = Process(self, name, 1 + sum(known.name == name for known in self.processes))
             self.launch(process)
-            self.now_by[name] = process
+            self.current[name] = process
         if wait:
-            wanted = [self.now_by[name] for name in names or self.names]
+            wanted = [self.current[name] for name in names or self.names]
             self.wait(
-                lambda: all(self.said(p.title, "start") for p in wanted), 20 + len(wanted) / 4, "all started"
+                lambda: all(self.log_lines(p.title, "start") for p in wanted),
+                20 + len(wanted) / 4,
+                "all started",
             )
 
-    def trial(self, name: str, **values: Any) -> None:
+    def set_process_faults(self, name: str, **values: Any) -> None:
         """What the shim under a member's process does from now on, and under later ones of that name."""
-        self.trials[name] = {**self.trials.get(name, {}), **values}
-        if process := self.now_by.get(name):
-            beside = process.trial.with_suffix(".new")
-            beside.write_bytes(orjson.dumps(self.trials[name]))
-            beside.rename(process.trial)
+        self.process_faults[name] = {**self.process_faults.get(name, {}), **values}
+        if process := self.current.get(name):
+            beside = process.fault_file.with_suffix(".new")
+            beside.write_bytes(orjson.dumps(self.process_faults[name]))
+            beside.rename(process.fault_file)
 
     def hold_socket(self, name: str) -> None:
         """As a platform that replaces processes does; before the member starts."""
-        sock = socket.create_server(self.listen[name], backlog=256)
+        sock = socket.create_server(self.listen_addresses[name], backlog=256)
         sock.set_inheritable(True)
-        self.given[name] = sock
+        self.held_sockets[name] = sock
 
     def stop(self, name: str) -> None:
-        self.now_by[name].stopped = True
-        self.now_by[name].tell(signal.SIGSTOP)
+        self.current[name].stopped = True
+        self.current[name].send_signal(signal.SIGSTOP)
 
-    def go_on(self, name: str) -> None:
-        self.now_by[name].stopped = False
-        self.now_by[name].tell(signal.SIGCONT)
+    def resume(self, name: str) -> None:
+        self.current[name].stopped = False
+        self.current[name].send_signal(signal.SIGCONT)
 
     def kill(self, *names: str) -> None:
         for name in names:
-            process = self.now_by[name]
+            process = self.current[name]
             process.expected_end = True
-            process.tell(signal.SIGKILL)
-            process.tell(signal.SIGCONT)
+            process.send_signal(signal.SIGKILL)
+            process.send_signal(signal.SIGCONT)
         for name in names:
-            if (child := self.now_by[name].child) is not None:
+            if (child := self.current[name].child) is not None:
                 child.wait()
-            self.now_by[name].ended_at = time.monotonic()
+            self.current[name].ended_at = time.monotonic()
 
-    def term(self, name: str, within: float = 8.0) -> None:
-        process = self.now_by[name]
+    def terminate(self, name: str, within: float = 8.0) -> None:
+        process = self.current[name]
         process.expected_end = True
-        process.tell(signal.SIGTERM)
+        process.send_signal(signal.SIGTERM)
         self.wait(lambda: not process.alive, within, f"{name} has ended")
         process.ended_at = time.monotonic()
 
-    def lose_folder(self, name: str) -> None:
+    def delete_state_folder(self, name: str) -> None:
         shutil.rmtree(self.folder / f"state-{name}", ignore_errors=True)
 
     # links
 
     def cut(
         self, source: Iterable[str] | None, target: Iterable[str] | None, both: bool = True
-    ) -> list[Rule]:
-        return self.harm(CUT, source, target, both)
+    ) -> list[LinkRule]:
+        return self.add_link_fault(CUT, source, target, both)
 
-    def harm(
-        self, harm: Harm, source: Iterable[str] | None, target: Iterable[str] | None, both: bool = True
-    ) -> list[Rule]:
+    def add_link_fault(
+        self, harm: LinkFault, source: Iterable[str] | None, target: Iterable[str] | None, both: bool = True
+    ) -> list[LinkRule]:
         first, second = (None if side is None else list(side) for side in (source, target))
         rules = [self.links.put(harm, first, second)]
         if both and (first, second) != (second, first):
             rules.append(self.links.put(harm, second, first))
-        self.look_at_stands()
+        self.apply_link_faults()
         return rules
 
-    def mend(self, rules: Iterable[Rule] = ()) -> None:
+    def heal(self, rules: Iterable[LinkRule] = ()) -> None:
         self.links.mend(*rules)
-        self.look_at_stands()
+        self.apply_link_faults()
 
-    def look_at_stands(self) -> None:
-        for stand in self.stands:
+    def apply_link_faults(self) -> None:
+        for stand in self.stand_ins:
             stand.look()
 
     # time goes on
 
-    def turn(self, longest: float = TURN) -> None:
-        for stand in self.stands:
+    def run_once(self, longest: float = TURN) -> None:
+        for stand in self.stand_ins:
             stand.polled = self.loop.now
         self.loop.turn(longest)
         if time.monotonic() >= self.read_at:
             self.read_logs()
             self.read_at = time.monotonic() + READ_EVERY
 
-    def play(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         """Lets a fault last; nothing is concluded from it alone."""
         until = time.monotonic() + seconds
         while time.monotonic() < until:
-            self.turn(min(TURN, max(0.0, until - time.monotonic())))
+            self.run_once(min(TURN, max(0.0, until - time.monotonic())))
 
     def wait(self, seen: Callable[[], Any], within: float, what: str) -> Any:
         until = time.monotonic() + within
         while time.monotonic() < until:
             if found := seen():
                 return found
-            self.turn()
+            self.run_once()
         self.read_logs()
         if found := seen():
             return found
-        raise RigError(f"expected within {within:g} s: {what}; {self.state()}")
+        raise ClusterError(f"expected within {within:g} s: {what}; {self.state()}")
 
     def state(self) -> str:
         told = [
             f"{name}: {'stopped' if p.stopped else 'up' if p.alive else 'down'}"
-            for name, p in self.now_by.items()
+            for name, p in self.current.items()
         ]
         turns = [
-            f"{line.process} {line.told['change']} {line.told['duty']} {line.told['term']}"
+            f"{line.process} {line.fields['change']} {line.fields['duty']} {line.fields['term']}"
             for line in self.lines
             if line.event == "duty"
         ]
         bad = [
-            f"{line.process}: {line.told.get('trace', '')[-300:]}"
+            f"{line.process}: {line.fields.get('trace', '')[-300:]}"
             for line in self.lines
             if line.event == "failure"
         ]
@@ -418,25 +431,25 @@
         except ValueError:
             self.crashes.append(f"{process.title}: {row[:200].decode(errors='replace')}")
             return
-        line = Line(told.get("at", time.monotonic()), process.title, told["event"], told)
-        self.held.feed(line)
+        line = LogLine(told.get("at", time.monotonic()), process.title, told["event"], told)
+        self.hold_tracker.feed(line)
         if line.event == "member":
-            self.sees[process.title] = told["there"]
+            self.member_counts[process.title] = told["there"]
         if line.event != "lease" and (line.event != "member" or len(self.names) <= MANY):
             self.lines.append(line)
 
     # what is seen
 
-    def said(self, process: str, event: str, **values: Any) -> list[Line]:
+    def log_lines(self, process: str, event: str, **values: Any) -> list[LogLine]:
         return [
             line
             for line in self.lines
             if line.process == process
             and line.event == event
-            and all(line.told.get(name) == value for name, value in values.items())
+            and all(line.fields.get(name) == value for name, value in values.items())
         ]
 
-    def ask_rests(self) -> list[bool]:
+    def polling_suspended(self) -> list[bool]:
         """Of each member that is up, whether it is told the list and does not ask for itself."""
         last: dict[str, str] = {}
         for line in self.lines:
@@ -444,13 +457,13 @@
                 last[line.process] = line.event
         return [
             last.get(process.title) == "list polling suspended"
-            for process in self.now_by.values()
+            for process in self.current.values()
             if process.alive
         ]
 
     def holds(self) -> list[Hold]:
         ends = {p.title: p.ended_at for p in self.processes if p.ended_at}
-        return self.held.rows(ends)
+        return self.hold_tracker.rows(ends)
 
     def holder(self, duty: str = "ledger") -> str:
         """The member that holds a duty now, by its own log; "": none."""
@@ -468,11 +481,11 @@
             )
         )
 
-    def wait_heard(self, name: str, duty: str, who: str = "", within: float = 10.0) -> None:
+    def wait_until_holder_known(self, name: str, duty: str, who: str = "", within: float = 10.0) -> None:
         """This member has heard who holds a duty: its log says so before the news is round."""
 
         def heard() -> bool:
-            holders = {row["duty"]: row["holder"].rpartition("~")[0] for row in self.ask(name)["duties"]}
+            holders = {row["duty"]: row["holder"].rpartition("~")[0] for row in self.query(name)["duties"]}
             return bool(held := holders.get(duty)) and held == (who or held)
 
         self.wait(heard, within, f"{name} has heard who holds {duty}")
@@ -482,21 +495,23 @@
         wanted = count or len(self.names)
 
         def seen() -> bool:
-            return all(self.there(p) == wanted for p in self.now_by.values() if p.alive and not p.stopped)
+            return all(
+                self.visible_members(p) == wanted for p in self.current.values() if p.alive and not p.stopped
+            )
 
         self.wait(seen, within + wanted / 8, f"{wanted} members seen by all")
 
     def wait_lists(self, within: float = 15.0) -> None:
         """All have the list: a proxy of a fleet asks for it in its turn, and refuses its clients before."""
-        up = [process for process in self.now_by.values() if process.alive and not process.stopped]
-        self.wait(lambda: all(self.said(p.title, "list") for p in up), within, "all have the list")
+        up = [process for process in self.current.values() if process.alive and not process.stopped]
+        self.wait(lambda: all(self.log_lines(p.title, "list") for p in up), within, "all have the list")
 
-    def there(self, process: Process) -> int:
-        return self.sees.get(process.title, 1)
+    def visible_members(self, process: Process) -> int:
+        return self.member_counts.get(process.title, 1)
 
-    def call(self, name: str, target: str, method: str = "GET") -> tuple[bytes, bytes]:
+    def http_request(self, name: str, target: str, method: str = "GET") -> tuple[bytes, bytes]:
         """A call to a member's management address, answered while the rig goes on: status line and body."""
-        host, port = self.now_by[name].management
+        host, port = self.current[name].management
         with socket.create_connection((host, port), timeout=2.0) as sock:
             sock.sendall(f"{method} {target} HTTP/1.1\r\nHost: rig\r\n\r\n".encode())
             sock.setblocking(False)
@@ -513,33 +528,33 @@
         head, _, body = bytes(got).partition(b"\r\n\r\n")
         return head.split(b"\r\n")[0], body
 
-    def ask(self, name: str, path: str = "", method: str = "GET", base: str = "/control/fleet") -> Any:
+    def query(self, name: str, path: str = "", method: str = "GET", base: str = "/control/fleet") -> Any:
         """What a member tells; as text if it says no."""
-        status, body = self.call(name, f"{base}{path}", method)
+        status, body = self.http_request(name, f"{base}{path}", method)
         if b" 200 " not in status:
             return body.decode()
         return orjson.loads(body) if body[:1] in b"{[" else body.decode()
 
     def verdict(self) -> Verdict:
         self.read_logs()
-        return judge(self.holds(), self.ledger.acts)
+        return check_holds(self.holds(), self.ledger.actions)
 
     def close(self) -> None:
         for process in self.processes:
             process.expected_end = True
-            process.tell(signal.SIGCONT)
-            process.tell(signal.SIGKILL)
+            process.send_signal(signal.SIGCONT)
+            process.send_signal(signal.SIGKILL)
         for process in self.processes:
             if process.child is not None:
                 process.child.wait()
-        for stand in self.stands:
+        for stand in self.stand_ins:
             stand.close()
-        for sock in self.given.values():
+        for sock in self.held_sockets.values():
             sock.close()
         self.links.close()
         self.loop.epoll.close()
 
-    def __enter__(self) -> Rig:
+    def __enter__(self) -> ProcessCluster:
         return self
 
     def __exit__(self, *_: object) -> None:
--- a/onyxhollow/lab/fleet/links.py
+++ b/onyxhollow/lab/fleet/proxied_links.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Harm:
+class LinkFault:
     """What befalls datagrams of a link, in this order. Times in seconds, shares from 0 to 1."""
 
     cut: bool = False
@@ -34,8 +34,8 @@
     copies: float = 0.0
     copy_delay: tuple[float, float] = (0.0, 0.0)  # of the copy alone
 
-    def and_also(self, other: Harm) -> Harm:
-        return Harm(
+    def and_also(self, other: LinkFault) -> LinkFault:
+        return LinkFault(
             self.cut or other.cut,
             1.0 - (1.0 - self.loss) * (1.0 - other.loss),
             (self.delay[0] + other.delay[0], self.delay[1] + other.delay[1]),
@@ -44,16 +44,16 @@
         )
 
 
-NONE = Harm()
+NONE = LinkFault()
 
 
 @dataclass(frozen=True)
-class Rule:
+class LinkRule:
     """Which links: by the names of both ends, `None` for any."""
 
     sources: frozenset[str] | None
     targets: frozenset[str] | None
-    harm: Harm
+    harm: LinkFault
 
     def covers(self, source: str, target: str) -> bool:
         return (self.sources is None or source in self.sources) and (
@@ -65,14 +65,14 @@
     return None if told is None else frozenset(told)
 
 
-class Links:
+class ProxiedLinks:
     def __init__(self, loop: Loop, rng: Random) -> None:
         self.loop, self.rng = loop, rng
         self.socks: dict[str, socket.socket] = {}
         self.members: dict[Address, str] = {}  # by the address that its process sends from
         self.addresses: dict[str, Address] = {}
-        self.rules: list[Rule] = []
-        self.known: dict[tuple[str, str], Harm] = {}
+        self.rules: list[LinkRule] = []
+        self.known: dict[tuple[str, str], LinkFault] = {}
         self.delayed: list[tuple[float, int, str, str, bytes]] = []
         self.number = 0
         self.counts: Counter[str] = Counter()
@@ -91,7 +91,7 @@
 
     # harming
 
-    def harm(self, source: str, target: str) -> Harm:
+    def harm(self, source: str, target: str) -> LinkFault:
         found = self.known.get((source, target))
         if found is None:
             found = NONE
@@ -101,13 +101,13 @@
             self.known[source, target] = found
         return found
 
-    def put(self, harm: Harm, sources: Iterable[str] | None, targets: Iterable[str] | None) -> Rule:
-        rule = Rule(names(sources), names(targets), harm)
+    def put(self, harm: LinkFault, sources: Iterable[str] | None, targets: Iterable[str] | None) -> LinkRule:
+        rule = LinkRule(names(sources), names(targets), harm)
         self.rules.append(rule)
         self.known.clear()
         return rule
 
-    def mend(self, *rules: Rule) -> None:
+    def mend(self, *rules: LinkRule) -> None:
         """These, or all."""
         self.rules = [rule for rule in self.rules if rules and rule not in rules]
         self.known.clear()
--- a/onyxhollow/lab/fleet/record.py
+++ b/onyxhollow/lab/fleet/record.py
@@ -9,20 +9,20 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from onyxhollow.lab.fleet.stands import Act
+from onyxhollow.lab.fleet.stand_ins import Action
 
 # seconds after the end of its lease by which an act may still come in
-LATE = 0.25
+ACTION_TOLERANCE_SECONDS = 0.25
 
 
 @dataclass(frozen=True)
-class Line:
+class LogLine:
     """One line of a process's log."""
 
     at: float
     process: str  # member and which of its lives
     event: str
-    told: dict[str, Any]
+    fields: dict[str, Any]
 
 
 @dataclass
@@ -31,7 +31,7 @@
 
     duty: str
     term: int
-    who: str
+    holder: str
     process: str
     since: float
     until: float  # at the latest, by its own clock
@@ -53,7 +53,7 @@
         return not (self.overlaps or self.stale or self.late or self.falling)
 
 
-class Holds:
+class HoldTracker:
     """Who held what, read off log lines as they come. rates: of clocks that run fast or slow, by process."""
 
     def __init__(self, rates: dict[str, float]) -> None:
@@ -62,8 +62,8 @@
         self.open_ones: dict[tuple[str, str], Hold] = {}
         self.whos: dict[str, str] = {}
 
-    def feed(self, line: Line) -> None:
-        told, rate = line.told, self.rates.get(line.process, 1.0)
+    def feed(self, line: LogLine) -> None:
+        told, rate = line.fields, self.rates.get(line.process, 1.0)
         if line.event == "fleet":
             self.whos[line.process] = f"{told['proxy']}~{told['epoch']}"
         elif line.event == "duty" and told["change"] == "held":
@@ -84,7 +84,7 @@
         return sorted(self.found, key=lambda hold: hold.since)
 
 
-def judge(found: list[Hold], acts: list[Act]) -> Verdict:
+def check_holds(found: list[Hold], acts: list[Action]) -> Verdict:
     verdict = Verdict(holds=len(found))
     by_duty: dict[str, list[Hold]] = {}
     for hold in found:
@@ -96,17 +96,17 @@
                 if other.since >= one.until:
                     continue
                 verdict.overlaps.append(
-                    f"{duty}: {one.who} term {one.term} until {one.until:.3f}, "
-                    f"{other.who} term {other.term} from {other.since:.3f}"
+                    f"{duty}: {one.holder} term {one.term} until {one.until:.3f}, "
+                    f"{other.holder} term {other.term} from {other.since:.3f}"
                 )
             if place and one.term <= rows[place - 1].term:
                 verdict.falling.append(f"{duty}: term {one.term} after {rows[place - 1].term}")
-    ends = {(hold.duty, hold.term, hold.who): hold.until for hold in found}
+    ends = {(hold.duty, hold.term, hold.holder): hold.until for hold in found}
     for act in acts:
-        if act.taken and act.term < act.newest:
-            verdict.stale.append(f"{act.duty}: {act.who} term {act.term} after {act.newest}")
-        until = ends.get((act.duty, act.term, act.who))
-        if until is None or act.after > until + LATE:
-            over = "never held" if until is None else f"{act.after - until:.3f} s over"
-            verdict.late.append(f"{act.duty}: {act.who} term {act.term} number {act.number}: {over}")
+        if act.accepted and act.term < act.newest_term:
+            verdict.stale.append(f"{act.duty}: {act.member} term {act.term} after {act.newest_term}")
+        until = ends.get((act.duty, act.term, act.member))
+        if until is None or act.not_before > until + ACTION_TOLERANCE_SECONDS:
+            over = "never held" if until is None else f"{act.not_before - until:.3f} s over"
+            verdict.late.append(f"{act.duty}: {act.member} term {act.term} number {act.number}: {over}")
     return verdict
--- a/onyxhollow/lab/fleet/speakers.py
+++ b/onyxhollow/lab/fleet/routing_daemons.py
@@ -29,7 +29,7 @@
     state: int  # 0 withdrawn, 1 lesser, 2 advertised
 
 
-class Speaker:
+class RoutingDaemon:
     def __init__(self, loop: Loop, site: str) -> None:
         self.loop, self.site = loop, site
         host = f"127.4.1.{ord(site[0]) % 100 + 1}"  # its own, so that its port is free when it comes back
@@ -38,15 +38,15 @@
         self.routes: dict[str, int] = {}
         self.changes: list[Change] = []
         self.owners: list[Lines] = []
-        self.most_owners = self.commands = 0
-        self.bad: list[str] = []  # lines that are no whole command
+        self.max_connections = self.commands = 0
+        self.invalid_commands: list[str] = []  # lines that are no whole command
         self.refuses, self.lag = False, 0.0
         accepting(loop, self.sock, self.took)
 
     def took(self, sock: socket.socket) -> None:
         lines = Lines(self.loop, sock, lambda line: self.got(lines, line), lambda _: self.left(lines))
         self.owners.append(lines)
-        self.most_owners = max(self.most_owners, len(self.owners))
+        self.max_connections = max(self.max_connections, len(self.owners))
 
     def left(self, lines: Lines) -> None:
         if lines in self.owners:
@@ -57,7 +57,7 @@
         found = ROUTE.fullmatch(line.decode(errors="replace").strip())
         if found is None or self.refuses:
             if found is None:
-                self.bad.append(line.decode(errors="replace"))
+                self.invalid_commands.append(line.decode(errors="replace"))
             lines.say(b"error\n")
             return
         verb, prefix, _, rest = found.groups()
@@ -75,10 +75,10 @@
         if lines.open:
             lines.say(b"done\n")
 
-    def stands(self, prefix: str) -> int:
+    def route_state(self, prefix: str) -> int:
         return self.routes.get(prefix, 0)
 
-    def down(self) -> None:
+    def stop(self) -> None:
         """The daemon has ended: its sessions go, and its routes a hold time later; it remembers nothing."""
         for lines in list(self.owners):
             lines.close()
@@ -91,13 +91,13 @@
         self.changes += [Change(now + HOLD, prefix, 0) for prefix, state in self.routes.items() if state]
         self.routes.clear()
 
-    def up(self) -> None:
+    def start(self) -> None:
         self.sock = listening(self.address)
         accepting(self.loop, self.sock, self.took)
 
     def close(self) -> None:
         if self.sock is not None:
-            self.down()
+            self.stop()
 
 
 @dataclass
@@ -113,7 +113,7 @@
 
 
 class Internet:
-    def __init__(self, speakers: dict[str, Speaker], carried: Callable[[Partner], None]) -> None:
+    def __init__(self, speakers: dict[str, RoutingDaemon], carried: Callable[[Partner], None]) -> None:
         """carried: called when a partner's site has changed."""
         self.speakers, self.carried = speakers, carried
         self.partners: list[Partner] = []
--- a/onyxhollow/lab/fleet/show.py
+++ b/onyxhollow/lab/fleet/show.py
@@ -15,7 +15,7 @@
 from onyxhollow.lab.fleet import course
 
 
-def listed() -> int:
+def print_scenarios() -> int:
     table = Table("course", "members", "seconds", "about", box=None)
     for name in course.shipped():
         row = course.read(name)
@@ -25,20 +25,20 @@
 
 
 def picture(player: course.Player, now: float) -> Table:
-    rig = player.rig
+    cluster = player.cluster
     table = Table(
         "member", "state", "sees", "holds", "datagrams", title=f"{now:.1f} s, {player.faults} faults"
     )
-    holding = {hold.duty: hold for hold in rig.holds()}
-    for name, process in list(rig.now_by.items())[:24]:
+    holding = {hold.duty: hold for hold in cluster.holds()}
+    for name, process in list(cluster.current.items())[:24]:
         state = "stopped" if process.stopped else "up" if process.alive else "down"
         held = [
             f"{duty} ({hold.term})"
             for duty, hold in holding.items()
-            if hold.process == process.title and not hold.ended and hold.until > rig.loop.now
+            if hold.process == process.title and not hold.ended and hold.until > cluster.loop.now
         ]
-        sees = str(rig.there(process)) if process.alive else ""
-        table.add_row(name, state, sees, ", ".join(held), str(rig.links.sent[name]))
+        sees = str(cluster.visible_members(process)) if process.alive else ""
+        table.add_row(name, state, sees, ", ".join(held), str(cluster.links.sent[name]))
     return table
 
 
--- a/onyxhollow/lab/fleet/sites.py
+++ b/onyxhollow/lab/fleet/sites.py
@@ -15,8 +15,8 @@
 import orjson
 import tomli_w
 
-from onyxhollow.lab.fleet.rig import ROOT, Rig, RigError, text
-from onyxhollow.lab.fleet.speakers import Internet, Partner, Speaker
+from onyxhollow.lab.fleet.process_cluster import ROOT, ClusterError, ProcessCluster, format_address
+from onyxhollow.lab.fleet.routing_daemons import Internet, Partner, RoutingDaemon
 from onyxhollow.lab.fleet.traffic import Client, EchoServer
 from onyxhollow.lab.sockets.proxies import free_address
 
@@ -50,24 +50,24 @@
 LOOK = 0.05  # seconds between the internet's looks
 
 
-class Gate:
-    def __init__(self, folder: Path, site: str, speaker: Speaker, orphaned_after: float) -> None:
+class RouteGuardProcess:
+    def __init__(self, folder: Path, site: str, daemon: RoutingDaemon, orphaned_after: float) -> None:
         self.folder, self.site = folder, site
         # An address of its own: on 127.0.0.1 its port could go to somebody's outgoing connection meanwhile.
         self.address = free_address(f"127.4.0.{ord(site[0]) % 100 + 1}", socket.SOCK_STREAM)
         self.path, self.log = folder / f"gate-{site}.toml", folder / f"gate-{site}.log"
-        self.told = {
+        self.config = {
             "addresses": "addresses.toml",
             "site": site,
-            "listen": text(self.address),
-            "speaker": text(speaker.address),
+            "listen": format_address(self.address),
+            "speaker": format_address(daemon.address),
             "folder": f"gate-{site}",
             "orphaned_after": orphaned_after,
         }
         self.child: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        self.path.write_text(tomli_w.dumps(self.told))
+        self.path.write_text(tomli_w.dumps(self.config))
         with self.log.open("ab") as log:
             self.child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "onyxhollow", "route-guard", "--config", str(self.path)],
@@ -94,7 +94,7 @@
         self,
         folder: Path,
         sites: int = 3,
-        each: int = 2,
+        members_per_site: int = 2,
         addresses: int = 2,
         servers: int = 2,
         capacity: float = 100.0,
@@ -102,33 +102,38 @@
         cut_off: str = "keep",
         orphaned_after: float = 4.0,
         partners: int = 0,
-        each_load: float = 0.002,
+        load_per_session: float = 0.002,
         own_servers: bool = False,
-        slower: float = 1.0,
+        time_scale: float = 1.0,
         **values: Any,
     ) -> None:
-        """cut_off: of all sites but the last, which keeps; servers: of each site; partners: of each address;
-        each_load: what a session is of a server's capacity; own_servers: a site's proxies know of no others,
-        and full ones answer too late to serve; slower: times by which all that is told and awaited is slower,
-        for as many as one machine can hold."""
+        """Create the processes of all sites without starting them.
+
+        `cut_off` applies to all sites but the last, which keeps its routes. `servers` is the number for each
+        site, `partners` the number for each address. `load_per_session` is a session's share of a server's
+        capacity. With `own_servers`, the proxies of a site use only its own servers, and a server above its
+        capacity answers too late. `time_scale` multiplies all intervals and timeouts, for fleets that load
+        one machine heavily.
+        """
         self.zones = tuple("abcdefghijklmnopqrst"[:sites])
-        self.rig = Rig(
+        self.cluster = ProcessCluster(
             folder,
-            members=sites * each,
+            members=sites * members_per_site,
             zones=self.zones,
             servers=sites * servers,
             duties=[],
             settings=ASKED,
-            more={"addresses": "addresses.toml"},
+            extra_fleet_settings={"addresses": "addresses.toml"},
             **values,
         )
-        rig = self.rig
-        self.speakers = {zone: Speaker(rig.loop, zone) for zone in self.zones}
-        self.gates = {
-            zone: Gate(folder, zone, speaker, orphaned_after) for zone, speaker in self.speakers.items()
+        cluster = self.cluster
+        self.routing_daemons = {zone: RoutingDaemon(cluster.loop, zone) for zone in self.zones}
+        self.route_guards = {
+            zone: RouteGuardProcess(folder, zone, daemon, orphaned_after)
+            for zone, daemon in self.routing_daemons.items()
         }
         self.prefixes = {f"addr{n}": f"198.51.100.{n}/32" for n in range(addresses)}
-        self.told = {
+        self.config = {
             "service": [
                 {"name": name, "prefix": prefix, "listeners": ["chat"], "owner": "voice"}
                 for name, prefix in self.prefixes.items()
@@ -136,138 +141,144 @@
             "site": [
                 {
                     "name": zone,
-                    "gate": text(self.gates[zone].address),
+                    "gate": format_address(self.route_guards[zone].address),
                     "capacity": capacity,
                     "cut_off": "keep" if zone == self.zones[-1] else cut_off,
                 }
                 for zone in self.zones
             ],
-            "policy": {key: value * slower if key not in COUNTS else value for key, value in QUICK.items()}
+            "policy": {
+                key: value * time_scale if key not in COUNTS else value for key, value in QUICK.items()
+            }
             | (policy or {}),
-            "every": 0.25 * slower,
-            "synthetic": 0.5 * slower * slower,
+            "every": 0.25 * time_scale,
+            "synthetic": 0.5 * time_scale * time_scale,
         }
-        (folder / "addresses.toml").write_text(tomli_w.dumps(self.told))
+        (folder / "addresses.toml").write_text(tomli_w.dumps(self.config))
         late = TOO_LATE if own_servers else 0.0
-        self.echo = [EchoServer(rig.loop, 0.1, each_load, late) for _ in range(sites * servers)]
+        self.echo_servers = [
+            EchoServer(cluster.loop, 0.1, load_per_session, late) for _ in range(sites * servers)
+        ]
         if own_servers:
-            rig.list.sites = dict(rig.zones)
-        for number, server in enumerate(self.echo):
-            rig.list.rows[f"s{number}"]["dial"] = text(server.address)
-        self.internet = Internet(self.speakers, self.carried)
+            cluster.list_service.sites = dict(cluster.zones)
+        for number, server in enumerate(self.echo_servers):
+            cluster.list_service.rows[f"s{number}"]["dial"] = format_address(server.address)
+        self.internet = Internet(self.routing_daemons, self.carried)
         self.clients: dict[int, Client] = {}  # by the partner's id()
         for prefix in self.prefixes.values():
             for number in range(partners):
                 near = [self.zones[(number + place) % sites] for place in range(sites)]
                 self.internet.partners.append(Partner(prefix, near, 0.1 + 0.1 * (number % 4)))
         self.looked = 0.0
-        rig.loop.spawn(self.look())
+        cluster.loop.spawn(self.look())
 
     def look(self) -> Generator[float, None, None]:
         while True:
             self.internet.look()
-            yield from self.rig.loop.sleep(LOOK)
+            yield from self.cluster.loop.sleep(LOOK)
 
     def carried(self, partner: Partner) -> None:
         """The network takes a partner elsewhere: its connection is lost, and it comes again there."""
         if (client := self.clients.pop(id(partner), None)) is not None:
             client.close()
-        members = [name for name in self.rig.names if self.rig.zones[name] == partner.site]
+        members = [name for name in self.cluster.names if self.cluster.zones[name] == partner.site]
         if members:
             number = len(self.clients) + partner.moved
-            at = self.rig.listen[members[number % len(members)]]
-            self.clients[id(partner)] = Client(self.rig.loop, at, 1000 + number)
+            at = self.cluster.listen_addresses[members[number % len(members)]]
+            self.clients[id(partner)] = Client(self.cluster.loop, at, 1000 + number)
 
-    def served(self, prefix: str = "") -> float:
+    def served_share(self, prefix: str = "") -> float:
         """Share of the partners whose lines come back now."""
         rows = [partner for partner in self.internet.partners if prefix in ("", partner.prefix)]
         clients = [client for one in rows if (client := self.clients.get(id(one))) is not None and client.up]
-        since = self.rig.loop.now - ECHOES
+        since = self.cluster.loop.now - ECHOES
         return sum(client.echoed_at >= since for client in clients) / max(1, len(rows))
 
-    def of(self, zone: str) -> list[EchoServer]:
-        return self.echo[self.zones.index(zone) :: len(self.zones)]
+    def servers_at(self, zone: str) -> list[EchoServer]:
+        return self.echo_servers[self.zones.index(zone) :: len(self.zones)]
 
     def members(self, zone: str) -> list[str]:
-        return [name for name in self.rig.names if self.rig.zones[name] == zone]
+        return [name for name in self.cluster.names if self.cluster.zones[name] == zone]
 
     def start(self) -> None:
-        for gate in self.gates.values():
+        for gate in self.route_guards.values():
             gate.start()
-        self.rig.wait(
-            lambda: all(gate.events("route guard") for gate in self.gates.values()), 20, "guards are up"
+        self.cluster.wait(
+            lambda: all(gate.events("route guard") for gate in self.route_guards.values()),
+            20,
+            "guards are up",
         )
-        self.rig.start()
-        self.rig.wait_members(within=40)
-        self.rig.wait_holder("addresses", within=40)
+        self.cluster.start()
+        self.cluster.wait_members(within=40)
+        self.cluster.wait_holder("addresses", within=40)
 
-    def standing(self, zone: str) -> list[int]:
+    def route_states(self, zone: str) -> list[int]:
         """At the speaker, in the order of addresses."""
-        return [self.speakers[zone].stands(prefix) for prefix in self.prefixes.values()]
+        return [self.routing_daemons[zone].route_state(prefix) for prefix in self.prefixes.values()]
 
-    def wait_standing(self, within: float = 25.0, **wanted: int) -> None:
+    def wait_for_route_states(self, within: float = 25.0, **wanted: int) -> None:
         """All addresses stand so at these sites."""
 
         def so() -> bool:
-            return all(set(self.standing(zone)) == {state} for zone, state in wanted.items())
+            return all(set(self.route_states(zone)) == {state} for zone, state in wanted.items())
 
         try:
-            self.rig.wait(so, within, f"standings {wanted}")
-        except RigError as error:
-            now = {zone: self.standing(zone) for zone in self.zones}
-            said = [line.told["why"] for line in self.rig.lines if line.event == "address"][-6:]
-            raise RigError(f"{error}; they are {now}; {said}") from None
+            self.cluster.wait(so, within, f"standings {wanted}")
+        except ClusterError as error:
+            now = {zone: self.route_states(zone) for zone in self.zones}
+            said = [line.fields["why"] for line in self.cluster.lines if line.event == "address"][-6:]
+            raise ClusterError(f"{error}; they are {now}; {said}") from None
 
-    def wait_known(self, within: float = 25.0) -> None:
+    def wait_until_all_reported(self, within: float = 25.0) -> None:
         """The keeper has heard that what is advertised at each site is taken there: it plans by what it has
         heard, and that comes a moment after the daemons have taken it."""
-        self.rig.wait(self.known, within, "the keeper has heard of all")
+        self.cluster.wait(self.all_reported, within, "the keeper has heard of all")
 
-    def known(self) -> bool:
-        rows = self.ask(self.rig.names[0])["rows"]
+    def all_reported(self) -> bool:
+        rows = self.query(self.cluster.names[0])["rows"]
         return all(row["reached"] and row["carried"] and row["standing"] == "advertised" for row in rows)
 
-    def ask(self, name: str, path: str = "", **query: str) -> Any:
+    def query(self, name: str, path: str = "", **query: str) -> Any:
         """As the commands do: asked again until it is there. A process that has just been started says first
         that its addresses are not there yet, or nothing at all."""
         words = "&".join(f"{key}={value}" for key, value in query.items())
 
         def begun() -> Any:
             with contextlib.suppress(OSError):
-                return self.call(name, path, words).get("id")
+                return self.request(name, path, words).get("id")
             return None
 
-        id = self.rig.wait(begun, 15, f"{name} takes {path}")
+        id = self.cluster.wait(begun, 15, f"{name} takes {path}")
 
         def answer() -> Any:
-            told = self.call(name, path, f"id={id}")
+            told = self.request(name, path, f"id={id}")
             return "id" not in told and told
 
-        return self.rig.wait(answer, 8, f"an answer to {path}")
+        return self.cluster.wait(answer, 8, f"an answer to {path}")
 
-    def call(self, name: str, path: str, words: str, method: str = "GET") -> Any:
+    def request(self, name: str, path: str, words: str, method: str = "GET") -> Any:
         target = f"/control/addresses{path}" + (f"?{words}" if words else "")
-        _, body = self.rig.call(name, target, method)
+        _, body = self.cluster.http_request(name, target, method)
         return orjson.loads(body) if body[:1] in b"{[" else {"error": body.decode()}
 
-    def row(self, address: str, zone: str, name: str = "") -> dict[str, Any]:
-        up = [one for one, process in self.rig.now_by.items() if process.alive and not process.stopped]
-        rows = self.ask(name or up[0])["rows"]
+    def status_row(self, address: str, zone: str, name: str = "") -> dict[str, Any]:
+        up = [one for one, process in self.cluster.current.items() if process.alive and not process.stopped]
+        rows = self.query(name or up[0])["rows"]
         return next(row for row in rows if (row["address"], row["site"]) == (address, zone))
 
-    def decided(self) -> list[dict[str, Any]]:
-        return [line.told for line in self.rig.lines if line.event == "address"]
+    def decisions(self) -> list[dict[str, Any]]:
+        return [line.fields for line in self.cluster.lines if line.event == "address"]
 
     def close(self) -> None:
         for client in self.clients.values():
             client.close()
-        for gate in self.gates.values():
+        for gate in self.route_guards.values():
             gate.end()
-        for server in self.echo:
+        for server in self.echo_servers:
             server.close()
-        for speaker in self.speakers.values():
-            speaker.close()
-        self.rig.close()
+        for daemon in self.routing_daemons.values():
+            daemon.close()
+        self.cluster.close()
 
     def __enter__(self) -> Sites:
         return self
--- a/onyxhollow/lab/fleet/stands.py
+++ b/onyxhollow/lab/fleet/stand_ins.py
@@ -18,17 +18,17 @@
 import h11
 import orjson
 
-from onyxhollow.lab.fleet.links import Harm, Links
+from onyxhollow.lab.fleet.proxied_links import LinkFault, ProxiedLinks
 from onyxhollow.lab.sockets.lines import Lines, accepting, listening
 from onyxhollow.loop import Loop
 
 LONGEST_WAIT = 60.0
 
 
-class Caller:
+class MemberConnection:
     """One connection of a member."""
 
-    def __init__(self, desk: Desk, sock: socket.socket) -> None:
+    def __init__(self, desk: MemberListener, sock: socket.socket) -> None:
         self.desk, self.number = desk, 0
         self.speaker = h11.Connection(h11.SERVER)
         self.target = ""
@@ -71,24 +71,24 @@
         self.desk.left(self)
 
 
-class Desk:
+class MemberListener:
     """Where one member calls one stand-in."""
 
-    def __init__(self, stand: Stand, member: str) -> None:
+    def __init__(self, stand: StandIn, member: str) -> None:
         self.stand, self.loop, self.member = stand, stand.loop, member
-        self.callers: dict[Caller, None] = {}
+        self.callers: dict[MemberConnection, None] = {}
         self.blocked = False
         self.sock = listening(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
         accepting(self.loop, self.sock, self.took)
 
-    def way_there(self) -> Harm:
+    def way_there(self) -> LinkFault:
         return self.stand.links.harm(self.member, self.stand.name)
 
-    def way_back(self) -> Harm:
+    def way_back(self) -> LinkFault:
         return self.stand.links.harm(self.stand.name, self.member)
 
-    def after(self, harm: Harm, call: Callable[[], None]) -> None:
+    def after(self, harm: LinkFault, call: Callable[[], None]) -> None:
         """As late as a link makes what goes over it; TCP loses and repeats nothing by itself."""
         if harm.delay[1] <= 0.0:
             call()
@@ -100,13 +100,13 @@
 
         self.loop.spawn(late(self.stand.links.rng.uniform(*harm.delay)))
 
-    def heard(self, caller: Caller, told: dict[str, str]) -> None:
+    def heard(self, caller: MemberConnection, told: dict[str, str]) -> None:
         self.after(self.way_there(), lambda: self.stand.asked(self.member, caller, told))
 
     def took(self, sock: socket.socket) -> None:
-        self.callers[Caller(self, sock)] = None
+        self.callers[MemberConnection(self, sock)] = None
 
-    def left(self, caller: Caller) -> None:
+    def left(self, caller: MemberConnection) -> None:
         self.callers.pop(caller, None)
         self.stand.left(caller)
 
@@ -129,19 +129,19 @@
         self.sock.close()
 
 
-class Stand:
+class StandIn:
     """A stand-in with a desk for each member."""
 
     name = ""
 
-    def __init__(self, loop: Loop, links: Links) -> None:
+    def __init__(self, loop: Loop, links: ProxiedLinks) -> None:
         self.loop, self.links = loop, links
-        self.desks: dict[str, Desk] = {}
+        self.desks: dict[str, MemberListener] = {}
         self.polled = 0.0  # when the rig last looked what had come
 
-    def desk(self, member: str) -> Desk:
+    def listener_for(self, member: str) -> MemberListener:
         if member not in self.desks:
-            self.desks[member] = Desk(self, member)
+            self.desks[member] = MemberListener(self, member)
         return self.desks[member]
 
     def look(self) -> None:
@@ -149,10 +149,10 @@
         for desk in self.desks.values():
             desk.block(desk.way_there().cut)
 
-    def asked(self, member: str, caller: Caller, told: dict[str, str]) -> None:
+    def asked(self, member: str, caller: MemberConnection, told: dict[str, str]) -> None:
         raise NotImplementedError
 
-    def left(self, caller: Caller) -> None:
+    def left(self, caller: MemberConnection) -> None:
         pass
 
     def close(self) -> None:
@@ -161,29 +161,29 @@
 
 
 @dataclass(frozen=True)
-class Act:
+class Action:
     at: float  # when it was read
-    after: float  # it came after this: the rig itself may have been late to read it
+    not_before: float  # it came after this: the rig itself may have been late to read it
     duty: str
     term: int
-    who: str
+    member: str
     number: int
-    taken: bool  # it took effect
-    newest: int  # the highest term seen before
+    accepted: bool  # it took effect
+    newest_term: int  # the highest term seen before
 
 
-class Ledger(Stand):
+class LedgerService(StandIn):
     """What duties act on: takes an act unless it has seen a newer term."""
 
     name = "ledger"
 
-    def __init__(self, loop: Loop, links: Links) -> None:
+    def __init__(self, loop: Loop, links: ProxiedLinks) -> None:
         super().__init__(loop, links)
-        self.acts: list[Act] = []
+        self.actions: list[Action] = []
         self.newest: dict[str, int] = {}
         self.silent = False  # takes calls and answers none
 
-    def asked(self, member: str, caller: Caller, told: dict[str, str]) -> None:
+    def asked(self, member: str, caller: MemberConnection, told: dict[str, str]) -> None:
         if self.silent:
             return
         duty, term = told.get("duty", ""), int(told.get("term", "0"))
@@ -191,23 +191,23 @@
         taken = term >= newest
         self.newest[duty] = max(newest, term)
         number = int(told.get("number", "0"))
-        self.acts.append(
-            Act(time.monotonic(), self.polled, duty, term, told.get("member", ""), number, taken, newest)
+        self.actions.append(
+            Action(time.monotonic(), self.polled, duty, term, told.get("member", ""), number, taken, newest)
         )
         caller.answer(200 if taken else 409)
 
 
-class ListService(Stand):
+class ListService(StandIn):
     """Whole lists, watches, and who called when."""
 
     name = "list"
 
-    def __init__(self, loop: Loop, links: Links, rows: list[dict[str, Any]]) -> None:
+    def __init__(self, loop: Loop, links: ProxiedLinks, rows: list[dict[str, Any]]) -> None:
         super().__init__(loop, links)
         self.rows = {row["host"]: row for row in rows}
         self.versions: dict[str, int] = dict.fromkeys(self.rows, 1)
         self.version = 1
-        self.waiting: dict[Caller, tuple[int, float]] = {}  # version that it has; until when
+        self.waiting: dict[MemberConnection, tuple[int, float]] = {}  # version that it has; until when
         self.calls: list[tuple[float, str]] = []
         self.sites: dict[str, str] = {}  # members that are told of the servers of one site only
         self.down = self.silent = self.frozen = False
@@ -217,7 +217,7 @@
     def known(self) -> dict[str, Any]:
         return {"seq": self.version, "whole": True, "hosts": list(self.rows.values())}
 
-    def asked(self, member: str, caller: Caller, told: dict[str, str]) -> None:
+    def asked(self, member: str, caller: MemberConnection, told: dict[str, str]) -> None:
         self.calls.append((time.monotonic(), member))
         if self.silent:
             return
@@ -230,7 +230,7 @@
         else:
             self.waiting[caller] = seen, self.loop.now + wait
 
-    def tell(self, caller: Caller, seen: int) -> None:
+    def tell(self, caller: MemberConnection, seen: int) -> None:
         self.waiting.pop(caller, None)
         whole = seen < 0
         site = self.sites.get(caller.desk.member, "")
@@ -241,7 +241,7 @@
         ]
         caller.answer(200, orjson.dumps({"seq": self.version, "whole": whole, "hosts": rows}))
 
-    def left(self, caller: Caller) -> None:
+    def left(self, caller: MemberConnection) -> None:
         self.waiting.pop(caller, None)
 
     def waits(self) -> Generator[float, None, None]:
@@ -251,7 +251,7 @@
                     self.tell(caller, seen)
             yield self.loop.now + 0.05
 
-    def change(self, host: str, **values: Any) -> None:
+    def update_row(self, host: str, **values: Any) -> None:
         """A server's row changes; who waits is told."""
         self.version += 1
         self.rows[host] = {**self.rows[host], **values}
@@ -261,12 +261,12 @@
                 if not caller.desk.blocked:
                     self.tell(caller, seen)
 
-    def callers(self, since: float, until: float) -> int:
+    def count_callers(self, since: float, until: float) -> int:
         """How many members called in that span, or wait for news now."""
         return len(self.waiting_members() | {member for at, member in self.calls if since <= at < until})
 
     def waiting_members(self) -> set[str]:
         return {caller.desk.member for caller in self.waiting}
 
-    def by_member(self) -> Counter[str]:
+    def calls_by_member(self) -> Counter[str]:
         return Counter(member for _, member in self.calls)
--- a/onyxhollow/lab/fleet/traffic.py
+++ b/onyxhollow/lab/fleet/traffic.py
@@ -18,9 +18,16 @@
     """Takes every session and gives its lines back; tells a load that grows with them. Over its capacity it
     answers late: by `late` seconds for each time of it that it is over."""
 
-    def __init__(self, loop: Loop, base: float = 0.1, each: float = 0.01, late: float = 0.0) -> None:
-        self.loop, self.base, self.each, self.late = loop, base, each, late
-        self.silent, self.questions = False, 0  # silent: takes connections and answers nothing
+    def __init__(
+        self, loop: Loop, base_load: float = 0.1, load_per_session: float = 0.01, overload_delay: float = 0.0
+    ) -> None:
+        self.loop, self.base_load, self.load_per_session, self.overload_delay = (
+            loop,
+            base_load,
+            load_per_session,
+            overload_delay,
+        )
+        self.silent, self.health_checks = False, 0  # silent: takes connections and answers nothing
         self.sock = listening(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
         self.dialled: list[Dialled] = []
@@ -31,10 +38,10 @@
 
     @property
     def load(self) -> float:
-        return self.base + self.each * self.open
+        return self.base_load + self.load_per_session * self.open_sessions
 
     @property
-    def open(self) -> int:
+    def open_sessions(self) -> int:
         return sum(one.up and one.lines.open for one in self.dialled)
 
     def close(self) -> None:
@@ -54,7 +61,7 @@
         if server.silent:
             return
         if self.up:
-            behind = server.late * (server.load - 1.0) if server.late else 0.0
+            behind = server.overload_delay * (server.load - 1.0) if server.overload_delay else 0.0
             if behind > 0.0:
                 server.loop.spawn(self.say_late(line, behind))
             else:
@@ -63,7 +70,7 @@
             self.up = True
             self.lines.say(b"UP 1\r\n")
         elif line.startswith(b"STATS"):
-            server.questions += 1
+            server.health_checks += 1
             self.lines.say(b"PONG x0=%.4f\r\n" % server.load)
         else:
             self.lines.say(b"PONG\r\n")
@@ -78,8 +85,8 @@
 
     def __init__(self, loop: Loop, address: tuple[str, int], number: int) -> None:
         self.loop, self.address, self.number = loop, address, number
-        self.lives = self.echoes = self.moves = self.lost = self.wrong = 0
-        self.odd: deque[str] = deque(maxlen=8)  # what was wrong or lost, and when
+        self.lives = self.echoes = self.moves = self.lost_sessions = self.unexpected_lines = 0
+        self.anomalies: deque[str] = deque(maxlen=8)  # what was wrong or lost, and when
         self.up = self.over = False
         self.away_until = 0.0
         self.echoed_at = 0.0  # on the loop's clock
@@ -118,15 +125,15 @@
             self.echoes += 1
             self.echoed_at = self.loop.now
         else:
-            self.wrong += 1
+            self.unexpected_lines += 1
             if line.startswith(b"BUSY"):
                 self.away_until = self.loop.now + REFUSED
-            self.odd.append(f"{self.loop.now:.3f} life {self.lives} up {self.up}: {line[:60]!r}")
+            self.anomalies.append(f"{self.loop.now:.3f} life {self.lives} up {self.up}: {line[:60]!r}")
 
     def ended(self, _: bool) -> None:
         if self.up:
-            self.odd.append(f"{self.loop.now:.3f} life {self.lives}: ended after {self.echoes} echoes")
-        self.lost += self.up
+            self.anomalies.append(f"{self.loop.now:.3f} life {self.lives}: ended after {self.echoes} echoes")
+        self.lost_sessions += self.up
         self.up = False
 
     def close(self) -> None:
--- a/tests/test_address_schedules.py
+++ b/tests/test_address_schedules.py
@@ -2,21 +2,23 @@
 
 import pytest
 
-from onyxhollow.lab.fleet import places, wander
+from onyxhollow.lab.fleet import address_explorer, wander
 
 
 def test_no_schedule_of_faults_breaks_an_invariant():
     assert wander.explore(range(12)) == []
 
 
-@pytest.mark.parametrize("name", sorted(places.COURSES))
+@pytest.mark.parametrize("name", sorted(address_explorer.SCENARIOS))
 def test_no_fault_at_any_point_of_a_scenario_breaks_an_invariant(name):
-    result = places.explore(name, every=61)  # the benchmark runs every point
+    result = address_explorer.explore(name, every=61)  # the benchmark runs every point
     assert result.runs > 40 and result.broken == []
 
 
 def test_an_announcer_stopped_during_a_restore_does_not_cause_the_last_site_to_be_withdrawn():
-    assert places.Placed((("stop announcer b", 19),)).course("two excluded, the last ill") == []
+    assert (
+        address_explorer.ExploredWorld((("stop announcer b", 19),)).course("two excluded, the last ill") == []
+    )
 
 
 # By injected bug: the first seed in range(400) whose schedule reveals it, according to wander.found.
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from onyxhollow.lab.fleet import broken, explore
+from onyxhollow.lab.fleet import explore, injected_bugs
 from onyxhollow.leases.candidate import Candidate
 from onyxhollow.leases.candidate_states import NEXT_STATE, CandidateEvent, CandidateState, CandidateStateError
 from onyxhollow.leases.messages import (
@@ -158,7 +158,7 @@
     assert result.whole and not result.found and result.states > 1000 and result.ends
     result = explore.explore(3, 8, only="restarts")
     assert result.whole and not result.found
-    for name in broken.BUGS:
+    for name in injected_bugs.BUGS:
         with explore.bug(name):
             only = "restarts" if name == "forgets" else ""
             assert explore.explore(3 if only else 1, 12, only=only).found, name
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -8,7 +8,7 @@
 import pytest
 
 from onyxhollow.lab import runs, scenario
-from onyxhollow.lab.fleet.rig import Rig, text
+from onyxhollow.lab.fleet.process_cluster import ProcessCluster, format_address
 from onyxhollow.lab.fleet.sites import Sites
 from onyxhollow.topology import (
     commands,
@@ -336,24 +336,24 @@
 # real processes
 
 
-def wait_for_faults(rig, expected, within, but=(), at=None):
+def wait_for_faults(cluster, expected, within, but=(), at=None):
     """Waits until the picture names exactly these faults. at: only these are polled, as from one side."""
     found = []
 
     def are_named():
-        names = [name for name, process in rig.now_by.items() if process.alive and name not in but]
-        polled = [text(rig.now_by[name].management) for name in (at or names)]
+        names = [name for name, process in cluster.current.items() if process.alive and name not in but]
+        polled = [format_address(cluster.current[name].management) for name in (at or names)]
         result = []
         worker = threading.Thread(target=lambda: result.append(gather.gather(polled)))
         worker.start()
         while worker.is_alive():
-            rig.turn()
+            cluster.run_once()
         found[:] = [result[0]]
         named = [one for one in find_faults(result[0]) if one.kind != "silent"]
         return sorted((one.kind, one.subjects) for one in named) == sorted(expected)
 
     try:
-        rig.wait(are_named, within, f"named {expected}")
+        cluster.wait(are_named, within, f"named {expected}")
     except Exception as error:
         raise AssertionError(f"{error}; {[one.description for one in find_faults(found[0])]}") from None
     return found[0]
@@ -361,26 +361,26 @@
 
 def test_each_fault_of_real_processes_is_named_and_no_other(tmp_path, monkeypatch):
     monkeypatch.setattr(fault_types, "STALL_MEMORY", 6.0)
-    with Rig(tmp_path / "rig", members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
-        rig.start()
-        rig.wait_members()
-        rig.wait_holder()
-        healthy = wait_for_faults(rig, [], 15)
+    with ProcessCluster(tmp_path / "rig", members=5, zones=("a", "b"), period=0.25, lease=0.8) as cluster:
+        cluster.start()
+        cluster.wait_members()
+        cluster.wait_holder()
+        healthy = wait_for_faults(cluster, [], 15)
         assert len(healthy.views) == 5 and len(healthy.members()) == 5
-        rig.stop("n4")
-        rig.play(1.2)
-        rig.go_on("n4")
-        wait_for_faults(rig, [("stalled", ("n4",))], 10)
-        wait_for_faults(rig, [], 30)
-        rules = rig.cut(["n3"], ["n1"], both=False)
-        wait_for_faults(rig, [("one-way", ("n3", "n1"))], 30)
-        rig.mend(rules)
-        wait_for_faults(rig, [], 30)
-        rules = rig.cut(["n1", "n3"], ["n0", "n2", "n4"])
-        halves = wait_for_faults(rig, [("cut", ("n1", "n3"))], 40)
-        assert {view.name for view in halves.views} == set(rig.names)
+        cluster.stop("n4")
+        cluster.run_for(1.2)
+        cluster.resume("n4")
+        wait_for_faults(cluster, [("stalled", ("n4",))], 10)
+        wait_for_faults(cluster, [], 30)
+        rules = cluster.cut(["n3"], ["n1"], both=False)
+        wait_for_faults(cluster, [("one-way", ("n3", "n1"))], 30)
+        cluster.heal(rules)
+        wait_for_faults(cluster, [], 30)
+        rules = cluster.cut(["n1", "n3"], ["n0", "n2", "n4"])
+        halves = wait_for_faults(cluster, [("cut", ("n1", "n3"))], 40)
+        assert {view.name for view in halves.views} == set(cluster.names)
         wait_for_faults(
-            rig,
+            cluster,
             [
                 ("gone", ("n0",)),
                 ("gone", ("n2",)),
@@ -391,17 +391,17 @@
             30,
             at=["n1", "n3"],
         )
-        rig.mend(rules)
-        rig.wait_members(within=60)
-        wait_for_faults(rig, [], 40)
+        cluster.heal(rules)
+        cluster.wait_members(within=60)
+        wait_for_faults(cluster, [], 40)
         for name in ("n1", "n3"):
-            rig.ask(name, "/out-of-service", "POST", base="/control")
-        wait_for_faults(rig, [("zone draining", ("b",))], 20)
+            cluster.query(name, "/out-of-service", "POST", base="/control")
+        wait_for_faults(cluster, [("zone draining", ("b",))], 20)
         for name in ("n1", "n3"):
-            rig.ask(name, "/in-service", "POST", base="/control")
-        wait_for_faults(rig, [], 20)
-        rig.kill("n4")
-        wait_for_faults(rig, [("gone", ("n4",))], 30)
+            cluster.query(name, "/in-service", "POST", base="/control")
+        wait_for_faults(cluster, [], 20)
+        cluster.kill("n4")
+        wait_for_faults(cluster, [("gone", ("n4",))], 30)
         folder = tmp_path / "rig"  # the same from what they have written, once all have
 
         def written():
@@ -410,34 +410,36 @@
             named = [one for one in kinds(found) if one[0] != "silent"]
             return there == {"n0", "n1", "n2", "n3"} and named == [("gone", ("n4",))]
 
-        rig.wait(written, 15, "their logs tell it")
-        rig.trial("n4", version="9.9")
-        rig.start("n4")
-        rig.wait_members(within=40)
-        wait_for_faults(rig, [("versions", ("0.2.0", "9.9"))], 30)
+        cluster.wait(written, 15, "their logs tell it")
+        cluster.set_process_faults("n4", version="9.9")
+        cluster.start("n4")
+        cluster.wait_members(within=40)
+        wait_for_faults(cluster, [("versions", ("0.2.0", "9.9"))], 30)
 
 
 def test_a_withdrawn_address_and_a_lost_lease_holder_are_named_on_real_processes(tmp_path):
     with Sites(tmp_path / "rig") as sites:
-        rig = sites.rig
+        cluster = sites.cluster
         sites.start()
-        sites.wait_standing(a=2, b=2, c=2)
-        wait_for_faults(rig, [], 20)
-        for server in sites.of("a"):
-            server.base = 1.2
-        sites.wait_standing(a=0, b=2, c=2)
-        wait_for_faults(rig, [("withdrawn", ("addr0", "a")), ("withdrawn", ("addr1", "a"))], 20)
-        for server in sites.of("a"):
-            server.base = 0.1
-        sites.wait_standing(a=2, b=2, c=2)
-        holder = rig.wait_holder("announcer/b")
+        sites.wait_for_route_states(a=2, b=2, c=2)
+        wait_for_faults(cluster, [], 20)
+        for server in sites.servers_at("a"):
+            server.base_load = 1.2
+        sites.wait_for_route_states(a=0, b=2, c=2)
+        wait_for_faults(cluster, [("withdrawn", ("addr0", "a")), ("withdrawn", ("addr1", "a"))], 20)
+        for server in sites.servers_at("a"):
+            server.base_load = 0.1
+        sites.wait_for_route_states(a=2, b=2, c=2)
+        holder = cluster.wait_holder("announcer/b")
         other = next(name for name in sites.members("b") if name != holder)
-        rig.kill(holder, other)
-        rig.wait(lambda: rig.there(rig.now_by["n0"]) == 4, 30, "both are held for dead")
-        keeper = rig.wait_holder("addresses", within=40)  # the next one never hears from their site
-        rig.ask(keeper, "/release?name=addresses", "POST")
-        rig.wait_holder("addresses", other_than=keeper, within=40)
+        cluster.kill(holder, other)
+        cluster.wait(
+            lambda: cluster.visible_members(cluster.current["n0"]) == 4, 30, "both are held for dead"
+        )
+        keeper = cluster.wait_holder("addresses", within=40)  # the next one never hears from their site
+        cluster.query(keeper, "/release?name=addresses", "POST")
+        cluster.wait_holder("addresses", other_than=keeper, within=40)
         found = wait_for_faults(
-            rig, [("gone", tuple(one for one in [name])) for name in sorted((holder, other))], 30
+            cluster, [("gone", tuple(one for one in [name])) for name in sorted((holder, other))], 30
         )
         assert "announcer/b" in found.leases()
