--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -30,8 +30,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.lab.fleet import places, wander  # noqa: E402
-from onyxhollow.lab.fleet.rig import RigError  # noqa: E402
+from onyxhollow.lab.fleet import address_explorer, wander  # noqa: E402
+from onyxhollow.lab.fleet.process_cluster import ClusterError  # noqa: E402
 from onyxhollow.lab.fleet.sites import Sites  # noqa: E402
 
 AT_ONCE = {"ill_for": 0.0, "dead_for": 0.0, "well_for": 0.0, "step": 0.0, "most_at_once": 1000, "fill": 1.0}
@@ -53,7 +53,7 @@
 
 
 class Run:
-    """Runs all cases with one policy on one rig."""
+    """Runs all cases with one policy on one cluster."""
 
     def __init__(self, folder: Path, policy_name: str, args: argparse.Namespace) -> None:
         self.policy_name, self.args = policy_name, args
@@ -65,21 +65,21 @@
         self.sites = Sites(
             folder,
             sites=args.sites,
-            each=args.each,
+            members_per_site=args.each,
             addresses=args.addresses,
             servers=1,
             capacity=3.0 * normal_sessions,
             policy=policy,
             cut_off=cut_off,
             own_servers=True,
-            each_load=0.5 / (3.0 * normal_sessions),
+            load_per_session=0.5 / (3.0 * normal_sessions),
             orphaned_after=min(NEVER_SECONDS, orphaned_after * args.slower),
             partners=args.partners,
-            slower=args.slower,
+            time_scale=args.slower,
             period=0.4 * args.slower,
             lease=args.slower,
         )
-        self.each = self.sites.echo[0].each
+        self.each = self.sites.echo_servers[0].load_per_session
         self.served: dict[str, list[float]] = {}  # samples of the share of served clients, by case
         self.withdrawal_times: list[float] = []  # seconds from a loss to the routing daemon's withdrawal
         self.move_times: list[float] = []  # seconds from a loss until the last client uses another site
@@ -93,30 +93,30 @@
         """Run for the duration (seconds, times `slower`) and sample the service."""
         deadline = time.monotonic() + duration * self.slower
         while time.monotonic() < deadline:
-            self.sites.rig.play(SAMPLE_INTERVAL_SECONDS)
+            self.sites.cluster.run_for(SAMPLE_INTERVAL_SECONDS)
             self.sample(case)
 
     def sample(self, case: str) -> None:
-        self.served.setdefault(case, []).append(self.sites.served())
+        self.served.setdefault(case, []).append(self.sites.served_share())
         self.update_min_advertising()
 
     def update_min_advertising(self) -> None:
         for index in range(self.args.addresses):
-            preferences = [self.sites.standing(zone)[index] for zone in self.sites.zones]
+            preferences = [self.sites.route_states(zone)[index] for zone in self.sites.zones]
             self.min_advertising = min(self.min_advertising, sum(state > 0 for state in preferences))
 
     def repair(self, case: str) -> None:
         """End all faults and sample until all sites advertise, because the recovery moves clients too."""
         sites = self.sites
         for zone in sites.zones:
-            for server in sites.of(zone):
-                server.base, server.each = 0.1, self.each
-        for name, process in sites.rig.now_by.items():
+            for server in sites.servers_at(zone):
+                server.base_load, server.load_per_session = 0.1, self.each
+        for name, process in sites.cluster.current.items():
             if process.stopped:
-                sites.rig.go_on(name)
-        ended = [name for name, process in sites.rig.now_by.items() if not process.alive]
+                sites.cluster.resume(name)
+        ended = [name for name, process in sites.cluster.current.items() if not process.alive]
         if ended:
-            sites.rig.start(*ended)
+            sites.cluster.start(*ended)
         sampled_at = 0.0
 
         def is_recovered() -> bool:
@@ -124,13 +124,13 @@
             if time.monotonic() - sampled_at >= SAMPLE_INTERVAL_SECONDS:
                 sampled_at = time.monotonic()
                 self.sample(case)
-            all_advertised = all(set(sites.standing(zone)) == {2} for zone in sites.zones)
-            return all_advertised and sites.served() == 1.0
+            all_advertised = all(set(sites.route_states(zone)) == {2} for zone in sites.zones)
+            return all_advertised and sites.served_share() == 1.0
 
-        sites.rig.wait(
+        sites.cluster.wait(
             is_recovered, 90 * self.slower, "all sites advertise all addresses, all clients are served"
         )
-        sites.rig.wait_members(within=90)
+        sites.cluster.wait_members(within=90)
         self.play_and_sample(case, RECOVERY_SECONDS)
 
     def run_case(
@@ -142,7 +142,7 @@
         cause()
         self.play_and_sample(name, duration)
         if is_lost and self.policy_name == "ours":
-            changes = sites.speakers[zone].changes
+            changes = sites.routing_daemons[zone].changes
             withdrawals = [change.at for change in changes if change.at >= started_at and not change.state]
             if withdrawals:
                 self.withdrawal_times.append(max(withdrawals[: self.args.addresses]) - started_at)
@@ -162,27 +162,28 @@
     def end_case(self, name: str) -> None:
         try:
             self.repair(name)
-        except RigError as error:
+        except ClusterError as error:
             self.errors.append(f"{name}: {str(error)[:300]}")
 
     def run(self) -> None:
         sites = self.sites
         sites.start()
-        sites.wait_standing(90.0 * self.slower, **{zone: 2 for zone in sites.zones})
-        sites.rig.wait(lambda: sites.served() == 1.0, 60, "all clients are served")
-        sites.rig.play(1.5 * self.slower)  # until every route guard has been informed that it is not the last
-        rig, zones = sites.rig, sites.zones
+        sites.wait_for_route_states(90.0 * self.slower, **{zone: 2 for zone in sites.zones})
+        sites.cluster.wait(lambda: sites.served_share() == 1.0, 60, "all clients are served")
+        # Until every route guard has been informed that it is not the last.
+        sites.cluster.run_for(1.5 * self.slower)
+        cluster, zones = sites.cluster, sites.zones
 
         def stop_site(zone: str) -> None:
             for name in sites.members(zone):
-                rig.stop(name)
+                cluster.stop(name)
 
         cases: dict[str, Callable[[int], None]] = {
             "site stopped": lambda n: self.run_case(
                 "site stopped", zones[n], lambda: stop_site(zones[n]), True
             ),
             "site killed": lambda n: self.run_case(
-                "site killed", zones[n + 1], lambda: rig.kill(*sites.members(zones[n + 1])), True, 10.0
+                "site killed", zones[n + 1], lambda: cluster.kill(*sites.members(zones[n + 1])), True, 10.0
             ),
             "servers full": lambda n: self.run_case(
                 "servers full", zones[n], lambda: self.fill(zones[n]), False
@@ -208,19 +209,19 @@
         if self.policy_name == "ours":
             self.check_orders()
             self.count_false_withdrawals(self.args.short)
-        rig.read_logs()
+        cluster.read_logs()
 
     def fill(self, *zones: str) -> None:
         """Load the servers of the zones beyond their capacity; all processes stay healthy."""
         for zone in zones:
-            for server in self.sites.of(zone):
-                server.base = 1.2
+            for server in self.sites.servers_at(zone):
+                server.base_load = 1.2
 
     def run_cascade(self) -> None:
         """Overload one site; its sessions overload the next site, and so on."""
         normal_sessions = self.args.partners * self.args.addresses / self.args.sites
-        for server in self.sites.echo:
-            server.each = 0.8 / (2.0 * normal_sessions)
+        for server in self.sites.echo_servers:
+            server.load_per_session = 0.8 / (2.0 * normal_sessions)
         self.run_case("a wave", "", lambda: self.fill(self.sites.zones[0]), False)
 
     def run_flapping(self, name: str, cause: Callable[[], None], zone: str) -> None:
@@ -231,9 +232,9 @@
             cause()
             self.play_and_sample(name, 1.5)
             for member in sites.members(zone):
-                sites.rig.go_on(member)
-            for server in sites.of(zone):
-                server.base = 0.1
+                sites.cluster.resume(member)
+            for server in sites.servers_at(zone):
+                server.base_load = 0.1
             self.play_and_sample(name, 1.5)
         self.end_case(name)
 
@@ -244,15 +245,15 @@
             zone = self.sites.zones[number % len(self.sites.zones)]
             self.fill(zone)
             self.play_and_sample("short troubles", 0.5)
-            for server in self.sites.of(zone):
-                server.base = 0.1
+            for server in self.sites.servers_at(zone):
+                server.base_load = 0.1
             self.play_and_sample("short troubles", 1.5)
         self.end_case("short troubles")
 
     def count_false_withdrawals(self, count: int) -> None:
         """Cause faults that are shorter than any delay of the policy; no address may be withdrawn."""
-        rig, sites = self.sites.rig, self.sites
-        rig.play(sites.told["policy"]["window"])
+        cluster, sites = self.sites.cluster, self.sites
+        cluster.run_for(sites.config["policy"]["window"])
         for _ in range(count):
             self.faults += 1
             zone = self.rng.choice(sites.zones)
@@ -265,64 +266,64 @@
             else:
                 names = []
             for name in names:
-                rig.stop(name)
+                cluster.stop(name)
             if kind == "full":
-                for server in sites.of(zone):
-                    server.base = 1.2
-            rig.play((0.3 if kind != "one" else 2.0) * self.slower)
+                for server in sites.servers_at(zone):
+                    server.base_load = 1.2
+            cluster.run_for((0.3 if kind != "one" else 2.0) * self.slower)
             for name in names:
-                rig.go_on(name)
-            for server in sites.of(zone):
-                server.base = 0.1
-            rig.play(0.9 * self.slower)
-            rig.read_logs()
+                cluster.resume(name)
+            for server in sites.servers_at(zone):
+                server.base_load = 0.1
+            cluster.run_for(0.9 * self.slower)
+            cluster.read_logs()
             self.false_withdrawals += self.count_withdrawals() > before
-        sites.wait_standing(60.0, **{zone: 2 for zone in sites.zones})
+        sites.wait_for_route_states(60.0, **{zone: 2 for zone in sites.zones})
 
     def count_withdrawals(self) -> int:
-        return sum(row["standing"] == "withdrawn" for row in self.sites.decided())
+        return sum(row["standing"] == "withdrawn" for row in self.sites.decisions())
 
     def check_orders(self) -> None:
         """Give overrides to random members while killing controllers; count those not in the history once."""
-        rig, sites = self.sites.rig, self.sites
+        cluster, sites = self.sites.cluster, self.sites
         stored: list[str] = []
         for number in range(6):
-            name = self.rng.choice([name for name in rig.names if rig.now_by[name].alive])
+            name = self.rng.choice([name for name in cluster.names if cluster.current[name].alive])
             verb = "drain" if number % 2 == 0 else "undrain"
             query = f"verb={verb}&site={sites.zones[0]}&who=bench&why=trial+{number}&until=30"
-            order_id = sites.call(name, "/order", query, "POST")["id"]
+            order_id = sites.request(name, "/order", query, "POST")["id"]
             if number % 3 == 1:
-                controller = rig.wait_holder("addresses", within=30)
+                controller = cluster.wait_holder("addresses", within=30)
                 if controller != name:
-                    rig.kill(controller)
-                    rig.start(controller)
+                    cluster.kill(controller)
+                    cluster.start(controller)
             state_query = f"id={order_id}"
-            is_stored = lambda n=name, q=state_query: sites.call(n, "/order", q).get("done")  # noqa: E731
-            rig.wait(is_stored, 20, "an override is stored")
+            is_stored = lambda n=name, q=state_query: sites.request(n, "/order", q).get("done")  # noqa: E731
+            cluster.wait(is_stored, 20, "an override is stored")
             stored.append(order_id)
-        rig.wait_members(within=60)
-        voter = next(name for name in rig.names if name in rig.voters)
-        history = [row["id"] for row in sites.ask(voter, "/history")["orders"]]
+        cluster.wait_members(within=60)
+        voter = next(name for name in cluster.names if name in cluster.voters)
+        history = [row["id"] for row in sites.query(voter, "/history")["orders"]]
         self.lost_orders = sum(history.count(order_id) != 1 for order_id in stored)
-        sites.wait_standing(90.0, **{zone: 2 for zone in sites.zones})
+        sites.wait_for_route_states(90.0, **{zone: 2 for zone in sites.zones})
 
     def count_stale_commands(self) -> int:
         """Count the commands that reached a routing daemon under an older term than an earlier command."""
         count = 0
-        for gate in self.sites.gates.values():
+        for gate in self.sites.route_guards.values():
             terms = [row["term"] for row in gate.events("set")]
             count += sum(later < earlier for earlier, later in zip(terms, terms[1:], strict=False))
-            count += self.sites.speakers[gate.site].most_owners > 1
+            count += self.sites.routing_daemons[gate.site].max_connections > 1
         return count
 
     def count_budget_violations(self) -> int:
         """Count the windows in which more sites were withdrawn for health than the policy allows."""
         rows = [
             (row["at"], row["site"])
-            for row in self.sites.decided()
+            for row in self.sites.decisions()
             if row["standing"] == "withdrawn" and row["cause"] == "health"
         ]
-        window, most = self.sites.told["policy"]["window"], self.sites.told["policy"]["most_at_once"]
+        window, most = self.sites.config["policy"]["window"], self.sites.config["policy"]["most_at_once"]
         return sum(
             len({site for at, site in rows if start <= at < start + 0.95 * window}) > most
             for start, _ in rows
@@ -355,7 +356,7 @@
                 run.run()
             finally:
                 stale, over_budget = run.count_stale_commands(), run.count_budget_violations()
-                crashes = list(run.sites.rig.crashes)
+                crashes = list(run.sites.cluster.crashes)
                 run.sites.close()
             run.over_budget = over_budget
             print(
@@ -385,7 +386,9 @@
     found_bugs = {name: wander.found(name, range(400)) for name in wander.BUGS}
     stride = 23 if args.quick else 1
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
-        explorations = list(pool.map(places.explore, places.COURSES, [1] * 99, [stride] * 99))
+        explorations = list(
+            pool.map(address_explorer.explore, address_explorer.SCENARIOS, [1] * 99, [stride] * 99)
+        )
     for exploration in explorations:
         print(f"explored: {exploration}", flush=True)
     result = {
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -25,10 +25,10 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.lab.fleet import broken, explore  # noqa: E402
-from onyxhollow.lab.fleet.bugs import found  # noqa: E402
+from onyxhollow.lab.fleet import explore, injected_bugs  # noqa: E402
+from onyxhollow.lab.fleet.bug_detection import detect_bug  # noqa: E402
+from onyxhollow.lab.fleet.process_cluster import ClusterError, ProcessCluster  # noqa: E402
 from onyxhollow.lab.fleet.record import Hold  # noqa: E402
-from onyxhollow.lab.fleet.rig import Rig, RigError  # noqa: E402
 
 LEASE_SECONDS = 1.0
 FAULT_KINDS = ("kill", "stop", "cut", "planned", "term", "one-way")
@@ -41,12 +41,12 @@
 
 
 class Gaps:
-    """Causes faults one after another on one rig and records the time without a holder after each."""
+    """Causes faults one after another on one cluster and records the time without a holder after each."""
 
     def __init__(self, folder: Path, members: int, seed: int) -> None:
         period = 0.4 if members <= 20 else 1.0
         zones = ("a", "b") if members >= 20 else ("a",)
-        self.rig = Rig(
+        self.cluster = ProcessCluster(
             folder,
             members=members,
             zones=zones,
@@ -60,54 +60,60 @@
         self.errors: list[str] = []
 
     def find_last_hold(self) -> Hold:
-        return max((hold for hold in self.rig.holds() if hold.duty == "ledger"), key=lambda hold: hold.since)
+        return max(
+            (hold for hold in self.cluster.holds() if hold.duty == "ledger"), key=lambda hold: hold.since
+        )
 
     def start(self) -> None:
-        self.rig.start()
-        self.rig.wait_members(within=60)
-        self.rig.wait_holder(within=60)
-        self.rig.play(1.0)
+        self.cluster.start()
+        self.cluster.wait_members(within=60)
+        self.cluster.wait_holder(within=60)
+        self.cluster.run_for(1.0)
 
     def cause_fault(self, kind: str) -> None:
         """Cause one fault at the holder, record the gap until the next holder, and repair the fault."""
-        rig = self.rig
-        name = rig.wait_holder()
+        cluster = self.cluster
+        name = cluster.wait_holder()
         previous, fault_at = self.find_last_hold(), time.monotonic()
         rules: list[Any] = []
         if kind == "kill":
-            rig.kill(name)
+            cluster.kill(name)
         elif kind == "stop":
-            rig.stop(name)
+            cluster.stop(name)
         elif kind == "cut":
-            rules = rig.cut([name], None)
+            rules = cluster.cut([name], None)
         elif kind == "one-way":
-            rules = rig.cut([name], None, both=False)
+            rules = cluster.cut([name], None, both=False)
         elif kind == "term":
-            rig.now_by[name].expected_end = True
-            rig.now_by[name].child.terminate()  # type: ignore[union-attr]
+            cluster.current[name].expected_end = True
+            cluster.current[name].child.terminate()  # type: ignore[union-attr]
         else:
-            others = [other for other in rig.names if other != name and rig.now_by[other].alive]
-            rig.ask(name, f"/hand-over?name=ledger&to={self.rng.choice(others)}", "POST")
-        rig.wait(
+            others = [other for other in cluster.names if other != name and cluster.current[other].alive]
+            cluster.query(name, f"/hand-over?name=ledger&to={self.rng.choice(others)}", "POST")
+        cluster.wait(
             lambda: self.find_last_hold().since > previous.since,
             20 * LEASE_SECONDS,
             f"a holder after {kind} of {name}",
         )
         current = self.find_last_hold()
-        ended = next(hold for hold in rig.holds() if hold.since == previous.since and hold.duty == "ledger")
+        ended = next(
+            hold for hold in cluster.holds() if hold.since == previous.since and hold.duty == "ledger"
+        )
         gap_start = {"kill": fault_at, "stop": fault_at}.get(kind, ended.until)
         self.gaps[kind].append(max(0.0, current.since - gap_start))
-        rig.play(SETTLE_SECONDS if kind != "stop" else LEASE_SECONDS)
+        cluster.run_for(SETTLE_SECONDS if kind != "stop" else LEASE_SECONDS)
         if kind == "stop":
-            rig.go_on(name)
-        rig.mend(rules) if rules else None
+            cluster.resume(name)
+        cluster.heal(rules) if rules else None
         if kind == "kill":
-            rig.start(name)
+            cluster.start(name)
         elif kind == "term":
-            rig.wait(lambda: not rig.now_by[name].alive, 10, f"{name} has ended")
-            rig.start(name)
-        rig.wait(lambda: rig.there(rig.now_by[name]) > 1, 10, f"{name} has rejoined the fleet")
-        rig.play(SETTLE_SECONDS)
+            cluster.wait(lambda: not cluster.current[name].alive, 10, f"{name} has ended")
+            cluster.start(name)
+        cluster.wait(
+            lambda: cluster.visible_members(cluster.current[name]) > 1, 10, f"{name} has rejoined the fleet"
+        )
+        cluster.run_for(SETTLE_SECONDS)
 
     def run(self, faults: int) -> None:
         """Cause the given number of faults, cycling through the kinds."""
@@ -116,17 +122,17 @@
             for number in range(faults):
                 try:
                     self.cause_fault(FAULT_KINDS[number % len(FAULT_KINDS)])
-                except RigError as error:
+                except ClusterError as error:
                     self.errors.append(str(error)[:300])
-                    self.rig.mend()
-                    for name, process in self.rig.now_by.items():
+                    self.cluster.heal()
+                    for name, process in self.cluster.current.items():
                         if process.stopped:
-                            self.rig.go_on(name)
+                            self.cluster.resume(name)
                         if not process.alive:
-                            self.rig.start(name)
-                    self.rig.wait_holder(within=30)
+                            self.cluster.start(name)
+                    self.cluster.wait_holder(within=30)
         finally:
-            self.rig.close()
+            self.cluster.close()
 
 
 def measure_cost(folder: Path, members: int, fleet: bool, seconds: float) -> dict[str, float]:
@@ -135,7 +141,7 @@
         {"name": "ledger", "work": "call", "every": 0.5},
         {"name": "list", "work": "list", "per": "zone", "every": 1.0},
     ]
-    rig = Rig(
+    cluster = ProcessCluster(
         folder,
         members=members,
         zones=("a", "b"),
@@ -147,32 +153,34 @@
         ask_within=8.0,
     )
     try:
-        rig.start()
+        cluster.start()
         if fleet:
-            rig.wait_members(within=90)
-            rig.wait_holder(within=60)
-            receivers = len(rig.names) - 2
-            rig.wait(lambda: sum(rig.ask_rests()) >= 0.9 * receivers, 60, "the list published to all")
-        rig.play(12.0)  # until gossip about the start has ended
-        calls = len(rig.list.calls)
-        sent, size = sum(rig.links.sent.values()), sum(rig.links.bytes.values())
+            cluster.wait_members(within=90)
+            cluster.wait_holder(within=60)
+            receivers = len(cluster.names) - 2
+            cluster.wait(
+                lambda: sum(cluster.polling_suspended()) >= 0.9 * receivers, 60, "the list published to all"
+            )
+        cluster.run_for(12.0)  # until gossip about the start has ended
+        calls = len(cluster.list_service.calls)
+        sent, size = sum(cluster.links.sent.values()), sum(cluster.links.bytes.values())
         started_at = time.monotonic()
-        processes = [psutil.Process(process.pid) for process in rig.now_by.values()]
+        processes = [psutil.Process(process.pid) for process in cluster.current.values()]
         cpu = sum(sum(process.cpu_times()[:2]) for process in processes)
-        rig.play(seconds)
+        cluster.run_for(seconds)
         duration = time.monotonic() - started_at
         cpu = sum(sum(process.cpu_times()[:2]) for process in processes) - cpu
         memory = statistics.median(process.memory_info().rss for process in processes) / 2**20
         return {
-            "datagrams": (sum(rig.links.sent.values()) - sent) / duration / members,
-            "bytes": (sum(rig.links.bytes.values()) - size) / duration / members,
+            "datagrams": (sum(cluster.links.sent.values()) - sent) / duration / members,
+            "bytes": (sum(cluster.links.bytes.values()) - size) / duration / members,
             "cpu_ms": 1000 * cpu / duration / members,
             "memory_mb": memory,
-            "list_callers": rig.list.callers(started_at, time.monotonic()),
-            "list_calls": (len(rig.list.calls) - calls) / duration,
+            "list_callers": cluster.list_service.count_callers(started_at, time.monotonic()),
+            "list_calls": (len(cluster.list_service.calls) - calls) / duration,
         }
     finally:
-        rig.close()
+        cluster.close()
 
 
 def run_scenarios(folder: Path, quick: bool) -> tuple[int, list[str]]:
@@ -233,14 +241,14 @@
         started_at = time.monotonic()
         run = gaps[members] = Gaps(folder / f"gaps{members}", members, seed=members)
         run.run(count)
-        verdict = run.rig.verdict()
+        verdict = run.cluster.verdict()
         faults += sum(map(len, run.gaps.values()))
         overlaps, stale, late = (
             overlaps + len(verdict.overlaps),
             stale + len(verdict.stale),
             late + len(verdict.late),
         )
-        crashes += run.rig.crashes
+        crashes += run.cluster.crashes
         errors += run.errors
         count = sum(map(len, run.gaps.values()))
         report(
@@ -255,7 +263,12 @@
                     f"p99 {percentile(rows, 0.99) / LEASE_SECONDS:.3f}  worst {max(rows) / LEASE_SECONDS:.3f}"
                 )
         for row in (
-            verdict.overlaps + verdict.late + verdict.stale + verdict.falling + run.rig.crashes + run.errors
+            verdict.overlaps
+            + verdict.late
+            + verdict.stale
+            + verdict.falling
+            + run.cluster.crashes
+            + run.errors
         )[:5]:
             report(f"  {row}")
     cost: dict[str, dict[str, float]] = {}
@@ -270,7 +283,7 @@
             f"{members} members, fleet {'on' if fleet else 'off'}: "
             + ", ".join(f"{name} {value:.3g}" for name, value in row.items())
         )
-    by_rig = {name: found(name, folder / f"bug-{name}") for name in broken.BUGS}
+    by_rig = {name: detect_bug(name, folder / f"bug-{name}") for name in injected_bugs.BUGS}
     explorer_plans = [
         (1, 14, "apart", "", 1, 60.0),
         (1, 14, "even", "", 1, 60.0),
@@ -297,11 +310,11 @@
                 f"{'complete' if done.whole else 'incomplete'} {done.found and 'FOUND ' + done.found}"
             )
     by_explorer = {}
-    for name in broken.BUGS:
+    for name in injected_bugs.BUGS:
         with explore.bug(name):
             only = "restarts" if name == "forgets" else ""
             by_explorer[name] = explore.explore(3 if only else 1, 12, only=only).found
-    for name in broken.BUGS:
+    for name in injected_bugs.BUGS:
         report(
             f"bug {name}: explorer: {by_explorer[name] or 'NOT FOUND'}; rig: {by_rig[name] or 'NOT FOUND'}"
         )
@@ -333,8 +346,8 @@
         "crashes": crashes[:5],
         "not_seen": errors[:5],
         "states_explored": states,
-        "seeded_bugs": len(broken.BUGS),
-        "seeded_bugs_found": sum(bool(by_rig[name] and by_explorer[name]) for name in broken.BUGS),
+        "seeded_bugs": len(injected_bugs.BUGS),
+        "seeded_bugs_found": sum(bool(by_rig[name] and by_explorer[name]) for name in injected_bugs.BUGS),
         "by": Counter(
             {"rig": sum(map(bool, by_rig.values())), "explorer": sum(map(bool, by_explorer.values()))}
         ),
--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -22,7 +22,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.lab.fleet.rig import Rig, text  # noqa: E402
+from onyxhollow.lab.fleet.process_cluster import ProcessCluster, format_address  # noqa: E402
 from onyxhollow.topology import draw, fault_types, gather, layout  # noqa: E402
 from onyxhollow.topology.faults import find_faults  # noqa: E402
 from onyxhollow.topology.model import EndpointStatus, LinkStatus, MemberStatus, MemberView, Snapshot  # noqa: E402
@@ -62,28 +62,28 @@
     }
 
 
-def poll(rig: Rig, names: list[str]) -> tuple[Snapshot, float]:
-    """Poll the members while the rig keeps running; return the snapshot and the duration in seconds."""
+def poll(cluster: ProcessCluster, names: list[str]) -> tuple[Snapshot, float]:
+    """Poll the members while the cluster keeps running; return the snapshot and the duration in seconds."""
     result: list[Snapshot] = []
-    targets = [text(rig.now_by[name].management) for name in names]
+    targets = [format_address(cluster.current[name].management) for name in names]
     started_at = time.monotonic()
     worker = threading.Thread(target=lambda: result.append(gather.gather(targets, with_addresses=False)))
     worker.start()
     while worker.is_alive():
-        rig.turn()
+        cluster.run_once()
     return result[0], time.monotonic() - started_at
 
 
 def count_found_faults(
-    rig: Rig, expected: list[tuple[str, tuple[str, ...]]], within: float
+    cluster: ProcessCluster, expected: list[tuple[str, tuple[str, ...]]], within: float
 ) -> tuple[int, int]:
     """Poll until all expected faults are found; return the best counts of expected and of other faults."""
     deadline, best = time.monotonic() + within, (0, 99)
     while time.monotonic() < deadline:
-        names = [name for name, process in rig.now_by.items() if process.alive and not process.stopped]
+        names = [name for name, process in cluster.current.items() if process.alive and not process.stopped]
         faults = {
             (fault.kind, fault.subjects)
-            for fault in find_faults(poll(rig, names)[0])
+            for fault in find_faults(poll(cluster, names)[0])
             if fault.kind != "silent"
         }
         found, other = len(faults & set(expected)), len(faults - set(expected))
@@ -91,7 +91,7 @@
             best = found, other
         if found == len(expected) and not other:
             return best
-        rig.play(0.5)
+        cluster.run_for(0.5)
     return best
 
 
@@ -99,68 +99,68 @@
     """Cause one fault after another on five processes; repair each before the next."""
     fault_types.RECENT_STALL_SECONDS = 6.0
     total = total_found = total_other = 0
-    with Rig(folder, members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
-        rig.start()
-        rig.wait_members()
-        rig.wait_holder()
+    with ProcessCluster(folder, members=5, zones=("a", "b"), period=0.25, lease=0.8) as cluster:
+        cluster.start()
+        cluster.wait_members()
+        cluster.wait_holder()
 
         def check(expected: list[tuple[str, tuple[str, ...]]]) -> None:
             nonlocal total, total_found, total_other
-            found, other = count_found_faults(rig, expected, 30.0)
+            found, other = count_found_faults(cluster, expected, 30.0)
             total, total_found, total_other = total + len(expected), total_found + found, total_other + other
             print(f"{expected}: {found} found, {other} others", flush=True)
 
         check([])
-        rig.stop("n4")
-        rig.play(1.2)
-        rig.go_on("n4")
+        cluster.stop("n4")
+        cluster.run_for(1.2)
+        cluster.resume("n4")
         check([("stalled", ("n4",))])
         check([])
-        rules = rig.cut(["n3"], ["n1"], both=False)
+        rules = cluster.cut(["n3"], ["n1"], both=False)
         check([("one-way", ("n3", "n1"))])
-        rig.mend(rules)
+        cluster.heal(rules)
         check([])
-        rules = rig.cut(["n1", "n3"], ["n0", "n2", "n4"])
+        rules = cluster.cut(["n1", "n3"], ["n0", "n2", "n4"])
         check([("cut", ("n1", "n3"))])
-        rig.mend(rules)
-        rig.wait_members(within=60)
+        cluster.heal(rules)
+        cluster.wait_members(within=60)
         check([])
         for name in ("n1", "n3"):
-            rig.ask(name, "/out-of-service", "POST", base="/control")
+            cluster.query(name, "/out-of-service", "POST", base="/control")
         check([("zone draining", ("b",))])
         for name in ("n1", "n3"):
-            rig.ask(name, "/in-service", "POST", base="/control")
+            cluster.query(name, "/in-service", "POST", base="/control")
         check([])
-        rig.kill("n4")
+        cluster.kill("n4")
         check([("gone", ("n4",))])
-        rig.trial("n4", version="9.9")
-        rig.start("n4")
-        rig.wait_members(within=40)
+        cluster.set_process_faults("n4", version="9.9")
+        cluster.start("n4")
+        cluster.wait_members(within=40)
         check([("versions", ("0.2.0", "9.9"))])
     return {"troubles": total, "troubles_named": total_found, "false_troubles": total_other}
 
 
 def measure_polling(folder: Path, members: int, seconds: float) -> dict[str, Any]:
     """Poll all members once, then one member every second and compare its CPU time with that of others."""
-    with Rig(
+    with ProcessCluster(
         folder, members=members, zones=("a", "b", "c", "d"), period=1.0 if members > 20 else 0.4, duties=[]
-    ) as rig:
-        rig.start()
-        rig.wait_members(within=120)
-        rig.play(2.0)
-        snapshot, duration = poll(rig, rig.names)
+    ) as cluster:
+        cluster.start()
+        cluster.wait_members(within=120)
+        cluster.run_for(2.0)
+        snapshot, duration = poll(cluster, cluster.names)
         faults = [fault for fault in find_faults(snapshot) if fault.kind != "silent"]
-        polled, others = rig.names[-1], rig.names[members // 2 : members // 2 + 5]
+        polled, others = cluster.names[-1], cluster.names[members // 2 : members // 2 + 5]
 
         def mean_cpu_seconds(names: list[str]) -> float:
-            times = [psutil.Process(rig.now_by[name].pid).cpu_times() for name in names]
+            times = [psutil.Process(cluster.current[name].pid).cpu_times() for name in names]
             return sum(row.user + row.system for row in times) / len(names)
 
         before, deadline = (mean_cpu_seconds([polled]), mean_cpu_seconds(others)), time.monotonic() + seconds
         while time.monotonic() < deadline:
             next_poll_at = time.monotonic() + 1.0
-            poll(rig, [polled])
-            rig.play(max(0.0, next_poll_at - time.monotonic()))
+            poll(cluster, [polled])
+            cluster.run_for(max(0.0, next_poll_at - time.monotonic()))
         cpu_polled, cpu_others = mean_cpu_seconds([polled]) - before[0], mean_cpu_seconds(others) - before[1]
     print(
         f"{members} members: {len(snapshot.views)} answered, {len(snapshot.unreachable)} unreachable; "
