--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -142,7 +142,7 @@
                 moves = [
                     at
                     for one in sites.internet.partners
-                    for at, to in one.moves
+                    for at, to in one.site_changes
                     if at >= began and to != zone
                 ]
                 self.moved.append(max(moves, default=began) - began)
--- a/onyxhollow/lab/fleet/process_cluster.py
+++ b/onyxhollow/lab/fleet/process_cluster.py
@@ -1,7 +1,7 @@
-"""N `serve` processes with a fleet file of their own, the relay between them, the stand-ins that they call.
+"""A cluster of `serve` processes with a fleet file each, the proxied links between them and stand-ins.
 
-Everything is on loopback, is started and ended here, and is gone when `close` returns. Waits are for
-conditions, with a bound: `RigError` says what was not seen.
+All sockets are on loopback, and `close` ends every process that the cluster started. Each wait has a
+condition and a timeout; `ClusterError` names the condition that was not met.
 """
 
 from __future__ import annotations
@@ -30,22 +30,23 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 KEY = "6f6e7978686f6c6c6f772d747269616c"
-TURN = 0.02  # seconds of one turn of the rig at the most
-READ_EVERY = 0.05  # seconds between readings of the logs
+MAX_TURN_SECONDS = 0.02
+LOG_READ_INTERVAL_SECONDS = 0.05
 CUT = LinkFault(cut=True)
-MANY = 20  # members past which what each sees of each is not kept line by line
+MAX_MEMBERS_WITH_MEMBER_LINES = 20  # in larger clusters, `lines` omits "member" events
 
 
 class ClusterError(Exception):
-    """What was waited for did not come, or a process did not start."""
+    """A condition was not met within its timeout, or a process did not start."""
 
 
 def format_address(address: tuple[str, int]) -> str:
+    """Return an address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
 def server_row(number: int, zones: tuple[str, ...]) -> dict[str, Any]:
-    """As the list service tells of a server; nobody dials it."""
+    """Return the endpoint list row of a server that does not exist; no proxy can connect to it."""
     return {
         "host": f"s{number}",
         "dial": f"127.0.0.1:{9000 + number}",
@@ -59,23 +60,23 @@
 
 
 class Process:
-    """One life of one member."""
+    """One process of a member; each restart or replacement is a new `Process`."""
 
-    def __init__(self, cluster: ProcessCluster, name: str, life: int, successor: bool = False) -> None:
-        self.cluster, self.name, self.life, self.successor = cluster, name, life, successor
+    def __init__(self, cluster: ProcessCluster, name: str, run_number: int, successor: bool = False) -> None:
+        self.cluster, self.name, self.run_number, self.successor = cluster, name, run_number, successor
         self.slot = f"{name}+" if successor else name
-        self.title = f"{name}.{life}"
-        self.log = cluster.folder / f"{self.title}.log"
+        self.title = f"{name}.{run_number}"
+        self.log_path = cluster.folder / f"{self.title}.log"
         self.fault_file = cluster.folder / f"{self.title}.trial"
         self.management = free_address(cluster.host(name, 2), socket.SOCK_STREAM)
         self.child: subprocess.Popen[bytes] | None = None
-        self.read_to, self.rest = 0, b""
+        self.read_offset, self.partial_line = 0, b""
         self.stopped = False
         self.ended_at = 0.0
         self.expected_end = False
 
     def start(self, environment: Mapping[str, str], fds: Iterable[int] = ()) -> None:
-        with self.log.open("wb") as log:
+        with self.log_path.open("wb") as log:
             self.child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "onyxhollow.lab.fleet.member", "serve"],
                 stdin=subprocess.DEVNULL,
@@ -107,6 +108,8 @@
 
 
 class ProcessCluster:
+    """A fleet of real processes with injectable faults, driven by an event loop in the calling process."""
+
     def __init__(
         self,
         folder: Path,
@@ -126,12 +129,15 @@
         settings: dict[str, Any] | None = None,
         extra_fleet_settings: dict[str, Any] | None = None,
     ) -> None:
-        """more: further keys of the fleet file."""
+        """Allocate all addresses without starting a process.
+
+        `extra_fleet_settings` are added to the fleet file.
+        """
         self.folder, self.seed, self.lease = folder, seed, lease
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "key").write_text(KEY + "\n")
-        for left in folder.glob("state-*"):  # of a run before, in the same folder
-            shutil.rmtree(left)
+        for stale_folder in folder.glob("state-*"):  # of an earlier run in the same folder
+            shutil.rmtree(stale_folder)
         self.failures: list[str] = []
         self.loop = Loop(lambda where, error: self.failures.append(f"{where}: {error!r}"))
         self.rng = Random(seed)
@@ -153,20 +159,18 @@
             "patience": patience,
         }
         self.membership = {"period": period, "timeout": period / 3, "sync": max(1.0, 5 * period)}
-        self.advertised_addresses: dict[str, tuple[str, int]] = {}  # where the others find a member
+        self.advertised_addresses: dict[str, tuple[str, int]] = {}  # proxied addresses, by slot
         self.process_addresses: dict[str, tuple[str, int]] = {}
         self.processes: list[Process] = []
-        self.current: dict[str, Process] = {}
+        self.current: dict[str, Process] = {}  # current process, by member
         self.lines: list[LogLine] = []
         self.clock_rates: dict[str, float] = {}
         self.hold_tracker = HoldTracker(self.clock_rates)
-        self.member_counts: dict[str, int] = {}  # by process: how many it sees
+        self.member_counts: dict[str, int] = {}  # by process: number of members that it sees
         self.process_faults: dict[str, dict[str, Any]] = {}
-        self.read_at = 0.0
+        self.next_log_read_at = 0.0
         self.crashes: list[str] = []
-        self.held_sockets: dict[
-            str, socket.socket
-        ] = {}  # clients' sockets that are held for members, by name
+        self.held_sockets: dict[str, socket.socket] = {}  # listener sockets passed to members, by name
         self.listen_addresses: dict[str, tuple[str, int]] = {}
         for name in self.names:
             self.give_addresses(name, name)
@@ -181,7 +185,7 @@
         self.advertised_addresses[slot] = free_address(self.host(name, 3), socket.SOCK_DGRAM)
         self.links.add(slot, self.process_addresses[slot], self.advertised_addresses[slot])
 
-    # processes
+    # Processes
 
     def write_files(self, process: Process) -> tuple[Path, Path]:
         name, slot = process.name, process.slot
@@ -207,14 +211,14 @@
                 "fallNs": 2000000000,
             },
         }
-        config = self.folder / f"{process.title}.json"
-        config.write_bytes(
+        config_path = self.folder / f"{process.title}.json"
+        config_path.write_bytes(
             orjson.dumps(
                 {
                     "name": name,
                     "listen": format_address(self.listen_addresses[name]),
                     "discovery": format_address(self.list_service.listener_for(name).address),
-                    "seed": f"{self.seed * 7919 + int(name[1:]) * 31 + process.life:x}",
+                    "seed": f"{self.seed * 7919 + int(name[1:]) * 31 + process.run_number:x}",
                     "limits": {"memory_mb": 64, "sockets": 256},
                     "known": {"seq": -1, "hosts": []},
                     "settings": settings | self.settings,
@@ -225,7 +229,7 @@
         duties = [
             duty | ({"call": call} if duty["work"] == "call" else {"service": "rig"}) for duty in self.duties
         ]
-        told: dict[str, Any] = {
+        fleet_settings: dict[str, Any] = {
             "fleet": "rig",
             "key_file": "key",
             "listen": format_address(self.process_addresses[slot]),
@@ -238,55 +242,59 @@
             "duty": duties,
         } | self.extra_fleet_settings
         if name in self.voters or name in self.spare_voters:
-            told["folder"] = f"state-{name}"
-        fleet = self.folder / f"{process.title}.toml"
-        fleet.write_text(tomli_w.dumps(told))
+            fleet_settings["folder"] = f"state-{name}"
+        fleet_path = self.folder / f"{process.title}.toml"
+        fleet_path.write_text(tomli_w.dumps(fleet_settings))
         process.fault_file.write_bytes(orjson.dumps(self.process_faults.get(name, {})))
-        return config, fleet
+        return config_path, fleet_path
 
-    spare_voters: tuple[str, ...] = ()  # members with a folder who are no voters yet
+    spare_voters: tuple[str, ...] = ()  # members with a state folder that are not voters yet
 
     def environment(self, name: str, config: Path, fleet: Path) -> dict[str, str]:
-        told = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
+        variables = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
         scratch = self.folder / f"tmp-{name}"
         scratch.mkdir(exist_ok=True)
-        told |= {"LB_CONFIG": str(config), "TMPDIR": str(scratch), "PYTHONDONTWRITEBYTECODE": "1"}
-        return told | ({"LB_FLEET": str(fleet)} if self.fleet else {})
+        variables |= {"LB_CONFIG": str(config), "TMPDIR": str(scratch), "PYTHONDONTWRITEBYTECODE": "1"}
+        return variables | ({"LB_FLEET": str(fleet)} if self.fleet else {})
 
     def replace(self, name: str) -> Process:
-        """A second process of a member takes the clients' socket over, and the first is told to stop."""
-        first = self.current[name]
-        second = Process(
-            self, name, 1 + sum(known.name == name for known in self.processes), not first.successor
+        """Start a successor that takes over the listener socket, and terminate the current process."""
+        predecessor = self.current[name]
+        successor = Process(
+            self, name, 1 + sum(process.name == name for process in self.processes), not predecessor.successor
         )
-        if second.slot not in self.process_addresses:
-            self.give_addresses(name, second.slot)
-        self.launch(second)
-        self.wait(lambda: self.log_lines(second.title, "successor"), 10, f"{second.title} takes clients")
-        self.current[name] = second
-        first.expected_end = True
-        first.send_signal(signal.SIGTERM)
-        self.wait(lambda: not first.alive, 10, f"{first.title} has ended")
-        first.ended_at = time.monotonic()
-        return second
+        if successor.slot not in self.process_addresses:
+            self.give_addresses(name, successor.slot)
+        self.launch(successor)
+        self.wait(
+            lambda: self.log_lines(successor.title, "successor"),
+            10,
+            f"{successor.title} has taken over the listener socket",
+        )
+        self.current[name] = successor
+        predecessor.expected_end = True
+        predecessor.send_signal(signal.SIGTERM)
+        self.wait(lambda: not predecessor.alive, 10, f"{predecessor.title} has ended")
+        predecessor.ended_at = time.monotonic()
+        return successor
 
     def launch(self, process: Process) -> None:
-        """With the clients' socket, which outlives it where a successor may come."""
+        """Start a process; pass it the listener socket if the cluster holds one for its member."""
         name = process.name
         config, fleet = self.write_files(process)
-        told = self.environment(name, config, fleet)
+        variables = self.environment(name, config, fleet)
         fds: tuple[int, ...] = ()
         if name in self.held_sockets:
-            told["LB_LISTEN_FD"] = str(self.held_sockets[name].fileno())
+            variables["LB_LISTEN_FD"] = str(self.held_sockets[name].fileno())
             fds = (self.held_sockets[name].fileno(),)
-        process.start(told, fds)
+        process.start(variables, fds)
         self.processes.append(process)
         if rate := self.process_faults.get(name, {}).get("rate"):
             self.clock_rates[process.title] = rate
 
     def start(self, *names: str, wait: bool = True) -> None:
         for name in names or self.names:
-            process = Process(self, name, 1 + sum(known.name == name for known in self.processes))
+            process = Process(self, name, 1 + sum(process.name == name for process in self.processes))
             self.launch(process)
             self.current[name] = process
         if wait:
@@ -298,20 +306,21 @@
             )
 
     def set_process_faults(self, name: str, **values: Any) -> None:
-        """What the shim under a member's process does from now on, and under later ones of that name."""
+        """Change the faults that are injected into a member's process and into its later processes."""
         self.process_faults[name] = {**self.process_faults.get(name, {}), **values}
         if process := self.current.get(name):
-            beside = process.fault_file.with_suffix(".new")
-            beside.write_bytes(orjson.dumps(self.process_faults[name]))
-            beside.rename(process.fault_file)
+            new_file = process.fault_file.with_suffix(".new")
+            new_file.write_bytes(orjson.dumps(self.process_faults[name]))
+            new_file.rename(process.fault_file)
 
     def hold_socket(self, name: str) -> None:
-        """As a platform that replaces processes does; before the member starts."""
+        """Open a member's listener socket here, so that it outlives the process; call before `start`."""
         sock = socket.create_server(self.listen_addresses[name], backlog=256)
         sock.set_inheritable(True)
         self.held_sockets[name] = sock
 
     def stop(self, name: str) -> None:
+        """Suspend a member's process with SIGSTOP; `resume` continues it."""
         self.current[name].stopped = True
         self.current[name].send_signal(signal.SIGSTOP)
 
@@ -320,6 +329,7 @@
         self.current[name].send_signal(signal.SIGCONT)
 
     def kill(self, *names: str) -> None:
+        """Kill the processes of these members, stopped ones too, and wait for their ends."""
         for name in names:
             process = self.current[name]
             process.expected_end = True
@@ -331,6 +341,7 @@
             self.current[name].ended_at = time.monotonic()
 
     def terminate(self, name: str, within: float = 8.0) -> None:
+        """Shut down a member with SIGTERM and wait for the end of its process."""
         process = self.current[name]
         process.expected_end = True
         process.send_signal(signal.SIGTERM)
@@ -340,7 +351,7 @@
     def delete_state_folder(self, name: str) -> None:
         shutil.rmtree(self.folder / f"state-{name}", ignore_errors=True)
 
-    # links
+    # Links
 
     def cut(
         self, source: Iterable[str] | None, target: Iterable[str] | None, both: bool = True
@@ -348,68 +359,75 @@
         return self.add_link_fault(CUT, source, target, both)
 
     def add_link_fault(
-        self, harm: LinkFault, source: Iterable[str] | None, target: Iterable[str] | None, both: bool = True
+        self, fault: LinkFault, source: Iterable[str] | None, target: Iterable[str] | None, both: bool = True
     ) -> list[LinkRule]:
-        first, second = (None if side is None else list(side) for side in (source, target))
-        rules = [self.links.put(harm, first, second)]
-        if both and (first, second) != (second, first):
-            rules.append(self.links.put(harm, second, first))
+        """Add a fault to the links from `source` to `target`, and with `both` to those back.
+
+        None stands for any name.
+        """
+        source_names, target_names = (None if side is None else list(side) for side in (source, target))
+        rules = [self.links.add_rule(fault, source_names, target_names)]
+        if both and (source_names, target_names) != (target_names, source_names):
+            rules.append(self.links.add_rule(fault, target_names, source_names))
         self.apply_link_faults()
         return rules
 
     def heal(self, rules: Iterable[LinkRule] = ()) -> None:
-        self.links.mend(*rules)
+        """Remove these link faults, or all if none are given."""
+        self.links.remove_rules(*rules)
         self.apply_link_faults()
 
     def apply_link_faults(self) -> None:
-        for stand in self.stand_ins:
-            stand.look()
+        for stand_in in self.stand_ins:
+            stand_in.apply_link_faults()
 
-    # time goes on
+    # Event loop and logs
 
-    def run_once(self, longest: float = TURN) -> None:
-        for stand in self.stand_ins:
-            stand.polled = self.loop.now
+    def run_once(self, longest: float = MAX_TURN_SECONDS) -> None:
+        for stand_in in self.stand_ins:
+            stand_in.last_polled_at = self.loop.now
         self.loop.turn(longest)
-        if time.monotonic() >= self.read_at:
+        if time.monotonic() >= self.next_log_read_at:
             self.read_logs()
-            self.read_at = time.monotonic() + READ_EVERY
+            self.next_log_read_at = time.monotonic() + LOG_READ_INTERVAL_SECONDS
 
     def run_for(self, seconds: float) -> None:
-        """Lets a fault last; nothing is concluded from it alone."""
+        """Run the cluster for some seconds without waiting for a condition."""
         until = time.monotonic() + seconds
         while time.monotonic() < until:
-            self.run_once(min(TURN, max(0.0, until - time.monotonic())))
+            self.run_once(min(MAX_TURN_SECONDS, max(0.0, until - time.monotonic())))
 
-    def wait(self, seen: Callable[[], Any], within: float, what: str) -> Any:
+    def wait(self, condition: Callable[[], Any], within: float, description: str) -> Any:
+        """Run the cluster until `condition` returns a true value, and return that value."""
         until = time.monotonic() + within
         while time.monotonic() < until:
-            if found := seen():
-                return found
+            if result := condition():
+                return result
             self.run_once()
         self.read_logs()
-        if found := seen():
-            return found
-        raise ClusterError(f"expected within {within:g} s: {what}; {self.state()}")
+        if result := condition():
+            return result
+        raise ClusterError(f"expected within {within:g} s: {description}; {self.describe_state()}")
 
-    def state(self) -> str:
-        told = [
+    def describe_state(self) -> str:
+        member_states = [
             f"{name}: {'stopped' if p.stopped else 'up' if p.alive else 'down'}"
             for name, p in self.current.items()
         ]
-        turns = [
+        duty_changes = [
             f"{line.process} {line.fields['change']} {line.fields['duty']} {line.fields['term']}"
             for line in self.lines
             if line.event == "duty"
         ]
-        bad = [
+        failures = [
             f"{line.process}: {line.fields.get('trace', '')[-300:]}"
             for line in self.lines
             if line.event == "failure"
         ]
-        return "; ".join([", ".join(told[:12]), *turns[-6:], *bad[:2]])
+        return "; ".join([", ".join(member_states[:12]), *duty_changes[-6:], *failures[:2]])
 
     def read_logs(self) -> None:
+        """Process the new rows of all logs, and record processes that ended unexpectedly."""
         for process in self.processes:
             if process.child is None:
                 continue
@@ -417,30 +435,33 @@
                 process.ended_at = time.monotonic()
                 if not process.expected_end:
                     self.crashes.append(f"{process.title}: exit {process.child.returncode}")
-            with contextlib.suppress(OSError), process.log.open("rb") as file:
-                file.seek(process.read_to)
+            with contextlib.suppress(OSError), process.log_path.open("rb") as file:
+                file.seek(process.read_offset)
                 data = file.read()
-                process.read_to += len(data)
-                *whole, process.rest = (process.rest + data).split(b"\n")
-                for row in whole:
-                    self.take_line(process, row)
+                process.read_offset += len(data)
+                *rows, process.partial_line = (process.partial_line + data).split(b"\n")
+                for row in rows:
+                    self.process_log_row(process, row)
 
-    def take_line(self, process: Process, row: bytes) -> None:
+    def process_log_row(self, process: Process, row: bytes) -> None:
         try:
-            told = orjson.loads(row)
+            fields = orjson.loads(row)
         except ValueError:
             self.crashes.append(f"{process.title}: {row[:200].decode(errors='replace')}")
             return
-        line = LogLine(told.get("at", time.monotonic()), process.title, told["event"], told)
-        self.hold_tracker.feed(line)
+        line = LogLine(fields.get("at", time.monotonic()), process.title, fields["event"], fields)
+        self.hold_tracker.process_line(line)
         if line.event == "member":
-            self.member_counts[process.title] = told["there"]
-        if line.event != "lease" and (line.event != "member" or len(self.names) <= MANY):
+            self.member_counts[process.title] = fields["there"]
+        if line.event != "lease" and (
+            line.event != "member" or len(self.names) <= MAX_MEMBERS_WITH_MEMBER_LINES
+        ):
             self.lines.append(line)
 
-    # what is seen
+    # State from the logs and the management API
 
     def log_lines(self, process: str, event: str, **values: Any) -> list[LogLine]:
+        """Return the log lines of a process for an event, with these values in their fields."""
         return [
             line
             for line in self.lines
@@ -450,86 +471,99 @@
         ]
 
     def polling_suspended(self) -> list[bool]:
-        """Of each member that is up, whether it is told the list and does not ask for itself."""
-        last: dict[str, str] = {}
+        """Return for each running member whether it has suspended its own list polling."""
+        last_events: dict[str, str] = {}
         for line in self.lines:
             if line.event in ("list polling suspended", "list polling resumed"):
-                last[line.process] = line.event
+                last_events[line.process] = line.event
         return [
-            last.get(process.title) == "list polling suspended"
+            last_events.get(process.title) == "list polling suspended"
             for process in self.current.values()
             if process.alive
         ]
 
     def holds(self) -> list[Hold]:
         ends = {p.title: p.ended_at for p in self.processes if p.ended_at}
-        return self.hold_tracker.rows(ends)
+        return self.hold_tracker.sorted_holds(ends)
 
     def holder(self, duty: str = "ledger") -> str:
-        """The member that holds a duty now, by its own log; "": none."""
+        """Return the member that holds a duty now according to its own log, or an empty string."""
         now = time.monotonic()
-        found = [hold for hold in self.holds() if hold.duty == duty and not hold.ended and hold.until > now]
-        return found[-1].process.partition(".")[0] if found else ""
+        current_holds = [
+            hold for hold in self.holds() if hold.duty == duty and not hold.ended and hold.until > now
+        ]
+        return current_holds[-1].process.partition(".")[0] if current_holds else ""
 
     def wait_holder(self, duty: str = "ledger", other_than: str = "", within: float = 0.0) -> str:
-        span = within or 8 * self.lease + 5
+        timeout = within or 8 * self.lease + 5
         return str(
             self.wait(
-                lambda: (who := self.holder(duty)) and who != other_than and who,
-                span,
+                lambda: (holder := self.holder(duty)) and holder != other_than and holder,
+                timeout,
                 f"a holder of {duty}" + (f" other than {other_than}" if other_than else ""),
             )
         )
 
-    def wait_until_holder_known(self, name: str, duty: str, who: str = "", within: float = 10.0) -> None:
-        """This member has heard who holds a duty: its log says so before the news is round."""
+    def wait_until_holder_known(self, name: str, duty: str, holder: str = "", within: float = 10.0) -> None:
+        """Wait until a member's status shows the holder of a duty.
 
-        def heard() -> bool:
+        The holder's own log has it earlier than the status of the other members.
+        """
+
+        def is_holder_known() -> bool:
             holders = {row["duty"]: row["holder"].rpartition("~")[0] for row in self.query(name)["duties"]}
-            return bool(held := holders.get(duty)) and held == (who or held)
+            return bool(known_holder := holders.get(duty)) and known_holder == (holder or known_holder)
 
-        self.wait(heard, within, f"{name} has heard who holds {duty}")
+        self.wait(is_holder_known, within, f"{name} shows the holder of {duty}")
 
     def wait_members(self, count: int = 0, within: float = 15.0) -> None:
-        """All see all."""
-        wanted = count or len(self.names)
+        """Wait until all running members see all members, or `count` of them."""
+        expected_count = count or len(self.names)
 
-        def seen() -> bool:
+        def all_see_all() -> bool:
             return all(
-                self.visible_members(p) == wanted for p in self.current.values() if p.alive and not p.stopped
+                self.visible_members(p) == expected_count
+                for p in self.current.values()
+                if p.alive and not p.stopped
             )
 
-        self.wait(seen, within + wanted / 8, f"{wanted} members seen by all")
+        self.wait(all_see_all, within + expected_count / 8, f"{expected_count} members seen by all")
 
     def wait_lists(self, within: float = 15.0) -> None:
-        """All have the list: a proxy of a fleet asks for it in its turn, and refuses its clients before."""
-        up = [process for process in self.current.values() if process.alive and not process.stopped]
-        self.wait(lambda: all(self.log_lines(p.title, "list") for p in up), within, "all have the list")
+        """Wait until all running members have the endpoint list; before that they reject clients.
+
+        The members of a fleet poll the list one after another.
+        """
+        running = [process for process in self.current.values() if process.alive and not process.stopped]
+        self.wait(lambda: all(self.log_lines(p.title, "list") for p in running), within, "all have the list")
 
     def visible_members(self, process: Process) -> int:
         return self.member_counts.get(process.title, 1)
 
     def http_request(self, name: str, target: str, method: str = "GET") -> tuple[bytes, bytes]:
-        """A call to a member's management address, answered while the rig goes on: status line and body."""
+        """Send a request to a member's management API; return the status line and the body.
+
+        The cluster keeps running while the request is in flight.
+        """
         host, port = self.current[name].management
         with socket.create_connection((host, port), timeout=2.0) as sock:
             sock.sendall(f"{method} {target} HTTP/1.1\r\nHost: rig\r\n\r\n".encode())
             sock.setblocking(False)
-            got = bytearray()
+            received = bytearray()
 
-            def whole() -> bool:
+            def is_closed_by_peer() -> bool:
                 with contextlib.suppress(BlockingIOError):
                     while data := sock.recv(65536):
-                        got.extend(data)
+                        received.extend(data)
                     return True
                 return False
 
-            self.wait(whole, 3.0, f"{name} answers {target}")
-        head, _, body = bytes(got).partition(b"\r\n\r\n")
+            self.wait(is_closed_by_peer, 3.0, f"{name} answers {target}")
+        head, _, body = bytes(received).partition(b"\r\n\r\n")
         return head.split(b"\r\n")[0], body
 
     def query(self, name: str, path: str = "", method: str = "GET", base: str = "/control/fleet") -> Any:
-        """What a member tells; as text if it says no."""
+        """Return the decoded JSON answer of the management API, or the text of an answer that is not JSON."""
         status, body = self.http_request(name, f"{base}{path}", method)
         if b" 200 " not in status:
             return body.decode()
@@ -547,8 +581,8 @@
         for process in self.processes:
             if process.child is not None:
                 process.child.wait()
-        for stand in self.stand_ins:
-            stand.close()
+        for stand_in in self.stand_ins:
+            stand_in.close()
         for sock in self.held_sockets.values():
             sock.close()
         self.links.close()
--- a/onyxhollow/lab/fleet/proxied_links.py
+++ b/onyxhollow/lab/fleet/proxied_links.py
@@ -1,8 +1,9 @@
-"""What lies between members: a relay of datagrams in which every directed link can be harmed.
+"""The test network between the members of a process cluster: a datagram proxy with a fault per directed link.
 
-One socket for each member, which stands for it towards the others. A datagram comes in at the receiver's
-socket; its source tells the sender; it goes on from the sender's own socket. So N sockets serve N x N
-links. The links to stand-ins (TCP) obey the same harms; their desks ask `harm` (stands.py).
+Each member has one proxy socket, whose address the other members use for it. A datagram arrives at the
+proxy socket of its receiver, is attributed to a member by its source address, and is forwarded from the proxy
+socket of that sender. N sockets therefore serve N x N links. The TCP connections to stand-ins have the same
+faults: their listeners call `fault_on` (stand_ins.py).
 """
 
 from __future__ import annotations
@@ -19,22 +20,23 @@
 from onyxhollow.loop import READ, Loop
 
 Address = tuple[str, int]
-READS = 256  # datagrams in one turn of the loop
-LARGEST = 2048
-MOST_DELAYED = 200_000
+MAX_READS_PER_TURN = 256  # per socket and turn of the event loop
+MAX_DATAGRAM_BYTES = 2048
+MAX_DELAYED_DATAGRAMS = 200_000
 
 
 @dataclass(frozen=True)
 class LinkFault:
-    """What befalls datagrams of a link, in this order. Times in seconds, shares from 0 to 1."""
+    """Faults of one link, applied to a datagram in this order. Times in seconds, shares from 0 to 1."""
 
     cut: bool = False
     loss: float = 0.0
-    delay: tuple[float, float] = (0.0, 0.0)  # at least, at most: what differs reorders
-    copies: float = 0.0
-    copy_delay: tuple[float, float] = (0.0, 0.0)  # of the copy alone
+    delay: tuple[float, float] = (0.0, 0.0)  # minimum and maximum; a difference reorders datagrams
+    copies: float = 0.0  # share of datagrams that are sent twice
+    copy_delay: tuple[float, float] = (0.0, 0.0)  # additional delay of the copy
 
-    def and_also(self, other: LinkFault) -> LinkFault:
+    def combined_with(self, other: LinkFault) -> LinkFault:
+        """Return the fault of a link that has both."""
         return LinkFault(
             self.cut or other.cut,
             1.0 - (1.0 - self.loss) * (1.0 - other.loss),
@@ -44,16 +46,16 @@
         )
 
 
-NONE = LinkFault()
+NO_FAULT = LinkFault()
 
 
 @dataclass(frozen=True)
 class LinkRule:
-    """Which links: by the names of both ends, `None` for any."""
+    """A fault and the links that it applies to, by the names of both ends; `None` is any name."""
 
     sources: frozenset[str] | None
     targets: frozenset[str] | None
-    harm: LinkFault
+    fault: LinkFault
 
     def covers(self, source: str, target: str) -> bool:
         return (self.sources is None or source in self.sources) and (
@@ -61,108 +63,117 @@
         )
 
 
-def names(told: Iterable[str] | None) -> frozenset[str] | None:
-    return None if told is None else frozenset(told)
+def as_name_set(names: Iterable[str] | None) -> frozenset[str] | None:
+    return None if names is None else frozenset(names)
 
 
 class ProxiedLinks:
+    """The proxy sockets of all members and the faults of the links between them."""
+
     def __init__(self, loop: Loop, rng: Random) -> None:
         self.loop, self.rng = loop, rng
-        self.socks: dict[str, socket.socket] = {}
-        self.members: dict[Address, str] = {}  # by the address that its process sends from
+        self.sockets: dict[str, socket.socket] = {}
+        self.members: dict[Address, str] = {}  # by the address that the process sends from
         self.addresses: dict[str, Address] = {}
         self.rules: list[LinkRule] = []
-        self.known: dict[tuple[str, str], LinkFault] = {}
+        self.fault_cache: dict[tuple[str, str], LinkFault] = {}
         self.delayed: list[tuple[float, int, str, str, bytes]] = []
-        self.number = 0
+        self.sequence_number = 0
         self.counts: Counter[str] = Counter()
         self.sent: Counter[str] = Counter()  # datagrams by sender
         self.bytes: Counter[str] = Counter()
-        self.task = loop.spawn(self.late())
+        self.task = loop.spawn(self.send_delayed())
 
-    def add(self, name: str, address: Address, at: Address) -> None:
-        """address: where the member's process is; at: where the others find it."""
+    def add(self, name: str, address: Address, proxy_address: Address) -> None:
+        """Open the proxy socket of a member, at `proxy_address`; its process listens at `address`."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
-        sock.bind(at)
-        self.socks[name] = sock
+        sock.bind(proxy_address)
+        self.sockets[name] = sock
         self.members[address], self.addresses[name] = name, address
         self.loop.watch(sock.fileno(), READ, lambda _: self.read(name))
 
-    # harming
+    # Faults
 
-    def harm(self, source: str, target: str) -> LinkFault:
-        found = self.known.get((source, target))
-        if found is None:
-            found = NONE
+    def fault_on(self, source: str, target: str) -> LinkFault:
+        """Return the combined faults of one directed link."""
+        fault = self.fault_cache.get((source, target))
+        if fault is None:
+            fault = NO_FAULT
             for rule in self.rules:
-                if rule.covers(source.rstrip("+"), target.rstrip("+")):  # n1+: a successor of n1 beside it
-                    found = found.and_also(rule.harm)
-            self.known[source, target] = found
-        return found
-
-    def put(self, harm: LinkFault, sources: Iterable[str] | None, targets: Iterable[str] | None) -> LinkRule:
-        rule = LinkRule(names(sources), names(targets), harm)
+                # "n1+" is a successor of n1 that runs beside it.
+                if rule.covers(source.rstrip("+"), target.rstrip("+")):
+                    fault = fault.combined_with(rule.fault)
+            self.fault_cache[source, target] = fault
+        return fault
+
+    def add_rule(
+        self, fault: LinkFault, sources: Iterable[str] | None, targets: Iterable[str] | None
+    ) -> LinkRule:
+        rule = LinkRule(as_name_set(sources), as_name_set(targets), fault)
         self.rules.append(rule)
-        self.known.clear()
+        self.fault_cache.clear()
         return rule
 
-    def mend(self, *rules: LinkRule) -> None:
-        """These, or all."""
+    def remove_rules(self, *rules: LinkRule) -> None:
+        """Remove these rules, or all if none are given."""
         self.rules = [rule for rule in self.rules if rules and rule not in rules]
-        self.known.clear()
+        self.fault_cache.clear()
 
-    # passing on
+    # Forwarding
 
     def read(self, target: str) -> None:
-        sock = self.socks[target]
-        for _ in range(READS):
+        sock = self.sockets[target]
+        for _ in range(MAX_READS_PER_TURN):
             try:
-                data, address = sock.recvfrom(LARGEST)
+                data, address = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                continue  # nobody is where the last one went
+                continue  # the previous datagram went to an address without a listener
             if (source := self.members.get(address)) is None:
                 self.counts["from a stranger"] += 1
                 continue
             self.sent[source] += 1
             self.bytes[source] += len(data)
-            self.carry(source, target, data)
+            self.forward(source, target, data)
 
-    def carry(self, source: str, target: str, data: bytes) -> None:
-        harm = self.harm(source, target)
-        if harm is NONE:
+    def forward(self, source: str, target: str, data: bytes) -> None:
+        fault = self.fault_on(source, target)
+        if fault is NO_FAULT:
             self.send(source, target, data)
             return
-        if harm.cut or (harm.loss and self.rng.random() < harm.loss):
+        if fault.cut or (fault.loss and self.rng.random() < fault.loss):
             self.counts["dropped"] += 1
             return
-        spans = [self.rng.uniform(*harm.delay)]
-        if harm.copies and self.rng.random() < harm.copies:
-            spans.append(spans[0] + self.rng.uniform(*harm.copy_delay))
-        for span in spans:
-            if span <= 0.0:
+        delays = [self.rng.uniform(*fault.delay)]
+        if fault.copies and self.rng.random() < fault.copies:
+            delays.append(delays[0] + self.rng.uniform(*fault.copy_delay))
+        for delay in delays:
+            if delay <= 0.0:
                 self.send(source, target, data)
-            elif len(self.delayed) < MOST_DELAYED:
-                self.number += 1
-                heapq.heappush(self.delayed, (self.loop.now + span, self.number, source, target, data))
+            elif len(self.delayed) < MAX_DELAYED_DATAGRAMS:
+                self.sequence_number += 1
+                heapq.heappush(
+                    self.delayed, (self.loop.now + delay, self.sequence_number, source, target, data)
+                )
                 self.task.wake()
 
     def send(self, source: str, target: str, data: bytes) -> None:
         self.counts["passed on"] += 1
         with contextlib.suppress(OSError):
-            self.socks[source].sendto(data, self.addresses[target])
+            self.sockets[source].sendto(data, self.addresses[target])
 
-    def late(self) -> Generator[float, None, None]:
+    def send_delayed(self) -> Generator[float, None, None]:
         while True:
             while self.delayed and self.delayed[0][0] <= self.loop.now:
                 _, _, source, target, data = heapq.heappop(self.delayed)
-                self.send(source, target, data)  # also over a link that was cut meanwhile: it was on its way
+                # A datagram in flight is delivered even if its link has been cut since.
+                self.send(source, target, data)
             yield self.delayed[0][0] if self.delayed else math.inf
 
     def close(self) -> None:
-        for sock in self.socks.values():
+        for sock in self.sockets.values():
             self.loop.watch(sock.fileno(), 0, None)
             sock.close()
-        self.socks.clear()
+        self.sockets.clear()
--- a/onyxhollow/lab/fleet/record.py
+++ b/onyxhollow/lab/fleet/record.py
@@ -1,6 +1,6 @@
-"""What happened, and the verdict on it: from the processes' logs and the stand-ins' records alone.
+"""Check the leases of a process cluster, from the processes' logs and the stand-ins' records alone.
 
-All times are on the machine's one monotonic clock: a log line says in `at` when it was written.
+All times are on the machine's monotonic clock. The field `at` of a log line is the time when it was written.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from onyxhollow.lab.fleet.stand_ins import Action
 
-# seconds after the end of its lease by which an act may still come in
+# An action may arrive this long after the end of its lease without being counted as late.
 ACTION_TOLERANCE_SECONDS = 0.25
 
 
@@ -20,33 +20,35 @@
     """One line of a process's log."""
 
     at: float
-    process: str  # member and which of its lives
+    process: str  # title of the process: member and run number
     event: str
     fields: dict[str, Any]
 
 
 @dataclass
 class Hold:
-    """A span for which one process believed that it held a duty."""
+    """An interval in which one process held a duty by its own clock."""
 
     duty: str
     term: int
     holder: str
     process: str
     since: float
-    until: float  # at the latest, by its own clock
-    cause: str = ""  # why it ended; "": it just ran out, or its process was ended
+    until: float  # end of the lease by the process's own clock, or earlier
+    cause: str = ""  # empty if the lease expired or the process was killed
     ended: bool = False
 
 
 @dataclass
 class Verdict:
+    """Violations that were found, as one text each."""
+
     holds: int = 0
-    overlaps: list[str] = field(default_factory=list)
-    # acts of an older term that took effect after a newer one's
+    overlaps: list[str] = field(default_factory=list)  # two holders of a duty at one time
+    # actions of an older term that were accepted after one of a newer term
     stale: list[str] = field(default_factory=list)
-    late: list[str] = field(default_factory=list)  # acts that came in when their holder's lease had ended
-    falling: list[str] = field(default_factory=list)  # terms that did not rise
+    late: list[str] = field(default_factory=list)  # actions that arrived after the end of the holder's lease
+    falling: list[str] = field(default_factory=list)  # holds whose term is not above that of the hold before
 
     @property
     def clean(self) -> bool:
@@ -54,59 +56,71 @@
 
 
 class HoldTracker:
-    """Who held what, read off log lines as they come. rates: of clocks that run fast or slow, by process."""
+    """Reconstructs the holds of all processes from their log lines.
+
+    `rates` has the rates of lease clocks that run fast or slow, by process.
+    """
 
     def __init__(self, rates: dict[str, float]) -> None:
         self.rates = rates
-        self.found: list[Hold] = []
-        self.open_ones: dict[tuple[str, str], Hold] = {}
-        self.whos: dict[str, str] = {}
+        self.all_holds: list[Hold] = []
+        self.open_holds: dict[tuple[str, str], Hold] = {}
+        self.holder_names: dict[str, str] = {}
 
-    def feed(self, line: LogLine) -> None:
-        told, rate = line.fields, self.rates.get(line.process, 1.0)
+    def process_line(self, line: LogLine) -> None:
+        fields, rate = line.fields, self.rates.get(line.process, 1.0)
         if line.event == "fleet":
-            self.whos[line.process] = f"{told['proxy']}~{told['epoch']}"
-        elif line.event == "duty" and told["change"] == "held":
-            who, until = self.whos.get(line.process, line.process), line.at + told["left"] / rate
-            hold = Hold(told["duty"], told["term"], who, line.process, line.at, until)
-            self.found.append(hold)
-            self.open_ones[line.process, told["duty"]] = hold
-        elif line.event == "lease" and (known := self.open_ones.get((line.process, told["duty"]))):
-            known.until = line.at + told["left"] / rate
-        elif line.event == "duty" and told["change"] == "ended":
-            if known := self.open_ones.pop((line.process, told["duty"]), None):
-                known.until, known.cause, known.ended = min(known.until, line.at), told["cause"], True
-
-    def rows(self, ends: dict[str, float]) -> list[Hold]:
-        """In order of their beginnings. ends: when a process was ended from outside."""
-        for hold in self.found:
+            self.holder_names[line.process] = f"{fields['proxy']}~{fields['epoch']}"
+        elif line.event == "duty" and fields["change"] == "held":
+            holder, until = self.holder_names.get(line.process, line.process), line.at + fields["left"] / rate
+            hold = Hold(fields["duty"], fields["term"], holder, line.process, line.at, until)
+            self.all_holds.append(hold)
+            self.open_holds[line.process, fields["duty"]] = hold
+        elif line.event == "lease" and (open_hold := self.open_holds.get((line.process, fields["duty"]))):
+            open_hold.until = line.at + fields["left"] / rate
+        elif line.event == "duty" and fields["change"] == "ended":
+            if open_hold := self.open_holds.pop((line.process, fields["duty"]), None):
+                open_hold.until, open_hold.cause, open_hold.ended = (
+                    min(open_hold.until, line.at),
+                    fields["cause"],
+                    True,
+                )
+
+    def sorted_holds(self, ends: dict[str, float]) -> list[Hold]:
+        """Return all holds by start time, each cut off at the time in `ends` at which its process ended."""
+        for hold in self.all_holds:
             hold.until = min(hold.until, ends.get(hold.process, math.inf))
-        return sorted(self.found, key=lambda hold: hold.since)
+        return sorted(self.all_holds, key=lambda hold: hold.since)
 
 
-def check_holds(found: list[Hold], acts: list[Action]) -> Verdict:
-    verdict = Verdict(holds=len(found))
+def check_holds(holds: list[Hold], actions: list[Action]) -> Verdict:
+    """Return the violations among the holds and the actions recorded by the ledger stand-in."""
+    verdict = Verdict(holds=len(holds))
     by_duty: dict[str, list[Hold]] = {}
-    for hold in found:
+    for hold in holds:
         by_duty.setdefault(hold.duty, []).append(hold)
     for duty, rows in by_duty.items():
         rows.sort(key=lambda hold: hold.since)
-        for place, one in enumerate(rows):
-            for other in rows[place + 1 :]:
-                if other.since >= one.until:
+        for index, hold in enumerate(rows):
+            for other in rows[index + 1 :]:
+                if other.since >= hold.until:
                     continue
                 verdict.overlaps.append(
-                    f"{duty}: {one.holder} term {one.term} until {one.until:.3f}, "
+                    f"{duty}: {hold.holder} term {hold.term} until {hold.until:.3f}, "
                     f"{other.holder} term {other.term} from {other.since:.3f}"
                 )
-            if place and one.term <= rows[place - 1].term:
-                verdict.falling.append(f"{duty}: term {one.term} after {rows[place - 1].term}")
-    ends = {(hold.duty, hold.term, hold.holder): hold.until for hold in found}
-    for act in acts:
-        if act.accepted and act.term < act.newest_term:
-            verdict.stale.append(f"{act.duty}: {act.member} term {act.term} after {act.newest_term}")
-        until = ends.get((act.duty, act.term, act.member))
-        if until is None or act.not_before > until + ACTION_TOLERANCE_SECONDS:
-            over = "never held" if until is None else f"{act.not_before - until:.3f} s over"
-            verdict.late.append(f"{act.duty}: {act.member} term {act.term} number {act.number}: {over}")
+            if index and hold.term <= rows[index - 1].term:
+                verdict.falling.append(f"{duty}: term {hold.term} after {rows[index - 1].term}")
+    ends = {(hold.duty, hold.term, hold.holder): hold.until for hold in holds}
+    for action in actions:
+        if action.accepted and action.term < action.newest_term:
+            verdict.stale.append(
+                f"{action.duty}: {action.member} term {action.term} after {action.newest_term}"
+            )
+        until = ends.get((action.duty, action.term, action.member))
+        if until is None or action.not_before > until + ACTION_TOLERANCE_SECONDS:
+            reason = "never held" if until is None else f"{action.not_before - until:.3f} s over"
+            verdict.late.append(
+                f"{action.duty}: {action.member} term {action.term} number {action.number}: {reason}"
+            )
     return verdict
--- a/onyxhollow/lab/fleet/routing_daemons.py
+++ b/onyxhollow/lab/fleet/routing_daemons.py
@@ -1,9 +1,9 @@
-"""Stand-ins for what lies outside: routing daemons beside the sites, and an internet that chooses a site.
+"""Stand-ins for the network outside the fleet: a routing daemon per site, and the routing of its clients.
 
-A speaker takes the published line commands on its local socket and answers `done` or `error`. Its routes
-vanish a hold time after it has gone. Each client sees a route later or sooner, prefers the shorter path and
-then the nearer site, and leaves out a route that flaps (RFC 2439). When its site changes, its session is
-lost, as with anycast.
+A routing daemon accepts the published line commands on its local socket and answers `done` or `error`. Its
+routes are removed one hold time after it has stopped. Each client sees a route change after a delay of its
+own, prefers advertised over lowered routes and then the nearer site, and ignores a route that flaps (RFC
+2439). When its site changes, its session is lost, as with anycast.
 """
 
 from __future__ import annotations
@@ -18,82 +18,92 @@
 from onyxhollow.lab.sockets.lines import Lines, accepting, listening
 from onyxhollow.loop import Loop
 
-HOLD = 1.5  # seconds after which routes of a daemon that has gone are gone (scaled down from 90)
-ROUTE = re.compile(r"(announce|withdraw) route (\S+) next-hop (\S+)(.*)")
+HOLD_SECONDS = 1.5  # hold time of a stopped daemon's routes, scaled down from 90 s
+ROUTE_COMMAND = re.compile(r"(announce|withdraw) route (\S+) next-hop (\S+)(.*)")
 
 
 @dataclass(frozen=True)
-class Change:
+class RouteChange:
+    """A change of a daemon's route, in monotonic time."""
+
     at: float
     prefix: str
-    state: int  # 0 withdrawn, 1 lesser, 2 advertised
+    state: int  # 0 withdrawn, 1 lowered, 2 advertised
 
 
 class RoutingDaemon:
+    """The routing daemon of one site, with its routes and all their changes."""
+
     def __init__(self, loop: Loop, site: str) -> None:
         self.loop, self.site = loop, site
-        host = f"127.4.1.{ord(site[0]) % 100 + 1}"  # its own, so that its port is free when it comes back
+        host = f"127.4.1.{ord(site[0]) % 100 + 1}"  # not shared, so that the port is still free at a restart
         self.sock: socket.socket | None = listening((host, 0))
         self.address: tuple[str, int] = (host, self.sock.getsockname()[1])
         self.routes: dict[str, int] = {}
-        self.changes: list[Change] = []
-        self.owners: list[Lines] = []
+        self.changes: list[RouteChange] = []
+        self.connections: list[Lines] = []
         self.max_connections = self.commands = 0
-        self.invalid_commands: list[str] = []  # lines that are no whole command
-        self.refuses, self.lag = False, 0.0
-        accepting(loop, self.sock, self.took)
-
-    def took(self, sock: socket.socket) -> None:
-        lines = Lines(self.loop, sock, lambda line: self.got(lines, line), lambda _: self.left(lines))
-        self.owners.append(lines)
-        self.max_connections = max(self.max_connections, len(self.owners))
-
-    def left(self, lines: Lines) -> None:
-        if lines in self.owners:
-            self.owners.remove(lines)
-
-    def got(self, lines: Lines, line: bytes) -> None:
+        self.invalid_commands: list[str] = []  # lines that do not parse
+        self.rejects_commands, self.reply_delay = False, 0.0
+        accepting(loop, self.sock, self.on_accepted)
+
+    def on_accepted(self, sock: socket.socket) -> None:
+        lines = Lines(
+            self.loop, sock, lambda line: self.on_command(lines, line), lambda _: self.on_closed(lines)
+        )
+        self.connections.append(lines)
+        self.max_connections = max(self.max_connections, len(self.connections))
+
+    def on_closed(self, lines: Lines) -> None:
+        if lines in self.connections:
+            self.connections.remove(lines)
+
+    def on_command(self, lines: Lines, line: bytes) -> None:
         self.commands += 1
-        found = ROUTE.fullmatch(line.decode(errors="replace").strip())
-        if found is None or self.refuses:
-            if found is None:
+        match = ROUTE_COMMAND.fullmatch(line.decode(errors="replace").strip())
+        if match is None or self.rejects_commands:
+            if match is None:
                 self.invalid_commands.append(line.decode(errors="replace"))
             lines.say(b"error\n")
             return
-        verb, prefix, _, rest = found.groups()
+        verb, prefix, _, rest = match.groups()
         state = 0 if verb == "withdraw" else 1 if "community [65535:0]" in rest else 2
         if self.routes.get(prefix, 0) != state:
             self.routes[prefix] = state
-            self.changes.append(Change(time.monotonic(), prefix, state))
-        if self.lag:
-            self.loop.spawn(self.late(lines))
+            self.changes.append(RouteChange(time.monotonic(), prefix, state))
+        if self.reply_delay:
+            self.loop.spawn(self.reply_later(lines))
         else:
             lines.say(b"done\n")
 
-    def late(self, lines: Lines) -> Generator[float, None, None]:
-        yield from self.loop.sleep(self.lag)
+    def reply_later(self, lines: Lines) -> Generator[float, None, None]:
+        yield from self.loop.sleep(self.reply_delay)
         if lines.open:
             lines.say(b"done\n")
 
     def route_state(self, prefix: str) -> int:
+        """Return 0 if the route is withdrawn, 1 if lowered, 2 if advertised."""
         return self.routes.get(prefix, 0)
 
     def stop(self) -> None:
-        """The daemon has ended: its sessions go, and its routes a hold time later; it remembers nothing."""
-        for lines in list(self.owners):
+        """Close all connections and drop the routes, which count as withdrawn after the hold time."""
+        for lines in list(self.connections):
             lines.close()
-        self.owners.clear()
+        self.connections.clear()
         if self.sock is not None:
             self.loop.watch(self.sock.fileno(), 0, None)
             self.sock.close()
             self.sock = None
         now = time.monotonic()
-        self.changes += [Change(now + HOLD, prefix, 0) for prefix, state in self.routes.items() if state]
+        self.changes += [
+            RouteChange(now + HOLD_SECONDS, prefix, 0) for prefix, state in self.routes.items() if state
+        ]
         self.routes.clear()
 
     def start(self) -> None:
+        """Start the daemon again, without routes."""
         self.sock = listening(self.address)
-        accepting(self.loop, self.sock, self.took)
+        accepting(self.loop, self.sock, self.on_accepted)
 
     def close(self) -> None:
         if self.sock is not None:
@@ -102,39 +112,45 @@
 
 @dataclass
 class Partner:
-    """One client of an address: where the network takes it."""
+    """One client of a shared address, and the site that it is routed to."""
 
     prefix: str
-    near: list[str]  # sites, the nearest first
-    delay: float  # seconds until it sees a change
+    near: list[str]  # sites by distance, nearest first
+    delay: float  # seconds after which it sees a route change
     site: str = ""
-    moved: int = 0  # times that its site changed under it
-    moves: deque[tuple[float, str]] = field(default_factory=lambda: deque(maxlen=64))
+    moved: int = 0  # number of changes from one site to another
+    site_changes: deque[tuple[float, str]] = field(default_factory=lambda: deque(maxlen=64))
 
 
 class Internet:
-    def __init__(self, speakers: dict[str, RoutingDaemon], carried: Callable[[Partner], None]) -> None:
-        """carried: called when a partner's site has changed."""
-        self.speakers, self.carried = speakers, carried
+    """Chooses a site for each client from the routes that it sees."""
+
+    def __init__(self, daemons: dict[str, RoutingDaemon], on_site_changed: Callable[[Partner], None]) -> None:
+        """Create a network without clients; `on_site_changed` is called after a client's site has changed."""
+        self.daemons, self.on_site_changed = daemons, on_site_changed
         self.partners: list[Partner] = []
-        self.damped_after, self.damped_for = 6, 20.0  # changes within so many seconds, and then left out
+        # Flap damping: a route with more changes within this time is ignored.
+        self.max_changes, self.damping_seconds = 6, 20.0
 
-    def sees(self, partner: Partner, site: str, now: float) -> int:
-        """A route as this partner sees it: what was true its delay ago, left out while it flaps."""
-        state, lately = 0, 0
-        for change in self.speakers[site].changes:
+    def visible_state(self, partner: Partner, site: str, now: float) -> int:
+        """Return the route state that a client sees: the state `delay` seconds ago, or 0 while it flaps."""
+        state, recent_changes = 0, 0
+        for change in self.daemons[site].changes:
             if change.prefix == partner.prefix and change.at <= now - partner.delay:
                 state = change.state
-                lately += now - change.at < self.damped_for
-        return 0 if lately > self.damped_after else state
+                recent_changes += now - change.at < self.damping_seconds
+        return 0 if recent_changes > self.max_changes else state
 
-    def look(self) -> None:
+    def update_sites(self) -> None:
         now = time.monotonic()
         for partner in self.partners:
-            seen = [(-self.sees(partner, site, now), place, site) for place, site in enumerate(partner.near)]
-            best = min((row for row in seen if row[0]), default=(0, 0, ""))
+            ranked_sites = [
+                (-self.visible_state(partner, site, now), distance, site)
+                for distance, site in enumerate(partner.near)
+            ]
+            best = min((row for row in ranked_sites if row[0]), default=(0, 0, ""))
             if best[2] != partner.site:
                 partner.moved += bool(partner.site)
                 partner.site = best[2]
-                partner.moves.append((now, partner.site))
-                self.carried(partner)
+                partner.site_changes.append((now, partner.site))
+                self.on_site_changed(partner)
--- a/onyxhollow/lab/fleet/sites.py
+++ b/onyxhollow/lab/fleet/sites.py
@@ -1,4 +1,4 @@
-"""Sites on the rig: members of several zones, a gate and a speaker each, partners who come by address."""
+"""Sites of a process cluster, each with members, a route guard and a routing daemon, and their clients."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from onyxhollow.lab.fleet.traffic import Client, EchoServer
 from onyxhollow.lab.sockets.proxies import free_address
 
-ASKED = {
+PROXY_SETTINGS = {
     "ceilings": {"mostDials": 3, "probes": True, "cancelling": True, "connectTimeoutNs": 250000000},
     "report": {"how": "probe", "fields": ["x0"]},
-    # What customers may hold tells many balancers with few connections what fills a server.
+    # With tenant quotas, balancers with few connections each can tell what fills a server.
     "tenants": [{"name": "partners", "share": 1.0}],
     "extra": {
         "reportX0": "load asked of the server over what it can do",
@@ -44,16 +44,18 @@
     "fresh": 1.5,
     "flap_half_life": 30.0,
 }
-COUNTS = ("least", "most_at_once")  # keys of QUICK that are no seconds
-ECHOES = 0.7  # seconds without an echo past which a partner is not served
-TOO_LATE = 5.0  # seconds for each time of its capacity that a server is over: 1.2 of it is not served
-LOOK = 0.05  # seconds between the internet's looks
+COUNT_KEYS = ("least", "most_at_once")  # keys of QUICK that are not in seconds
+MAX_ECHO_AGE_SECONDS = 0.7
+OVERLOAD_DELAY_SECONDS = 5.0  # echo delay per excess load: at a load of 1.2 clients count as not served
+ROUTING_INTERVAL_SECONDS = 0.05
 
 
 class RouteGuardProcess:
+    """The `route-guard` process of one site, with its files."""
+
     def __init__(self, folder: Path, site: str, daemon: RoutingDaemon, orphaned_after: float) -> None:
         self.folder, self.site = folder, site
-        # An address of its own: on 127.0.0.1 its port could go to somebody's outgoing connection meanwhile.
+        # Not 127.0.0.1, where an outgoing connection of another process could take the port meanwhile.
         self.address = free_address(f"127.4.0.{ord(site[0]) % 100 + 1}", socket.SOCK_STREAM)
         self.path, self.log = folder / f"gate-{site}.toml", folder / f"gate-{site}.log"
         self.config = {
@@ -79,9 +81,9 @@
                 env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1"},
             )
 
-    def end(self, how: int = signal.SIGKILL) -> None:
+    def end(self, signal_number: int = signal.SIGKILL) -> None:
         if self.child is not None and self.child.poll() is None:
-            self.child.send_signal(how)
+            self.child.send_signal(signal_number)
             self.child.wait()
 
     def events(self, name: str = "") -> list[dict[str, Any]]:
@@ -90,6 +92,8 @@
 
 
 class Sites:
+    """A process cluster with one zone per site, and everything around it that shared addresses need."""
+
     def __init__(
         self,
         folder: Path,
@@ -122,7 +126,7 @@
             zones=self.zones,
             servers=sites * servers,
             duties=[],
-            settings=ASKED,
+            settings=PROXY_SETTINGS,
             extra_fleet_settings={"addresses": "addresses.toml"},
             **values,
         )
@@ -148,50 +152,54 @@
                 for zone in self.zones
             ],
             "policy": {
-                key: value * time_scale if key not in COUNTS else value for key, value in QUICK.items()
+                key: value * time_scale if key not in COUNT_KEYS else value for key, value in QUICK.items()
             }
             | (policy or {}),
             "every": 0.25 * time_scale,
             "synthetic": 0.5 * time_scale * time_scale,
         }
         (folder / "addresses.toml").write_text(tomli_w.dumps(self.config))
-        late = TOO_LATE if own_servers else 0.0
+        overload_delay = OVERLOAD_DELAY_SECONDS if own_servers else 0.0
         self.echo_servers = [
-            EchoServer(cluster.loop, 0.1, load_per_session, late) for _ in range(sites * servers)
+            EchoServer(cluster.loop, 0.1, load_per_session, overload_delay) for _ in range(sites * servers)
         ]
         if own_servers:
             cluster.list_service.sites = dict(cluster.zones)
         for number, server in enumerate(self.echo_servers):
             cluster.list_service.rows[f"s{number}"]["dial"] = format_address(server.address)
-        self.internet = Internet(self.routing_daemons, self.carried)
-        self.clients: dict[int, Client] = {}  # by the partner's id()
+        self.internet = Internet(self.routing_daemons, self.on_site_changed)
+        self.clients: dict[int, Client] = {}  # by id() of the partner
         for prefix in self.prefixes.values():
             for number in range(partners):
                 near = [self.zones[(number + place) % sites] for place in range(sites)]
                 self.internet.partners.append(Partner(prefix, near, 0.1 + 0.1 * (number % 4)))
-        self.looked = 0.0
-        cluster.loop.spawn(self.look())
+        self.updated_at = 0.0
+        cluster.loop.spawn(self.update_client_sites())
 
-    def look(self) -> Generator[float, None, None]:
+    def update_client_sites(self) -> Generator[float, None, None]:
         while True:
-            self.internet.look()
-            yield from self.cluster.loop.sleep(LOOK)
+            self.internet.update_sites()
+            yield from self.cluster.loop.sleep(ROUTING_INTERVAL_SECONDS)
 
-    def carried(self, partner: Partner) -> None:
-        """The network takes a partner elsewhere: its connection is lost, and it comes again there."""
+    def on_site_changed(self, partner: Partner) -> None:
+        """Close a client's connection and open a new one to a member of its present site."""
         if (client := self.clients.pop(id(partner), None)) is not None:
             client.close()
         members = [name for name in self.cluster.names if self.cluster.zones[name] == partner.site]
         if members:
             number = len(self.clients) + partner.moved
-            at = self.cluster.listen_addresses[members[number % len(members)]]
-            self.clients[id(partner)] = Client(self.cluster.loop, at, 1000 + number)
+            address = self.cluster.listen_addresses[members[number % len(members)]]
+            self.clients[id(partner)] = Client(self.cluster.loop, address, 1000 + number)
 
     def served_share(self, prefix: str = "") -> float:
-        """Share of the partners whose lines come back now."""
+        """Return the share of clients that have received an echo recently."""
         rows = [partner for partner in self.internet.partners if prefix in ("", partner.prefix)]
-        clients = [client for one in rows if (client := self.clients.get(id(one))) is not None and client.up]
-        since = self.cluster.loop.now - ECHOES
+        clients = [
+            client
+            for partner in rows
+            if (client := self.clients.get(id(partner))) is not None and client.established
+        ]
+        since = self.cluster.loop.now - MAX_ECHO_AGE_SECONDS
         return sum(client.echoed_at >= since for client in clients) / max(1, len(rows))
 
     def servers_at(self, zone: str) -> list[EchoServer]:
@@ -201,79 +209,90 @@
         return [name for name in self.cluster.names if self.cluster.zones[name] == zone]
 
     def start(self) -> None:
-        for gate in self.route_guards.values():
-            gate.start()
+        for guard in self.route_guards.values():
+            guard.start()
         self.cluster.wait(
-            lambda: all(gate.events("route guard") for gate in self.route_guards.values()),
+            lambda: all(guard.events("route guard") for guard in self.route_guards.values()),
             20,
-            "guards are up",
+            "all route guards have started",
         )
         self.cluster.start()
         self.cluster.wait_members(within=40)
         self.cluster.wait_holder("addresses", within=40)
 
     def route_states(self, zone: str) -> list[int]:
-        """At the speaker, in the order of addresses."""
+        """Return the route states at the site's routing daemon, in the order of addresses."""
         return [self.routing_daemons[zone].route_state(prefix) for prefix in self.prefixes.values()]
 
     def wait_for_route_states(self, within: float = 25.0, **wanted: int) -> None:
-        """All addresses stand so at these sites."""
+        """Wait until all addresses have these route states at these sites."""
 
-        def so() -> bool:
+        def is_reached() -> bool:
             return all(set(self.route_states(zone)) == {state} for zone, state in wanted.items())
 
         try:
-            self.cluster.wait(so, within, f"standings {wanted}")
+            self.cluster.wait(is_reached, within, f"route states {wanted}")
         except ClusterError as error:
             now = {zone: self.route_states(zone) for zone in self.zones}
-            said = [line.fields["why"] for line in self.cluster.lines if line.event == "address"][-6:]
-            raise ClusterError(f"{error}; they are {now}; {said}") from None
+            reasons = [line.fields["why"] for line in self.cluster.lines if line.event == "address"][-6:]
+            raise ClusterError(f"{error}; got {now}; {reasons}") from None
 
     def wait_until_all_reported(self, within: float = 25.0) -> None:
-        """The keeper has heard that what is advertised at each site is taken there: it plans by what it has
-        heard, and that comes a moment after the daemons have taken it."""
-        self.cluster.wait(self.all_reported, within, "the keeper has heard of all")
+        """Wait until the controller has the site reports that all routes are installed.
+
+        It plans by those reports, which arrive shortly after the routing daemons have accepted the routes.
+        """
+        self.cluster.wait(self.all_reported, within, "the controller has reports of all routes")
 
     def all_reported(self) -> bool:
         rows = self.query(self.cluster.names[0])["rows"]
         return all(row["reached"] and row["carried"] and row["standing"] == "advertised" for row in rows)
 
     def query(self, name: str, path: str = "", **query: str) -> Any:
-        """As the commands do: asked again until it is there. A process that has just been started says first
-        that its addresses are not there yet, or nothing at all."""
-        words = "&".join(f"{key}={value}" for key, value in query.items())
+        """Send a query and poll for its answer, as the command-line tools do.
+
+        A process that has just started refuses connections first, and then answers that its addresses are
+        not ready yet; the query is repeated until it is accepted.
+        """
+        parameters = "&".join(f"{key}={value}" for key, value in query.items())
 
-        def begun() -> Any:
+        def send_query() -> Any:
             with contextlib.suppress(OSError):
-                return self.request(name, path, words).get("id")
+                return self.request(name, path, parameters).get("id")
             return None
 
-        id = self.cluster.wait(begun, 15, f"{name} takes {path}")
+        query_id = self.cluster.wait(send_query, 15, f"{name} accepts {path}")
 
         def answer() -> Any:
-            told = self.request(name, path, f"id={id}")
-            return "id" not in told and told
+            response = self.request(name, path, f"id={query_id}")
+            return "id" not in response and response
 
         return self.cluster.wait(answer, 8, f"an answer to {path}")
 
-    def request(self, name: str, path: str, words: str, method: str = "GET") -> Any:
-        target = f"/control/addresses{path}" + (f"?{words}" if words else "")
+    def request(self, name: str, path: str, parameters: str, method: str = "GET") -> Any:
+        target = f"/control/addresses{path}" + (f"?{parameters}" if parameters else "")
         _, body = self.cluster.http_request(name, target, method)
         return orjson.loads(body) if body[:1] in b"{[" else {"error": body.decode()}
 
     def status_row(self, address: str, zone: str, name: str = "") -> dict[str, Any]:
-        up = [one for one, process in self.cluster.current.items() if process.alive and not process.stopped]
-        rows = self.query(name or up[0])["rows"]
+        """Return the status of an address at a site, from any running member or from the named one."""
+        running = [
+            member
+            for member, process in self.cluster.current.items()
+            if process.alive and not process.stopped
+        ]
+        rows = self.query(name or running[0])["rows"]
         return next(row for row in rows if (row["address"], row["site"]) == (address, zone))
 
     def decisions(self) -> list[dict[str, Any]]:
+        """Return the logged decisions of all controllers."""
         return [line.fields for line in self.cluster.lines if line.event == "address"]
 
     def close(self) -> None:
         for client in self.clients.values():
             client.close()
-        for gate in self.route_guards.values():
-            gate.end()
+        for guard in self.route_guards.values():
+            guard.end()
         for server in self.echo_servers:
             server.close()
         for daemon in self.routing_daemons.values():
--- a/onyxhollow/lab/fleet/stand_ins.py
+++ b/onyxhollow/lab/fleet/stand_ins.py
@@ -1,7 +1,7 @@
-"""What the members call: a stand-in for the list service, and the thing that duties act on (the ledger).
+"""Stand-ins for the services that members call: the list service, and the ledger that duties act on.
 
-Both speak HTTP/1.1 by h11 on an address for each member, so that who calls is known and its link can be
-harmed. They write down what happened, on the rig's clock.
+Both speak HTTP/1.1 by h11 and listen on an address per member, so that each connection can be attributed to a
+member and its link can have faults. They record the calls that they receive, with monotonic times.
 """
 
 from __future__ import annotations
@@ -22,183 +22,197 @@
 from onyxhollow.lab.sockets.lines import Lines, accepting, listening
 from onyxhollow.loop import Loop
 
-LONGEST_WAIT = 60.0
+MAX_WATCH_SECONDS = 60.0
 
 
 class MemberConnection:
-    """One connection of a member."""
+    """One HTTP connection of a member to a stand-in."""
 
-    def __init__(self, desk: MemberListener, sock: socket.socket) -> None:
-        self.desk, self.number = desk, 0
-        self.speaker = h11.Connection(h11.SERVER)
+    def __init__(self, listener: MemberListener, sock: socket.socket) -> None:
+        self.listener, self.number = listener, 0
+        self.http = h11.Connection(h11.SERVER)
         self.target = ""
-        self.lines = Lines(desk.loop, sock, self.got, self.ended)
+        self.lines = Lines(listener.loop, sock, self.on_data, self.on_closed)
         self.lines.raw = True
-        if desk.blocked:
+        if listener.blocked:
             self.lines.quiet(True)
 
-    def got(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         try:
-            self.speaker.receive_data(data)
+            self.http.receive_data(data)
             while True:
-                event = self.speaker.next_event()
+                event = self.http.next_event()
                 if isinstance(event, h11.Request):
                     self.target = event.target.decode()
                 elif isinstance(event, h11.EndOfMessage):
                     self.number += 1
-                    told = parse_qs(urlsplit(self.target).query)
-                    self.desk.heard(self, {name: values[0] for name, values in told.items()})
+                    query = parse_qs(urlsplit(self.target).query)
+                    self.listener.on_request(self, {name: values[0] for name, values in query.items()})
                 elif event is h11.NEED_DATA or event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                     return
         except h11.RemoteProtocolError:
             self.lines.close()
 
     def answer(self, status: int, body: bytes = b"") -> None:
-        if not self.lines.open or self.speaker.our_state is not h11.SEND_RESPONSE:
+        if not self.lines.open or self.http.our_state is not h11.SEND_RESPONSE:
             return
         head = h11.Response(status_code=status, headers=[("Content-Length", str(len(body)))])
         with contextlib.suppress(h11.LocalProtocolError):
-            told = (head, h11.Data(data=body), h11.EndOfMessage())
-            text = b"".join(self.speaker.send(part) or b"" for part in told)
-            self.speaker.start_next_cycle()
-            self.desk.after(self.desk.way_back(), lambda: self.say(text))
+            parts = (head, h11.Data(data=body), h11.EndOfMessage())
+            response = b"".join(self.http.send(part) or b"" for part in parts)
+            self.http.start_next_cycle()
+            self.listener.run_after_delay(self.listener.response_fault(), lambda: self.send(response))
 
-    def say(self, text: bytes) -> None:
-        if not self.desk.way_back().cut:  # over a cut link nothing comes back, though it was done
-            self.lines.say(text)
+    def send(self, response: bytes) -> None:
+        # A cut link loses the answer, although the request was processed.
+        if not self.listener.response_fault().cut:
+            self.lines.say(response)
 
-    def ended(self, _: bool) -> None:
-        self.desk.left(self)
+    def on_closed(self, _: bool) -> None:
+        self.listener.on_connection_closed(self)
 
 
 class MemberListener:
-    """Where one member calls one stand-in."""
+    """The listening socket of one stand-in for one member."""
 
-    def __init__(self, stand: StandIn, member: str) -> None:
-        self.stand, self.loop, self.member = stand, stand.loop, member
-        self.callers: dict[MemberConnection, None] = {}
+    def __init__(self, stand_in: StandIn, member: str) -> None:
+        self.stand_in, self.loop, self.member = stand_in, stand_in.loop, member
+        self.connections: dict[MemberConnection, None] = {}
         self.blocked = False
         self.sock = listening(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
-        accepting(self.loop, self.sock, self.took)
+        accepting(self.loop, self.sock, self.on_accepted)
 
-    def way_there(self) -> LinkFault:
-        return self.stand.links.harm(self.member, self.stand.name)
+    def request_fault(self) -> LinkFault:
+        return self.stand_in.links.fault_on(self.member, self.stand_in.name)
 
-    def way_back(self) -> LinkFault:
-        return self.stand.links.harm(self.stand.name, self.member)
+    def response_fault(self) -> LinkFault:
+        return self.stand_in.links.fault_on(self.stand_in.name, self.member)
 
-    def after(self, harm: LinkFault, call: Callable[[], None]) -> None:
-        """As late as a link makes what goes over it; TCP loses and repeats nothing by itself."""
-        if harm.delay[1] <= 0.0:
+    def run_after_delay(self, fault: LinkFault, call: Callable[[], None]) -> None:
+        """Run `call` after the delay of the link; loss and duplication do not apply to TCP."""
+        if fault.delay[1] <= 0.0:
             call()
             return
 
-        def late(span: float) -> Generator[float, None, None]:
-            yield from self.loop.sleep(span)
+        def delayed(delay: float) -> Generator[float, None, None]:
+            yield from self.loop.sleep(delay)
             call()
 
-        self.loop.spawn(late(self.stand.links.rng.uniform(*harm.delay)))
+        self.loop.spawn(delayed(self.stand_in.links.rng.uniform(*fault.delay)))
 
-    def heard(self, caller: MemberConnection, told: dict[str, str]) -> None:
-        self.after(self.way_there(), lambda: self.stand.asked(self.member, caller, told))
+    def on_request(self, connection: MemberConnection, query: dict[str, str]) -> None:
+        self.run_after_delay(
+            self.request_fault(), lambda: self.stand_in.handle_request(self.member, connection, query)
+        )
 
-    def took(self, sock: socket.socket) -> None:
-        self.callers[MemberConnection(self, sock)] = None
+    def on_accepted(self, sock: socket.socket) -> None:
+        self.connections[MemberConnection(self, sock)] = None
 
-    def left(self, caller: MemberConnection) -> None:
-        self.callers.pop(caller, None)
-        self.stand.left(caller)
+    def on_connection_closed(self, connection: MemberConnection) -> None:
+        self.connections.pop(connection, None)
+        self.stand_in.on_connection_closed(connection)
 
-    def block(self, does: bool) -> None:
-        """A cut link towards this side: nothing is read."""
-        if does is self.blocked:
+    def block(self, blocked: bool) -> None:
+        """Stop reading while the link to the stand-in is cut; close all connections when it is healed."""
+        if blocked is self.blocked:
             return
-        self.blocked = does
-        for caller in list(self.callers):
-            if does:
-                caller.lines.quiet(True)
+        self.blocked = blocked
+        for connection in list(self.connections):
+            if blocked:
+                connection.lines.quiet(True)
             else:
-                caller.lines.close()  # what was on its way is lost; a new connection comes up
-                self.left(caller)
+                connection.lines.close()  # requests in flight are lost; the member reconnects
+                self.on_connection_closed(connection)
 
     def close(self) -> None:
-        for caller in list(self.callers):
-            caller.lines.close()
+        for connection in list(self.connections):
+            connection.lines.close()
         self.loop.watch(self.sock.fileno(), 0, None)
         self.sock.close()
 
 
 class StandIn:
-    """A stand-in with a desk for each member."""
+    """A service with a listening socket for each member."""
 
     name = ""
 
     def __init__(self, loop: Loop, links: ProxiedLinks) -> None:
         self.loop, self.links = loop, links
-        self.desks: dict[str, MemberListener] = {}
-        self.polled = 0.0  # when the rig last looked what had come
+        self.listeners: dict[str, MemberListener] = {}
+        self.last_polled_at = 0.0  # when the cluster last polled its sockets
 
     def listener_for(self, member: str) -> MemberListener:
-        if member not in self.desks:
-            self.desks[member] = MemberListener(self, member)
-        return self.desks[member]
+        if member not in self.listeners:
+            self.listeners[member] = MemberListener(self, member)
+        return self.listeners[member]
 
-    def look(self) -> None:
-        """Links may have been cut or mended."""
-        for desk in self.desks.values():
-            desk.block(desk.way_there().cut)
+    def apply_link_faults(self) -> None:
+        """Block or unblock each listener after the link faults have changed."""
+        for listener in self.listeners.values():
+            listener.block(listener.request_fault().cut)
 
-    def asked(self, member: str, caller: MemberConnection, told: dict[str, str]) -> None:
+    def handle_request(self, member: str, connection: MemberConnection, query: dict[str, str]) -> None:
         raise NotImplementedError
 
-    def left(self, caller: MemberConnection) -> None:
+    def on_connection_closed(self, connection: MemberConnection) -> None:
         pass
 
     def close(self) -> None:
-        for desk in self.desks.values():
-            desk.close()
+        for listener in self.listeners.values():
+            listener.close()
 
 
 @dataclass(frozen=True)
 class Action:
-    at: float  # when it was read
-    not_before: float  # it came after this: the rig itself may have been late to read it
+    """One action of a duty's holder, as the ledger received it."""
+
+    at: float  # time at which it was read
+    not_before: float  # earliest possible arrival; it may have waited in the socket until it was read
     duty: str
     term: int
     member: str
     number: int
-    accepted: bool  # it took effect
-    newest_term: int  # the highest term seen before
+    accepted: bool  # false if a newer term had been seen before
+    newest_term: int  # highest term seen before
 
 
 class LedgerService(StandIn):
-    """What duties act on: takes an act unless it has seen a newer term."""
+    """The service that duties act on: accepts an action unless it has known_version a newer term."""
 
     name = "ledger"
 
     def __init__(self, loop: Loop, links: ProxiedLinks) -> None:
         super().__init__(loop, links)
         self.actions: list[Action] = []
-        self.newest: dict[str, int] = {}
-        self.silent = False  # takes calls and answers none
+        self.newest_terms: dict[str, int] = {}
+        self.silent = False  # accepts connections and does not answer
 
-    def asked(self, member: str, caller: MemberConnection, told: dict[str, str]) -> None:
+    def handle_request(self, member: str, connection: MemberConnection, query: dict[str, str]) -> None:
         if self.silent:
             return
-        duty, term = told.get("duty", ""), int(told.get("term", "0"))
-        newest = self.newest.get(duty, 0)
-        taken = term >= newest
-        self.newest[duty] = max(newest, term)
-        number = int(told.get("number", "0"))
+        duty, term = query.get("duty", ""), int(query.get("term", "0"))
+        newest = self.newest_terms.get(duty, 0)
+        accepted = term >= newest
+        self.newest_terms[duty] = max(newest, term)
+        number = int(query.get("number", "0"))
         self.actions.append(
-            Action(time.monotonic(), self.polled, duty, term, told.get("member", ""), number, taken, newest)
+            Action(
+                time.monotonic(),
+                self.last_polled_at,
+                duty,
+                term,
+                query.get("member", ""),
+                number,
+                accepted,
+                newest,
+            )
         )
-        caller.answer(200 if taken else 409)
+        connection.answer(200 if accepted else 409)
 
 
 class ListService(StandIn):
-    """Whole lists, watches, and who called when."""
+    """A list service: snapshots, deltas and watches, with a record of the calls."""
 
     name = "list"
 
@@ -207,66 +221,71 @@
         self.rows = {row["host"]: row for row in rows}
         self.versions: dict[str, int] = dict.fromkeys(self.rows, 1)
         self.version = 1
-        self.waiting: dict[MemberConnection, tuple[int, float]] = {}  # version that it has; until when
+        self.watches: dict[
+            MemberConnection, tuple[int, float]
+        ] = {}  # the version that the member knows, the deadline
         self.calls: list[tuple[float, str]] = []
-        self.sites: dict[str, str] = {}  # members that are told of the servers of one site only
+        self.sites: dict[str, str] = {}  # members that get the servers of one site only
         self.down = self.silent = self.frozen = False
         self.shown: bytes | None = None
-        loop.spawn(self.waits())
+        loop.spawn(self.expire_watches())
 
     def known(self) -> dict[str, Any]:
         return {"seq": self.version, "whole": True, "hosts": list(self.rows.values())}
 
-    def asked(self, member: str, caller: MemberConnection, told: dict[str, str]) -> None:
+    def handle_request(self, member: str, connection: MemberConnection, query: dict[str, str]) -> None:
         self.calls.append((time.monotonic(), member))
         if self.silent:
             return
         if self.down:
-            caller.answer(503)
+            connection.answer(503)
             return
-        seen, wait = int(told.get("index", "-1")), min(LONGEST_WAIT, int(told.get("wait", "0")) / 1000)
-        if seen < self.version and not self.frozen or seen < 0:
-            self.tell(caller, seen)
+        known_version, wait = (
+            int(query.get("index", "-1")),
+            min(MAX_WATCH_SECONDS, int(query.get("wait", "0")) / 1000),
+        )
+        if known_version < self.version and not self.frozen or known_version < 0:
+            self.answer_list(connection, known_version)
         else:
-            self.waiting[caller] = seen, self.loop.now + wait
+            self.watches[connection] = known_version, self.loop.now + wait
 
-    def tell(self, caller: MemberConnection, seen: int) -> None:
-        self.waiting.pop(caller, None)
-        whole = seen < 0
-        site = self.sites.get(caller.desk.member, "")
+    def answer_list(self, connection: MemberConnection, known_version: int) -> None:
+        self.watches.pop(connection, None)
+        is_snapshot = known_version < 0
+        site = self.sites.get(connection.listener.member, "")
         rows = [
             row
             for name, row in self.rows.items()
-            if (whole or self.versions[name] > seen) and site in ("", row["site"])
+            if (is_snapshot or self.versions[name] > known_version) and site in ("", row["site"])
         ]
-        caller.answer(200, orjson.dumps({"seq": self.version, "whole": whole, "hosts": rows}))
+        connection.answer(200, orjson.dumps({"seq": self.version, "whole": is_snapshot, "hosts": rows}))
 
-    def left(self, caller: MemberConnection) -> None:
-        self.waiting.pop(caller, None)
+    def on_connection_closed(self, connection: MemberConnection) -> None:
+        self.watches.pop(connection, None)
 
-    def waits(self) -> Generator[float, None, None]:
+    def expire_watches(self) -> Generator[float, None, None]:
         while True:
-            for caller, (seen, until) in list(self.waiting.items()):
+            for connection, (known_version, until) in list(self.watches.items()):
                 if until <= self.loop.now and not self.silent:
-                    self.tell(caller, seen)
+                    self.answer_list(connection, known_version)
             yield self.loop.now + 0.05
 
     def update_row(self, host: str, **values: Any) -> None:
-        """A server's row changes; who waits is told."""
+        """Change a server's row and answer the open watches with it."""
         self.version += 1
         self.rows[host] = {**self.rows[host], **values}
         self.versions[host] = self.version
         if not self.silent and not self.frozen:
-            for caller, (seen, _) in list(self.waiting.items()):
-                if not caller.desk.blocked:
-                    self.tell(caller, seen)
+            for connection, (known_version, _) in list(self.watches.items()):
+                if not connection.listener.blocked:
+                    self.answer_list(connection, known_version)
 
     def count_callers(self, since: float, until: float) -> int:
-        """How many members called in that span, or wait for news now."""
+        """Return the number of members that called in that interval or have an open watch now."""
         return len(self.waiting_members() | {member for at, member in self.calls if since <= at < until})
 
     def waiting_members(self) -> set[str]:
-        return {caller.desk.member for caller in self.waiting}
+        return {connection.listener.member for connection in self.watches}
 
     def calls_by_member(self) -> Counter[str]:
         return Counter(member for _, member in self.calls)
--- a/onyxhollow/lab/fleet/traffic.py
+++ b/onyxhollow/lab/fleet/traffic.py
@@ -1,5 +1,4 @@
-"""Sessions through the members while duties change hands: servers that echo, clients that number their
-lines."""
+"""Sessions through the proxies of a process cluster: echo servers, and clients that send numbered lines."""
 
 from __future__ import annotations
 
@@ -10,13 +9,15 @@
 from onyxhollow.lab.sockets.lines import Lines, accepting, listening
 from onyxhollow.loop import Loop
 
-EVERY = 0.1  # seconds from an echo to the next line
-REFUSED = 0.5  # seconds for which a client that was refused stays away
+LINE_INTERVAL_SECONDS = 0.1
+BUSY_BACKOFF_SECONDS = 0.5
 
 
 class EchoServer:
-    """Takes every session and gives its lines back; tells a load that grows with them. Over its capacity it
-    answers late: by `late` seconds for each time of it that it is over."""
+    """Accepts every session, echoes its lines and reports a load that grows with the number of sessions.
+
+    Above a load of 1, it delays each echo by `overload_delay` seconds times the excess load.
+    """
 
     def __init__(
         self, loop: Loop, base_load: float = 0.1, load_per_session: float = 0.01, overload_delay: float = 0.0
@@ -27,14 +28,14 @@
             load_per_session,
             overload_delay,
         )
-        self.silent, self.health_checks = False, 0  # silent: takes connections and answers nothing
+        self.silent, self.health_checks = False, 0  # silent: accepts connections and does not answer
         self.sock = listening(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
-        self.dialled: list[Dialled] = []
-        accepting(loop, self.sock, self.took)
+        self.connections: list[ServerConnection] = []
+        accepting(loop, self.sock, self.on_accepted)
 
-    def took(self, sock: socket.socket) -> None:
-        self.dialled.append(Dialled(self, sock))
+    def on_accepted(self, sock: socket.socket) -> None:
+        self.connections.append(ServerConnection(self, sock))
 
     @property
     def load(self) -> float:
@@ -42,32 +43,34 @@
 
     @property
     def open_sessions(self) -> int:
-        return sum(one.up and one.lines.open for one in self.dialled)
+        return sum(connection.established and connection.lines.open for connection in self.connections)
 
     def close(self) -> None:
-        for one in self.dialled:
-            one.lines.close()
+        for connection in self.connections:
+            connection.lines.close()
         self.loop.watch(self.sock.fileno(), 0, None)
         self.sock.close()
 
 
-class Dialled:
+class ServerConnection:
+    """One connection of a proxy to an echo server: a session, or health checks."""
+
     def __init__(self, server: EchoServer, sock: socket.socket) -> None:
-        self.server, self.up = server, False
-        self.lines = Lines(server.loop, sock, self.got, lambda _: None)
+        self.server, self.established = server, False
+        self.lines = Lines(server.loop, sock, self.on_line, lambda _: None)
 
-    def got(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         server = self.server
         if server.silent:
             return
-        if self.up:
-            behind = server.overload_delay * (server.load - 1.0) if server.overload_delay else 0.0
-            if behind > 0.0:
-                server.loop.spawn(self.say_late(line, behind))
+        if self.established:
+            delay = server.overload_delay * (server.load - 1.0) if server.overload_delay else 0.0
+            if delay > 0.0:
+                server.loop.spawn(self.echo_after(line, delay))
             else:
                 self.lines.say(line)
         elif line.startswith(b"OPEN"):
-            self.up = True
+            self.established = True
             self.lines.say(b"UP 1\r\n")
         elif line.startswith(b"STATS"):
             server.health_checks += 1
@@ -75,48 +78,50 @@
         else:
             self.lines.say(b"PONG\r\n")
 
-    def say_late(self, line: bytes, behind: float) -> Generator[float, None, None]:
-        yield from self.server.loop.sleep(behind)
+    def echo_after(self, line: bytes, delay: float) -> Generator[float, None, None]:
+        yield from self.server.loop.sleep(delay)
         self.lines.say(line)
 
 
 class Client:
-    """One connection that says a numbered line after each echo, and comes again when it is told to move."""
+    """A client that sends its number and its echo count at a fixed interval, and reconnects when asked to."""
 
     def __init__(self, loop: Loop, address: tuple[str, int], number: int) -> None:
         self.loop, self.address, self.number = loop, address, number
-        self.lives = self.echoes = self.moves = self.lost_sessions = self.unexpected_lines = 0
-        self.anomalies: deque[str] = deque(maxlen=8)  # what was wrong or lost, and when
-        self.up = self.over = False
-        self.away_until = 0.0
-        self.echoed_at = 0.0  # on the loop's clock
+        self.connection_count = self.echoes = self.moves = self.lost_sessions = self.unexpected_lines = 0
+        self.anomalies: deque[str] = deque(maxlen=8)  # unexpected lines and lost sessions, with their times
+        self.established = self.closed = False
+        self.retry_at = 0.0
+        self.echoed_at = 0.0  # on the event loop's clock
         self.lines: Lines | None = None
         loop.spawn(self.run())
 
     def run(self) -> Generator[float, None, None]:
-        while not self.over:
+        while not self.closed:
             if self.lines is None or not self.lines.open:
-                if self.loop.now >= self.away_until:
-                    self.dial()
-            elif self.up:
+                if self.loop.now >= self.retry_at:
+                    self.connect()
+            elif self.established:
                 self.lines.say(b"line %d %d\r\n" % (self.number, self.echoes))
-            due = self.loop.now + EVERY
-            while self.loop.now < due:
-                yield due
+            next_line_at = self.loop.now + LINE_INTERVAL_SECONDS
+            while self.loop.now < next_line_at:
+                yield next_line_at
 
-    def dial(self) -> None:
-        self.lives, self.up = self.lives + 1, False
+    def connect(self) -> None:
+        self.connection_count, self.established = self.connection_count + 1, False
         sock = socket.socket()
         sock.setblocking(False)
         if sock.connect_ex(self.address) not in (0, 115):
             sock.close()
             return
-        self.lines = Lines(self.loop, sock, self.got, self.ended)
-        self.lines.say(b"OPEN c%dx%d k%d c=chat,d=1500\r\n" % (self.number, self.lives, self.number))
+        self.lines = Lines(self.loop, sock, self.on_line, self.on_closed)
+        self.lines.say(
+            b"OPEN c%dx%d k%d c=chat,d=1500\r\n" % (self.number, self.connection_count, self.number)
+        )
 
-    def got(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         if line.startswith(b"UP"):
-            self.up = True
+            self.established = True
         elif line.startswith(b"MOVE"):
             self.moves += 1
             if self.lines:
@@ -127,16 +132,20 @@
         else:
             self.unexpected_lines += 1
             if line.startswith(b"BUSY"):
-                self.away_until = self.loop.now + REFUSED
-            self.anomalies.append(f"{self.loop.now:.3f} life {self.lives} up {self.up}: {line[:60]!r}")
-
-    def ended(self, _: bool) -> None:
-        if self.up:
-            self.anomalies.append(f"{self.loop.now:.3f} life {self.lives}: ended after {self.echoes} echoes")
-        self.lost_sessions += self.up
-        self.up = False
+                self.retry_at = self.loop.now + BUSY_BACKOFF_SECONDS
+            self.anomalies.append(
+                f"{self.loop.now:.3f} connection {self.connection_count} up {self.established}: {line[:60]!r}"
+            )
+
+    def on_closed(self, _: bool) -> None:
+        if self.established:
+            self.anomalies.append(
+                f"{self.loop.now:.3f} connection {self.connection_count}: closed after {self.echoes} echoes"
+            )
+        self.lost_sessions += self.established
+        self.established = False
 
     def close(self) -> None:
-        self.over = True
+        self.closed = True
         if self.lines:
             self.lines.close()
