--- a/onyxhollow/lab/fleet/__init__.py
+++ b/onyxhollow/lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fault rig: processes of the program with a relay between them, and a judge that reads their record."""
+"""Clusters of real processes with injected faults, checked by the invariants of their logs."""
--- a/onyxhollow/lab/fleet/address_explorer.py
+++ b/onyxhollow/lab/fleet/address_explorer.py
@@ -1,12 +1,14 @@
-"""The cores of shared addresses under a bounded number of faults put at every place.
+"""Systematic exploration of the shared-address protocol with one or two faults at every possible point.
 
-Delay-bounded exploration (Emmi, Qadeer, Rakamaric, 2011), as for duties: a course goes its plain way but for
-a fault or two, and each run with the faults at any place is played. A place is a message of the window (lost,
-late past a dwell, twice) or a step of it (keeper or announcer stopped past its lease and woken, a site cut
-off, two voters away, a daemon that restarts). Evidence is left out of the messages: three members tell it
-each step, so that one more or less changes nothing that the courses do not; the walk (wander.py) loses it.
+This is delay-bounded exploration (Emmi, Qadeer, Rakamaric, 2011), as for duties (explore.py): a scenario is
+deterministic except for one or two faults, and it is run with the faults at each point. A point is a message
+within the window (lost, delayed past a dwell, or duplicated) or a step of it (controller or announcer stopped
+past its lease and resumed, a site cut off, two voters away, a routing daemon restarted). Messages with
+evidence get no fault: three members send it at each step, so that one message more or less has no effect.
+The random walk (wander.py) does lose them.
 
-Three sites, two addresses, three voters, as in the walk, whose world and properties these are; no chance.
+The world and its invariants are those of the random walk, with three sites, two addresses and three voters.
+Nothing is random here.
 """
 
 from __future__ import annotations
@@ -20,49 +22,66 @@
 from onyxhollow.addresses.messages import HealthReport, Override
 from onyxhollow.lab.fleet.wander import SITES, STEP, VOTERS, Member, World
 
-SETTLE = 24  # steps until all advertise all
-WINDOW = 44  # steps in which faults may come
-REST = 140  # steps of quiet after it, at the end of which all has to be as it should
-SPAN = 12  # steps for which a fault of a step lasts: past a lease, and past each dwell
-FATES = ("lost", "late", "twice")
-LONG_STOP = 32  # steps for which an announcer may be stopped in the middle of a call
-LATE = 8.0  # seconds: past a withdrawal and the way back
-Harm = tuple[str, int]  # what, and at which message or step
+SETTLE_STEPS = 24  # until all sites advertise all addresses
+WINDOW_STEPS = 44  # in which faults may occur
+RECOVERY_STEPS = 140  # without faults, after which `settled` checks the final state
+FAULT_STEPS = 12  # duration of a fault at a step: longer than a lease and than each dwell
+MESSAGE_FAULTS = ("lost", "late", "twice")
+LONG_STOP_STEPS = 32  # for which an announcer may be stopped during a call
+LATE_SECONDS = 8.0  # longer than a withdrawal and its restore
+Fault = tuple[str, int]  # kind, number of the message or step
 
 
-class Plain(Random):
-    """No chance: messages come in the middle of their time, in the order in which they went."""
+class ConstantRandom(Random):
+    """A random stream that always returns 0.5, so that equal delays keep the order of messages."""
 
     def random(self) -> float:
         return 0.5
 
 
-def ill(site: str, health: float = 0.0) -> Callable[[World], None]:
+def set_health(site: str, health: float = 0.0) -> Callable[[World], None]:
     def change(world: World) -> None:
         world.places[site].health = health
 
     return change
 
 
-def told(verb: str, site: str, number: int) -> Callable[[World], None]:
+def give_override(verb: str, site: str, number: int) -> Callable[[World], None]:
     def change(world: World) -> None:
-        order = Override(f"o{number}", number, verb, "", site, "w", "y", world.now, world.now + 10.0)
+        override = Override(f"o{number}", number, verb, "", site, "w", "y", world.now, world.now + 10.0)
         for voter in VOTERS[:2]:
-            world.books[voter].add(order, world.now, world.now)
+            world.books[voter].add(override, world.now, world.now)
 
     return change
 
 
-# What happens in the window anyhow, by step.
+# Events of each scenario besides the faults, by step of the window.
 SCENARIOS: dict[str, dict[int, Callable[[World], None]]] = {
-    "one ill and back": {2: ill("a"), 20: ill("a", 1.0)},
-    "two ill together": {2: ill("a"), 3: ill("b", 0.3), 24: ill("b", 1.0)},
-    "a drain, and another ill": {2: told("drain", "a", 1), 6: ill("b"), 26: ill("b", 1.0)},
-    "all ill, one back": {2: ill("a"), 4: ill("b"), 6: ill("c"), 20: ill("c", 1.0)},
-    "orders for all": {2: told("drain", "a", 1), 5: told("exclude", "b", 2), 8: told("drain", "c", 3)},
-    "two excluded, the last ill": {2: told("exclude", "b", 1), 4: told("exclude", "c", 2), 20: ill("a")},
+    "one ill and back": {2: set_health("a"), 20: set_health("a", 1.0)},
+    "two ill together": {2: set_health("a"), 3: set_health("b", 0.3), 24: set_health("b", 1.0)},
+    "a drain, and another ill": {
+        2: give_override("drain", "a", 1),
+        6: set_health("b"),
+        26: set_health("b", 1.0),
+    },
+    "all ill, one back": {
+        2: set_health("a"),
+        4: set_health("b"),
+        6: set_health("c"),
+        20: set_health("c", 1.0),
+    },
+    "orders for all": {
+        2: give_override("drain", "a", 1),
+        5: give_override("exclude", "b", 2),
+        8: give_override("drain", "c", 3),
+    },
+    "two excluded, the last ill": {
+        2: give_override("exclude", "b", 1),
+        4: give_override("exclude", "c", 2),
+        20: set_health("a"),
+    },
 }
-STEPS: tuple[str, ...] = (
+STEP_FAULTS: tuple[str, ...] = (
     "stop keeper",
     "voters away",
     *(f"{what} {site}" for what in ("stop announcer", "long stop", "cut", "speaker") for site in SITES),
@@ -71,90 +90,97 @@
 
 @dataclass
 class Count:
+    """Result of an exploration."""
+
     runs: int = 0
     messages: int = 0
-    cut_off: bool = False  # time ended before all places were tried
+    cut_off: bool = False  # the time limit was reached before all points were tried
     broken: list[str] = field(default_factory=list)
 
 
 class ExploredWorld(World):
-    def __init__(self, harms: Iterable[Harm]) -> None:
+    """The world of the random walk, with faults at given points instead of random ones."""
+
+    def __init__(self, faults: Iterable[Fault]) -> None:
         super().__init__(0)
-        self.rng = Plain(0)
-        self.quiet = True  # the world's own chance is off
-        self.open = False  # whether places are counted
-        self.at_message = {number: fate for fate, number in harms if fate in FATES}
+        self.rng = ConstantRandom(0)
+        self.quiet = True  # no random faults
+        self.window_open = False  # messages within the window are counted and may get a fault
+        self.at_message = {number: fate for fate, number in faults if fate in MESSAGE_FAULTS}
         self.at_step: dict[int, list[str]] = {}
-        for what, number in harms:
-            if what not in FATES:
+        for what, number in faults:
+            if what not in MESSAGE_FAULTS:
                 self.at_step.setdefault(number, []).append(what)
-        self.ends: dict[int, list[Callable[[], None]]] = {}
+        self.fault_ends: dict[int, list[Callable[[], None]]] = {}
         self.sent = 0
 
     def fate(self) -> str:
-        """Of the next message of the window; "": it comes as it should."""
-        self.sent += self.open
-        return self.at_message.get(self.sent, "") if self.open else ""
+        """Return the fault of the next message of the window, or an empty string."""
+        self.sent += self.window_open
+        return self.at_message.get(self.sent, "") if self.window_open else ""
 
     def send(self, call: Callable[[], None], cut: bool = False) -> None:
         if cut:
             return
-        evidence = any(isinstance(one, HealthReport) for one in getattr(call, "args", ()))
+        evidence = any(isinstance(argument, HealthReport) for argument in getattr(call, "args", ()))
         fate = "" if evidence else self.fate()
         if fate != "lost":
-            self.later(LATE if fate == "late" else 0.05, call)
+            self.later(LATE_SECONDS if fate == "late" else 0.05, call)
         if fate == "twice":
-            self.later(LATE, call)
+            self.later(LATE_SECONDS, call)
 
     def to_gate(self, holder: Member, arrive: Callable[[], None]) -> None:
-        """A call that is not answered at once may still come, before others or after them."""
+        """Deliver a call to the route guard; a late one may arrive before or after other calls."""
         fate = self.fate()
 
-        def when_woken() -> None:
-            if holder.stopped_until > self.now:  # stopped in the middle of it: it goes on when it is woken
-                self.later(holder.stopped_until - self.now + STEP, when_woken)
+        def when_resumed() -> None:
+            if holder.stopped_until > self.now:  # stopped during the call: it continues on resume
+                self.later(holder.stopped_until - self.now + STEP, when_resumed)
             else:
                 arrive()
 
-        for late in {"": (0.01,), "lost": (), "late": (LATE,), "twice": (0.01, LATE)}[fate]:
-            self.later(late, when_woken)
+        for delay in {"": (0.01,), "lost": (), "late": (LATE_SECONDS,), "twice": (0.01, LATE_SECONDS)}[fate]:
+            self.later(delay, when_resumed)
 
-    def harm(self, what: str, step: int) -> None:
+    def apply_step_fault(self, what: str, step: int) -> None:
         kind, _, name = what.rpartition(" ")
-        over = self.ends.setdefault(step + SPAN, [])
+        ends = self.fault_ends.setdefault(step + FAULT_STEPS, [])
         if what == "stop keeper":
             if keeper := self.keeper():
-                keeper.stopped_until = self.now + SPAN * STEP
+                keeper.stopped_until = self.now + FAULT_STEPS * STEP
         elif what == "voters away":
             self.away = set(VOTERS[:2])
-            over.append(self.away.clear)
+            ends.append(self.away.clear)
         elif kind in ("stop announcer", "long stop"):
             if holders := self.places[name].announcers:
-                holders[-1].stopped_until = self.now + (LONG_STOP if kind == "long stop" else SPAN) * STEP
+                holders[-1].stopped_until = (
+                    self.now + (LONG_STOP_STEPS if kind == "long stop" else FAULT_STEPS) * STEP
+                )
         else:
             place, label = self.places[name], "cut" if kind == "cut" else "speaker"
             setattr(place, label, kind == "cut")
-            over.append(lambda: setattr(place, label, kind != "cut"))
+            ends.append(lambda: setattr(place, label, kind != "cut"))
 
-    def course(self, name: str) -> list[str]:
-        for _ in range(SETTLE):
+    def run_scenario(self, name: str) -> list[str]:
+        """Run a scenario with this world's faults, and return the violations."""
+        for _ in range(SETTLE_STEPS):
             self.step()
-        self.open = True
-        for step in range(WINDOW):
+        self.window_open = True
+        for step in range(WINDOW_STEPS):
             if change := SCENARIOS[name].get(step):
                 change(self)
             for what in self.at_step.get(step, ()):
-                self.harm(what, step)
-            for over in self.ends.pop(step, ()):
-                over()
+                self.apply_step_fault(what, step)
+            for end_fault in self.fault_ends.pop(step, ()):
+                end_fault()
             self.step()
             if self.broken:
                 return self.broken
-        self.open = False
-        for rows in self.ends.values():
-            for over in rows:
-                over()
-        for _ in range(REST):
+        self.window_open = False
+        for rows in self.fault_ends.values():
+            for end_fault in rows:
+                end_fault()
+        for _ in range(RECOVERY_STEPS):
             self.step()
             if self.broken:
                 return self.broken
@@ -162,37 +188,40 @@
         return self.broken
 
 
-def places(name: str) -> tuple[list[Harm], list[Harm]]:
-    """All faults of one message, and all of one step, for a course as it goes without any."""
-    plain = ExploredWorld(())
-    if plain.course(name):
-        return [], []  # it breaks without any: the plan of none tells
-    messages = [(fate, number + 1) for number in range(plain.sent) for fate in FATES]
-    return messages, [(what, step) for step in range(WINDOW) for what in STEPS]
+def fault_points(name: str) -> tuple[list[Fault], list[Fault]]:
+    """Return all single faults of messages and all of steps that are possible in a scenario."""
+    baseline = ExploredWorld(())
+    if baseline.run_scenario(name):
+        return [], []  # a violation without faults: the empty plan reports it
+    messages = [(fate, number + 1) for number in range(baseline.sent) for fate in MESSAGE_FAULTS]
+    return messages, [(what, step) for step in range(WINDOW_STEPS) for what in STEP_FAULTS]
 
 
-def plans(name: str, faults: int, every: int) -> Iterator[tuple[Harm, ...]]:
-    messages, steps = places(name)
+def plans(name: str, faults: int, every: int) -> Iterator[tuple[Fault, ...]]:
+    """Yield the empty plan, then all single faults, then pairs of step faults."""
+    messages, steps = fault_points(name)
     yield ()
     singles = steps[::every] + messages[::every]
-    for one in singles:
-        yield (one,)
+    for fault in singles:
+        yield (fault,)
     if faults > 1:
         yield from combinations(steps[::every], 2)
 
 
 def explore(name: str, faults: int = 1, every: int = 1, seconds: float = 1e9) -> Count:
-    """Plays a course with up to `faults` faults at each place (of two, both of steps); every: only each n-th
-    place, for a quick look."""
-    found, until = Count(), time.monotonic() + seconds
+    """Run a scenario with up to `faults` faults at each point; pairs are of step faults only.
+
+    With `every` above 1, only each n-th point is tried.
+    """
+    result, until = Count(), time.monotonic() + seconds
     for plan in plans(name, faults, every):
         if time.monotonic() > until:
-            found.cut_off = True
+            result.cut_off = True
             break
         world = ExploredWorld(plan)
-        broken = world.course(name)
-        found.runs += 1
-        found.messages += world.sent
-        if broken and len(found.broken) < 5:
-            found.broken.append(f"{name} {plan}: {broken[0]}")
-    return found
+        violations = world.run_scenario(name)
+        result.runs += 1
+        result.messages += world.sent
+        if violations and len(result.broken) < 5:
+            result.broken.append(f"{name} {plan}: {violations[0]}")
+    return result
--- a/onyxhollow/lab/fleet/bug_detection.py
+++ b/onyxhollow/lab/fleet/bug_detection.py
@@ -1,4 +1,4 @@
-"""Whether the rig finds a bug that was put in: faults that make it bite, until the judge says so."""
+"""Detect injected bugs on a process cluster, with the faults that make each bug violate an invariant."""
 
 from __future__ import annotations
 
@@ -7,33 +7,39 @@
 from onyxhollow.lab.fleet.process_cluster import ProcessCluster
 from onyxhollow.lab.fleet.record import ACTION_TOLERANCE_SECONDS, Verdict
 
-TRIES = 8
-FREQUENT_DUTY = {"name": "ledger", "work": "call", "every": 0.02}  # so often that an act is what comes next
+MAX_ATTEMPTS = 8
+FREQUENT_DUTY = {
+    "name": "ledger",
+    "work": "call",
+    "every": 0.02,
+}  # a resumed holder's next event is an action
 
 
 def stop_isolated_holder(cluster: ProcessCluster, holder: str) -> None:
-    """Stopped past its lease, with nothing waiting to be read when it is woken: what it finds first is its
-    act."""
+    """Stop an isolated holder until after its lease, and resume it.
+
+    No datagram is waiting when it resumes, so the first thing that it does is its next action.
+    """
     cluster.cut([holder], cluster.names)
     cluster.run_for(0.05)
     cluster.stop(holder)
     cluster.wait_holder(other_than=holder)
-    cluster.run_for(2 * ACTION_TOLERANCE_SECONDS)  # so that the judge can tell
+    cluster.run_for(2 * ACTION_TOLERANCE_SECONDS)  # longer than the tolerance for late actions
     cluster.resume(holder)
 
 
 def hand_to(cluster: ProcessCluster, holder: str, to: str) -> str:
-    """The holder after a hand-over.
+    """Hand the lease over to a member, and return the next holder.
 
-    A member whose clock is fast holds for less than its voters grant, whatever margin it keeps, and fast ones
-    win the races for leases that have run out: only a slow one shows that the margin is missing.
+    A member with a fast clock ends its lease before its voters do, with or without a margin, and fast members
+    usually win the election after an expired lease. Only a slow holder reveals a missing margin.
     """
     cluster.query(holder, f"/hand-over?name=ledger&to={to}", "POST")
     return cluster.wait_holder(other_than=holder, within=30)
 
 
 def detect_bug(name: str, folder: Path) -> str:
-    """What the judge says of a fleet with a bug in it; "": nothing."""
+    """Return the first violation of a fleet with this bug in every member, or an empty string."""
     rates = {"n0": 0.9, "n1": 1.1, "n2": 1.1, "n3": 0.9}
     cluster = ProcessCluster(
         folder, members=4, lease=1.0, rate_bound=0.1 if name == "no-margin" else 0.01, duties=[FREQUENT_DUTY]
@@ -43,14 +49,14 @@
             {"rate": rates[member]} if name == "no-margin" else {}
         )
 
-    def said(verdict: Verdict) -> str:
+    def first_violation(verdict: Verdict) -> str:
         return next(iter(verdict.overlaps + verdict.late + verdict.stale + verdict.falling), "")
 
     try:
         cluster.start()
         cluster.wait_members()
         cluster.wait_holder()
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             holder = cluster.wait_holder(within=30)
             if name == "overlaps":
                 to = next(member for member in cluster.names if member != holder)
@@ -71,8 +77,8 @@
                 cluster.run_for(2.5)
                 cluster.heal(rules)
                 cluster.run_for(1.0)
-            if told := said(cluster.verdict()):
-                return told
+            if violation := first_violation(cluster.verdict()):
+                return violation
         return ""
     finally:
         cluster.close()
--- a/onyxhollow/lab/fleet/injected_bugs.py
+++ b/onyxhollow/lab/fleet/injected_bugs.py
@@ -1,4 +1,4 @@
-"""Bugs put in on purpose: the explorer and the rig have to find each of them."""
+"""Deliberate bugs that the state explorer and the process cluster have to detect."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def forgets() -> None:
-    """A voter that starts anew as if nothing had been granted."""
+    """Let a restarted voter forget its grants and serve without recovery."""
 
     def restore(self: Voter, records: Iterable[Message], now: float) -> None:
         self.recovering = False
@@ -21,12 +21,12 @@
 
 
 def no_margin() -> None:
-    """A holder that trusts its clock to run as the voters' do."""
+    """Let a holder use the full lease duration, without the margin for clocks of different rates."""
     LeaseTiming.holder_span = property(lambda self: self.duration)  # type: ignore[assignment]
 
 
 def no_look() -> None:
-    """An act without a look at the clock: what was held at the last turn is taken as held."""
+    """Let a holder act without checking whether its lease has expired since the last tick."""
 
     def holds(self: Candidate, now: float) -> bool:
         return self.state is CandidateState.HOLDING
@@ -35,14 +35,14 @@
 
 
 def overlaps() -> None:
-    """A hand-over that tells the voters and goes on to the end of its lease."""
+    """Let a holder send its release to the voters, but keep acting until its lease expires."""
 
     def end(self: Candidate, now: float, cause: str, pause: float = 0.0) -> list[VoterMessage]:
         if cause == "lease ran out":
-            return true_end(self, now, cause, pause)
+            return original_end(self, now, cause, pause)
         return self.release_notices() if self.state is CandidateState.HOLDING else []
 
-    true_end = Candidate.end
+    original_end = Candidate.end
     Candidate.end = end  # type: ignore[method-assign]
 
 
@@ -55,4 +55,5 @@
 
 
 def inject(name: str) -> None:
+    """Patch the code of this process with the named bug."""
     BUGS[name]()
--- a/tests/test_address_schedules.py
+++ b/tests/test_address_schedules.py
@@ -17,7 +17,8 @@
 
 def test_an_announcer_stopped_during_a_restore_does_not_cause_the_last_site_to_be_withdrawn():
     assert (
-        address_explorer.ExploredWorld((("stop announcer b", 19),)).course("two excluded, the last ill") == []
+        address_explorer.ExploredWorld((("stop announcer b", 19),)).run_scenario("two excluded, the last ill")
+        == []
     )
 
 
