--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -149,7 +149,7 @@
                 moves = [
                     moved_at
                     for partner in sites.internet.partners
-                    for moved_at, target in partner.moves
+                    for moved_at, target in partner.site_changes
                     if moved_at >= started_at and target != zone
                 ]
                 self.move_times.append(max(moves, default=started_at) - started_at)
