--- a/onyxhollow/addresses/file.py
+++ b/onyxhollow/addresses/file.py
@@ -72,7 +72,7 @@
     flap_half_life: Positive = 300.0
     recovery_step: NotNegative = field(default=5.0, name="step")  # at the lowered preference during a restore
     max_utilization: Ratio = field(default=0.9, name="fill")  # of a site's capacity, including moved sessions
-    drain_for: Positive = 60.0  # a drain ends with a withdrawal after this time at the latest
+    drain_for: Positive = 60.0  # then a drain becomes a withdrawal, even if sessions still arrive
     # A drain is complete when the arrival rate has fallen to this share of the rate before the drain.
     drained_ratio: Ratio = field(default=0.1, name="drained")
     cut_off_after: Positive = 10.0  # without an assignment from a controller
--- a/onyxhollow/addresses/messages.py
+++ b/onyxhollow/addresses/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-MAX_PAGE_BYTES = 900  # rows in one message; the rest of a datagram is for the seal, names and other messages
+MAX_PAGE_BYTES = 900  # rows in one message; the rest is for authentication code, names and other messages
 T = TypeVar("T")
 
 
--- a/onyxhollow/addresses/routes.py
+++ b/onyxhollow/addresses/routes.py
@@ -18,7 +18,7 @@
     """How a route is announced; the numbers are sent to other members and stored on disk."""
 
     WITHDRAWN = 0
-    LOWERED = 1  # announced for graceful shutdown (RFC 8326): before a withdrawal and after a restore
+    LOWERED = 1  # announced for graceful shutdown (RFC 8326): before a withdrawal and during a restore
     ADVERTISED = 2
 
     @property
--- a/onyxhollow/addresses/rules.py
+++ b/onyxhollow/addresses/rules.py
@@ -102,7 +102,8 @@
     def find_obstacle(self, route: RouteState, share: float = 1.0) -> Obstacle | None:
         """Return why `share` of the route's sessions must not move, or None if they may (rule 3).
 
-        The reason is that too few other sites advertise the address, or that they lack the capacity.
+        The reason is that too few other sites advertise the address, that none of them is usable, or that
+        they lack the capacity.
         """
         others = self.other_advertisers(route)
         usable = self.usable_advertisers(route)
--- a/onyxhollow/fleet/address_tables.py
+++ b/onyxhollow/fleet/address_tables.py
@@ -10,11 +10,8 @@
 from onyxhollow.fleet.commands import CallError
 
 VIEW_COLUMNS = ("address", "site", "standing", "for", "health", "sessions", "of", "flaps", "notes")
-PREFERENCES = (
-    "withdrawn",
-    "lesser",
-    "advertised",
-)  # by number; importing Preference would load the fleet's libraries
+# By number; importing Preference would load the fleet's libraries.
+PREFERENCES = ("withdrawn", "lesser", "advertised")
 HISTORY_COLUMNS = ("when", "what", "address", "site", "why", "evidence")
 JsonObject = dict[str, Any]  # a response; docs/addresses.md lists the keys
 
--- a/onyxhollow/fleet/drain_broadcast.py
+++ b/onyxhollow/fleet/drain_broadcast.py
@@ -1,4 +1,4 @@
-"""Broadcasts of draining endpoints, which all members need at once, even if their publisher is behind."""
+"""Broadcasts of draining endpoints, which all members need at once, whichever publisher they follow."""
 
 from __future__ import annotations
 
--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -38,7 +38,7 @@
 
 LIST_PAYLOAD = 2  # kind of payloads and broadcasts that carry a list message
 MIN_SNAPSHOT_INTERVAL_SECONDS = 0.2  # between two snapshots for the same member
-MAX_RESUME_DELAY_FRACTION = 0.25  # limits the random delay before polling; of the maximum poll interval
+MAX_RESUME_DELAY_FRACTION = 0.25  # of the maximum poll interval: longest random delay before polling again
 MAX_LOGGED_HOSTS = 24
 
 # Names of the counters in /control/fleet.
@@ -228,8 +228,8 @@
             )
 
     def _is_new_drain(self, record: Record) -> bool:
-        known = self.watch.records.get(record["host"])
-        return known is not None and known.get("health") not in (record["health"], "left")
+        current = self.watch.records.get(record["host"])
+        return current is not None and current.get("health") not in (record["health"], "left")
 
     def _apply(self, change: ListChange) -> bool:
         """Apply a change to the watch like an answer of the list service; return whether it was valid."""
--- a/onyxhollow/fleet/list_subscriber.py
+++ b/onyxhollow/fleet/list_subscriber.py
@@ -194,7 +194,7 @@
         return ResyncRequest(self.role, self.term, self.source, version)
 
     def _on_outdated_heartbeat(self, term: int, now: float) -> None:
-        """Reject a publisher whose version has been outdated for too long; until then continue polling."""
+        """Reject a publisher that has been outdated for too long; its heartbeats do not suspend polling."""
         self.behind_since = min(self.behind_since, now)
         if now - self.behind_since > MAX_PUBLISHER_LAG_SECONDS:
             self.rejected_term = term
--- a/onyxhollow/gossip/connection_counts.py
+++ b/onyxhollow/gossip/connection_counts.py
@@ -22,7 +22,7 @@
 # A member's count is limited to the mean of the other members' counts times the factor, plus the margin.
 PLAUSIBLE_FACTOR = 8.0
 PLAUSIBLE_MARGIN = 8.0
-MIN_COUNTS_TO_COMPARE = 3  # with fewer counts, none is limited
+MIN_COUNTS_TO_COMPARE = 3  # fewer counts do not show what is plausible, so none is limited
 
 # Counter names in /control/fleet.
 COUNTS_OF_NON_MEMBER = "counts of one who is not there"
@@ -78,7 +78,7 @@
         self.received: dict[str, dict[int, ReceivedCount]] = {}  # by endpoint and epoch
 
     def on_counts(self, epoch: int, message: ConnectionCounts, now: float) -> None:
-        """Store a member's counts, also for endpoints not owned yet, since rankings differ in time."""
+        """Store a member's counts, also for endpoints not owned yet: others may have ranked earlier."""
         if epoch not in self.ownership.members:
             self.counters[COUNTS_OF_NON_MEMBER] += 1
             return
--- a/onyxhollow/gossip/evidence_table.py
+++ b/onyxhollow/gossip/evidence_table.py
@@ -1,8 +1,9 @@
 """Stores the newest accepted report on each endpoint and selects the reports for push gossip.
 
-Push gossip (Demers et al., 1987) sends the reports that were sent least often and are newest first. The
-number of datagrams per second does not depend on the fleet's size. Reports are not trusted: a report must
-come from one of the highest-ranked owners of the endpoint, and reports with values out of range are dropped.
+Push gossip (Demers et al., 1987) sends the reports that were sent least often first, and of these the newest
+first. The number of datagrams per second does not depend on the fleet's size. Reports are not trusted: a
+report must come from one of the highest-ranked owners of the endpoint, and reports with values out of range
+are dropped.
 """
 
 from __future__ import annotations
--- a/onyxhollow/gossip/ownership.py
+++ b/onyxhollow/gossip/ownership.py
@@ -21,7 +21,7 @@
 
 OWNERS_PER_ENDPOINT = 2  # owner and deputy, which receive the connection counts
 ACCEPTED_OWNERS_PER_ENDPOINT = 3  # members whose reports are accepted
-MAX_ENDPOINTS = 4096  # further endpoints are left out of gossip
+MAX_ENDPOINTS = 4096  # for further endpoints a proxy has only its own measurements, none from gossip
 MIN_RANKING_INTERVAL_SECONDS = 0.5  # ranking 1000 members for 1000 endpoints takes a third of a second
 FIRST_REPORT_DELAY_INTERVALS = 2.0  # report intervals between taking over an endpoint and the first report
 MAX_LOAD_UNITS = 20 * LOAD_UNITS  # higher loads are invalid
--- a/onyxhollow/leases/voter.py
+++ b/onyxhollow/leases/voter.py
@@ -10,7 +10,7 @@
 - A term is granted to a single candidate, and only if it is higher than every earlier term. Any two
   majorities have a voter in common, which orders their terms, so terms increase from holder to holder.
 - Grants survive a restart. A voter that restarts with its records treats each lease as granted at the
-  restart. A voter without records does not have the terms that were granted. It is *recovering*: it waits for
+  restart. A voter without records has lost the terms that were granted. It is *recovering*: it waits for
   the longest lease to expire and queries the other voters, and grants nothing until enough of them have
   responded.
 - A change of the voter set is a proposal under the term of VOTERS_ROLE (single-decree Paxos with that term as
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UndoState:
-    """State that the latest message changed, as it was before the change."""
+    """State before the latest vote or accepted proposal."""
 
     role: str
     slot: VoterSlot | None
@@ -146,9 +146,9 @@
         return records if self.recovering else [*records, RecoveryCompleted()]
 
     def undo(self) -> None:
-        """Revert the latest message because its records could not be stored.
+        """Revert the latest vote or accepted proposal because its record could not be stored.
 
-        The responses to that message must not be sent.
+        The response must not be sent either. Releases and committed voter sets are not reverted.
         """
         before = self._undo_state
         if before is None:
@@ -171,8 +171,9 @@
         """Send state queries or complete the recovery; has no effect unless the voter is recovering."""
         if not self.recovering or self.name not in self.voter_set.names:
             return RecoveryOutput([], [])
-        # A majority of peers with records includes a member of every majority that this voter was part of.
-        # If all peers have responded, no further information can arrive, even if they are recovering too.
+        # As many peers with records as form a majority include another member of every majority that this
+        # voter was part of. If all peers have responded, no further information can arrive, even if they are
+        # recovering too.
         peers_with_records = sum(1 for name in self.peers if self.peer_recovering.get(name) is False)
         all_responded = all(name in self.peer_recovering for name in self.peers)
         if now >= self.no_grants_before and (peers_with_records >= self.voter_set.majority or all_responded):
@@ -210,8 +211,8 @@
         if isinstance(message, ReleaseNotice):
             return self._on_release(message)
         if isinstance(message, StateQuery):
-            known = {role: KnownTerm(slot.term, slot.holder) for role, slot in self.slots.items()}
-            response = StateResponse(message.round, self.recovering, known, self.voter_set)
+            known_terms = {role: KnownTerm(slot.term, slot.holder) for role, slot in self.slots.items()}
+            response = StateResponse(message.round, self.recovering, known_terms, self.voter_set)
             return VoterOutput([response], [])
         if isinstance(message, ReconfigurationRequest):
             return self._on_reconfiguration(message)
--- a/onyxhollow/membership/datagram_authenticator.py
+++ b/onyxhollow/membership/datagram_authenticator.py
@@ -143,7 +143,8 @@
         if (packet.name, packet.epoch) == (self.name, self.epoch):
             return DropReason.OWN
         if packet.receiver_epoch not in (0, self.epoch):
-            return DropReason.OTHER_RECEIVER  # meant for an earlier process of this name
+            # Meant for an earlier process of this name, so it must have no effect on this one.
+            return DropReason.OTHER_RECEIVER
         if not self._is_first(packet):
             return DropReason.REPLAYED
         return None
--- a/onyxhollow/topology/gather.py
+++ b/onyxhollow/topology/gather.py
@@ -53,9 +53,9 @@
         while chunk := response.read1(READ_SIZE_BYTES):
             body += chunk
             if len(body) > MAX_BODY_BYTES:
-                raise ValueError(f"more than {MAX_BODY_BYTES >> 20} MiB")
+                raise ValueError(f"expected at most {MAX_BODY_BYTES >> 20} MiB, got more")
             if time.monotonic() > deadline:
-                raise TimeoutError("too slow")
+                raise TimeoutError("expected the whole response before the deadline, got a part")
         return response.status, bytes(body)
     finally:
         connection.close()
@@ -90,7 +90,7 @@
             return UnreachableMember(target, f"status {status}{note}")
         body = json.loads(content)
         if not isinstance(body, dict):
-            return UnreachableMember(target, "expected an object")
+            return UnreachableMember(target, f"expected a JSON object, got {type(body).__name__}")
         addresses: list[JsonRow] = []
         if with_addresses:
             try:
--- a/onyxhollow/topology/logs.py
+++ b/onyxhollow/topology/logs.py
@@ -89,7 +89,7 @@
 
 
 def read(paths: Iterable[Path], until: float = math.inf) -> Snapshot:
-    """Build the snapshot at `until` (Unix seconds), or at the last line before it.
+    """Build the snapshot as of the last log line that is not later than `until` (Unix seconds).
 
     Raises:
         LogError: a file cannot be read, or no line is at or before `until`.
--- a/onyxhollow/topology/model.py
+++ b/onyxhollow/topology/model.py
@@ -139,7 +139,7 @@
     version: str = ""
     service_phase: str = msgspec.field(default="", name="service")
     local_health: int = msgspec.field(default=0, name="health")  # 0 is best (Lifeguard's multiplier)
-    stalled_seconds: float = msgspec.field(default=0.0, name="stalled")  # total of recent stalls
+    stalled_seconds: float = msgspec.field(default=0.0, name="stalled")  # total since the process started
     stalled_ago: float | None = None  # seconds since the last stall; None without a stall
     members: list[MemberStatus] = []
     links: list[LinkStatus] = []
@@ -179,7 +179,8 @@
     def members(self) -> dict[str, MemberStatus]:
         """Return the newest incarnation of each member; a member's own report takes precedence."""
         newest: dict[str, MemberStatus] = {}
-        freshness: dict[str, tuple[int, bool]] = {}  # incarnation, whether alive
+        # Incarnation and whether alive, stored per name for speed: a large fleet has many rows.
+        freshness: dict[str, tuple[int, bool]] = {}
         for view in self.views:
             for row in view.members:
                 row_freshness = (row.incarnation, row.state == ALIVE)
@@ -215,7 +216,7 @@
         }
 
     def connections_by_zone(self) -> dict[str, dict[str, int]]:
-        """Return connection counts by zone of the member, then zone of the endpoint, largest first."""
+        """Return the polled members' connections by their zone, then the endpoint's zone, largest first."""
         endpoint_zones = {name: row.zone for name, row in self.endpoints().items()}
         counts: defaultdict[str, Counter[str]] = defaultdict(Counter)
         for view in self.views:
--- a/onyxhollow/topology/paths.py
+++ b/onyxhollow/topology/paths.py
@@ -15,9 +15,9 @@
 from onyxhollow.topology.model import LinkStatus
 
 MAX_PAIRWISE_MEMBERS = 40  # in a larger fleet the probes are totalled
-MAX_SILENCE_SECONDS = 4.0  # without a direct datagram
+MAX_SILENCE_SECONDS = 4.0  # a path without a direct datagram for longer counts as silent
 MIN_PROBES = 3  # with fewer, a path is not evaluated
-MIN_LOSS_RATIO = 0.85
+MIN_LOSS_RATIO = 0.85  # a path that loses this share of its datagrams or more is faulty
 MIN_LOST_DATAGRAMS = 8  # fewer in a total are no evidence of a fault
 MIN_PROBE_AGE_SECONDS = 1.5  # the answer to a younger probe may still arrive
 MAX_PROBE_AGE_SECONDS = 45.0  # an older probe is no evidence of the present state
