--- a/onyxhollow/fleet/list_publisher.py
+++ b/onyxhollow/fleet/list_publisher.py
@@ -1,6 +1,6 @@
 """Publisher of the endpoint list: the member of a zone that watches the list service for all members.
 
-Pure logic: it neither sends messages nor reads a clock.
+No I/O: it neither sends messages nor reads a clock.
 """
 
 from __future__ import annotations
--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -52,7 +52,7 @@
     """Publisher of a term in which this member holds the lease."""
 
     publisher: Publisher
-    lease_held: Callable[[], bool]
+    holds_lease: Callable[[], bool]
 
 
 class ListReplication:
@@ -93,11 +93,11 @@
 
     # Leader task.
 
-    def start(self, term: int, lease_held: Callable[[], bool], /) -> None:
-        """Start to publish under a term; `lease_held` is called before each message."""
+    def start(self, term: int, holds_lease: Callable[[], bool], /) -> None:
+        """Start to publish under a term; `holds_lease` is called before each message."""
         self.last_progress_at = self.context.loop.now
         publisher = Publisher(self.role, term, self.source)
-        self.publication = Publication(publisher, lease_held)
+        self.publication = Publication(publisher, holds_lease)
         self.subscriber.polling_suspended = False
         self.watch.set_suspended(False)
         if self.watch.version >= 0 and self.watch.records:
@@ -134,7 +134,7 @@
         assert publication is not None
         if publication.publisher.source != self.source:  # a reload has changed the list service
             term = publication.publisher.term
-            publication = Publication(Publisher(self.role, term, self.source), publication.lease_held)
+            publication = Publication(Publisher(self.role, term, self.source), publication.holds_lease)
             self.publication = publication
         for update in publication.publisher.update(self.watch.records, self.watch.version):
             for receiver in self._zone_members():
@@ -161,7 +161,7 @@
             self._on_request(sender, message, now)
             return
         self.subscriber.source = self.source
-        if self.publication and self.publication.lease_held():
+        if self.publication and self.publication.holds_lease():
             if message.term > self.publication.publisher.term:
                 self.superseded = True
             return
@@ -189,7 +189,7 @@
 
     def _on_request(self, sender: Member, request: ResyncRequest | Suspicion, now: float) -> None:
         """Answer a subscriber's request if this member is the publisher."""
-        if self.publication is None or not self.publication.lease_held():
+        if self.publication is None or not self.publication.holds_lease():
             return
         publisher = self.publication.publisher
         if isinstance(request, Suspicion):
@@ -265,7 +265,7 @@
     def _send_if_current(self, receiver: Member, update: ListUpdate) -> None:
         """Send a queued update unless its term or lease has ended."""
         publication = self.publication
-        if publication and update.term == publication.publisher.term and publication.lease_held():
+        if publication and update.term == publication.publisher.term and publication.holds_lease():
             self._send(receiver, update)
 
     def _send_heartbeats(self, publication: Publication, now: float) -> None:
@@ -274,7 +274,7 @@
             return
         publisher.next_heartbeat_at = now + self.heartbeat_interval
         for receiver in self._zone_members():
-            if not publication.lease_held():
+            if not publication.holds_lease():
                 break
             self._send(receiver, publisher.heartbeat())
         if self.watch.connection is not None and not publisher.disconnected:
@@ -312,5 +312,5 @@
             "duty": self.role,
             "version": self.watch.version,
             "rests": self.watch.suspended,
-            "tells": self.publication is not None and self.publication.lease_held(),
+            "tells": self.publication is not None and self.publication.holds_lease(),
         }
--- a/onyxhollow/fleet/list_subscriber.py
+++ b/onyxhollow/fleet/list_subscriber.py
@@ -1,6 +1,6 @@
 """Subscriber of the endpoint list: a member that receives the list from the publisher of its zone.
 
-Pure logic: it neither sends messages nor reads a clock. A subscriber suspends its own polling of the list
+No I/O: it neither sends messages nor reads a clock. A subscriber suspends its own polling of the list
 service while it receives heartbeats with its own version and a term that is not outdated. It resumes polling
 when the publisher is silent, has lost the list service, or sends an invalid update. It does so after a random
 delay, because all members of a zone would otherwise resume at the same time. Periodically one member polls
--- a/onyxhollow/topology/compare.py
+++ b/onyxhollow/topology/compare.py
@@ -1,4 +1,4 @@
-"""Textual differences between two snapshots: what was added, removed and changed. Pure."""
+"""Textual differences between two snapshots: what was added, removed and changed. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxhollow/topology/export.py
+++ b/onyxhollow/topology/export.py
@@ -1,4 +1,4 @@
-"""Export of a snapshot for other programs: as DOT, and as JSON with its faults. Pure."""
+"""Export of a snapshot for other programs: as DOT, and as JSON with its faults. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxhollow/topology/fault_types.py
+++ b/onyxhollow/topology/fault_types.py
@@ -1,4 +1,4 @@
-"""Types of the faults of a fleet. Pure; `faults` and `paths` have the detection rules."""
+"""Types of the faults of a fleet. No I/O; `faults` and `paths` have the detection rules."""
 
 from __future__ import annotations
 
--- a/onyxhollow/topology/faults.py
+++ b/onyxhollow/topology/faults.py
@@ -1,4 +1,4 @@
-"""Detection of the faults in a snapshot of a fleet. Pure.
+"""Detection of the faults in a snapshot of a fleet. No I/O.
 
 Each fault kind has its own rule. One cause gives one fault: a member that is reported as gone, stalled or cut
 off is not reported again for the consequences. `paths` evaluates the direct paths between members.
@@ -94,7 +94,7 @@
         Fault(
             FaultKind.STALLED,
             (name,),
-            f"stalled: {name} stood still, {view.stalled_seconds:.1f} s in all,"
+            f"stalled: {name} did not run for {view.stalled_seconds:.1f} s in total,"
             f" last {view.stalled_ago:.0f} s ago",
             (name,),
         )
--- a/onyxhollow/topology/layout.py
+++ b/onyxhollow/topology/layout.py
@@ -1,4 +1,4 @@
-"""Positions in the picture, stable across snapshots of the same fleet. Pure.
+"""Positions in the picture, stable across snapshots of the same fleet. No I/O.
 
 Zones are boxes in the order of their names. A box has a grid whose number of cells is a power of two and at
 least twice the number of names. The hash of a name selects its cell. On a collision the name takes the next
--- a/onyxhollow/topology/log_replay.py
+++ b/onyxhollow/topology/log_replay.py
@@ -1,4 +1,4 @@
-"""State of one process, rebuilt from the events in its log. Pure."""
+"""State of one process, rebuilt from the events in its log. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxhollow/topology/model.py
+++ b/onyxhollow/topology/model.py
@@ -1,4 +1,4 @@
-"""Data model of a fleet's topology: the reports of its members, each with its age. Pure.
+"""Data model of a fleet's topology: the reports of its members, each with its age. No I/O.
 
 A view is one member's report about itself and all other members. A snapshot is a set of views plus the
 members that could not be polled. Views are not merged: where members disagree, the snapshot has both reports.
--- a/onyxhollow/topology/paths.py
+++ b/onyxhollow/topology/paths.py
@@ -1,4 +1,4 @@
-"""Detection of faults on the direct paths between members, also in one direction only. Pure.
+"""Detection of faults on the direct paths between members, also in one direction only. No I/O.
 
 In a small fleet every member probes every other member often enough to evaluate each path by itself. In a
 large fleet a pair exchanges too few probes, so the probes are totalled: per pair of zones, and from and to
@@ -85,7 +85,7 @@
             description = f"one-way: nothing comes straight from {source} to {target}, the other way it does"
             faults.append(Fault(FaultKind.ONE_WAY, (source, target), description, (target,)))
         elif (source in cut_off) == (target in cut_off) and source < target:
-            description = f"cut: nothing passes straight between {source} and {target}; others carry it"
+            description = f"cut: nothing passes straight between {source} and {target}; other members relay"
             faults.append(Fault(FaultKind.LINK_CUT, (source, target), description, (source, target)))
     return faults
 
@@ -142,7 +142,7 @@
     for path in sorted(faulty):
         source, target = path
         lost = tally.lost[path]
-        evidence = f"{lost} of {lost + tally.arrived[path]} questions or answers of late"
+        evidence = f"{lost} of {lost + tally.arrived[path]} recent probes or answers"
         if Path(target, source) not in faulty:
             description = (
                 f"one-way: nothing comes straight from zone {source} to zone {target}, {evidence} lost"
--- a/onyxhollow/topology/scene.py
+++ b/onyxhollow/topology/scene.py
@@ -1,4 +1,4 @@
-"""Layout of a snapshot's picture: every box, symbol and line with its position and its text. Pure.
+"""Layout of a snapshot's picture: every box, symbol and line with its position and its text. No I/O.
 
 No meaning depends on colour alone: an unhealthy symbol also has another shape, a thick dashed border and a
 text mark. In a zone with more than MAX_LABELLED members, healthy ones are drawn small and counted, and
--- a/onyxhollow/topology/symbols.py
+++ b/onyxhollow/topology/symbols.py
@@ -1,4 +1,4 @@
-"""Elements of a picture: symbols, lines and table rows, each with its position and its text. Pure."""
+"""Elements of a picture: symbols, lines and table rows, each with its position and its text. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxhollow/topology/terminal.py
+++ b/onyxhollow/topology/terminal.py
@@ -1,4 +1,4 @@
-"""The table that `topology show` prints: one row per zone, and all faults below it. Pure."""
+"""The table that `topology show` prints: one row per zone, and all faults below it. No I/O."""
 
 from __future__ import annotations
 
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -545,7 +545,7 @@
     member.loop.now = 1000.0
     task = AnnouncerTask(member, addresses, MagicMock(), addresses.sites[0])
     task.run_number = 1
-    task.call_guard = lambda run_number, announcer, target, lease_held: calls.append(target) or iter(())
+    task.call_guard = lambda run_number, announcer, target, holds_lease: calls.append(target) or iter(())
     assert addresses.interval == 0.625
     advertised = GuardedRoute(Preference.ADVERTISED, Preference.ADVERTISED)
     for routes in ({}, {"address-a": advertised}):
