--- a/onyxhollow/addresses/announcer.py
+++ b/onyxhollow/addresses/announcer.py
@@ -87,7 +87,10 @@
         self.synchronized = True
 
     def on_assignment(self, assignment: RouteAssignment, now: float) -> None:
-        """Apply an assignment for this site unless a newer one (by term and number) has been received."""
+        """Apply an assignment for this site unless a newer one (by term and number) has been received.
+
+        Before the guard has answered, only the assignment's term, number and time are recorded.
+        """
         newest = self.controller_term, self.assignment_number
         if assignment.site != self.site.name or (assignment.term, assignment.number) <= newest:
             return
--- a/onyxhollow/append_log.py
+++ b/onyxhollow/append_log.py
@@ -125,7 +125,7 @@
     """Write all the data and sync the file; raise OSError if only a part could be written."""
     written = os.pwrite(descriptor, data, offset)
     if written != len(data):
-        raise OSError(errno.ENOSPC, f"{written} of {len(data)} bytes written")
+        raise OSError(errno.ENOSPC, f"expected to write {len(data)} bytes, got {written} written")
     os.fsync(descriptor)
 
 
--- a/onyxhollow/fleet/address_commands.py
+++ b/onyxhollow/fleet/address_commands.py
@@ -1,7 +1,7 @@
 """The `addresses` command: shows routes and their reasons, and sets overrides, through a running process.
 
 Exit codes: 0 success; 2 the process could not be reached, or the arguments are invalid; 3 the override is not
-yet stored by a majority of the voters; 4 a rule forbids a change of the plan.
+yet stored by a majority of the voters; 4 a rule forbids a change of the plan; 130 interrupted.
 """
 
 from __future__ import annotations
--- a/onyxhollow/gossip/connection_counts.py
+++ b/onyxhollow/gossip/connection_counts.py
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionTotal:
-    """Sums over all members for an endpoint."""
+    """Open connections of all members at an endpoint, and the number of members with recent failures."""
 
     connections: int = 0
     failing_members: int = 0
--- a/onyxhollow/leases/candidate.py
+++ b/onyxhollow/leases/candidate.py
@@ -151,7 +151,8 @@
     def start_pre_vote(self, now: float) -> list[VoterMessage]:
         """Start an attempt with a pre-vote, which leaves the voters unchanged.
 
-        A candidate that sent vote requests immediately and lost would keep a voter that the holder needs.
+        A candidate that sent vote requests immediately and lost would still have the grant of a voter, which
+        the holder of the lease then lacks.
         """
         return self._begin_attempt(now, CandidateEvent.PRE_VOTE_STARTED)
 
--- a/onyxhollow/topology/fault_types.py
+++ b/onyxhollow/topology/fault_types.py
@@ -9,7 +9,7 @@
 from onyxhollow.topology.model import MemberView
 
 RECENT_STALL_SECONDS = 20.0  # a stall is a fault for this long after its end
-MIN_STALL_SECONDS = 0.5
+MIN_STALL_SECONDS = 0.5  # a shorter total is no fault
 
 Views = Mapping[str, MemberView]
 
--- a/onyxhollow/topology/log_replay.py
+++ b/onyxhollow/topology/log_replay.py
@@ -124,8 +124,8 @@
         if fields["change"] == "held":
             self.leases[role] = LeaseStatus(role, term, self.member_id, "holding")
             return
-        renewed = fields["change"] == "kept"
-        holder = self.leases.get(role, LeaseStatus(role)).holder if renewed else ""
+        is_kept = fields["change"] == "kept"  # the process could not hand the lease over
+        holder = self.leases.get(role, LeaseStatus(role)).holder if is_kept else ""
         self.leases[role] = LeaseStatus(role, term, holder, "holding" if holder else "idle")
 
     def _update_endpoint_list(self, _time: float, fields: Fields) -> None:
