--- a/onyxhollow/topology/fault_types.py
+++ b/onyxhollow/topology/fault_types.py
@@ -1,4 +1,4 @@
-"""Types of the faults of a fleet. Pure; `faults` and `paths` have the detection rules."""
+"""Types of the faults of a fleet. No I/O; `faults` and `paths` have the detection rules."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from onyxhollow.topology.model import MemberView
 
 RECENT_STALL_SECONDS = 20.0  # a stall is a fault for this long after its end
-MIN_STALL_SECONDS = 0.5
+MIN_STALL_SECONDS = 0.5  # a shorter total is no fault
 
 Views = Mapping[str, MemberView]
 
--- a/onyxhollow/topology/paths.py
+++ b/onyxhollow/topology/paths.py
@@ -1,4 +1,4 @@
-"""Detection of faults on the direct paths between members, also in one direction only. Pure.
+"""Detection of faults on the direct paths between members, also in one direction only. No I/O.
 
 In a small fleet every member probes every other member often enough to evaluate each path by itself. In a
 large fleet a pair exchanges too few probes, so the probes are totalled: per pair of zones, and from and to
@@ -15,9 +15,9 @@
 from onyxhollow.topology.model import LinkStatus
 
 MAX_PAIRWISE_MEMBERS = 40  # in a larger fleet the probes are totalled
-MAX_SILENCE_SECONDS = 4.0  # without a direct datagram
+MAX_SILENCE_SECONDS = 4.0  # a path without a direct datagram for longer counts as silent
 MIN_PROBES = 3  # with fewer, a path is not evaluated
-MIN_LOSS_RATIO = 0.85
+MIN_LOSS_RATIO = 0.85  # a path that loses this share of its datagrams or more is faulty
 MIN_LOST_DATAGRAMS = 8  # fewer in a total are no evidence of a fault
 MIN_PROBE_AGE_SECONDS = 1.5  # the answer to a younger probe may still arrive
 MAX_PROBE_AGE_SECONDS = 45.0  # an older probe is no evidence of the present state
@@ -85,7 +85,7 @@
             description = f"one-way: nothing comes straight from {source} to {target}, the other way it does"
             faults.append(Fault(FaultKind.ONE_WAY, (source, target), description, (target,)))
         elif (source in cut_off) == (target in cut_off) and source < target:
-            description = f"cut: nothing passes straight between {source} and {target}; others carry it"
+            description = f"cut: nothing passes straight between {source} and {target}; other members relay"
             faults.append(Fault(FaultKind.LINK_CUT, (source, target), description, (source, target)))
     return faults
 
@@ -142,7 +142,7 @@
     for path in sorted(faulty):
         source, target = path
         lost = tally.lost[path]
-        evidence = f"{lost} of {lost + tally.arrived[path]} questions or answers of late"
+        evidence = f"{lost} of {lost + tally.arrived[path]} recent probes or answers"
         if Path(target, source) not in faulty:
             description = (
                 f"one-way: nothing comes straight from zone {source} to zone {target}, {evidence} lost"
