--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,8 @@
-# make test: the tests in a virtual environment of their own, four at a time (WORKERS).  make demo: a small fleet, shown live, 40 s at most.  make demo-addresses: three sites, one lost.
+# make test: run the tests in a virtual environment of their own, four at a time (WORKERS).
+# make lint: check format, ruff, types and import contracts.
+# make demo: run a small fleet and show it live, for at most 40 s.
+# make demo-addresses: run three sites with shared addresses, of which one fails.
+# make clean: remove the virtual environment and the lab's output.
 PYTHON ?= python3
 VENV ?= .venv-dev
 WORKERS ?= 4
