--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -75,6 +75,7 @@
 
 @pytest.fixture
 def loopback():
+    """Return a function that starts a proxy on loopback; all of them are closed after the test."""
     proxies = []
 
     def make(*values, **changes):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -13,7 +13,7 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 
 
 class KnownRedError(ValueError):
@@ -39,8 +39,8 @@
         if len(parts) < 3 or not all(parts) or "::" not in parts[0]:
             raise KnownRedError(f"{FILE}:{number}: expected 'test id, cause, issue', got {line!r}")
         rows.append(KnownRed(parts[0], ", ".join(parts[1:-1]), parts[-1]))
-    if len(rows) > MOST:
-        raise KnownRedError(f"{FILE}: expected at most {MOST} tests, got {len(rows)}")
+    if len(rows) > MAX_ENTRIES:
+        raise KnownRedError(f"{FILE}: expected at most {MAX_ENTRIES} tests, got {len(rows)}")
     return rows
 
 
@@ -53,11 +53,11 @@
         rows = read_known_red(path.read_text())
     except KnownRedError as error:
         raise pytest.UsageError(str(error)) from None
-    found = {item.nodeid: item for item in items}
+    items_by_id = {item.nodeid: item for item in items}
     for row in rows:
-        if row.test in found:
+        if row.test in items_by_id:
             reason = f"known red: {row.cause} (issue {row.issue})"
-            found[row.test].add_marker(pytest.mark.xfail(reason=reason, strict=True))
+            items_by_id[row.test].add_marker(pytest.mark.xfail(reason=reason, strict=True))
         elif config.args_source is pytest.Config.ArgsSource.TESTPATHS and not config.option.keyword:
             raise pytest.UsageError(f"{FILE}: expected the id of an existing test, got {row.test}")
 
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -93,6 +93,7 @@
 def test_a_successor_reads_the_state_if_the_wall_clock_is_stepped_after_the_write(
     tmp_path, monkeypatch, step
 ):
+    # Guards against a state whose age is computed from the wall clock, which would be rejected as too old.
     from onyxhollow.lifecycle.handover import Handover
 
     old = Handover(str(tmp_path))
--- a/tests/test_compatibility_fleet.py
+++ b/tests/test_compatibility_fleet.py
@@ -145,9 +145,8 @@
     {"host": "s3", "health": "leaving", "zone": "east"},
     {"host": "s4", "health": "in", "zone": "w"},
 ]
-LIST_BODY = bytes.fromhex(
-    (DATA / "list-rows.hex").read_text()
-)  # compressed rows; another zlib version may compress them to other bytes
+# Compressed rows. Another version of zlib may compress them to other bytes.
+LIST_BODY = bytes.fromhex((DATA / "list-rows.hex").read_text())
 LIST_MESSAGES = {
     "beat": list_messages.Heartbeat(
         role="list-east", term=401, source="lists", version=402, disconnected=True
--- a/tests/test_connection_drain.py
+++ b/tests/test_connection_drain.py
@@ -42,10 +42,11 @@
 
 
 def test_connections_of_a_shared_listener_move_once_its_second_address_is_withdrawn():
-    """Guard against a migration whose size is fixed at 0 by a step between the two withdrawals.
+    """Guard against a migration whose rate stays 0 after a step between the two withdrawals.
 
     Both addresses have one listener, and the routing daemon confirms their withdrawals one after the other.
-    After the first one no connection has to move; the size must be updated after the second one.
+    After the first one no connection has to move. A member that took a step at that time set its rate to 0
+    and moved no connection as long as the override was active.
     """
     member = FakeMember(two_site_config("chat", "chat"))
     member.open_sessions(100, "chat")
@@ -67,7 +68,7 @@
 
 
 def test_a_second_address_drains_at_the_pace_of_all_its_connections():
-    """Guard against a rate based on the first address's 2 connections, 1 per second, for 200 more."""
+    """Guard against a rate set by the 2 connections of the first address: 1 per second, also for 200 more."""
     member = FakeMember(two_site_config("chat", "talk"))
     member.open_sessions(2, "chat")
     member.open_sessions(200, "talk")
--- a/tests/test_connection_states.py
+++ b/tests/test_connection_states.py
@@ -40,7 +40,7 @@
         connection.advance(ConnectionEvent.ATTEMPT_STARTED)
     checks = []
     # Under python -O `must` counts a failed check and raises nothing.
-    connection.counters.must = lambda holds, what: checks.append((holds, what)) or holds
+    connection.counters.must = lambda holds, rule: checks.append((holds, rule)) or holds
     connection.advance(ConnectionEvent.ATTEMPT_STARTED)
     assert checks == [(False, "a transition for 'attempt started' in state 'established'")]
     assert connection.state is ConnectionState.ESTABLISHED and not client.end
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def start_proxy(loopback):
-    """Starts proxies; connections to the endpoint named first are established late."""
+    """Return a function that starts a proxy. Connections to its first endpoint are established late."""
 
     def make(servers="ab", listeners=None, **changes):
         proxy = loopback(
@@ -197,7 +197,9 @@
     proxy.until(lambda: proxy.counts["sessions taken"] == 1)
     client.sock.close() if client_action == "close" else client.sock.shutdown(socket.SHUT_WR)
     ended_at = time.monotonic()
-    if client_action == "half-close":  # this client still reads and must be answered
+    # A client that has only ended its own sending still reads and must be answered. Its connection used to be
+    # closed without an answer.
+    if client_action == "half-close":
         proxy.until(lambda: client.read() == BUSY_LINE and client.end)
     proxy.until(lambda: not proxy.proxy.sessions.active_count)
     assert time.monotonic() - ended_at < 0.1
--- a/tests/test_endpoint_list.py
+++ b/tests/test_endpoint_list.py
@@ -1,4 +1,7 @@
-"""Tests of how the policy processes updates and failures of the endpoint list."""
+"""Tests of how the policy processes updates and failures of the endpoint list.
+
+Rule 3 is defined in onyxhollow/lab/invariant_checker.py.
+"""
 
 from dataclasses import replace
 
@@ -12,7 +15,7 @@
 )
 
 
-def test_an_endpoint_missing_from_a_snapshot_gets_no_attempts(host):
+def test_rule_3_an_endpoint_missing_from_a_snapshot_gets_no_attempts(host):
     host.list_endpoints("a", "b")
     host.list_endpoints("b")
     assert {host.admit().endpoint.name for _ in range(30)} == {"b"}
@@ -105,9 +108,8 @@
     assert {s.name: list(s.ring_positions) for s in host.balancer.endpoints} == ring_positions
     assert [round(s.shared_connections, 6) for s in servers] == [9.0, 3.0, 0.0]
     host.report_loads(a=0.9)
-    assert host.balancer.load_of(servers[1]) == pytest.approx(
-        0.3
-    )  # calibrated by the report of its machine type
+    # The load of b is calibrated by a's report, since both have the same machine type.
+    assert host.balancer.load_of(servers[1]) == pytest.approx(0.3)
     host.list_endpoints("a", kind=EndpointListKind.DELTA, weight=0.5, machine_type="m")
     assert host.balancer.load_of(servers[0]) == pytest.approx(0.7)  # the report is extrapolated
     costs = [host.balancer.cost(s, None, None) for s in servers]
@@ -140,6 +142,7 @@
 
 
 def test_sessions_avoid_endpoints_that_one_delta_replaces_and_all_are_answered(make_host):
+    # The delta replaces six of ten endpoints.
     host = make_host(instance_count=40)
     host.list_endpoints(*(f"s{n}" for n in range(10)), weight=4.0)
     for _ in range(40):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -119,7 +119,7 @@
     fleet.run(3.0)
     fleet.cores[1].record_failure("s2", fleet.now)
     fleet.run(2.5)
-    assert fleet.estimates[4]["s2"].outlier_score == 0.0  # failures seen by one member are not enough
+    assert fleet.estimates[4]["s2"].outlier_score == 0.0  # the cause may be one member or its link
     for n in (1, 2, 3):
         fleet.cores[n].record_failure("s2", fleet.now)
     fleet.run(2.5)
@@ -184,7 +184,9 @@
     assert core.load_estimate("s1", fleet.now).load == pytest.approx(1.9)
     core.audit("s1", fleet.now)
     fleet.run(0.5)
-    assert core.counters["rows far off what was seen"] == 0  # a single difference is tolerated
+    assert (
+        core.counters["rows far off what was seen"] == 0
+    )  # one difference is tolerated: loads change quickly
     fleet.run(CONFIG.poll_interval + 1.0)
     assert core.load_estimate("s1", fleet.now) is None or core.evidence["s1"].report.owner != owner + 1
     assert core.counters["rows far off what was seen"] == 1
--- a/tests/test_health_checks.py
+++ b/tests/test_health_checks.py
@@ -5,7 +5,7 @@
 
 def test_endpoints_are_checked_often_only_while_one_is_overloaded(make_host):
     host = make_host(health_checks=True, health_check_price=0.01)
-    host.balancer.awaits_load_report = lambda *_: False  # tested elsewhere
+    host.balancer.awaits_load_report = lambda *_: False  # has its own tests
     a, *_ = host.list_endpoints(*"abcdefgh")
 
     def count_checks():
@@ -21,9 +21,8 @@
 
 
 def test_with_few_own_connections_an_endpoint_is_checked_first_and_skipped_if_it_does_not_answer(make_host):
-    host = make_host(
-        seed=4, **FEW_CONNECTIONS_SETTINGS
-    )  # this seed admits the session to the second endpoint
+    # With this seed the second endpoint's capacity is granted to the session.
+    host = make_host(seed=4, **FEW_CONNECTIONS_SETTINGS)
     a, b = host.list_endpoints("a", "b")
     session = host.admit()
     checked = host.calls_to("check_health")[0][0]
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -8,7 +8,7 @@
 )
 
 
-def test_an_outlier_gets_no_sessions_and_its_connections_are_migrated(host, end_attempt):
+def test_an_outlier_without_a_drain_notice_gets_no_sessions_and_is_migrated(host, end_attempt):
     a, *_ = host.list_endpoints(*"abcde")
     for _ in range(50):
         host.admit()
@@ -70,9 +70,8 @@
     host.advance(4.0)  # the ejection ends as the score decays
     assert host.balancer.eligible(closing)
     host.advance(40.0)
-    end_attempt(
-        host.admit(established=False), AttemptOutcome.CONNECT_FAILED
-    )  # after 0.1 s the endpoint may only be slow
+    # An attempt that fails after 0.1 s is not a refusal: the endpoint may only be slow.
+    end_attempt(host.admit(established=False), AttemptOutcome.CONNECT_FAILED)
     assert all(host.balancer.eligible(endpoint) for endpoint in servers)
     session = host.admit(established=False)
     refusing = session.endpoint
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -409,12 +409,12 @@
 
 
 def test_an_exception_in_the_decisions_ends_one_session_which_is_answered(loopback, monkeypatch):
-    def broken(*_):
+    def raise_key_error(*_):
         raise KeyError("planted error")
 
     proxy = loopback()
     client, _ = proxy.establish()
-    monkeypatch.setattr("onyxhollow.policy.Balancer.admit", broken)
+    monkeypatch.setattr("onyxhollow.policy.Balancer.admit", raise_key_error)
     failing_client = proxy.open_session()
     proxy.until(lambda: failing_client.read() and failing_client.end)
     assert (
@@ -793,7 +793,7 @@
 
 def test_a_health_check_reports_the_load_and_its_connection_closes_with_its_endpoint(loopback):
     proxy = loopback(health_checks=True, health_check_price=0.01, load_field="x0")
-    # The longer timeout keeps a stall of the machine from failing the check, for which 0.3 s are usual.
+    # A longer timeout than the usual 0.3 s, so that a stall of the machine does not fail the check.
     proxy.proxy.health_checker.apply_settings("x0", 3.0)
     server = proxy.until(lambda: proxy.endpoints["a"].connection())
     assert server.received == b"STATS\r\n"
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,7 @@
-"""Retries: allowed endpoints, attempt timeouts, and one final answer per session."""
+"""Retries: allowed endpoints, attempt timeouts, and one final answer per session.
+
+Rules 1 and 2 are defined in onyxhollow/lab/invariant_checker.py.
+"""
 
 import pytest
 from decision_setups import KEYED, NON_IDEMPOTENT
--- a/tests/test_route_table.py
+++ b/tests/test_route_table.py
@@ -13,7 +13,7 @@
     return RouteTable(config.services, config.sites[0], 64512)
 
 
-def test_orphaned_routes_are_withdrawn_sooner_or_all_of_them_when_no_member_reports():
+def test_orphaned_routes_except_last_ones_are_withdrawn_when_announcer_and_members_are_silent():
     for cut_off, announcer_silent_for, members_silent_for, withdrawn in (
         ("withdraw", 4.0, 4.0, True),
         ("withdraw", 4.0, 2.0, False),
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -24,8 +24,8 @@
         host.advance(0.25)
         host.admit()
     cold = [s for _, s, _ in host.calls_to("start_attempt")[before:]].count("d")
-    # A warm endpoint takes one session per second from this instance, a cold one a quarter of that. It bears
-    # twice that for 2 s.
+    # A warm endpoint takes one session per second from this instance, a cold one a quarter of that. It
+    # tolerates twice that rate for 2 s.
     assert cold <= 2
     for _ in range(160):
         host.advance(0.25)
@@ -73,7 +73,7 @@
             host.report_loads(**{f"s{n}": 0.5 for n in range(20)})
         host.advance(1.0)
         host.list_endpoints("c", "d", kind=EndpointListKind.DELTA, started_at=host.now)
-    # A warm endpoint has 50 connections at half load, so 100 fill it over 10 s. A cold one bears a quarter.
+    # A warm endpoint has 50 connections at half load, so 100 fill it over 10 s. A cold one gets a quarter.
     before = [len(host.calls_to("start_attempt")) for host in hosts]
     for second in range(1, 11):
         for host in hosts:
@@ -109,7 +109,7 @@
                 host.admit(established=False)
             host.advance(0.1)
     sent = sum(endpoint == "c" for host in hosts for _, endpoint, _ in host.calls_to("start_attempt"))
-    # 200 connections fill it over 10 s, at first a quarter of that rate. It bears twice that for 2 s.
+    # 200 connections fill it over 10 s, at first a quarter of that rate. It tolerates twice that for 2 s.
     allowed = 2.0 * 2.0 * 20.0 * (0.25 + 0.75 * (hosts[0].now - started_at) / 10.0)
     assert 0 < sent <= allowed + 2.0 * math.sqrt(allowed) + 2.0
 
