--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,7 +12,7 @@
 )
 
 
-def test_while_all_endpoints_are_cold_sessions_are_queued_and_rejected_at_half_time(host):
+def test_while_all_endpoints_are_cold_sessions_are_queued_and_rejected_after_half_the_attempt_timeout(host):
     host.list_endpoints("a")
     host.list_endpoints("a", kind=EndpointListKind.DELTA, started_at=host.now)
     host.balancer.slow_start.decayed_count = 0.0
--- a/tests/test_fleet_gossip.py
+++ b/tests/test_fleet_gossip.py
@@ -48,9 +48,9 @@
     return {row["server"]: row for row in cluster.query(name)["sharing"]["rows"]}
 
 
-def wait_for_rows(cluster, names, condition, within, what):
+def wait_for_rows(cluster, names, condition, within, description):
     """Wait until `condition` is true for the gossip rows of each of these members."""
-    cluster.wait(lambda: all(condition(gossip_rows(cluster, name)) for name in names), within, what)
+    cluster.wait(lambda: all(condition(gossip_rows(cluster, name)) for name in names), within, description)
 
 
 def has_current_loads(echo):
--- a/tests/test_gossip_estimates.py
+++ b/tests/test_gossip_estimates.py
@@ -60,7 +60,7 @@
     assert len(host.calls_to("check_health")) > before
 
 
-def test_failures_seen_by_others_raise_the_outlier_score_but_do_not_eject_alone(make_host):
+def test_failures_seen_by_others_raise_the_outlier_score_but_eject_only_with_an_own_failure(make_host):
     host = make_host(**FEW_CONNECTIONS_SETTINGS)
     a, *_ = report_zones(host, a="a", b="a", c="a")
     for _ in range(5):
@@ -70,7 +70,7 @@
     assert not host.balancer.eligible(a)
 
 
-def test_an_endpoint_skipped_at_random_counts_as_having_capacity_and_a_full_one_does_not():
+def test_a_sites_health_counts_a_randomly_skipped_endpoint_as_having_capacity_but_not_a_full_one():
     settings = replace(DEFAULT_SETTINGS, **FEW_CONNECTIONS_SETTINGS)
     decisions = DecisionAdapter(
         lambda: 100.0, settings, 1, Counters(), lambda line: None, lambda name: None, lambda: None
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -143,7 +143,7 @@
 
 @pytest.fixture
 def faulty_proxy(loopback, monkeypatch):
-    """A proxy with two endpoints whose sockets and epoll fail by its `plan`."""
+    """Return a proxy with two endpoints whose sockets and epoll fail by its `plan`."""
     plan = FailurePlan()
     monkeypatch.setattr(FailingSocket, "plan", plan)
     monkeypatch.setattr(FailingSocket, "one_byte", False)
@@ -248,7 +248,7 @@
                 "a shortage of this machine counts as evidence against an endpoint"
             )
         assert_answers(faulty_proxy, servers, peers, cause)
-        assert faulty_proxy.proxy.loop.epoll.poll_count - polls_before < 2500
+        assert faulty_proxy.proxy.loop.epoll.poll_count - polls_before < 2500  # the loop does not spin
         index += 1
         if not failure_count or index > 12:
             break
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -443,6 +443,7 @@
         wait_for_faults(cluster, [], 20)
         cluster.kill("n4")
         wait_for_faults(cluster, [("gone", ("n4",))], 30)
+        # The logs show the same fault once all members have written it.
         folder = tmp_path / "rig"
 
         def logs_show_the_fault():
@@ -451,7 +452,7 @@
             faults = [fault for fault in list_faults(snapshot) if fault[0] != "silent"]
             return names == {"n0", "n1", "n2", "n3"} and faults == [("gone", ("n4",))]
 
-        cluster.wait(logs_show_the_fault, 15, "the logs show that n4 is gone")
+        cluster.wait(logs_show_the_fault, 15, "the logs to show that n4 is gone")
         cluster.set_process_faults("n4", version="9.9")
         cluster.start("n4")
         cluster.wait_members(within=40)
@@ -475,13 +476,13 @@
         other = next(name for name in sites.members("b") if name != holder)
         cluster.kill(holder, other)
         cluster.wait(
-            lambda: cluster.visible_members(cluster.current["n0"]) == 4, 30, "both are reported as dead"
+            lambda: cluster.visible_members(cluster.current["n0"]) == 4, 30, "both to be reported as dead"
         )
         # The next controller receives no report from the site of the dead members.
         controller = cluster.wait_holder("addresses", within=40)
         cluster.query(controller, "/release?name=addresses", "POST")
         cluster.wait_holder("addresses", other_than=controller, within=40)
         snapshot = wait_for_faults(
-            cluster, [("gone", tuple(one for one in [name])) for name in sorted((holder, other))], 30
+            cluster, [("gone", tuple(member for member in [name])) for name in sorted((holder, other))], 30
         )
         assert "announcer/b" in snapshot.leases()
