--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -30,7 +30,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.lab.fleet import address_explorer, wander  # noqa: E402
+from onyxhollow.lab.fleet import address_explorer, random_walk  # noqa: E402
 from onyxhollow.lab.fleet.process_cluster import ClusterError  # noqa: E402
 from onyxhollow.lab.fleet.sites import Sites  # noqa: E402
 
@@ -383,7 +383,7 @@
         policy_name: {case: statistics.fmean(rows) for case, rows in run.served.items()}
         for policy_name, run in runs.items()
     }
-    found_bugs = {name: wander.found(name, range(400)) for name in wander.BUGS}
+    found_bugs = {name: random_walk.detect_bug(name, range(400)) for name in random_walk.BUGS}
     stride = 23 if args.quick else 1
     with ProcessPoolExecutor(mp_context=multiprocessing.get_context("spawn")) as pool:
         explorations = list(
@@ -423,7 +423,7 @@
         "times_slower": args.slower,
         "faults": ours.faults,
         "explored_runs": sum(exploration.runs for exploration in explorations),
-        "explored_breaches": sum(len(exploration.broken) for exploration in explorations),
+        "explored_breaches": sum(len(exploration.violations) for exploration in explorations),
         "seeded_bugs": len(found_bugs),
         "seeded_bugs_found": sum(bool(finding) for finding in found_bugs.values()),
         "seconds": round(time.monotonic() - started_at, 1),
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -25,7 +25,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.lab.fleet import explore, injected_bugs  # noqa: E402
+from onyxhollow.lab.fleet import injected_bugs, state_explorer  # noqa: E402
 from onyxhollow.lab.fleet.bug_detection import detect_bug  # noqa: E402
 from onyxhollow.lab.fleet.process_cluster import ClusterError, ProcessCluster  # noqa: E402
 from onyxhollow.lab.fleet.record import Hold  # noqa: E402
@@ -215,10 +215,10 @@
     return broken_rules, lines
 
 
-def run_explorer(plan: tuple[int, int, str, str, int, float]) -> tuple[str, explore.Explored]:
+def run_explorer(plan: tuple[int, int, str, str, int, float]) -> tuple[str, state_explorer.ExplorationResult]:
     budget, ticks, rates, only, seed, seconds = plan
-    return f"{budget}/{ticks}/{rates}/{only}", explore.explore(
-        budget, ticks, rates, seconds=seconds, seed=seed, only=only
+    return f"{budget}/{ticks}/{rates}/{only}", state_explorer.explore(
+        budget, ticks, rates, seconds=seconds, seed=seed, only_faults=only
     )
 
 
@@ -291,11 +291,13 @@
     ]
     explorer_plans += [
         (2, 14, rates, "", seed, 40.0 if args.quick else 75.0)
-        for rates in explore.RATES
+        for rates in state_explorer.RATES
         for seed in ((1,) if args.quick else (1, 2))
     ]
     explorer_plans += (
-        [] if args.quick else [(3, 14, rates, "", seed, 75.0) for rates in explore.RATES for seed in (3, 4)]
+        []
+        if args.quick
+        else [(3, 14, rates, "", seed, 75.0) for rates in state_explorer.RATES for seed in (3, 4)]
     )
     broken_rules, lines = run_scenarios(folder, args.quick)
     for line in lines:
@@ -304,16 +306,17 @@
     with ProcessPoolExecutor(max_workers=7) as pool:
         for title, done in pool.map(run_explorer, explorer_plans):
             states += done.states
-            explorer_found += [done.found] if done.found else []
+            explorer_found += [done.violation] if done.violation else []
             report(
                 f"explored {title}: {done.states} states, {done.steps} steps, {done.seconds:.0f} s, "
-                f"{'complete' if done.whole else 'incomplete'} {done.found and 'FOUND ' + done.found}"
+                f"{'complete' if done.complete else 'incomplete'} "
+                f"{done.violation and 'FOUND ' + done.violation}"
             )
     by_explorer = {}
     for name in injected_bugs.BUGS:
-        with explore.bug(name):
+        with state_explorer.injected_bug(name):
             only = "restarts" if name == "forgets" else ""
-            by_explorer[name] = explore.explore(3 if only else 1, 12, only=only).found
+            by_explorer[name] = state_explorer.explore(3 if only else 1, 12, only_faults=only).violation
     for name in injected_bugs.BUGS:
         report(
             f"bug {name}: explorer: {by_explorer[name] or 'NOT FOUND'}; rig: {by_rig[name] or 'NOT FOUND'}"
--- a/onyxhollow/lab/cli.py
+++ b/onyxhollow/lab/cli.py
@@ -109,11 +109,11 @@
 
 
 def do_fleet(told: argparse.Namespace) -> int:
-    from onyxhollow.lab.fleet import course, show
+    from onyxhollow.lab.fleet import fault_scenario, show
 
     try:
         return show.print_scenarios() if told.part == "list" else show.play(told)
-    except course.CourseError as error:
+    except fault_scenario.FaultScenarioError as error:
         raise runs.RunError(str(error)) from None
 
 
--- a/onyxhollow/lab/fleet/address_explorer.py
+++ b/onyxhollow/lab/fleet/address_explorer.py
@@ -4,7 +4,8 @@
 a fault or two, and each run with the faults at any place is played. A place is a message of the window (lost,
 late past a dwell, twice) or a step of it (keeper or announcer stopped past its lease and woken, a site cut
 off, two voters away, a daemon that restarts). Evidence is left out of the messages: three members tell it
-each step, so that one more or less changes nothing that the courses do not; the walk (wander.py) loses it.
+each step, so that one more or less changes nothing that the courses do not; the walk (random_walk.py)
+loses it.
 
 Three sites, two addresses, three voters, as in the walk, whose world and properties these are; no chance.
 """
@@ -18,7 +19,7 @@
 from random import Random
 
 from onyxhollow.addresses.messages import HealthReport, Override
-from onyxhollow.lab.fleet.wander import SITES, STEP, VOTERS, Member, World
+from onyxhollow.lab.fleet.random_walk import SITES, STEP, VOTERS, Member, World
 
 SETTLE = 24  # steps until all advertise all
 WINDOW = 44  # steps in which faults may come
@@ -74,7 +75,7 @@
     runs: int = 0
     messages: int = 0
     cut_off: bool = False  # time ended before all places were tried
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 class ExploredWorld(World):
@@ -136,7 +137,7 @@
             setattr(place, label, kind == "cut")
             over.append(lambda: setattr(place, label, kind != "cut"))
 
-    def course(self, name: str) -> list[str]:
+    def run_scenario(self, name: str) -> list[str]:
         for _ in range(SETTLE):
             self.step()
         self.open = True
@@ -165,7 +166,7 @@
 def places(name: str) -> tuple[list[Harm], list[Harm]]:
     """All faults of one message, and all of one step, for a course as it goes without any."""
     plain = ExploredWorld(())
-    if plain.course(name):
+    if plain.run_scenario(name):
         return [], []  # it breaks without any: the plan of none tells
     messages = [(fate, number + 1) for number in range(plain.sent) for fate in FATES]
     return messages, [(what, step) for step in range(WINDOW) for what in STEPS]
@@ -181,18 +182,18 @@
         yield from combinations(steps[::every], 2)
 
 
-def explore(name: str, faults: int = 1, every: int = 1, seconds: float = 1e9) -> Count:
-    """Plays a course with up to `faults` faults at each place (of two, both of steps); every: only each n-th
+def explore(name: str, faults: int = 1, stride: int = 1, seconds: float = 1e9) -> Count:
+    """Plays a course with up to `faults` faults at each place (of two, both of steps); stride: only each n-th
     place, for a quick look."""
     found, until = Count(), time.monotonic() + seconds
-    for plan in plans(name, faults, every):
+    for plan in plans(name, faults, stride):
         if time.monotonic() > until:
             found.cut_off = True
             break
         world = ExploredWorld(plan)
-        broken = world.course(name)
+        broken = world.run_scenario(name)
         found.runs += 1
         found.messages += world.sent
-        if broken and len(found.broken) < 5:
-            found.broken.append(f"{name} {plan}: {broken[0]}")
+        if broken and len(found.violations) < 5:
+            found.violations.append(f"{name} {plan}: {broken[0]}")
     return found
--- a/onyxhollow/lab/fleet/course.py
+++ b/onyxhollow/lab/fleet/fault_scenario.py
@@ -23,7 +23,7 @@
 Others = Literal["cut", "loss", "delay", "copies", "list", "ledger", "hand-over", "release", "drain"]
 
 
-class CourseError(Exception):
+class FaultScenarioError(Exception):
     """A course file that can't be used; the text says where, what was expected and what was got."""
 
 
@@ -48,7 +48,7 @@
     how: Literal["down", "silent", "frozen"] = "down"  # of the list service
 
 
-class Course(Table, frozen=True):
+class FaultScenario(Table, frozen=True):
     about: str
     seconds: float
     members: int = 3
@@ -66,34 +66,36 @@
     fault: list[Fault] = []
 
 
-def shipped() -> list[str]:
+def shipped_scenarios() -> list[str]:
     return sorted(path.stem for path in HERE.glob("*.toml"))
 
 
-def read(name: str) -> Course:
+def read(name: str) -> FaultScenario:
     """A shipped course by its name, or a file."""
     path = Path(name) if name.endswith(".toml") else HERE / f"{name}.toml"
     try:
-        course = msgspec.toml.decode(path.read_bytes(), type=Course)
+        course = msgspec.toml.decode(path.read_bytes(), type=FaultScenario)
     except OSError as error:
-        raise CourseError(f"{path}: {error.strerror}; shipped: {', '.join(shipped())}") from None
+        raise FaultScenarioError(
+            f"{path}: {error.strerror}; shipped: {', '.join(shipped_scenarios())}"
+        ) from None
     except msgspec.ValidationError as error:
-        raise CourseError(f"{path}: {explain_validation_error(error)}") from None
+        raise FaultScenarioError(f"{path}: {explain_validation_error(error)}") from None
     except msgspec.DecodeError as error:
-        raise CourseError(f"{path}: expected TOML, got something else: {error}") from None
+        raise FaultScenarioError(f"{path}: expected TOML, got something else: {error}") from None
     for key, value, low, high in (
         ("seconds", course.seconds, 1.0, 3600.0),
         ("members", course.members, 3, 400),
         ("lease", course.lease, 0.2, 60.0),
     ):
         if not low <= value <= high:
-            raise CourseError(f"{path}: {key}: expected {low:g} to {high:g}, got {value:g}")
+            raise FaultScenarioError(f"{path}: {key}: expected {low:g} to {high:g}, got {value:g}")
     if course.voters not in (3, 5, 7) or course.voters > course.members:
-        raise CourseError(f"{path}: voters: expected 3, 5 or 7 of the members, got {course.voters}")
+        raise FaultScenarioError(f"{path}: voters: expected 3, 5 or 7 of the members, got {course.voters}")
     return course
 
 
-def scaled(course: Course, factor: float) -> Course:
+def scale(course: FaultScenario, factor: float) -> FaultScenario:
     """The same course in a share of its time, leases and all."""
     faults = [
         replace(
@@ -159,10 +161,10 @@
     return every, planned
 
 
-class Player:
+class ScenarioRunner:
     """Plays a course on a rig."""
 
-    def __init__(self, course: Course, folder: Path) -> None:
+    def __init__(self, course: FaultScenario, folder: Path) -> None:
         self.course, self.rng = course, Random(course.seed)
         duties: list[dict[str, Any]] = [{"name": "ledger", "work": "call", "every": 0.1}]
         if course.listing:
@@ -208,7 +210,7 @@
             elif word in self.cluster.names or word in ("list", "ledger"):
                 found.append(word)
             else:
-                raise CourseError(f"who, to: expected a member or a group, got {word!r}")
+                raise FaultScenarioError(f"who, to: expected a member or a group, got {word!r}")
         return list(dict.fromkeys(found))
 
     def befall(self, fault: Fault, now: float) -> None:
@@ -297,7 +299,7 @@
             rules += self.cluster.add_link_fault(harm, to, who, both=False)
         return lambda: self.cluster.heal(rules)
 
-    def play(self, progress: Callable[[Player, float], None] = lambda player, now: None) -> Report:
+    def run(self, progress: Callable[[ScenarioRunner, float], None] = lambda player, now: None) -> Report:
         cluster, course = self.cluster, self.course
         try:
             cluster.start()
--- a/onyxhollow/lab/fleet/wander.py
+++ b/onyxhollow/lab/fleet/random_walk.py
@@ -52,7 +52,7 @@
     drain_for=3.0,
     flap_half_life=20.0,
 )
-TOLD = AddressesFile(
+CONFIG = AddressesFile(
     services=[Service(name=name, prefix=f"198.51.100.{place}/32") for place, name in enumerate(NAMES)],
     sites=[Site(name=site, route_guard="127.0.0.1:1", capacity=100.0) for site in SITES],
     policy=POLICY,
@@ -89,7 +89,7 @@
         self.rng, self.now, self.number = Random(seed), 0.0, 0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.places = {
-            site.name: Place(site.name, RouteTable(TOLD.services, site, 64512)) for site in TOLD.sites
+            site.name: Place(site.name, RouteTable(CONFIG.services, site, 64512)) for site in CONFIG.sites
         }
         self.keepers: list[Member] = []
         self.keeper_term = self.announcer_term = 0
@@ -132,14 +132,14 @@
     def new_keeper(self) -> None:
         """As the lease grants it: the one before has run out, on its own clock."""
         self.keeper_term += 1
-        core = Controller(TOLD, VOTERS, self.keeper_term, self.now)
+        core = Controller(CONFIG, VOTERS, self.keeper_term, self.now)
         self.keepers.append(Member(core, self.keeper_term, self.now + 2.0))
         self.keepers = self.keepers[-3:]
 
     def new_announcer(self, place: Place) -> None:
         self.announcer_term += 1
-        site = next(site for site in TOLD.sites if site.name == place.name)
-        core = Announcer(TOLD, site, self.announcer_term, self.now)
+        site = next(site for site in CONFIG.sites if site.name == place.name)
+        core = Announcer(CONFIG, site, self.announcer_term, self.now)
         place.announcers = [*place.announcers, Member(core, self.announcer_term, self.now + 2.0)][-3:]
 
     def turn_keeper(self, member: Member) -> None:
@@ -408,7 +408,7 @@
         return self.broken
 
 
-def explore(seeds: range, faults: int = 12) -> list[tuple[int, list[str]]]:
+def find_violations(seeds: range, faults: int = 12) -> list[tuple[int, list[str]]]:
     """Schedules that broke something, by seed."""
     found = []
     for seed in seeds:
@@ -509,7 +509,7 @@
 }
 
 
-def found(name: str, seeds: range = range(200)) -> str:
+def detect_bug(name: str, seeds: range = range(200)) -> str:
     """The first breach that a bug put in brings; "": none."""
     with BUGS[name]():
         for seed in seeds:
--- a/onyxhollow/lab/fleet/show.py
+++ b/onyxhollow/lab/fleet/show.py
@@ -12,22 +12,22 @@
 from rich.live import Live
 from rich.table import Table
 
-from onyxhollow.lab.fleet import course
+from onyxhollow.lab.fleet import fault_scenario
 
 
 def print_scenarios() -> int:
     table = Table("course", "members", "seconds", "about", box=None)
-    for name in course.shipped():
-        row = course.read(name)
+    for name in fault_scenario.shipped_scenarios():
+        row = fault_scenario.read(name)
         table.add_row(name, str(row.members), f"{row.seconds:g}", row.about)
     Console().print(table)
     return 0
 
 
-def picture(player: course.Player, now: float) -> Table:
-    cluster = player.cluster
+def picture(runner: fault_scenario.ScenarioRunner, now: float) -> Table:
+    cluster = runner.cluster
     table = Table(
-        "member", "state", "sees", "holds", "datagrams", title=f"{now:.1f} s, {player.faults} faults"
+        "member", "state", "sees", "holds", "datagrams", title=f"{now:.1f} s, {runner.faults} faults"
     )
     holding = {hold.duty: hold for hold in cluster.holds()}
     for name, process in list(cluster.current.items())[:24]:
@@ -43,14 +43,14 @@
 
 
 def play(told: argparse.Namespace) -> int:
-    row = course.read(told.course)
+    row = fault_scenario.read(told.course)
     changes = {name: value for name in ("seed", "members") if (value := getattr(told, name)) is not None}
     row = replace(row, **changes)
     console = Console(stderr=True)
     with tempfile.TemporaryDirectory(prefix="onyxhollow-fleet-") as scratch:
-        player = course.Player(row, told.logs or Path(scratch))
+        runner = fault_scenario.ScenarioRunner(row, told.logs or Path(scratch))
         with Live(console=console, refresh_per_second=4, transient=not console.is_terminal) as live:
-            report = player.play(lambda player, now: live.update(picture(player, now)))
+            report = runner.run(lambda runner, now: live.update(picture(runner, now)))
     figures = report.figures()
     if told.json:
         print(json.dumps(figures))
--- a/onyxhollow/lab/fleet/explore.py
+++ b/onyxhollow/lab/fleet/state_explorer.py
@@ -73,13 +73,13 @@
     budget: int = 0
     lost: frozenset[str] = frozenset()  # voters that have lost their memory
     # "restarts": no faults but voters started anew with their disks, and the first candidate cut
-    only: str = ""
+    only_faults: str = ""
     forgot: bool = False  # a majority had, at one time or another: terms rest on nothing then
 
     @staticmethod
-    def new(rates: tuple[float, ...], budget: int, only: str = "") -> World:
+    def new(rates: tuple[float, ...], budget: int, only_faults: str = "") -> World:
         voter_set = VoterSet(0, VOTERS)
-        world = World(rates, budget=budget, only=only)
+        world = World(rates, budget=budget, only_faults=only_faults)
         for name in VOTERS:
             voter = Voter(name, voter_set, LEASE, 0.0)
             voter.recovering = False
@@ -163,7 +163,7 @@
 
     def environment(self) -> list[tuple[str, str]]:
         """Faults that may begin or end now."""
-        if self.only == "restarts":
+        if self.only_faults == "restarts":
             cut = ("mend" if self.cut else "cut", CANDIDATES[0])
             return [cut, *(("restart", name) for name in VOTERS)]
         told: list[tuple[str, str]] = []
@@ -255,7 +255,7 @@
             place += 1
             if (source, "out") in self.cut or (target, "in") in self.cut:
                 continue
-            chosen = choose(2 + 2 * len(LATE)) if self.budget and not self.only else 0
+            chosen = choose(2 + 2 * len(LATE)) if self.budget and not self.only_faults else 0
             if chosen:
                 self.budget -= 1
                 if chosen == 1:
@@ -352,12 +352,12 @@
 
 
 @dataclass
-class Explored:
+class ExplorationResult:
     states: int = 0
     steps: int = 0
-    found: str = ""
-    whole: bool = True  # nothing was left out
-    ends: int = 0  # runs that were looked at for a holder in the end
+    violation: str = ""
+    complete: bool = True  # nothing was left out
+    checked_ends: int = 0  # runs that were looked at for a holder in the end
     seconds: float = 0.0
 
 
@@ -374,12 +374,12 @@
     most: int = 10**9,
     seconds: float = 1e9,
     seed: int = 1,
-    only: str = "",
-) -> Explored:
+    only_faults: str = "",
+) -> ExplorationResult:
     """Every run of so many ticks with at most so many faults, level by level. most, seconds: where it is cut
     off; which states of a level are gone on from is then drawn by the seed."""
-    told, began, rng = Explored(), time.monotonic(), Random(seed)
-    level: dict[Any, World] = {"": World.new(RATES[rates], budget, only)}
+    told, began, rng = ExplorationResult(), time.monotonic(), Random(seed)
+    level: dict[Any, World] = {"": World.new(RATES[rates], budget, only_faults)}
     try:
         for number in range(ticks):
             after: dict[Any, World] = {}
@@ -391,7 +391,7 @@
                 rng.shuffle(worlds)
             for world in worlds:
                 if len(after) >= share or time.monotonic() - began > seconds * (number + 1) / ticks:
-                    told.whole = False
+                    told.complete = False
                     break
                 here: list[World] = []
 
@@ -410,16 +410,16 @@
             level = after
         rows = list(level.values())
         for world in rng.sample(rows, min(len(rows), max(50, len(rows) // 20))):
-            told.ends += 1
+            told.checked_ends += 1
             world.copy().calm()
     except Found as error:
-        told.found = str(error)
+        told.violation = str(error)
     told.seconds = time.monotonic() - began
     return told
 
 
 @contextlib.contextmanager
-def bug(name: str) -> Iterator[None]:
+def injected_bug(name: str) -> Iterator[None]:
     """One of broken.py put in, and taken out again."""
     kept = Voter.restore, LeaseTiming.holder_span, Candidate.holds, Candidate.end
     injected_bugs.inject(name)
--- a/tests/test_address_schedules.py
+++ b/tests/test_address_schedules.py
@@ -2,26 +2,25 @@
 
 import pytest
 
-from onyxhollow.lab.fleet import address_explorer, wander
+from onyxhollow.lab.fleet import address_explorer, random_walk
 
 
 def test_no_schedule_of_faults_breaks_an_invariant():
-    assert wander.explore(range(12)) == []
+    assert random_walk.find_violations(range(12)) == []
 
 
 @pytest.mark.parametrize("name", sorted(address_explorer.SCENARIOS))
 def test_no_fault_at_any_point_of_a_scenario_breaks_an_invariant(name):
-    result = address_explorer.explore(name, every=61)  # the benchmark runs every point
-    assert result.runs > 40 and result.broken == []
+    result = address_explorer.explore(name, stride=61)  # the benchmark runs every point
+    assert result.runs > 40 and result.violations == []
 
 
 def test_an_announcer_stopped_during_a_restore_does_not_cause_the_last_site_to_be_withdrawn():
-    assert (
-        address_explorer.ExploredWorld((("stop announcer b", 19),)).course("two excluded, the last ill") == []
-    )
+    world = address_explorer.ExploredWorld((("stop announcer b", 19),))
+    assert world.run_scenario("two excluded, the last ill") == []
 
 
-# By injected bug: the first seed in range(400) whose schedule reveals it, according to wander.found.
+# By injected bug: the first seed in range(400) whose schedule reveals it (random_walk.detect_bug).
 REVEALING_SEEDS = {
     "no least": 24,
     "no budget": 33,
@@ -32,7 +31,7 @@
 }
 
 
-@pytest.mark.parametrize("name", sorted(wander.BUGS))
+@pytest.mark.parametrize("name", sorted(random_walk.BUGS))
 def test_each_injected_bug_is_found(name):
     seeds = range(REVEALING_SEEDS[name], REVEALING_SEEDS[name] + 1)
-    assert wander.found(name, seeds) and not wander.explore(seeds)
+    assert random_walk.detect_bug(name, seeds) and not random_walk.find_violations(seeds)
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -7,7 +7,7 @@
 import pytest
 
 from onyxhollow.fleet import commands
-from onyxhollow.lab.fleet import bug_detection, course, injected_bugs
+from onyxhollow.lab.fleet import bug_detection, fault_scenario, injected_bugs
 from onyxhollow.lab.fleet.process_cluster import KEY, ClusterError, ProcessCluster, format_address, server_row
 from onyxhollow.lab.fleet.stand_ins import ListService
 from onyxhollow.lab.fleet.traffic import Client, EchoServer
@@ -370,9 +370,13 @@
     assert all("seal" not in cluster.query(name)["dropped"] for name in cluster.names)
 
 
-@pytest.mark.parametrize("name", [name for name in course.shipped() if not name.endswith("minute")])
+@pytest.mark.parametrize(
+    "name", [name for name in fault_scenario.shipped_scenarios() if not name.endswith("minute")]
+)
 def test_fault_scenarios_violate_no_invariant_and_end_with_a_holder(name, tmp_path):
-    report = course.Player(course.scaled(course.read(name), 0.6), tmp_path / "rig").play()
+    report = fault_scenario.ScenarioRunner(
+        fault_scenario.scale(fault_scenario.read(name), 0.6), tmp_path / "rig"
+    ).run()
     assert report.clean and report.faults >= 1 and report.verdict.holds >= 2, report.figures()
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from onyxhollow.lab.fleet import explore, injected_bugs
+from onyxhollow.lab.fleet import injected_bugs, state_explorer
 from onyxhollow.leases.candidate import Candidate
 from onyxhollow.leases.candidate_states import NEXT_STATE, CandidateEvent, CandidateState, CandidateStateError
 from onyxhollow.leases.messages import (
@@ -154,14 +154,14 @@
 
 
 def test_state_explorer_passes_the_protocol_and_finds_each_injected_bug():
-    result = explore.explore(1, 12)
-    assert result.whole and not result.found and result.states > 1000 and result.ends
-    result = explore.explore(3, 8, only="restarts")
-    assert result.whole and not result.found
+    result = state_explorer.explore(1, 12)
+    assert result.complete and not result.violation and result.states > 1000 and result.checked_ends
+    result = state_explorer.explore(3, 8, only_faults="restarts")
+    assert result.complete and not result.violation
     for name in injected_bugs.BUGS:
-        with explore.bug(name):
+        with state_explorer.injected_bug(name):
             only = "restarts" if name == "forgets" else ""
-            assert explore.explore(3 if only else 1, 12, only=only).found, name
+            assert state_explorer.explore(3 if only else 1, 12, only_faults=only).violation, name
 
 
 class Election(RuleBasedStateMachine):
--- a/tests/test_route_table.py
+++ b/tests/test_route_table.py
@@ -5,11 +5,11 @@
 from address_support import ADVERTISED, LOWERED, WITHDRAWN
 
 from onyxhollow.addresses.route_table import RouteTable, StaleTermError
-from onyxhollow.lab.fleet import wander
+from onyxhollow.lab.fleet import random_walk
 
 
 def route_table():
-    config = wander.TOLD
+    config = random_walk.CONFIG
     return RouteTable(config.services, config.sites[0], 64512)
 
 
@@ -22,7 +22,7 @@
         ("keep", 16.0, 16.0, True),
         ("keep", 99.0, 1.0, False),
     ):
-        config = wander.TOLD
+        config = random_walk.CONFIG
         table = RouteTable(config.services, msgspec.structs.replace(config.sites[0], cut_off=cut_off), 64512)
         table.claim(1, "n0", 0.0)
         table.set_preference(1, 1, 1, "x", ADVERTISED, 0.0)
