--- a/onyxhollow/lab/fleet/fault_scenario.py
+++ b/onyxhollow/lab/fleet/fault_scenario.py
@@ -212,7 +212,7 @@
         self.event_queue.append((due, self.event_number, action))
 
     def resolve_names(self, targets: tuple[str, ...]) -> list[str]:
-        """Return the names of the members and stand-ins that the targets stand for at this moment."""
+        """Return the names of the members and stand-ins that the targets currently refer to."""
         names: list[str] = []
         for target in targets:
             kind, _, value = target.partition(":")
--- a/onyxhollow/lab/fleet/random_walk.py
+++ b/onyxhollow/lab/fleet/random_walk.py
@@ -244,7 +244,7 @@
         name: str = "",
         preference: Preference = Preference.WITHDRAWN,
     ) -> None:
-        """Make an HTTP call to the route guard; it arrives with the values of this moment, possibly late."""
+        """Make an HTTP call to the route guard with the current term and call number; it may arrive late."""
         controller_term, number = announcer.core.controller_term, announcer.core.next_call_number()
         self.send_to_guard(
             announcer,
--- a/onyxhollow/lab/fleet/state_explorer.py
+++ b/onyxhollow/lab/fleet/state_explorer.py
@@ -1,14 +1,20 @@
-"""The explorer: voters, candidates and the thing acted on, as they are, under faults put at every place.
+"""State explorer of the lease protocol: the real voters and candidates under faults at every point.
 
-Delay-bounded exploration (Emmi, Qadeer, Rakamaric, 2011): a run goes its plain way but for a bounded number
-of faults, and each run with so many faults at any place is played: a datagram lost, late by one tick, or by
-more than a term, or come twice; a process stopped and woken; a link cut one way or both, and mended; a
-voter ended and started anew with its disk or without; a duty handed over. States that two runs share are
-gone on from once.
+Delay-bounded exploration (Emmi, Qadeer, Rakamaric, 2011): a run is deterministic except for a bounded number
+of faults, and every run with that many faults at any point is explored. The faults are:
 
-Time goes in ticks; each process's clock runs at a rate of its own within the stated bound. Checked in every
-state: one holder at any true time; terms rise; who acts is within its own lease; an act of an old term
-never takes effect. Checked at the ends of runs: quiet again for a while, somebody holds.
+- a datagram lost, duplicated, or delayed by one tick or by more than a lease,
+- a process stopped and resumed,
+- a link cut in one direction or both, and healed,
+- a voter restarted with or without its disk,
+- a lease handed over.
+
+A state that several runs reach is continued only once.
+
+Time advances in ticks, and each process's clock has its own rate within the rate bound. Invariants of every
+state: at most one candidate holds the lease at any true time, terms increase, a holder acts only within its
+lease, and an action under an old term never takes effect. At the end of a run without further faults, the
+lease must be held again.
 """
 
 from __future__ import annotations
@@ -27,17 +33,17 @@
 from onyxhollow.leases.timing import LeaseTiming
 from onyxhollow.leases.voter import Voter
 
-TICK = 10  # units of true time
-LEASE, BOUND = 40.0, 0.1
-LATE = (1, 6)  # ticks by which a datagram may be late: a moment, and past a term
+TICK_UNITS = 10  # units of true time in a tick
+LEASE_UNITS, RATE_BOUND = 40.0, 0.1
+DELAY_TICKS = (1, 6)  # delays of a datagram: a short one, and one longer than a lease
 VOTERS = ("v0", "v1", "v2")
 CANDIDATES = ("c0", "c1")
 DUTY = "d"
-QUIET = 40  # ticks of quiet in which somebody has to hold
+RECOVERY_TICKS = 40  # without faults, within which a candidate must become the holder
 
 
-class Still(Random):
-    """No chance: the explorer puts the differences itself."""
+class MinimumRandom(Random):
+    """Random numbers that are all the minimum, so that only the explorer varies a run."""
 
     def random(self) -> float:
         return 0.0
@@ -46,48 +52,54 @@
         return a
 
 
-STILL = Still(0)
+MINIMUM_RANDOM = MinimumRandom(0)
 
 
-def keyed(rows: tuple[tuple[Any, ...], ...]) -> tuple[tuple[Any, ...], ...]:
+def encode_messages(rows: tuple[tuple[Any, ...], ...]) -> tuple[tuple[Any, ...], ...]:
+    """Return the rows with their last field, a message, encoded, so that they can be compared."""
     return tuple((*row[:-1], encode(row[-1])) for row in rows)
 
 
-class Found(Exception):  # noqa: N818 (it is what is looked for)
-    """A property does not hold."""
+class InvariantViolationError(Exception):
+    """An invariant does not hold."""
 
 
 @dataclass
 class World:
-    rates: tuple[float, ...]  # of the candidates' and voters' clocks
+    """A state: voters, candidates, the service that the holder acts on, datagrams in transit and faults."""
+
+    rates: tuple[float, ...]  # of the clocks of the candidates, then of the voters
     tick: int = 0
     voters: list[Voter] = field(default_factory=list)
     disks: list[tuple[Message, ...]] = field(default_factory=list)
     candidates: list[Candidate] = field(default_factory=list)
-    paused: frozenset[str] = frozenset()
-    cut: frozenset[tuple[str, str]] = frozenset()  # candidate and way: "out", "in"
-    late: tuple[tuple[int, str, str, Any], ...] = ()  # due tick, from, to, what
-    held: tuple[tuple[str, str, Any], ...] = ()  # come to a process that is stopped
-    newest: int = 0  # the highest term that the thing has seen
-    last: tuple[int, str] = (0, "")  # term and name of the last holder
-    budget: int = 0
-    lost: frozenset[str] = frozenset()  # voters that have lost their memory
-    # "restarts": no faults but voters started anew with their disks, and the first candidate cut
+    stopped: frozenset[str] = frozenset()
+    cut: frozenset[tuple[str, str]] = frozenset()  # candidate and direction: "out", "in"
+    delayed: tuple[tuple[int, str, str, Any], ...] = ()  # due tick, source, target, message
+    unread: tuple[tuple[str, str, Any], ...] = ()  # source, target, message; the target is stopped
+    highest_term: int = 0  # of the actions that the service has received
+    last_holder: tuple[int, str] = (0, "")  # term and name
+    budget: int = 0  # faults that may still be caused
+    blank_voters: frozenset[str] = frozenset()  # voters that were restarted without their disks
+    # "restarts": the only faults are voters restarted with their disks, and a cut of the first candidate.
     only_faults: str = ""
-    forgot: bool = False  # a majority had, at one time or another: terms rest on nothing then
+    # Whether a majority of the voters recovered without their disks at the same time. Terms may then repeat.
+    majority_blank: bool = False
 
     @staticmethod
     def new(rates: tuple[float, ...], budget: int, only_faults: str = "") -> World:
         voter_set = VoterSet(0, VOTERS)
         world = World(rates, budget=budget, only_faults=only_faults)
         for name in VOTERS:
-            voter = Voter(name, voter_set, LEASE, 0.0)
+            voter = Voter(name, voter_set, LEASE_UNITS, 0.0)
             voter.recovering = False
             world.voters.append(voter)
             world.disks.append(())
-        for place, name in enumerate(CANDIDATES):
-            candidate = Candidate(DUTY, name, LeaseTiming(LEASE, BOUND), voter_set, STILL, 0.0)
-            candidate.next_at = 15.0 * place
+        for rank, name in enumerate(CANDIDATES):
+            candidate = Candidate(
+                DUTY, name, LeaseTiming(LEASE_UNITS, RATE_BOUND), voter_set, MINIMUM_RANDOM, 0.0
+            )
+            candidate.next_at = 15.0 * rank
             world.candidates.append(candidate)
         return world
 
@@ -107,10 +119,12 @@
         return other
 
     def clock(self, name: str) -> float:
+        """Return the time of the process's own clock."""
         names = CANDIDATES + VOTERS
-        return self.tick * TICK * self.rates[names.index(name)]
+        return self.tick * TICK_UNITS * self.rates[names.index(name)]
 
     def key(self) -> Any:
+        """Return the key of the state; states with equal keys continue in the same way."""
         voters = tuple(
             (
                 tuple(sorted(voter.slots.items(), key=lambda row: row[0])),
@@ -141,198 +155,214 @@
             )
             for candidate in self.candidates
         )
-        under_way = keyed(self.late), keyed(self.held)
+        in_transit = encode_messages(self.delayed), encode_messages(self.unread)
         return (
             self.tick,
             voters,
             candidates,
-            self.paused,
+            self.stopped,
             self.cut,
-            under_way,
-            self.newest,
-            self.last,
+            in_transit,
+            self.highest_term,
+            self.last_holder,
             self.budget,
             self.disks_key(),
-            self.lost,
+            self.blank_voters,
         )
 
     def disks_key(self) -> Any:
         return tuple(disk[-1:] for disk in self.disks)
 
-    # what may happen
+    # Faults.
 
-    def environment(self) -> list[tuple[str, str]]:
-        """Faults that may begin or end now."""
+    def possible_faults(self) -> list[tuple[str, str]]:
+        """Return the faults, as kind and process, that may start or end at this tick."""
         if self.only_faults == "restarts":
-            cut = ("mend" if self.cut else "cut", CANDIDATES[0])
+            cut = ("heal" if self.cut else "cut", CANDIDATES[0])
             return [cut, *(("restart", name) for name in VOTERS)]
-        told: list[tuple[str, str]] = []
+        faults: list[tuple[str, str]] = []
         for name in CANDIDATES + VOTERS:
-            told.append(("wake" if name in self.paused else "pause", name))
+            faults.append(("resume" if name in self.stopped else "stop", name))
         for name in CANDIDATES:
-            ways = {way for who, way in self.cut if who == name}
-            told += [("mend", name)] if ways else [("cut out", name), ("cut in", name), ("cut", name)]
+            directions = {direction for candidate, direction in self.cut if candidate == name}
+            faults += [("heal", name)] if directions else [("cut out", name), ("cut in", name), ("cut", name)]
         for name in VOTERS:
-            told += [("restart", name), ("restart blank", name)]
-        told += [("hand over", name) for name in CANDIDATES if name not in self.paused and self.holds(name)]
-        return told
+            faults += [("restart", name), ("restart blank", name)]
+        faults += [
+            ("hand over", name) for name in CANDIDATES if name not in self.stopped and self.holds(name)
+        ]
+        return faults
 
     def holds(self, name: str) -> bool:
         return self.candidates[CANDIDATES.index(name)].holds(self.clock(name))
 
-    def befall(self, what: str, name: str) -> list[tuple[str, str, Any]]:
-        if what == "pause":
-            self.paused |= {name}
-        elif what == "wake":
-            self.paused -= {name}
-            mine = [row for row in self.held if row[1] == name]
-            self.held = tuple(row for row in self.held if row[1] != name)
+    def cause_fault(self, kind: str, name: str) -> list[tuple[str, str, Any]]:
+        """Start or end the fault; return the datagrams (source, target, message) to deliver because of it."""
+        if kind == "stop":
+            self.stopped |= {name}
+        elif kind == "resume":
+            self.stopped -= {name}
+            received = [row for row in self.unread if row[1] == name]
+            self.unread = tuple(row for row in self.unread if row[1] != name)
             if name in CANDIDATES:
-                self.act(name)  # in the middle of an act: before anything that came meanwhile
-            return mine
-        elif what == "mend":
+                self.act(name)  # stopped during an action: it continues before reading what has arrived
+            return received
+        elif kind == "heal":
             self.cut = frozenset(row for row in self.cut if row[0] != name)
-        elif what.startswith("cut"):
-            self.cut |= {(name, way) for way in (what[4:] or "in out").split()}
-        elif what.startswith("restart"):
-            self.restart(name, blank=what.endswith("blank"))
-        elif what == "hand over":
+        elif kind.startswith("cut"):
+            self.cut |= {(name, direction) for direction in (kind[4:] or "in out").split()}
+        elif kind.startswith("restart"):
+            self.restart(name, blank=kind.endswith("blank"))
+        elif kind == "hand over":
             candidate = self.candidates[CANDIDATES.index(name)]
             other = CANDIDATES[1 - CANDIDATES.index(name)]
-            told = candidate.end(self.clock(name), "operator")
-            sent = [(name, voter, message) for voter, message in told]
+            releases = candidate.end(self.clock(name), "operator")
+            sent = [(name, voter, message) for voter, message in releases]
             return [*sent, (name, other, LeaseOffer(DUTY, candidate.term))]
         return []
 
     def restart(self, name: str, blank: bool) -> None:
-        place = VOTERS.index(name)
+        """Restart the voter from its disk, or without it."""
+        index = VOTERS.index(name)
         now = self.clock(name)
         if blank:
-            self.disks[place] = ()
-            self.lost |= {name}
-            blanks = {each for each, voter in zip(VOTERS, self.voters, strict=True) if voter.recovering} | {
-                name
-            }
-            self.forgot = self.forgot or len(blanks) >= 2
-        voter = Voter(name, VoterSet(0, VOTERS), LEASE, now)
-        voter.restore(self.disks[place], now)
-        # at the start of a run nothing has been granted: that is a memory
+            self.disks[index] = ()
+            self.blank_voters |= {name}
+            recovering = {
+                other for other, voter in zip(VOTERS, self.voters, strict=True) if voter.recovering
+            } | {name}
+            self.majority_blank = self.majority_blank or len(recovering) >= 2
+        voter = Voter(name, VoterSet(0, VOTERS), LEASE_UNITS, now)
+        voter.restore(self.disks[index], now)
+        # A disk that is still empty is complete: at the start of a run nothing has been granted.
         voter.recovering = voter.recovering and blank
-        self.voters[place] = voter
-        self.held = tuple(row for row in self.held if row[1] != name)
-        self.paused -= {name}
+        self.voters[index] = voter
+        self.unread = tuple(row for row in self.unread if row[1] != name)
+        self.stopped -= {name}
 
-    # one tick
+    # One tick.
 
     def advance(self, choose: Callable[[int], int]) -> None:
+        """Run one tick; `choose` takes the number of options and returns one, 0 being no fault."""
         queue: list[tuple[str, str, Any]] = []
         if self.budget:
-            options = self.environment()
-            if chosen := choose(1 + len(options)):
+            faults = self.possible_faults()
+            if chosen := choose(1 + len(faults)):
                 self.budget -= 1
-                queue += self.befall(*options[chosen - 1])
+                queue += self.cause_fault(*faults[chosen - 1])
         now = self.tick
-        queue += [(source, target, what) for due, source, target, what in self.late if due <= now]
-        self.late = tuple(row for row in self.late if row[0] > now)
+        queue += [(source, target, message) for due, source, target, message in self.delayed if due <= now]
+        self.delayed = tuple(row for row in self.delayed if row[0] > now)
         self.check()
         for name in VOTERS:
-            if name not in self.paused:
+            if name not in self.stopped:
                 voter = self.voters[VOTERS.index(name)]
-                told, rows = voter.tick(self.clock(name))
+                sent, rows = voter.tick(self.clock(name))
                 self.disks[VOTERS.index(name)] += tuple(rows)
-                queue += [(name, target, message) for target, message in told]
+                queue += [(name, target, message) for target, message in sent]
         for rank, name in enumerate(CANDIDATES):
-            if name not in self.paused:
+            if name not in self.stopped:
                 self.act(name)
                 candidate = self.candidates[rank]
                 if self.clock(name) >= candidate.next_due():
-                    said = candidate.tick(self.clock(name), rank)
-                    queue += [(name, voter, message) for voter, message in said]
+                    requests = candidate.tick(self.clock(name), rank)
+                    queue += [(name, voter, message) for voter, message in requests]
         self.check()
-        place = 0
-        while place < len(queue):
-            source, target, what = queue[place]
-            place += 1
+        position = 0
+        while position < len(queue):
+            source, target, message = queue[position]
+            position += 1
             if (source, "out") in self.cut or (target, "in") in self.cut:
                 continue
-            chosen = choose(2 + 2 * len(LATE)) if self.budget and not self.only_faults else 0
-            if chosen:
+            chosen = choose(2 + 2 * len(DELAY_TICKS)) if self.budget and not self.only_faults else 0
+            if chosen:  # 1: lost; then one option for each delay, and one for each delay of a duplicate
                 self.budget -= 1
                 if chosen == 1:
                     continue
-                span, twice = LATE[(chosen - 2) % len(LATE)], chosen >= 2 + len(LATE)
-                self.late += ((self.tick + span, source, target, what),)
-                if not twice:
+                delay, duplicated = (
+                    DELAY_TICKS[(chosen - 2) % len(DELAY_TICKS)],
+                    chosen >= 2 + len(DELAY_TICKS),
+                )
+                self.delayed += ((self.tick + delay, source, target, message),)
+                if not duplicated:
                     continue
-            if target in self.paused:
-                self.held += ((source, target, what),)
+            if target in self.stopped:
+                self.unread += ((source, target, message),)
                 continue
-            queue += self.deliver(source, target, what)
+            queue += self.deliver(source, target, message)
             self.check()
         self.tick += 1
         self.check()
 
-    def deliver(self, source: str, target: str, what: Any) -> list[tuple[str, str, Any]]:
+    def deliver(self, source: str, target: str, message: Any) -> list[tuple[str, str, Any]]:
+        """Deliver a datagram; return the datagrams sent in response."""
         now = self.clock(target)
         if target in VOTERS:
-            place = VOTERS.index(target)
-            answers, rows = self.voters[place].on_message(now, source, what)
-            self.disks[place] += tuple(rows)
-            return [(target, source, answer) for answer in answers]
+            index = VOTERS.index(target)
+            responses, rows = self.voters[index].on_message(now, source, message)
+            self.disks[index] += tuple(rows)
+            return [(target, source, response) for response in responses]
         candidate = self.candidates[CANDIDATES.index(target)]
-        said: list[VoterMessage] = []
-        if isinstance(what, VoteResponse):
-            said = candidate.on_response(now, source, what)
-        elif isinstance(what, LeaseOffer):
-            said = candidate.on_offer(now, what.term)
+        sent: list[VoterMessage] = []
+        if isinstance(message, VoteResponse):
+            sent = candidate.on_response(now, source, message)
+        elif isinstance(message, LeaseOffer):
+            sent = candidate.on_offer(now, message.term)
         for transition in candidate.transitions:
             if transition.began:
-                if transition.term <= self.last[0] and not self.forgot:
-                    raise Found(
-                        f"tick {self.tick}: {target} holds under term {transition.term} after {self.last}"
+                if transition.term <= self.last_holder[0] and not self.majority_blank:
+                    raise InvariantViolationError(
+                        f"tick {self.tick}: {target} holds under term {transition.term} "
+                        f"after {self.last_holder}"
                     )
-                self.last = max(self.last, (transition.term, target))
+                self.last_holder = max(self.last_holder, (transition.term, target))
         candidate.transitions.clear()
-        return [(target, voter, message) for voter, message in said]
+        return [(target, voter, voter_message) for voter, voter_message in sent]
 
     def act(self, name: str) -> None:
-        """What a holder does: looks at the clock, and acts under its term."""
+        """Perform an action under the candidate's term if it holds the lease."""
         candidate = self.candidates[CANDIDATES.index(name)]
         if not self.holds(name):
             return
         if self.clock(name) >= candidate.expires_at:
-            raise Found(f"tick {self.tick}: {name} acts under term {candidate.term} past its lease")
-        if candidate.term >= self.newest:
-            self.newest = candidate.term
+            raise InvariantViolationError(
+                f"tick {self.tick}: {name} acts under term {candidate.term} past its lease"
+            )
+        if candidate.term >= self.highest_term:
+            self.highest_term = candidate.term
         else:
-            raise Found(f"tick {self.tick}: {name} acts under term {candidate.term} after {self.newest}")
+            raise InvariantViolationError(
+                f"tick {self.tick}: {name} acts under term {candidate.term} after {self.highest_term}"
+            )
 
     def check(self) -> None:
-        """A stopped process holds too, by its own clock: it may be woken in this very moment."""
+        """Check that at most one candidate holds the lease; a stopped one counts, because it may resume."""
         if sum(self.holds(name) for name in CANDIDATES) > 1:
-            told = [
+            states = [
                 (candidate.term, candidate.expires_at, self.clock(candidate.process_id))
                 for candidate in self.candidates
             ]
-            raise Found(f"tick {self.tick}: two holders: {told}")
+            raise InvariantViolationError(f"tick {self.tick}: two holders: {states}")
 
-    def calm(self) -> None:
-        """All faults over: within a stated time somebody holds."""
+    def check_recovery(self) -> None:
+        """End all faults and check that the lease is held within RECOVERY_TICKS."""
         self.budget, self.cut = 0, frozenset()
-        for name in list(self.paused):
-            self.held_back(self.befall("wake", name))
-        for _ in range(QUIET):
+        for name in list(self.stopped):
+            self.deliver_next_tick(self.cause_fault("resume", name))
+        for _ in range(RECOVERY_TICKS):
             self.advance(lambda options: 0)
             if any(self.holds(name) for name in CANDIDATES):
                 return
-        raise Found(f"tick {self.tick}: nobody holds after {QUIET} quiet ticks")
+        raise InvariantViolationError(
+            f"tick {self.tick}: no holder after {RECOVERY_TICKS} ticks without faults"
+        )
 
-    def held_back(self, rows: list[tuple[str, str, Any]]) -> None:
-        self.late += tuple((self.tick, *row) for row in rows)
+    def deliver_next_tick(self, rows: list[tuple[str, str, Any]]) -> None:
+        self.delayed += tuple((self.tick, *row) for row in rows)
 
 
-def choices(play: Callable[[Callable[[int], int]], None]) -> Iterator[list[int]]:
-    """Plays every sequence of choices, each to its end."""
+def run_all_choices(run: Callable[[Callable[[int], int]], None]) -> Iterator[list[int]]:
+    """Call `run` once for every sequence of choices, and yield each sequence."""
     prefix: list[int] = []
     while True:
         taken: list[tuple[int, int]] = []
@@ -342,7 +372,7 @@
             taken.append((chosen, options))
             return chosen
 
-        play(choose)
+        run(choose)
         yield [chosen for chosen, _ in taken]
         while taken and taken[-1][0] + 1 >= taken[-1][1]:
             taken.pop()
@@ -355,15 +385,15 @@
 class ExplorationResult:
     states: int = 0
     steps: int = 0
-    violation: str = ""
-    complete: bool = True  # nothing was left out
-    checked_ends: int = 0  # runs that were looked at for a holder in the end
+    violation: str = ""  # the first one
+    complete: bool = True  # whether no state was left out
+    checked_ends: int = 0  # final states from which the recovery was checked
     seconds: float = 0.0
 
 
 RATES = {
     "even": (1.0, 1.0, 1.0, 1.0, 1.0),
-    "apart": (1.0 - BOUND, 1.0, 1.0 + BOUND, 1.0 + BOUND, 1.0 + BOUND),
+    "apart": (1.0 - RATE_BOUND, 1.0, 1.0 + RATE_BOUND, 1.0 + RATE_BOUND, 1.0 + RATE_BOUND),
 }
 
 
@@ -371,59 +401,61 @@
     budget: int,
     ticks: int,
     rates: str = "apart",
-    most: int = 10**9,
+    max_states: int = 10**9,
     seconds: float = 1e9,
     seed: int = 1,
     only_faults: str = "",
 ) -> ExplorationResult:
-    """Every run of so many ticks with at most so many faults, level by level. most, seconds: where it is cut
-    off; which states of a level are gone on from is then drawn by the seed."""
-    told, began, rng = ExplorationResult(), time.monotonic(), Random(seed)
+    """Explore every run of `ticks` ticks with at most `budget` faults, one tick after another.
+
+    `max_states` and `seconds` limit the exploration. The seed then selects the states that are continued.
+    """
+    result, started_at, rng = ExplorationResult(), time.monotonic(), Random(seed)
     level: dict[Any, World] = {"": World.new(RATES[rates], budget, only_faults)}
     try:
-        for number in range(ticks):
-            after: dict[Any, World] = {}
+        for tick in range(ticks):
+            next_level: dict[Any, World] = {}
             worlds = list(level.values())
-            left = max(1, most - told.states)
-            # each level has its part, so that late ones are seen
-            share = max(1, left // max(1, ticks - number))
-            if len(worlds) > 1 and share < most:
+            remaining = max(1, max_states - result.states)
+            # Each tick has a share of the limit, so that the later ones are explored too.
+            share = max(1, remaining // max(1, ticks - tick))
+            if len(worlds) > 1 and share < max_states:
                 rng.shuffle(worlds)
             for world in worlds:
-                if len(after) >= share or time.monotonic() - began > seconds * (number + 1) / ticks:
-                    told.complete = False
+                if len(next_level) >= share or time.monotonic() - started_at > seconds * (tick + 1) / ticks:
+                    result.complete = False
                     break
-                here: list[World] = []
+                reached: list[World] = []
 
-                def play(
-                    choose: Callable[[int], int], world: World = world, here: list[World] = here
+                def run_tick(
+                    choose: Callable[[int], int], world: World = world, reached: list[World] = reached
                 ) -> None:
-                    other = world.copy()
-                    other.advance(choose)
-                    here.append(other)
-
-                for _ in choices(play):
-                    told.steps += 1
-                    other = here.pop()
-                    after.setdefault(other.key(), other)
-            told.states += len(after)
-            level = after
-        rows = list(level.values())
-        for world in rng.sample(rows, min(len(rows), max(50, len(rows) // 20))):
-            told.checked_ends += 1
-            world.copy().calm()
-    except Found as error:
-        told.violation = str(error)
-    told.seconds = time.monotonic() - began
-    return told
+                    successor = world.copy()
+                    successor.advance(choose)
+                    reached.append(successor)
+
+                for _ in run_all_choices(run_tick):
+                    result.steps += 1
+                    successor = reached.pop()
+                    next_level.setdefault(successor.key(), successor)
+            result.states += len(next_level)
+            level = next_level
+        final_worlds = list(level.values())
+        for world in rng.sample(final_worlds, min(len(final_worlds), max(50, len(final_worlds) // 20))):
+            result.checked_ends += 1
+            world.copy().check_recovery()
+    except InvariantViolationError as error:
+        result.violation = str(error)
+    result.seconds = time.monotonic() - started_at
+    return result
 
 
 @contextlib.contextmanager
 def injected_bug(name: str) -> Iterator[None]:
-    """One of broken.py put in, and taken out again."""
-    kept = Voter.restore, LeaseTiming.holder_span, Candidate.holds, Candidate.end
+    """Inject a bug of injected_bugs.py and remove it at the end."""
+    originals = Voter.restore, LeaseTiming.holder_span, Candidate.holds, Candidate.end
     injected_bugs.inject(name)
     try:
         yield
     finally:
-        Voter.restore, LeaseTiming.holder_span, Candidate.holds, Candidate.end = kept  # type: ignore[method-assign]
+        Voter.restore, LeaseTiming.holder_span, Candidate.holds, Candidate.end = originals  # type: ignore[method-assign]
