--- a/onyxhollow/lab/fleet/address_explorer.py
+++ b/onyxhollow/lab/fleet/address_explorer.py
@@ -1,14 +1,14 @@
-"""Systematic exploration of the shared-address protocol with one or two faults at every possible point.
+"""State explorer of shared addresses: the components of the random walk with a bounded number of faults.
 
-This is delay-bounded exploration (Emmi, Qadeer, Rakamaric, 2011), as for duties (explore.py): a scenario is
-deterministic except for one or two faults, and it is run with the faults at each point. A point is a message
-within the window (lost, delayed past a dwell, or duplicated) or a step of it (controller or announcer stopped
-past its lease and resumed, a site cut off, two voters away, a routing daemon restarted). Messages with
-evidence get no fault: three members send it at each step, so that one message more or less has no effect.
-The random walk (wander.py) does lose them.
+Delay-bounded exploration (Emmi, Qadeer, Rakamaric, 2011), as in state_explorer.py: each scenario runs with
+at most one or two faults, and is repeated with them at every point. A point is a message of the fault window
+(lost, duplicated, or delayed for longer than the policy's delays) or a step of it (a controller or announcer
+stopped for longer than its lease, a site cut off, two voters unavailable, a routing daemon restarted).
 
-The world and its invariants are those of the random walk, with three sites, two addresses and three voters.
-Nothing is random here.
+Health reports are not among these messages: three members send them in each step, so one more or less has no
+effect that the scenarios do not have already. The random walk does lose them.
+
+The world and its invariants are those of the random walk (random_walk.py), but nothing is random.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 from random import Random
 
 from onyxhollow.addresses.messages import HealthReport, Override
-from onyxhollow.lab.fleet.wander import SITES, STEP, VOTERS, Member, World
+from onyxhollow.lab.fleet.random_walk import SITES, STEP_SECONDS, VOTERS, LeaseHolder, World
 
-SETTLE_STEPS = 24  # until all sites advertise all addresses
-WINDOW_STEPS = 44  # in which faults may occur
-RECOVERY_STEPS = 140  # without faults, after which `settled` checks the final state
-FAULT_STEPS = 12  # duration of a fault at a step: longer than a lease and than each dwell
+STARTUP_STEPS = 24  # until all sites advertise all addresses
+WINDOW_STEPS = 44  # in which faults may start
+RECOVERY_STEPS = 140  # without faults after the window, before the final state is checked
+FAULT_STEPS = 12  # duration of the faults of a step: longer than a lease and than each delay of the policy
 MESSAGE_FAULTS = ("lost", "late", "twice")
 LONG_STOP_STEPS = 32  # for which an announcer may be stopped during a call
-LATE_SECONDS = 8.0  # longer than a withdrawal and its restore
-Fault = tuple[str, int]  # kind, number of the message or step
+DELAY_SECONDS = 8.0  # longer than a withdrawal and the restore after it
+PlannedFault = tuple[str, int]  # kind, and the number of the message or step
 
 
-class ConstantRandom(Random):
-    """A random stream that always returns 0.5, so that equal delays keep the order of messages."""
+class MedianRandom(Random):
+    """Random numbers that are all the mean: every message takes half the longest delay, so none overtakes."""
 
     def random(self) -> float:
         return 0.5
@@ -41,7 +41,7 @@
 
 def set_health(site: str, health: float = 0.0) -> Callable[[World], None]:
     def change(world: World) -> None:
-        world.places[site].health = health
+        world.sites[site].health = health
 
     return change
 
@@ -50,12 +50,12 @@
     def change(world: World) -> None:
         override = Override(f"o{number}", number, verb, "", site, "w", "y", world.now, world.now + 10.0)
         for voter in VOTERS[:2]:
-            world.books[voter].add(override, world.now, world.now)
+            world.override_logs[voter].add(override, world.now, world.now)
 
     return change
 
 
-# Events of each scenario besides the faults, by step of the window.
+# The changes that happen in every run of a scenario, by step of the window.
 SCENARIOS: dict[str, dict[int, Callable[[World], None]]] = {
     "one ill and back": {2: set_health("a"), 20: set_health("a", 1.0)},
     "two ill together": {2: set_health("a"), 3: set_health("b", 0.3), 24: set_health("b", 1.0)},
@@ -84,144 +84,145 @@
 STEP_FAULTS: tuple[str, ...] = (
     "stop keeper",
     "voters away",
-    *(f"{what} {site}" for what in ("stop announcer", "long stop", "cut", "speaker") for site in SITES),
+    *(f"{kind} {site}" for kind in ("stop announcer", "long stop", "cut", "speaker") for site in SITES),
 )
 
 
 @dataclass
-class Count:
-    """Result of an exploration."""
-
+class ExplorationResult:
     runs: int = 0
     messages: int = 0
-    cut_off: bool = False  # the time limit was reached before all points were tried
-    broken: list[str] = field(default_factory=list)
+    timed_out: bool = False  # the time ended before all points were tried
+    violations: list[str] = field(default_factory=list)
 
 
 class ExploredWorld(World):
-    """The world of the random walk, with faults at given points instead of random ones."""
+    """The world of the random walk with planned faults instead of random ones."""
 
-    def __init__(self, faults: Iterable[Fault]) -> None:
+    def __init__(self, planned_faults: Iterable[PlannedFault]) -> None:
         super().__init__(0)
-        self.rng = ConstantRandom(0)
-        self.quiet = True  # no random faults
-        self.window_open = False  # messages within the window are counted and may get a fault
-        self.at_message = {number: fate for fate, number in faults if fate in MESSAGE_FAULTS}
+        self.rng = MedianRandom(0)
+        self.network_reliable = True  # no random faults
+        self.in_window = False  # whether messages are counted
+        self.at_message = {number: fault for fault, number in planned_faults if fault in MESSAGE_FAULTS}
         self.at_step: dict[int, list[str]] = {}
-        for what, number in faults:
-            if what not in MESSAGE_FAULTS:
-                self.at_step.setdefault(number, []).append(what)
+        for kind, number in planned_faults:
+            if kind not in MESSAGE_FAULTS:
+                self.at_step.setdefault(number, []).append(kind)
         self.fault_ends: dict[int, list[Callable[[], None]]] = {}
         self.sent = 0
 
-    def fate(self) -> str:
-        """Return the fault of the next message of the window, or an empty string."""
-        self.sent += self.window_open
-        return self.at_message.get(self.sent, "") if self.window_open else ""
+    def next_message_fault(self) -> str:
+        """Count a message of the window and return its fault, "" for none."""
+        self.sent += self.in_window
+        return self.at_message.get(self.sent, "") if self.in_window else ""
 
-    def send(self, call: Callable[[], None], cut: bool = False) -> None:
-        if cut:
+    def send(self, call: Callable[[], None], cut_off: bool = False) -> None:
+        if cut_off:
             return
-        evidence = any(isinstance(argument, HealthReport) for argument in getattr(call, "args", ()))
-        fate = "" if evidence else self.fate()
-        if fate != "lost":
-            self.later(LATE_SECONDS if fate == "late" else 0.05, call)
-        if fate == "twice":
-            self.later(LATE_SECONDS, call)
-
-    def to_gate(self, holder: Member, arrive: Callable[[], None]) -> None:
-        """Deliver a call to the route guard; a late one may arrive before or after other calls."""
-        fate = self.fate()
-
-        def when_resumed() -> None:
-            if holder.stopped_until > self.now:  # stopped during the call: it continues on resume
-                self.later(holder.stopped_until - self.now + STEP, when_resumed)
+        is_evidence = any(isinstance(value, HealthReport) for value in getattr(call, "args", ()))
+        fault = "" if is_evidence else self.next_message_fault()
+        if fault != "lost":
+            self.schedule(DELAY_SECONDS if fault == "late" else 0.05, call)
+        if fault == "twice":
+            self.schedule(DELAY_SECONDS, call)
+
+    def send_to_guard(self, announcer: LeaseHolder, arrive: Callable[[], None]) -> None:
+        """Schedule the arrival of a call; one without an answer may still arrive, before or after others."""
+        fault = self.next_message_fault()
+
+        def arrive_when_running() -> None:
+            if announcer.stopped_until > self.now:  # stopped during the call; it continues on resume
+                self.schedule(announcer.stopped_until - self.now + STEP_SECONDS, arrive_when_running)
             else:
                 arrive()
 
-        for delay in {"": (0.01,), "lost": (), "late": (LATE_SECONDS,), "twice": (0.01, LATE_SECONDS)}[fate]:
-            self.later(delay, when_resumed)
+        for delay in {"": (0.01,), "lost": (), "late": (DELAY_SECONDS,), "twice": (0.01, DELAY_SECONDS)}[
+            fault
+        ]:
+            self.schedule(delay, arrive_when_running)
 
-    def apply_step_fault(self, what: str, step: int) -> None:
-        kind, _, name = what.rpartition(" ")
+    def start_step_fault(self, fault: str, step: int) -> None:
+        """Start a fault of a step and schedule its end."""
+        kind, _, name = fault.rpartition(" ")
         ends = self.fault_ends.setdefault(step + FAULT_STEPS, [])
-        if what == "stop keeper":
-            if keeper := self.keeper():
-                keeper.stopped_until = self.now + FAULT_STEPS * STEP
-        elif what == "voters away":
-            self.away = set(VOTERS[:2])
-            ends.append(self.away.clear)
+        if fault == "stop keeper":
+            if controller := self.current_controller():
+                controller.stopped_until = self.now + FAULT_STEPS * STEP_SECONDS
+        elif fault == "voters away":
+            self.unavailable_voters = set(VOTERS[:2])
+            ends.append(self.unavailable_voters.clear)
         elif kind in ("stop announcer", "long stop"):
-            if holders := self.places[name].announcers:
-                holders[-1].stopped_until = (
-                    self.now + (LONG_STOP_STEPS if kind == "long stop" else FAULT_STEPS) * STEP
+            if announcers := self.sites[name].announcers:
+                announcers[-1].stopped_until = (
+                    self.now + (LONG_STOP_STEPS if kind == "long stop" else FAULT_STEPS) * STEP_SECONDS
                 )
         else:
-            place, label = self.places[name], "cut" if kind == "cut" else "speaker"
-            setattr(place, label, kind == "cut")
-            ends.append(lambda: setattr(place, label, kind != "cut"))
+            site, attribute = self.sites[name], "cut_off" if kind == "cut" else "daemon_running"
+            setattr(site, attribute, kind == "cut")
+            ends.append(lambda: setattr(site, attribute, kind != "cut"))
 
     def run_scenario(self, name: str) -> list[str]:
-        """Run a scenario with this world's faults, and return the violations."""
-        for _ in range(SETTLE_STEPS):
+        """Run the scenario with the planned faults; return the violations."""
+        for _ in range(STARTUP_STEPS):
             self.step()
-        self.window_open = True
+        self.in_window = True
         for step in range(WINDOW_STEPS):
             if change := SCENARIOS[name].get(step):
                 change(self)
-            for what in self.at_step.get(step, ()):
-                self.apply_step_fault(what, step)
+            for fault in self.at_step.get(step, ()):
+                self.start_step_fault(fault, step)
             for end_fault in self.fault_ends.pop(step, ()):
                 end_fault()
             self.step()
-            if self.broken:
-                return self.broken
-        self.window_open = False
-        for rows in self.fault_ends.values():
-            for end_fault in rows:
+            if self.violations:
+                return self.violations
+        self.in_window = False
+        for ends in self.fault_ends.values():
+            for end_fault in ends:
                 end_fault()
         for _ in range(RECOVERY_STEPS):
             self.step()
-            if self.broken:
-                return self.broken
-        self.settled()
-        return self.broken
+            if self.violations:
+                return self.violations
+        self.check_final_state()
+        return self.violations
 
 
-def fault_points(name: str) -> tuple[list[Fault], list[Fault]]:
-    """Return all single faults of messages and all of steps that are possible in a scenario."""
-    baseline = ExploredWorld(())
-    if baseline.run_scenario(name):
-        return [], []  # a violation without faults: the empty plan reports it
-    messages = [(fate, number + 1) for number in range(baseline.sent) for fate in MESSAGE_FAULTS]
-    return messages, [(what, step) for step in range(WINDOW_STEPS) for what in STEP_FAULTS]
+def list_possible_faults(name: str) -> tuple[list[PlannedFault], list[PlannedFault]]:
+    """Return all faults of one message and all of one step, from a run of the scenario without faults."""
+    fault_free = ExploredWorld(())
+    if fault_free.run_scenario(name):
+        return [], []  # violates an invariant without faults; the empty plan reports it
+    message_faults = [(fault, number + 1) for number in range(fault_free.sent) for fault in MESSAGE_FAULTS]
+    return message_faults, [(fault, step) for step in range(WINDOW_STEPS) for fault in STEP_FAULTS]
 
 
-def plans(name: str, faults: int, every: int) -> Iterator[tuple[Fault, ...]]:
-    """Yield the empty plan, then all single faults, then pairs of step faults."""
-    messages, steps = fault_points(name)
+def generate_plans(name: str, faults: int, stride: int) -> Iterator[tuple[PlannedFault, ...]]:
+    """Yield the empty plan, each plan of one fault and, if `faults` allows, of two step faults."""
+    message_faults, step_faults = list_possible_faults(name)
     yield ()
-    singles = steps[::every] + messages[::every]
+    singles = step_faults[::stride] + message_faults[::stride]
     for fault in singles:
         yield (fault,)
     if faults > 1:
-        yield from combinations(steps[::every], 2)
+        yield from combinations(step_faults[::stride], 2)
 
 
-def explore(name: str, faults: int = 1, every: int = 1, seconds: float = 1e9) -> Count:
-    """Run a scenario with up to `faults` faults at each point; pairs are of step faults only.
+def explore(name: str, faults: int = 1, stride: int = 1, seconds: float = 1e9) -> ExplorationResult:
+    """Run a scenario with up to `faults` faults (at most two) at each point.
 
-    With `every` above 1, only each n-th point is tried.
+    Pairs consist of step faults only. With a stride, only every n-th point is tried.
     """
-    result, until = Count(), time.monotonic() + seconds
-    for plan in plans(name, faults, every):
-        if time.monotonic() > until:
-            result.cut_off = True
+    result, deadline = ExplorationResult(), time.monotonic() + seconds
+    for plan in generate_plans(name, faults, stride):
+        if time.monotonic() > deadline:
+            result.timed_out = True
             break
         world = ExploredWorld(plan)
         violations = world.run_scenario(name)
         result.runs += 1
         result.messages += world.sent
-        if violations and len(result.broken) < 5:
-            result.broken.append(f"{name} {plan}: {violations[0]}")
+        if violations and len(result.violations) < 5:
+            result.violations.append(f"{name} {plan}: {violations[0]}")
     return result
--- a/onyxhollow/lab/fleet/show.py
+++ b/onyxhollow/lab/fleet/show.py
@@ -12,24 +12,24 @@
 from rich.live import Live
 from rich.table import Table
 
-from onyxhollow.lab.fleet import course
+from onyxhollow.lab.fleet import fault_scenario
 
 
 def print_scenarios() -> int:
     """Print the shipped fault scenarios."""
     table = Table("course", "members", "seconds", "about", box=None)
-    for name in course.shipped():
-        row = course.read(name)
+    for name in fault_scenario.shipped_scenarios():
+        row = fault_scenario.read(name)
         table.add_row(name, str(row.members), f"{row.seconds:g}", row.about)
     Console().print(table)
     return 0
 
 
-def state_table(player: course.Player, now: float) -> Table:
+def state_table(runner: fault_scenario.ScenarioRunner, now: float) -> Table:
     """Return the state of the first 24 members as a table."""
-    cluster = player.cluster
+    cluster = runner.cluster
     table = Table(
-        "member", "state", "sees", "holds", "datagrams", title=f"{now:.1f} s, {player.faults} faults"
+        "member", "state", "sees", "holds", "datagrams", title=f"{now:.1f} s, {runner.faults} faults"
     )
     current_holds = {hold.duty: hold for hold in cluster.holds()}
     for name, process in list(cluster.current.items())[:24]:
@@ -46,14 +46,14 @@
 
 def play(args: argparse.Namespace) -> int:
     """Play a fault scenario with a live table, print its figures, and return 0 if it was clean."""
-    row = course.read(args.course)
+    row = fault_scenario.read(args.course)
     changes = {name: value for name in ("seed", "members") if (value := getattr(args, name)) is not None}
     row = replace(row, **changes)
     console = Console(stderr=True)
     with tempfile.TemporaryDirectory(prefix="onyxhollow-fleet-") as scratch:
-        player = course.Player(row, args.logs or Path(scratch))
+        runner = fault_scenario.ScenarioRunner(row, args.logs or Path(scratch))
         with Live(console=console, refresh_per_second=4, transient=not console.is_terminal) as live:
-            report = player.play(lambda player, now: live.update(state_table(player, now)))
+            report = runner.run(lambda runner, now: live.update(state_table(runner, now)))
     figures = report.figures()
     if args.json:
         print(json.dumps(figures))
