--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -391,7 +391,7 @@
     assert not proxy.proxy.decisions.balancer.tracked["a"].connections
 
 
-def test_connections_with_a_partial_line_or_a_line_in_transit_are_not_closed_for_descriptors(
+def test_connections_with_a_partial_line_or_a_line_in_transit_are_not_closed_to_free_descriptors(
     loopback, monkeypatch
 ):
     proxy = loopback(sockets=OWN_DESCRIPTORS + 8)  # for seven connections, the list's among them
@@ -729,9 +729,11 @@
     old, balancer = proxy.config.settings, proxy.proxy.decisions.balancer
 
     def accept_attempt():
-        peer = proxy.until(lambda: next((p for t in proxy.endpoints.values() if (p := t.accept())), None))
-        proxy.until(peer.read)
-        return peer
+        server = proxy.until(
+            lambda: next((peer for endpoint in proxy.endpoints.values() if (peer := endpoint.accept())), None)
+        )
+        proxy.until(server.read)
+        return server
 
     def open_and_accept():
         client, server = proxy.open_session(), accept_attempt()
@@ -742,7 +744,10 @@
 
     established = [open_and_accept() for _ in range(4)]
     pending = proxy.open_session(wait_ms=5000), accept_attempt()  # an attempt that stays in flight
-    source = max(balancer.tracked.values(), key=lambda s: sum(x.established for x in s.connections))
+    source = max(
+        balancer.tracked.values(),
+        key=lambda endpoint: sum(session.established for session in endpoint.connections),
+    )
     # Slower than any receiver: otherwise chance on loopback could halve the pace.
     source.handshake_time.value = 9.0
     balancer.record_failure(source, 5.0)  # starts its hand-off, which runs while the settings change
@@ -762,11 +767,11 @@
         proxy.config = replace(proxy.config, settings=settings)
         proxy.proxy.reloader.reload()
         assert balancer.live_weights is settings.live_weights and source.migration in (pace, None)
-        peer = proxy.until(lambda n=count: proxy.list_service.connection(n))
+        peer = proxy.until(lambda number=count: proxy.list_service.connection(number))
         # A snapshot is requested because the meaning of weights has changed.
         assert peer.received.startswith(b"GET /v1/endpoints HTTP")
         proxy.answer_list(body, number=count)
-        proxy.until(lambda n=size: balancer.tracked["b"].size == n)
+        proxy.until(lambda size=size: balancer.tracked["b"].size == size)
         assert balancer.tracked["b"].shared_connections == shared
         established.append(open_and_accept())
 
@@ -786,7 +791,7 @@
         if client not in migrated:
             server.received = b""
             client.send(b"still here\r\n")
-            proxy.until(lambda s=server: s.read() == b"still here\r\n")
+            proxy.until(lambda server=server: server.read() == b"still here\r\n")
             assert not client.end and not client.received
     assert proxy.counts["dials"] == proxy.counts["sessions taken"] == proxy.counts["sessions accepted"] == 7
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -221,7 +221,9 @@
 
 @pytest.mark.parametrize("call, name", CASES, ids=[f"{call}-{name}" for call, name in CASES])
 @pytest.mark.parametrize("times", [1, 3])
-def test_every_client_is_answered_whichever_system_call_fails(faulty_proxy, call, name, times):
+def test_every_client_with_a_working_connection_is_answered_whichever_system_call_fails(
+    faulty_proxy, call, name, times
+):
     error = getattr(errno, name)
     cause = (
         classify_error(OSError(error, ""))
