--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,81 +1,86 @@
-"""One tiny fake host and the balancer it carries; one proxy on loopback among scripted servers."""
+"""Fixtures: a fake host with its balancer, and a proxy on loopback with scripted servers."""
 
 from dataclasses import replace
 
 import pytest
-from peers import CALLS, PLAIN, ProxyOnLoopback
+from peers import CALLS, DEFAULT_SETTINGS, ProxyOnLoopback
 
 from onyxhollow.interface import AttemptOutcome, Endpoint, EndpointListKind, EndpointState
 from onyxhollow.policy import Balancer
 
 
 class FakeHost:
-    """Records what it is asked; time passes only when a test says so."""
+    """A host that records the policy's calls. Its clock moves only in `advance`."""
 
     def __init__(self, settings, seed):
-        self.now, self.wake, self.did, self.taken = 1000.0, [], [], 0
+        self.now, self.timers, self.calls, self.session_count = 1000.0, [], [], 0
         self.balancer = Balancer(self, settings, seed)
 
     def __getattr__(self, name):
         if name.startswith("_"):
             raise AttributeError(name)
-        return lambda *values: self.did.append((name, *values))
+        return lambda *values: self.calls.append((name, *values))
 
     def set_timer(self, when):
-        self.wake.append(when)
-
-    def wait(self, span):
-        end = self.now + span
-        while self.wake and min(self.wake) <= end:
-            self.now = min(self.wake)
-            self.wake.remove(self.now)
+        self.timers.append(when)
+
+    def advance(self, seconds):
+        """Move the clock, and tick the balancer at each timer on the way."""
+        end = self.now + seconds
+        while self.timers and min(self.timers) <= end:
+            self.now = min(self.timers)
+            self.timers.remove(self.now)
             self.balancer.tick()
         self.now = end
 
-    def asked(self, name):
-        return [call[1:] for call in self.did if call[0] == name]
+    def calls_to(self, name):
+        """Return the arguments of all recorded calls of that name."""
+        return [call[1:] for call in self.calls if call[0] == name]
 
-    def servers(self, *names, kind=EndpointListKind.SNAPSHOT, **values):
+    def list_endpoints(self, *names, kind=EndpointListKind.SNAPSHOT, **values):
+        """Apply an endpoint list, and return the tracked endpoints."""
         state = values.pop("state", EndpointState.IN_SERVICE)
         self.balancer.on_endpoint_list(kind, [Endpoint(name, state, **values) for name in names])
         return [self.balancer.tracked.get(name) for name in names]
 
-    def loads(self, **reported):
-        for name, load in reported.items():
+    def report_loads(self, **loads):
+        """Report a successful health check with a load for each named endpoint."""
+        for name, load in loads.items():
             self.balancer.on_health_check(name, AttemptOutcome.OK, 0.01, load)
 
-    def take(self, listener=CALLS, group=None, stands=True, tenant=None, took=0.01):
-        self.taken += 1
-        token = 10000 + self.taken
-        sess = self.balancer.admit(token, listener, tenant, group, listener.attempt_timeout, None)
-        if stands and sess.attempt_in_flight:
-            sess.on_established(took)
-        return sess
+    def admit(self, listener=CALLS, group=None, established=True, tenant=None, handshake_seconds=0.01):
+        """Admit a session, and establish it unless `established` is false or it is queued."""
+        self.session_count += 1
+        token = 10000 + self.session_count
+        session = self.balancer.admit(token, listener, tenant, group, listener.attempt_timeout, None)
+        if established and session.attempt_in_flight:
+            session.on_established(handshake_seconds)
+        return session
 
 
 @pytest.fixture
-def start():
-    return lambda seed=1, **changes: FakeHost(replace(PLAIN, **changes), seed)
+def make_host():
+    return lambda seed=1, **changes: FakeHost(replace(DEFAULT_SETTINGS, **changes), seed)
 
 
 @pytest.fixture
-def host(start):
-    return start()
+def host(make_host):
+    return make_host()
 
 
 @pytest.fixture
-def lost():
-    return lambda sess, end=AttemptOutcome.RESET: sess.on_attempt_ended(end, False, 0.1)
+def end_attempt():
+    return lambda session, outcome=AttemptOutcome.RESET: session.on_attempt_ended(outcome, False, 0.1)
 
 
 @pytest.fixture
 def loopback():
-    made = []
+    proxies = []
 
     def make(*values, **changes):
-        made.append(ProxyOnLoopback(*values, **changes))
-        return made[-1]
+        proxies.append(ProxyOnLoopback(*values, **changes))
+        return proxies[-1]
 
     yield make
-    for proxy in made:
+    for proxy in proxies:
         proxy.close()
--- a/tests/decision_setups.py
+++ b/tests/decision_setups.py
@@ -22,18 +22,18 @@
 
 def count_placements(host):
     """Return the number of attempts by endpoint."""
-    return Counter(endpoint for _, endpoint, _ in host.asked("start_attempt"))
+    return Counter(endpoint for _, endpoint, _ in host.calls_to("start_attempt"))
 
 
 # So many instances that each one has few own connections.
 FEW_CONNECTIONS_SETTINGS = {"health_checks": True, "health_check_price": 0.001, "instance_count": 100}
 
 
-def start_without_reports(start, **changes):
+def start_without_reports(make_host, **changes):
     """Start one of four instances, with four endpoints of size 4 that report no load.
 
     By the tenants' quota of 320 connections, 20 connections of this instance fill an endpoint.
     """
     quotas = {"tenants": {"acme": Tenant("acme", 1.0, 320.0)}, "instance_count": 4}
-    host = start(**(quotas | changes))
-    return host, host.servers(*"abcd", weight=4.0)
+    host = make_host(**(quotas | changes))
+    return host, host.list_endpoints(*"abcd", weight=4.0)
