--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -28,7 +28,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path.insert(0, str(ROOT))
 
-from onyxhollow.lab import broken, decisions, runs, scenario  # noqa: E402
+from onyxhollow.lab import broken_policies, decisions, runs, scenario  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
 
 # Days like the twelve that the bench's entries were made of: the same troubles and sizes, loads near theirs.
@@ -266,7 +266,7 @@
 
 def caught() -> int:
     count = 0
-    for rule, (kind, day) in broken.days().items():
+    for rule, (kind, day) in broken_policies.scenarios_by_rule().items():
         judged = (
             Virtual(day, 1, lambda host, settings, seed, _, kind=kind: kind(host, settings, seed))
             .run()
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -28,8 +28,8 @@
 
 from onyxhollow.gossip.config import GossipConfig  # noqa: E402
 from onyxhollow.lab import decisions, scenario  # noqa: E402
+from onyxhollow.lab.simulated_gossip import Trouble  # noqa: E402
 from onyxhollow.lab.sockets.engine import Sockets  # noqa: E402
-from onyxhollow.lab.together import Trouble  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
 
 ONE_BY_ONE = 0.12  # seconds from start to start of processes that were killed
--- a/onyxhollow/lab/broken.py
+++ b/onyxhollow/lab/broken_policies.py
@@ -79,7 +79,7 @@
 ONCE = '[[listeners]]\nname = "charge"\nrepeat = "once-only"\n'
 
 
-def days() -> dict[int, tuple[type[Balancer], Scenario]]:
+def scenarios_by_rule() -> dict[int, tuple[type[Balancer], Scenario]]:
     """For each rule a policy that breaks it, and a day on which that shows."""
     failing = ONCE + '[[faults]]\nkind = "fast_errors"\nat = 4.0\nlasts = 8.0\npart = 0.5\nshare = 1.0\n'
     drained = '[[faults]]\nkind = "shrink"\nat = 4.0\nlasts = 2.0\npart = 0.3\ndrain = 8.0\n'
--- a/onyxhollow/lab/fleet/speakers.py
+++ b/onyxhollow/lab/fleet/speakers.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Generator
 from dataclasses import dataclass, field
 
-from onyxhollow.lab.sockets.lines import Lines, accepting, listening
+from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
 from onyxhollow.loop import Loop
 
 HOLD = 1.5  # seconds after which routes of a daemon that has gone are gone (scaled down from 90)
@@ -33,32 +33,34 @@
     def __init__(self, loop: Loop, site: str) -> None:
         self.loop, self.site = loop, site
         host = f"127.4.1.{ord(site[0]) % 100 + 1}"  # its own, so that its port is free when it comes back
-        self.sock: socket.socket | None = listening((host, 0))
+        self.sock: socket.socket | None = open_listener((host, 0))
         self.address: tuple[str, int] = (host, self.sock.getsockname()[1])
         self.routes: dict[str, int] = {}
         self.changes: list[Change] = []
-        self.owners: list[Lines] = []
+        self.owners: list[LineConnection] = []
         self.most_owners = self.commands = 0
         self.bad: list[str] = []  # lines that are no whole command
         self.refuses, self.lag = False, 0.0
-        accepting(loop, self.sock, self.took)
+        accept_connections(loop, self.sock, self.took)
 
     def took(self, sock: socket.socket) -> None:
-        lines = Lines(self.loop, sock, lambda line: self.got(lines, line), lambda _: self.left(lines))
+        lines = LineConnection(
+            self.loop, sock, lambda line: self.got(lines, line), lambda _: self.left(lines)
+        )
         self.owners.append(lines)
         self.most_owners = max(self.most_owners, len(self.owners))
 
-    def left(self, lines: Lines) -> None:
+    def left(self, lines: LineConnection) -> None:
         if lines in self.owners:
             self.owners.remove(lines)
 
-    def got(self, lines: Lines, line: bytes) -> None:
+    def got(self, lines: LineConnection, line: bytes) -> None:
         self.commands += 1
         found = ROUTE.fullmatch(line.decode(errors="replace").strip())
         if found is None or self.refuses:
             if found is None:
                 self.bad.append(line.decode(errors="replace"))
-            lines.say(b"error\n")
+            lines.send(b"error\n")
             return
         verb, prefix, _, rest = found.groups()
         state = 0 if verb == "withdraw" else 1 if "community [65535:0]" in rest else 2
@@ -68,12 +70,12 @@
         if self.lag:
             self.loop.spawn(self.late(lines))
         else:
-            lines.say(b"done\n")
+            lines.send(b"done\n")
 
-    def late(self, lines: Lines) -> Generator[float, None, None]:
+    def late(self, lines: LineConnection) -> Generator[float, None, None]:
         yield from self.loop.sleep(self.lag)
         if lines.open:
-            lines.say(b"done\n")
+            lines.send(b"done\n")
 
     def stands(self, prefix: str) -> int:
         return self.routes.get(prefix, 0)
@@ -92,8 +94,8 @@
         self.routes.clear()
 
     def up(self) -> None:
-        self.sock = listening(self.address)
-        accepting(self.loop, self.sock, self.took)
+        self.sock = open_listener(self.address)
+        accept_connections(self.loop, self.sock, self.took)
 
     def close(self) -> None:
         if self.sock is not None:
--- a/onyxhollow/lab/fleet/stands.py
+++ b/onyxhollow/lab/fleet/stands.py
@@ -19,7 +19,7 @@
 import orjson
 
 from onyxhollow.lab.fleet.links import Harm, Links
-from onyxhollow.lab.sockets.lines import Lines, accepting, listening
+from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
 from onyxhollow.loop import Loop
 
 LONGEST_WAIT = 60.0
@@ -32,10 +32,10 @@
         self.desk, self.number = desk, 0
         self.speaker = h11.Connection(h11.SERVER)
         self.target = ""
-        self.lines = Lines(desk.loop, sock, self.got, self.ended)
+        self.lines = LineConnection(desk.loop, sock, self.got, self.ended)
         self.lines.raw = True
         if desk.blocked:
-            self.lines.quiet(True)
+            self.lines.pause_reading(True)
 
     def got(self, data: bytes) -> None:
         try:
@@ -65,7 +65,7 @@
 
     def say(self, text: bytes) -> None:
         if not self.desk.way_back().cut:  # over a cut link nothing comes back, though it was done
-            self.lines.say(text)
+            self.lines.send(text)
 
     def ended(self, _: bool) -> None:
         self.desk.left(self)
@@ -78,9 +78,9 @@
         self.stand, self.loop, self.member = stand, stand.loop, member
         self.callers: dict[Caller, None] = {}
         self.blocked = False
-        self.sock = listening(("127.0.0.1", 0))
+        self.sock = open_listener(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
-        accepting(self.loop, self.sock, self.took)
+        accept_connections(self.loop, self.sock, self.took)
 
     def way_there(self) -> Harm:
         return self.stand.links.harm(self.member, self.stand.name)
@@ -117,7 +117,7 @@
         self.blocked = does
         for caller in list(self.callers):
             if does:
-                caller.lines.quiet(True)
+                caller.lines.pause_reading(True)
             else:
                 caller.lines.close()  # what was on its way is lost; a new connection comes up
                 self.left(caller)
--- a/onyxhollow/lab/fleet/traffic.py
+++ b/onyxhollow/lab/fleet/traffic.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Generator
 
-from onyxhollow.lab.sockets.lines import Lines, accepting, listening
+from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
 from onyxhollow.loop import Loop
 
 EVERY = 0.1  # seconds from an echo to the next line
@@ -21,10 +21,10 @@
     def __init__(self, loop: Loop, base: float = 0.1, each: float = 0.01, late: float = 0.0) -> None:
         self.loop, self.base, self.each, self.late = loop, base, each, late
         self.silent, self.questions = False, 0  # silent: takes connections and answers nothing
-        self.sock = listening(("127.0.0.1", 0))
+        self.sock = open_listener(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
         self.dialled: list[Dialled] = []
-        accepting(loop, self.sock, self.took)
+        accept_connections(loop, self.sock, self.took)
 
     def took(self, sock: socket.socket) -> None:
         self.dialled.append(Dialled(self, sock))
@@ -47,7 +47,7 @@
 class Dialled:
     def __init__(self, server: EchoServer, sock: socket.socket) -> None:
         self.server, self.up = server, False
-        self.lines = Lines(server.loop, sock, self.got, lambda _: None)
+        self.lines = LineConnection(server.loop, sock, self.got, lambda _: None)
 
     def got(self, line: bytes) -> None:
         server = self.server
@@ -58,19 +58,19 @@
             if behind > 0.0:
                 server.loop.spawn(self.say_late(line, behind))
             else:
-                self.lines.say(line)
+                self.lines.send(line)
         elif line.startswith(b"OPEN"):
             self.up = True
-            self.lines.say(b"UP 1\r\n")
+            self.lines.send(b"UP 1\r\n")
         elif line.startswith(b"STATS"):
             server.questions += 1
-            self.lines.say(b"PONG x0=%.4f\r\n" % server.load)
+            self.lines.send(b"PONG x0=%.4f\r\n" % server.load)
         else:
-            self.lines.say(b"PONG\r\n")
+            self.lines.send(b"PONG\r\n")
 
     def say_late(self, line: bytes, behind: float) -> Generator[float, None, None]:
         yield from self.server.loop.sleep(behind)
-        self.lines.say(line)
+        self.lines.send(line)
 
 
 class Client:
@@ -83,7 +83,7 @@
         self.up = self.over = False
         self.away_until = 0.0
         self.echoed_at = 0.0  # on the loop's clock
-        self.lines: Lines | None = None
+        self.lines: LineConnection | None = None
         loop.spawn(self.run())
 
     def run(self) -> Generator[float, None, None]:
@@ -92,7 +92,7 @@
                 if self.loop.now >= self.away_until:
                     self.dial()
             elif self.up:
-                self.lines.say(b"line %d %d\r\n" % (self.number, self.echoes))
+                self.lines.send(b"line %d %d\r\n" % (self.number, self.echoes))
             due = self.loop.now + EVERY
             while self.loop.now < due:
                 yield due
@@ -104,8 +104,8 @@
         if sock.connect_ex(self.address) not in (0, 115):
             sock.close()
             return
-        self.lines = Lines(self.loop, sock, self.got, self.ended)
-        self.lines.say(b"OPEN c%dx%d k%d c=chat,d=1500\r\n" % (self.number, self.lives, self.number))
+        self.lines = LineConnection(self.loop, sock, self.got, self.ended)
+        self.lines.send(b"OPEN c%dx%d k%d c=chat,d=1500\r\n" % (self.number, self.lives, self.number))
 
     def got(self, line: bytes) -> None:
         if line.startswith(b"UP"):
--- a/onyxhollow/lab/runs.py
+++ b/onyxhollow/lab/runs.py
@@ -93,11 +93,11 @@
 
 
 def take(virtual: Virtual, path: Path) -> None:
-    from onyxhollow.lab import pictures
+    from onyxhollow.lab import topology_snapshot
     from onyxhollow.topology import snapshot_file
 
     try:
-        snapshot_file.save(path, pictures.taken(virtual))
+        snapshot_file.save(path, topology_snapshot.take_snapshot(virtual))
     except snapshot_file.SnapshotError as error:
         raise RunError(f"--picture: {error}") from None
 
--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -19,8 +19,8 @@
 import tomli_w
 
 from onyxhollow.lab.scenario import Scenario
-from onyxhollow.lab.sockets.discovery import Desk
-from onyxhollow.lab.sockets.lines import Lines
+from onyxhollow.lab.sockets.line_connection import LineConnection
+from onyxhollow.lab.sockets.list_service import Desk
 from onyxhollow.lab.sockets.proxies import READY_WITHIN, Process, free_address, wire_settings
 from onyxhollow.lab.sockets.servers import Dial, Door
 from onyxhollow.lab.world.servers import Session, State
@@ -63,7 +63,7 @@
 
     def __init__(self, engine: Sockets, sess: Session, sock: socket.socket) -> None:
         self.engine, self.sess, self.answered, self.said = engine, sess, False, 0
-        self.lines = Lines(engine.loop, sock, self.got, self.ended)
+        self.lines = LineConnection(engine.loop, sock, self.got, self.ended)
 
     def got(self, line: bytes) -> None:
         engine, sess = self.engine, self.sess
@@ -105,7 +105,7 @@
     def say(self) -> None:
         if self.lines.open and not self.sess.over:
             self.said += 1
-            self.lines.say(b"line %d\r\n" % self.said)
+            self.lines.send(b"line %d\r\n" % self.said)
             self.engine.world.agenda.after(SAY_EVERY, self.say)
 
     def ended(self, _: bool) -> None:
@@ -151,7 +151,7 @@
         self.behind = 0.0  # seconds spent in turns so long that servers and list answered late
         self.asked_before = 0  # questions to servers until the run began: hundreds come up for half a minute
         self.states: dict[str, State] = {}
-        self.bad: list[Lines] = []
+        self.bad: list[LineConnection] = []
         self.bad_sent = self.bad_ended = 0
         self.list_was_down = False
         # A door for each pair of proxy and server, as long as descriptors last: past that links are harmed by
@@ -346,8 +346,8 @@
                 sock.setblocking(False)
                 with contextlib.suppress(BlockingIOError):
                     sock.connect(self.proxies[proxy.number].listen)
-                lines = Lines(self.loop, sock, lambda _: None, self.bad_over)
-                lines.say(BAD[self.bad_sent % len(BAD)])
+                lines = LineConnection(self.loop, sock, lambda _: None, self.bad_over)
+                lines.send(BAD[self.bad_sent % len(BAD)])
                 self.bad.append(lines)
         self.bad_sent += 1
         self.world.agenda.after(BAD_EVERY, self.bad_client)
@@ -392,7 +392,7 @@
             self.world.checker.record_session(
                 self.now, sess.proxy, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
             )
-        end.lines.say(f"OPEN c{sess.number:x} k{wish.number} {','.join(told)}\r\n".encode())
+        end.lines.send(f"OPEN c{sess.number:x} k{wish.number} {','.join(told)}\r\n".encode())
 
     def withdraw(self, sess: Session) -> None:
         self.world.checker.record_client_gone(self.now, sess.number)
@@ -403,7 +403,7 @@
         dial = self.dials.get(sess.number)
         if dial is not None and not dial.over:
             if sent_away:
-                dial.lines.say(b"MOVE\r\n")
+                dial.lines.send(b"MOVE\r\n")
             dial.finish(reset=not sent_away)
 
     def load_changed(self, sess: Session) -> None:
@@ -415,7 +415,7 @@
             and not dial.door.blocked
             and not dial.door.server.mute
         ):
-            dial.lines.say(b"LOAD %d\r\n" % round(sess.load * 1e6))
+            dial.lines.send(b"LOAD %d\r\n" % round(sess.load * 1e6))
 
     def crash(self, number: int) -> None:
         self.up.discard(number)
@@ -431,7 +431,7 @@
         )
         self.knock(number, self.proxies[number].lives)
 
-    def knock(self, number: int, life: int, before: Lines | None = None) -> None:
+    def knock(self, number: int, life: int, before: LineConnection | None = None) -> None:
         """Asks a proxy that was started whether it takes clients, until it does."""
         process = self.proxies[number]
         if before is not None:
@@ -447,8 +447,8 @@
             if line.startswith(b"PONG") and process.lives == life:
                 self.up.add(number)
 
-        lines = Lines(self.loop, sock, heard, lambda _: None)
-        lines.say(b"PING\r\n")
+        lines = LineConnection(self.loop, sock, heard, lambda _: None)
+        lines.send(b"PING\r\n")
         self.world.agenda.after(KNOCK, self.knock, number, life, lines)
 
     def ready(self, number: int) -> bool:
--- a/onyxhollow/lab/sockets/lines.py
+++ b/onyxhollow/lab/sockets/line_connection.py
@@ -14,7 +14,7 @@
 )  # bytes held of a line or of an answer that is not taken; past it the connection is closed
 
 
-class Lines:
+class LineConnection:
     """got is told each whole line; ended once, with whether the end was a reset."""
 
     __slots__ = ("loop", "sock", "got", "ended", "inbox", "outbox", "open", "raw", "sent")
@@ -62,7 +62,7 @@
             self.close()
             self.ended(broken)
 
-    def say(self, text: bytes) -> None:
+    def send(self, text: bytes) -> None:
         if not self.open:
             return
         self.outbox += text
@@ -91,21 +91,21 @@
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
-    def quiet(self, does: bool) -> None:
+    def pause_reading(self, paused: bool) -> None:
         """Stops reading, as a machine does that has gone; or goes on."""
         if self.open:
             self.loop.watch(self.sock.fileno(), 0, None)
-            if not does:
+            if not paused:
                 self.listen()
 
 
-def listening(address: tuple[str, int], backlog: int = 1024) -> socket.socket:
+def open_listener(address: tuple[str, int], backlog: int = 1024) -> socket.socket:
     sock = socket.create_server(address, backlog=backlog)
     sock.setblocking(False)
     return sock
 
 
-def accepting(loop: Loop, sock: socket.socket, took: Callable[[socket.socket], None]) -> None:
+def accept_connections(loop: Loop, sock: socket.socket, took: Callable[[socket.socket], None]) -> None:
     def accept(_: int) -> None:
         with contextlib.suppress(OSError):
             while True:
--- a/onyxhollow/lab/sockets/discovery.py
+++ b/onyxhollow/lab/sockets/list_service.py
@@ -10,7 +10,7 @@
 import h11
 import orjson
 
-from onyxhollow.lab.sockets.lines import Lines, accepting, listening
+from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
 from onyxhollow.lab.sockets.servers import Door
 from onyxhollow.lab.world.listing import GONE, Row
 from onyxhollow.lab.world.world import World
@@ -46,7 +46,7 @@
 
     def __init__(self, desk: Desk, sock: socket.socket) -> None:
         self.desk, self.waiting = desk, 0
-        self.lines = Lines(desk.engine.loop, sock, self.got, self.ended)
+        self.lines = LineConnection(desk.engine.loop, sock, self.got, self.ended)
         self.lines.raw = True
         self.speaker = h11.Connection(h11.SERVER)
 
@@ -110,7 +110,7 @@
         head = h11.Response(status_code=status, headers=[("Content-Length", str(len(text)))])
         parts = (head, h11.Data(data=text), h11.EndOfMessage())
         try:
-            self.lines.say(b"".join(self.speaker.send(part) or b"" for part in parts))
+            self.lines.send(b"".join(self.speaker.send(part) or b"" for part in parts))
             self.speaker.start_next_cycle()
         except h11.LocalProtocolError:
             self.lines.close()
@@ -128,9 +128,9 @@
         self.askers: dict[Asker, None] = {}
         self.watchers: dict[Asker, int] = {}
         self.told_at = -math.inf
-        self.sock = listening(("127.0.0.1", 0))
+        self.sock = open_listener(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
-        accepting(engine.loop, self.sock, self.took)
+        accept_connections(engine.loop, self.sock, self.took)
 
     def took(self, sock: socket.socket) -> None:
         self.askers[Asker(self, sock)] = None
--- a/onyxhollow/lab/sockets/servers.py
+++ b/onyxhollow/lab/sockets/servers.py
@@ -7,7 +7,7 @@
 import socket
 from typing import Protocol
 
-from onyxhollow.lab.sockets.lines import Lines, accepting, listening
+from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
 from onyxhollow.lab.world.servers import Server, Session, State, Verdict
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
@@ -42,7 +42,7 @@
         self.door = door
         self.up = self.over = self.ran = False
         self.sent_at = 0.0
-        self.lines = Lines(door.engine.loop, sock, self.got, self.ended)
+        self.lines = LineConnection(door.engine.loop, sock, self.got, self.ended)
         self.sess: Session | None = None
 
     def got(self, line: bytes) -> None:
@@ -51,24 +51,24 @@
         if server.mute or self.door.blocked:
             return  # read by nobody
         if self.up:
-            self.lines.say(line)
+            self.lines.send(line)
         elif word == b"STATS" or word == b"PING":
             engine.world.ledger.count("probes")
             now = engine.now
             load = server.told_load(now, engine.world.tables.normal(server.number, int(now * 1000)))
-            self.lines.say(b"PONG x0=%.4f\r\n" % load if word == b"STATS" else b"PONG\r\n")
+            self.lines.send(b"PONG x0=%.4f\r\n" % load if word == b"STATS" else b"PONG\r\n")
         elif word == b"OPEN" and self.sess is None:
             self.opened(line)
         else:
             engine.complain(f"{server.name}: a line no client sent: {line[:60]!r}")
-            self.lines.say(b"SYNTAX\r\n")
+            self.lines.send(b"SYNTAX\r\n")
 
     def opened(self, line: bytes) -> None:
         engine, server, world = self.door.engine, self.door.server, self.door.engine.world
         sess = engine.by_id(line)
         if sess is None:
             engine.complain(f"{server.name}: an id no client sent: {line[:60]!r}")
-            self.lines.say(b"SYNTAX\r\n")
+            self.lines.send(b"SYNTAX\r\n")
             return
         self.sess, self.sent_at = sess, engine.now
         before = engine.dials.get(sess.number)
@@ -93,7 +93,7 @@
     def stands(self, sess: Session) -> None:
         """Open before the start: the world has placed it already."""
         self.up = self.ran = True
-        self.lines.say(b"UP %d\r\n" % sess.number)
+        self.lines.send(b"UP %d\r\n" % sess.number)
 
     def answer(self, verdict: Verdict) -> None:
         if (
@@ -106,9 +106,9 @@
             return
         if verdict is Verdict.UP and self.door.server.state is not State.STOPPED:
             self.up = True
-            self.lines.say(b"UP %d\r\n" % self.sess.number)
+            self.lines.send(b"UP %d\r\n" % self.sess.number)
             return
-        self.lines.say(b"ERR\r\n" if verdict is Verdict.ERROR else b"BUSY\r\n")
+        self.lines.send(b"ERR\r\n" if verdict is Verdict.ERROR else b"BUSY\r\n")
         self.ran = verdict is Verdict.ERROR
         self.finish()
 
@@ -142,9 +142,9 @@
         self.open()
 
     def open(self) -> None:
-        self.sock = listening(self.address)
+        self.sock = open_listener(self.address)
         self.address = ("127.0.0.1", self.sock.getsockname()[1])
-        accepting(self.engine.loop, self.sock, self.took)
+        accept_connections(self.engine.loop, self.sock, self.took)
 
     def took(self, sock: socket.socket) -> None:
         if len(self.server.sessions) >= self.server.kind.connections:
@@ -169,11 +169,11 @@
             return
         self.blocked = does
         for dial in self.dials:
-            dial.lines.quiet(does)
+            dial.lines.pause_reading(does)
         if not does:
             self.unfill()
             self.sock.listen(1024)
-            accepting(self.engine.loop, self.sock, self.took)
+            accept_connections(self.engine.loop, self.sock, self.took)
             return
         self.engine.loop.watch(self.sock.fileno(), 0, None)
         self.sock.listen(0)  # the system drops what comes once the queue is full
--- a/onyxhollow/lab/pictures.py
+++ b/onyxhollow/lab/topology_snapshot.py
@@ -49,7 +49,7 @@
     )
 
 
-def taken(engine: Virtual) -> Snapshot:
+def take_snapshot(engine: Virtual) -> Snapshot:
     """As it stands now; a proxy that is down is told as silent. at: seconds since the run began."""
     number_of = engine.scenario.fleet.proxies
     up = {number for number, instance in engine.instances.items() if instance.alive}
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -24,7 +24,7 @@
 )
 from onyxhollow.lab.decisions import Maker
 from onyxhollow.lab.scenario import Scenario
-from onyxhollow.lab.together import Talk, Trouble
+from onyxhollow.lab.simulated_gossip import Talk, Trouble
 from onyxhollow.lab.world.listing import Row
 from onyxhollow.lab.world.servers import Server, Session, State, Verdict
 from onyxhollow.lab.world.types import Cause
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -11,7 +11,7 @@
 from onyxhollow.gossip.messages import ConnectionCounts, EndpointCount, EndpointReport, ReportPage
 from onyxhollow.gossip.ownership import GossipMember
 from onyxhollow.lab import decisions, scenario, virtual
-from onyxhollow.lab.together import Trouble
+from onyxhollow.lab.simulated_gossip import Trouble
 
 CONFIG = GossipConfig(push_interval=0.25, poll_interval=2.0, report_interval=1.0)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,7 +9,7 @@
 
 pytest.importorskip("msgspec")
 
-from onyxhollow.lab import broken, decisions, runs, scenario  # noqa: E402
+from onyxhollow.lab import broken_policies, decisions, runs, scenario  # noqa: E402
 from onyxhollow.lab.invariant_checker import InvariantChecker  # noqa: E402
 from onyxhollow.lab.ledger import merged  # noqa: E402
 from onyxhollow.lab.virtual import Virtual  # noqa: E402
@@ -100,7 +100,7 @@
 
 @pytest.mark.parametrize("rule", [1, 2, 3, 4])
 def test_each_rule_is_broken_by_its_policy_and_kept_by_the_module(rule):
-    kind, day = broken.days()[rule]
+    kind, day = broken_policies.scenarios_by_rule()[rule]
     caught = Virtual(day, 1, lambda host, settings, seed, _: kind(host, settings, seed)).run().checker
     kept = Virtual(day, 1, lambda host, settings, seed, _: Balancer(host, settings, seed)).run().checker
     assert caught.violation_counts[rule] and kept.is_clean
