--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -177,7 +177,7 @@
     from msgspec.structs import replace
 
     from onyxhollow.lab import scenario
-    from onyxhollow.lab.sockets.engine import Sockets
+    from onyxhollow.lab.sockets.engine import SocketEngine
 
     broken_rules, told = 0, []
     for name in ("deploy",) if quick else ("deploy", "list-down"):
@@ -188,7 +188,7 @@
             fleet=replace(day.fleet, servers=12, proxies=6, zones=day.fleet.zones[:2]),
         )
         (folder / name).mkdir()
-        engine = Sockets(day, 1, folder / name, in_fleet=True)
+        engine = SocketEngine(day, 1, folder / name, in_fleet=True)
         world = engine.run()
         rules = world.checker.summary()
         count = sum(rules["broken"].values())  # type: ignore[attr-defined]
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -29,7 +29,7 @@
 sys.path.insert(0, str(ROOT))
 
 from onyxhollow.lab import broken_policies, decisions, runs, scenario  # noqa: E402
-from onyxhollow.lab.virtual import Virtual  # noqa: E402
+from onyxhollow.lab.virtual import VirtualEngine  # noqa: E402
 
 # Days like the twelve that the bench's entries were made of: the same troubles and sizes, loads near theirs.
 LIKE = """
@@ -249,7 +249,7 @@
 def same_everywhere() -> bool:
     code = (
         "import sys; from onyxhollow.lab import runs, scenario; sys.stdout.buffer.write("
-        "runs.text(runs.play(scenario.read('deploy'), 5, 'module', series=True)))"
+        "runs.to_json(runs.play(scenario.read('deploy'), 5, 'module', series=True)))"
     )
     outs = {
         subprocess.run(
@@ -268,11 +268,11 @@
     count = 0
     for rule, (kind, day) in broken_policies.scenarios_by_rule().items():
         judged = (
-            Virtual(day, 1, lambda host, settings, seed, _, kind=kind: kind(host, settings, seed))
+            VirtualEngine(day, 1, lambda host, settings, seed, _, kind=kind: kind(host, settings, seed))
             .run()
             .checker
         )
-        correct = Virtual(day, 1, decisions.find("module")).run().checker
+        correct = VirtualEngine(day, 1, decisions.find("module")).run().checker
         count += bool(judged.violation_counts[rule]) and correct.is_clean
     return count
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -28,9 +28,9 @@
 
 from onyxhollow.gossip.config import GossipConfig  # noqa: E402
 from onyxhollow.lab import decisions, scenario  # noqa: E402
-from onyxhollow.lab.simulated_gossip import Trouble  # noqa: E402
-from onyxhollow.lab.sockets.engine import Sockets  # noqa: E402
-from onyxhollow.lab.virtual import Virtual  # noqa: E402
+from onyxhollow.lab.simulated_gossip import GossipFaults  # noqa: E402
+from onyxhollow.lab.sockets.engine import SocketEngine  # noqa: E402
+from onyxhollow.lab.virtual import VirtualEngine  # noqa: E402
 
 ONE_BY_ONE = 0.12  # seconds from start to start of processes that were killed
 ZONES = ["north", "east", "south", "west"]
@@ -70,9 +70,11 @@
     """One run in virtual time. how: alone, before=REVISION, together, cut, liar, or a policy of the lab's."""
     title, size, seconds, seed, how = cell
     terms = GossipConfig() if how in ("together", "cut", "liar") else None
-    trouble = {"cut": Trouble(6.0, seconds - 6.0), "liar": Trouble(liars=3)}.get(how, Trouble())
+    trouble = {"cut": GossipFaults(6.0, seconds - 6.0), "liar": GossipFaults(liars=3)}.get(
+        how, GossipFaults()
+    )
     policy = "module" if terms or how == "alone" else how.removeprefix("before=")
-    engine = Virtual(day(title, size, seconds), seed, decisions.find(policy), terms, trouble)
+    engine = VirtualEngine(day(title, size, seconds), seed, decisions.find(policy), terms, trouble)
     world = engine.run()
     figures, verdict = world.ledger.figures(), world.checker.summary()
     return {
@@ -90,7 +92,7 @@
         killed = [msgspec.structs.replace(fault, one_by_one=ONE_BY_ONE) for fault in chosen.faults]
         chosen = msgspec.structs.replace(chosen, faults=killed)
     with tempfile.TemporaryDirectory() as folder:
-        engine = Sockets(chosen, 1, Path(folder), in_fleet=True, sharing=together)
+        engine = SocketEngine(chosen, 1, Path(folder), in_fleet=True, sharing=together)
         try:
             world = engine.run()
         except OSError as error:  # no descriptors, no memory: the machine is too small for this run
--- a/onyxhollow/lab/cli.py
+++ b/onyxhollow/lab/cli.py
@@ -201,7 +201,7 @@
             (told.picture, told.picture_at or day.seconds / 2) if told.picture else None,
         )
     if told.json:
-        Path(told.json).write_bytes(runs.text(figures))
+        Path(told.json).write_bytes(runs.to_json(figures))
     summary(figures, Console())
     found = figures.get("sockets", {})
     for what in ("void", "crashes", "complaints", "failures"):
@@ -227,7 +227,7 @@
     cells = experiment.matrix(days(told), policies, range(1, told.seeds + 1))
     with Progress(*Progress.get_default_columns(), console=Console(stderr=True), transient=True) as bar:
         task = bar.add_task("runs", total=len(cells))
-        return experiment.carry_out(
+        return experiment.run_all(
             cells, told.dir, told.jobs, lambda done, of: bar.update(task, completed=done)
         )
 
--- a/onyxhollow/lab/decisions.py
+++ b/onyxhollow/lab/decisions.py
@@ -21,7 +21,7 @@
     from onyxhollow.lab.world.world import World
 
 # host, settings, seed, the world (for the policy that sees it) -> something with the Balancer's calls
-Maker = Callable[[Host, Settings, int, "World"], Any]
+PolicyFactory = Callable[[Host, Settings, int, "World"], Any]
 
 
 class PolicyError(Exception):
@@ -52,7 +52,7 @@
 ABLATIONS = ("no-distrust", "no-hand-off", "no-cold-budget", "no-probing", "no-gate")
 
 
-def read_at(revision: str) -> dict[str, str]:
+def read_files_at(revision: str) -> dict[str, str]:
     """The texts of onyxhollow/policy/ as they stood at a commit of this repository, by file name.
 
     Raises:
@@ -74,17 +74,17 @@
         return {name: text.read().decode() for name, text in sorted(texts.items()) if text}
 
 
-def text_at(revision: str) -> str:
+def source_at(revision: str) -> str:
     """All texts of the module at a commit, one after another. Raises PolicyError."""
-    return "".join(read_at(revision).values())
+    return "".join(read_files_at(revision).values())
 
 
-def at_revision(revision: str) -> type[policy.Balancer]:
+def load_at_revision(revision: str) -> type[policy.Balancer]:
     """The module of an earlier commit, on today's interface. Raises PolicyError.
 
     Its files are loaded as a package of another name, beside today's.
     """
-    texts = read_at(revision)
+    texts = read_files_at(revision)
     package = "onyxhollow_policy_" + re.sub(r"\W", "_", revision)
     with tempfile.TemporaryDirectory() as folder:
         place = Path(folder) / package
@@ -102,7 +102,7 @@
     return balancer
 
 
-def find(name: str) -> Maker:
+def find(name: str) -> PolicyFactory:
     """Raises PolicyError."""
     if name in baselines.BY_NAME:
         baseline = baselines.BY_NAME[name]
@@ -112,7 +112,7 @@
     elif name in ABLATIONS:
         kind = ablation(name)
     else:
-        kind = at_revision(name)
+        kind = load_at_revision(name)
     return lambda host, settings, seed, _: kind(host, settings, seed)
 
 
--- a/onyxhollow/lab/demo.py
+++ b/onyxhollow/lab/demo.py
@@ -12,14 +12,14 @@
 from rich.text import Text
 
 from onyxhollow.lab import scenario
-from onyxhollow.lab.sockets.engine import Sockets
+from onyxhollow.lab.sockets.engine import SocketEngine
 from onyxhollow.lab.world.servers import State
 
 BAR = 40
 STATES = {State.RUNNING: "in service", State.DRAINING: "draining", State.STOPPED: "stopped"}
 
 
-def told_now(engine: Sockets) -> list[str]:
+def told_now(engine: SocketEngine) -> list[str]:
     """What goes wrong at the moment, and what the proxies do about it."""
     now, said = engine.now, []
     for begin, _, kind in engine.world.fault_marks:
@@ -34,7 +34,7 @@
     return said
 
 
-def picture(engine: Sockets) -> Table:
+def picture(engine: SocketEngine) -> Table:
     world = engine.world
     outer = Table.grid()
     table = Table("server", "state", "connections", "", box=None)
@@ -60,7 +60,7 @@
     console.print("A fleet on this machine: three servers (stand-ins), two onyxhollow proxies, and clients.")
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="onyxhollow-demo-") as folder:
-        engine = Sockets(day, 1, Path(folder))
+        engine = SocketEngine(day, 1, Path(folder))
         with Live(console=console, refresh_per_second=4) as live:
             if console.is_terminal:
                 live.update(picture(engine))
--- a/onyxhollow/lab/evenness.py
+++ b/onyxhollow/lab/evenness.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ServerLoad:
     """One server at one look."""
 
     server: str
@@ -36,13 +36,13 @@
     def __init__(self, report_age: float) -> None:
         """report_age: seconds for which a load that a proxy has heard of may be old."""
         self.report_age = report_age
-        self.looks: list[tuple[float, list[Seen]]] = []
+        self.looks: list[tuple[float, list[ServerLoad]]] = []
         self.placed_at: list[tuple[float, str, int]] = []
 
-    def look(self, now: float, seen: list[Seen]) -> None:
+    def record_loads(self, now: float, seen: list[ServerLoad]) -> None:
         self.looks.append((now, seen))
 
-    def placed(self, now: float, server: str, proxy: int) -> None:
+    def record_placement(self, now: float, server: str, proxy: int) -> None:
         self.placed_at.append((now, server, proxy))
 
     # a value a second
--- a/onyxhollow/lab/experiment.py
+++ b/onyxhollow/lab/experiment.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cell:
+class PlannedRun:
     """One run to be made."""
 
     scenario: Scenario
@@ -51,20 +51,20 @@
     decisions.find(name)
     other = baselines if name in baselines.BY_NAME else decisions
     if name not in decisions.names():
-        return hashlib.blake2b(decisions.text_at(name).encode(), digest_size=8).hexdigest()
+        return hashlib.blake2b(decisions.source_at(name).encode(), digest_size=8).hexdigest()
     modules = sorted(Path(path) for folder in policy.__path__ for path in Path(folder).glob("*.py"))
     texts = [*(module.read_text() for module in modules), inspect.getsource(other)]
     return hashlib.blake2b("".join(texts).encode(), digest_size=8).hexdigest()
 
 
-def matrix(scenarios: Iterable[Scenario], policies: Sequence[str], seeds: Iterable[int]) -> list[Cell]:
+def matrix(scenarios: Iterable[Scenario], policies: Sequence[str], seeds: Iterable[int]) -> list[PlannedRun]:
     seeds = list(seeds)
-    return [Cell(day, policy, seed) for day in scenarios for policy in policies for seed in seeds]
+    return [PlannedRun(day, policy, seed) for day in scenarios for policy in policies for seed in seeds]
 
 
-def play(cell: Cell) -> dict[str, Any]:
+def play(cell: PlannedRun) -> dict[str, Any]:
     told = runs.play(cell.scenario, cell.seed, cell.policy)
-    return json.loads(runs.text(told))  # type: ignore[no-any-return]
+    return json.loads(runs.to_json(told))  # type: ignore[no-any-return]
 
 
 def kept(path: Path) -> dict[str, Any] | None:
@@ -78,12 +78,12 @@
 
 def save(path: Path, told: dict[str, Any]) -> None:
     part = path.with_suffix(f".{os.getpid()}.part")
-    part.write_bytes(runs.text(told))
+    part.write_bytes(runs.to_json(told))
     part.replace(path)
 
 
-def carry_out(
-    cells: list[Cell],
+def run_all(
+    cells: list[PlannedRun],
     folder: Path | None,
     jobs: int,
     progress: Callable[[int, int], None] = lambda done, of: None,
@@ -130,7 +130,14 @@
         save(path, told)
 
 
-EVEN = ("variation", "worst_over_mean", "worst_over_mean_p90", "idle_servers", "swings", "herd_p99")
+EVENNESS_FIGURES = (
+    "variation",
+    "worst_over_mean",
+    "worst_over_mean_p90",
+    "idle_servers",
+    "swings",
+    "herd_p99",
+)
 
 
 def evenness(results: list[dict[str, Any]], policies: list[str]) -> dict[str, list[float]]:
@@ -144,7 +151,7 @@
             float(np.mean([row[name] for row in by[policy]])) if by[policy] else float("nan")
             for policy in policies
         ]
-        for name in EVEN
+        for name in EVENNESS_FIGURES
     }
 
 
--- a/onyxhollow/lab/runs.py
+++ b/onyxhollow/lab/runs.py
@@ -11,7 +11,7 @@
 
 from onyxhollow.lab import decisions
 from onyxhollow.lab.scenario import Scenario, encode
-from onyxhollow.lab.virtual import Virtual
+from onyxhollow.lab.virtual import VirtualEngine
 
 
 class RunError(Exception):
@@ -40,7 +40,7 @@
     taken; in virtual time, of the module (on sockets the logs tell as much). The figures of a virtual
     run hold nothing that differs from one process to another: no wall time, no path.
     """
-    maker = decisions.find(policy)
+    policy_factory = decisions.find(policy)
     if picture and (engine != "virtual" or policy != "module"):
         raise RunError("--picture: expected the module in virtual time; on sockets --logs can be drawn")
     found: dict[str, Any] = {}
@@ -53,7 +53,7 @@
                 raise RunError(f"--policy {policy}: on sockets expected module, which serve carries")
             world, found = play_on_sockets(scenario, seed, logs, progress)
         else:
-            virtual = Virtual(scenario, seed, maker)
+            virtual = VirtualEngine(scenario, seed, policy_factory)
             if picture:
                 virtual.begin()
                 virtual.world.agenda.run(min(picture[1], scenario.seconds))
@@ -92,7 +92,7 @@
     return told
 
 
-def take(virtual: Virtual, path: Path) -> None:
+def take(virtual: VirtualEngine, path: Path) -> None:
     from onyxhollow.lab import topology_snapshot
     from onyxhollow.topology import snapshot_file
 
@@ -102,6 +102,6 @@
         raise RunError(f"--picture: {error}") from None
 
 
-def text(told: dict[str, Any]) -> bytes:
+def to_json(told: dict[str, Any]) -> bytes:
     """The run as JSON, always the same for the same run."""
     return msgspec.json.format(msgspec.json.encode(told, order="sorted"), indent=1)
--- a/onyxhollow/lab/search.py
+++ b/onyxhollow/lab/search.py
@@ -109,7 +109,7 @@
 def gaps(days: list[Scenario], policy: str, jobs: int) -> list[float]:
     """How far the policy stands under the mark on each day, mean over SEEDS."""
     cells = experiment.matrix(days, [policy, MARK], SEEDS)
-    told = experiment.carry_out(cells, None, jobs)
+    told = experiment.run_all(cells, None, jobs)
     width = 2 * len(SEEDS)
     out = []
     for place in range(len(days)):
--- a/onyxhollow/lab/simulated_gossip.py
+++ b/onyxhollow/lab/simulated_gossip.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class GossipFaults:
     """What is done to sharing alone."""
 
     cut_from: float = 0.0
@@ -64,9 +64,9 @@
     liars: int = 0  # members that tell absurd loads as new, and counts a thousand times too high
 
 
-class Talk:
-    def __init__(self, engine: GossipEngine, terms: GossipConfig, trouble: Trouble) -> None:
-        self.engine, self.terms, self.trouble = engine, terms, trouble
+class SimulatedGossip:
+    def __init__(self, engine: GossipEngine, gossip_config: GossipConfig, faults: GossipFaults) -> None:
+        self.engine, self.gossip_config, self.faults = engine, gossip_config, faults
         self.world = engine.world
         self.cores: dict[int, LoadGossip] = {}  # by proxy
         self.where: dict[int, int] = {}  # by epoch: proxy
@@ -77,7 +77,7 @@
         """A proxy has started."""
         now, zone = self.world.agenda.now, self.world.zone_name(instance.zone)
         core = LoadGossip(
-            GossipMember(epoch, f"n{instance.number}", zone), self.terms, Random(epoch * 31 + 7), now
+            GossipMember(epoch, f"n{instance.number}", zone), self.gossip_config, Random(epoch * 31 + 7), now
         )
         self.cores[instance.number], self.where[epoch] = core, instance.number
         self.world.agenda.after(SEEN if now else 0.0, self.meet)
@@ -101,7 +101,7 @@
             return
         core.set_endpoints({server.name: server.zone for server in balancer.endpoints})
         own = {s.name: len(s.connections) for s in balancer.tracked.values() if s.connections}
-        if instance.number < self.trouble.liars:
+        if instance.number < self.faults.liars:
             own = {name: 1000 * count for name, count in own.items()}
         core.tick(own, now)
         self.pass_on(instance, core)
@@ -116,7 +116,7 @@
             other = self.where.get(epoch)
             if other is None or self.cut(instance.number, other):
                 continue
-            if instance.number < self.trouble.liars and isinstance(message, ReportPage):
+            if instance.number < self.faults.liars and isinstance(message, ReportPage):
                 message = self.lie(message)
             there = self.world.proxies[other].zone
             self.messages += 1
@@ -136,9 +136,9 @@
         self.pass_on(instance, core)
 
     def cut(self, one: int, other: int) -> bool:
-        proxies, trouble = self.world.proxies, self.trouble
+        proxies, faults = self.world.proxies, self.faults
         if proxies[one].zone != proxies[other].zone and (
-            trouble.cut_from <= self.world.agenda.now < trouble.cut_until
+            faults.cut_from <= self.world.agenda.now < faults.cut_until
         ):
             return True
         for cut in self.world.cuts.values():
--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -61,7 +61,7 @@
 
     __slots__ = ("engine", "sess", "lines", "answered", "said")
 
-    def __init__(self, engine: Sockets, sess: Session, sock: socket.socket) -> None:
+    def __init__(self, engine: SocketEngine, sess: Session, sock: socket.socket) -> None:
         self.engine, self.sess, self.answered, self.said = engine, sess, False, 0
         self.lines = LineConnection(engine.loop, sock, self.got, self.ended)
 
@@ -124,7 +124,7 @@
             engine.world.cut(sess, Cause.TORN_DOWN)
 
 
-class Sockets:
+class SocketEngine:
     notices_silence = True  # the proxies do, by themselves
 
     def __init__(
@@ -503,6 +503,6 @@
         if folder is None:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="onyxhollow-lab-")))
         folder.mkdir(parents=True, exist_ok=True)
-        engine = Sockets(scenario, seed, folder)
+        engine = SocketEngine(scenario, seed, folder)
         world = engine.run(progress)
         return world, engine.findings()
--- a/onyxhollow/lab/topology_snapshot.py
+++ b/onyxhollow/lab/topology_snapshot.py
@@ -14,7 +14,7 @@
 )
 
 if TYPE_CHECKING:
-    from onyxhollow.lab.virtual import Instance, Virtual
+    from onyxhollow.lab.virtual import Instance, VirtualEngine
 
 OLD = 60.0  # seconds past which a load tells nothing
 
@@ -49,7 +49,7 @@
     )
 
 
-def take_snapshot(engine: Virtual) -> Snapshot:
+def take_snapshot(engine: VirtualEngine) -> Snapshot:
     """As it stands now; a proxy that is down is told as silent. at: seconds since the run began."""
     number_of = engine.scenario.fleet.proxies
     up = {number for number, instance in engine.instances.items() if instance.alive}
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -22,9 +22,9 @@
     Settings,
     Tenant,
 )
-from onyxhollow.lab.decisions import Maker
+from onyxhollow.lab.decisions import PolicyFactory
 from onyxhollow.lab.scenario import Scenario
-from onyxhollow.lab.simulated_gossip import Talk, Trouble
+from onyxhollow.lab.simulated_gossip import GossipFaults, SimulatedGossip
 from onyxhollow.lab.world.listing import Row
 from onyxhollow.lab.world.servers import Server, Session, State, Verdict
 from onyxhollow.lab.world.types import Cause
@@ -37,17 +37,26 @@
 READINESS = {row.value: row for row in EndpointState}
 
 
-class Held:
+class SessionToken:
     """A session as its proxy holds it: the module's token."""
 
-    __slots__ = ("sess", "handle", "dial", "out", "server", "sent_at", "standing", "answered")
+    __slots__ = (
+        "sess",
+        "handle",
+        "attempt",
+        "attempt_in_flight",
+        "server",
+        "sent_at",
+        "established",
+        "answered",
+    )
 
     def __init__(self, sess: Session) -> None:
         self.sess = sess
         self.handle: Any = None
-        self.dial, self.out, self.sent_at = 0, False, 0.0
+        self.attempt, self.attempt_in_flight, self.sent_at = 0, False, 0.0
         self.server: Server | None = None
-        self.standing = self.answered = False
+        self.established = self.answered = False
 
     @property
     def came_back(self) -> bool:
@@ -57,18 +66,18 @@
 class Instance:
     """One proxy's life: the module's Host."""
 
-    def __init__(self, engine: Virtual, number: int, rows: list[Row], seen: int, life: int) -> None:
+    def __init__(self, engine: VirtualEngine, number: int, rows: list[Row], seen: int, life: int) -> None:
         self.engine, self.number, self.world, self.agenda = engine, number, engine.world, engine.world.agenda
         self.alive, self.stalled_until = True, 0.0
         self.seen, self.rows = seen, {row.name: row for row in rows}
-        self.held: dict[int, Held] = {}
+        self.tokens: dict[int, SessionToken] = {}
         self.zone = self.world.proxies[number].zone
         seed = (engine.world.seed * 1_000_003 + number * 7919 + life) & 0x7FFFFFFFFFFFFFFF
         self.settings = engine.settings(number)
-        self.balancer = engine.maker(self, self.settings, seed, engine.world)
-        self.talk = engine.talk
-        if self.talk:
-            self.talk.joined(self, number * 1000 + life)
+        self.balancer = engine.policy_factory(self, self.settings, seed, engine.world)
+        self.gossip = engine.gossip
+        if self.gossip:
+            self.gossip.joined(self, number * 1000 + life)
         self.told(EndpointListKind.CACHED, list(self.rows.values()))
 
     @property
@@ -90,42 +99,51 @@
     # what the module asks
 
     def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
-        assert isinstance(token, Held)
+        assert isinstance(token, SessionToken)
         now, target, engine = self.now, self.world.by_name[server], self.engine
-        token.dial, token.out, token.server, token.sent_at = token.dial + 1, True, target, now
+        token.attempt, token.attempt_in_flight, token.server, token.sent_at = (
+            token.attempt + 1,
+            True,
+            target,
+            now,
+        )
         self.world.checker.record_attempt(now, self.number, token.sess.number, server)
         self.world.ledger.count("dials")
         if self.zone != target.zone:
             self.world.ledger.count("dials across zones")
         one_way = engine.one_way(self.zone, target.zone, token.sess)
-        self.agenda.after(3 * one_way, self.reach, token, token.dial, one_way)
-        self.later(min(timeout, max(0.0, token.sess.deadline - now)), self.timed_out, token, token.dial)
+        self.agenda.after(3 * one_way, self.reach, token, token.attempt, one_way)
+        self.later(min(timeout, max(0.0, token.sess.deadline - now)), self.timed_out, token, token.attempt)
 
-    def cancel_attempt(self, token: Hashable, dial: int) -> None:
-        assert isinstance(token, Held)
-        self.later(0.0, self.dial_over, token, token.dial, AttemptOutcome.CANCELLED)
+    def cancel_attempt(self, token: Hashable, attempt: int) -> None:
+        assert isinstance(token, SessionToken)
+        self.later(0.0, self.dial_over, token, token.attempt, AttemptOutcome.CANCELLED)
 
     def reject(self, token: Hashable, retry_after: float) -> None:
-        assert isinstance(token, Held)
+        assert isinstance(token, SessionToken)
         self.answer(token, "refused")
         self.agenda.after(self.world.network.client, self.world.refused, token.sess, retry_after)
 
     def tear_down(self, token: Hashable) -> None:
-        assert isinstance(token, Held)
+        assert isinstance(token, SessionToken)
         self.answer(token, "failed")
         self.agenda.after(self.world.network.client, self.world.failed, token.sess)
 
     def migrate(self, token: Hashable) -> None:
-        assert isinstance(token, Held)
-        if token.standing and not token.sess.over:
+        assert isinstance(token, SessionToken)
+        if token.established and not token.sess.over:
             self.world.ledger.count("moves")
             self.world.cut(token.sess, Cause.MOVED)
-            self.later(0.0, self.dial_over, token, token.dial, AttemptOutcome.CANCELLED)
+            self.later(0.0, self.dial_over, token, token.attempt, AttemptOutcome.CANCELLED)
 
     def check_health(self, server: str, shared: bool = False) -> None:
         """shared: asked for all members, and not by the module."""
         target, now = self.world.by_name[server], self.now
-        if self.talk and not shared and (known := self.talk.cores[self.number].load_estimate(server, now)):
+        if (
+            self.gossip
+            and not shared
+            and (known := self.gossip.cores[self.number].load_estimate(server, now))
+        ):
             outcome = AttemptOutcome.OK
             self.later(0.0, self.balancer.on_health_check, server, outcome, 0.0, known.load, known.age)
             return
@@ -144,9 +162,9 @@
 
     def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
         self.balancer.on_health_check(server, end, took, load)
-        if self.talk and (core := self.talk.cores.get(self.number)):
+        if self.gossip and (core := self.gossip.cores.get(self.number)):
             core.on_poll_result(server, load, self.now)
-            self.talk.pass_on(self, core)
+            self.gossip.pass_on(self, core)
 
     def poll_endpoint_list(self) -> None:
         self.world.checker.record_poll(self.now, self.number)
@@ -211,144 +229,150 @@
         self.world.checker.record_session(
             self.now, self.number, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
         )
-        held = self.held[sess.number] = Held(sess)
+        token = self.tokens[sess.number] = SessionToken(sess)
         listener, tenant, group = self.engine.describe(sess)
-        held.handle = self.balancer.admit(
-            held, listener, tenant, group, max(0.0, sess.deadline - self.now), None
+        token.handle = self.balancer.admit(
+            token, listener, tenant, group, max(0.0, sess.deadline - self.now), None
         )
 
     def adopt(self, sess: Session) -> None:
         """A connection that stood before the start."""
-        held = self.held[sess.number] = Held(sess)
-        held.out = held.standing = held.answered = True
-        held.server = sess.server
+        token = self.tokens[sess.number] = SessionToken(sess)
+        token.attempt_in_flight = token.established = token.answered = True
+        token.server = sess.server
         assert sess.server is not None
         listener, tenant, group = self.engine.describe(sess)
-        held.handle = self.balancer.adopt(held, listener, tenant, group, None, sess.server.name)
+        token.handle = self.balancer.adopt(token, listener, tenant, group, None, sess.server.name)
 
-    def answer(self, held: Held, how: str) -> None:
-        held.answered = True
-        self.world.checker.record_answer(self.now, self.number, held.sess.number, how)
-        self.held.pop(held.sess.number, None)
+    def answer(self, token: SessionToken, how: str) -> None:
+        token.answered = True
+        self.world.checker.record_answer(self.now, self.number, token.sess.number, how)
+        self.tokens.pop(token.sess.number, None)
 
-    def reach(self, held: Held, dial: int, one_way: float) -> None:
+    def reach(self, token: SessionToken, attempt: int, one_way: float) -> None:
         """A dial's line has reached its server, if it can."""
-        if not self.alive or not held.out or held.dial != dial or held.server is None:
+        if not self.alive or not token.attempt_in_flight or token.attempt != attempt or token.server is None:
             return
-        server = held.server
+        server = token.server
         if server.gone_silent or self.world.blocked(self.number, server):
-            left = self.world.network.connect_time - (self.now - held.sent_at)
-            self.later(max(0.0, left), self.dial_over, held, dial, AttemptOutcome.CONNECT_FAILED)
+            left = self.world.network.connect_time - (self.now - token.sent_at)
+            self.later(max(0.0, left), self.dial_over, token, attempt, AttemptOutcome.CONNECT_FAILED)
             return
-        verdict, wait = self.world.offer(held.sess, server)
+        verdict, wait = self.world.offer(token.sess, server)
         if verdict is Verdict.UP:
-            self.agenda.after(wait + one_way, self.verdict, held, dial, server, server.started)
+            self.agenda.after(wait + one_way, self.verdict, token, attempt, server, server.started)
         elif verdict is not Verdict.SILENT:
             end = {
                 Verdict.FULL: AttemptOutcome.OVERLOADED,
                 Verdict.ERROR: AttemptOutcome.ERROR,
                 Verdict.REFUSED: AttemptOutcome.CONNECT_FAILED,
             }[verdict]
-            self.later(wait + one_way, self.dial_over, held, dial, end)
+            self.later(wait + one_way, self.dial_over, token, attempt, end)
 
-    def verdict(self, held: Held, dial: int, server: Server, started: float) -> None:
+    def verdict(self, token: SessionToken, attempt: int, server: Server, started: float) -> None:
         """The server's UP has come, unless something stands between."""
         if not self.alive or self.world.blocked(self.number, server) or server.mute:
             return
-        if not held.out or held.dial != dial:
+        if not token.attempt_in_flight or token.attempt != attempt:
             self.world.ledger.count("set up in vain")
         elif server.state is State.STOPPED or server.started != started:
-            self.when_able(self.dial_over, (held, dial, AttemptOutcome.RESET))
+            self.when_able(self.dial_over, (token, attempt, AttemptOutcome.RESET))
         else:
-            self.when_able(self.stands, (held, dial, server))
+            self.when_able(self.stands, (token, attempt, server))
 
-    def stands(self, held: Held, dial: int, server: Server) -> None:
-        if not held.out or held.dial != dial or held.sess.over:
+    def stands(self, token: SessionToken, attempt: int, server: Server) -> None:
+        if not token.attempt_in_flight or token.attempt != attempt or token.sess.over:
             return
-        held.standing = held.answered = True
-        self.world.checker.record_answer(self.now, self.number, held.sess.number, "up")
-        held.handle.on_established(self.now - held.sent_at)
-        self.world.up(held.sess, server)
+        token.established = token.answered = True
+        self.world.checker.record_answer(self.now, self.number, token.sess.number, "up")
+        token.handle.on_established(self.now - token.sent_at)
+        self.world.up(token.sess, server)
 
-    def timed_out(self, held: Held, dial: int) -> None:
-        if held.out and held.dial == dial and not held.standing:
-            self.dial_over(held, dial, AttemptOutcome.TIMEOUT)
+    def timed_out(self, token: SessionToken, attempt: int) -> None:
+        if token.attempt_in_flight and token.attempt == attempt and not token.established:
+            self.dial_over(token, attempt, AttemptOutcome.TIMEOUT)
 
-    def dial_over(self, held: Held, dial: int, end: AttemptOutcome) -> None:
-        if not held.out or held.dial != dial:
+    def dial_over(self, token: SessionToken, attempt: int, end: AttemptOutcome) -> None:
+        if not token.attempt_in_flight or token.attempt != attempt:
             return
-        held.out = False
+        token.attempt_in_flight = False
         if end is not AttemptOutcome.OK:
             self.world.ledger.count(f"dial: {end.value}")
-        self.world.checker.record_attempt_end(self.now, held.sess.number, held.sent_at, end.never_ran)
-        final = held.answered or held.standing
-        if self.talk and not final and end not in NOT_FAILURES and held.server:
-            self.talk.cores[self.number].record_failure(held.server.name, self.now)
-        if held.standing:
-            self.held.pop(held.sess.number, None)
-        if held.handle is not None:
-            held.handle.on_attempt_ended(end, final, self.now - held.sent_at, None)
+        self.world.checker.record_attempt_end(self.now, token.sess.number, token.sent_at, end.never_ran)
+        final = token.answered or token.established
+        if self.gossip and not final and end not in NOT_FAILURES and token.server:
+            self.gossip.cores[self.number].record_failure(token.server.name, self.now)
+        if token.established:
+            self.tokens.pop(token.sess.number, None)
+        if token.handle is not None:
+            token.handle.on_attempt_ended(end, final, self.now - token.sent_at, None)
 
     def left(self, sess: Session) -> None:
         """The client has gone."""
-        held = self.held.get(sess.number)
-        if held is None:
+        token = self.tokens.get(sess.number)
+        if token is None:
             return
-        if held.standing:
-            self.gone(held)
-            self.dial_over(held, held.dial, AttemptOutcome.CANCELLED)
+        if token.established:
+            self.gone(token)
+            self.dial_over(token, token.attempt, AttemptOutcome.CANCELLED)
             return
         self.world.checker.record_client_gone(self.now, sess.number)
-        self.held.pop(sess.number, None)
-        if not held.answered:
-            held.answered = True
-            held.handle.on_client_gone()
+        self.tokens.pop(sess.number, None)
+        if not token.answered:
+            token.answered = True
+            token.handle.on_client_gone()
 
-    def gone(self, held: Held) -> None:
+    def gone(self, token: SessionToken) -> None:
         """Its end is no word of its server: the module would take it for one that sends its clients away."""
-        if held.handle is not None:
-            held.handle.on_client_gone()
+        if token.handle is not None:
+            token.handle.on_client_gone()
 
     def ended(self, sess: Session, sent_away: bool) -> None:
-        if held := self.held.get(sess.number):
-            self.dial_over(held, held.dial, AttemptOutcome.CANCELLED if sent_away else AttemptOutcome.RESET)
+        if token := self.tokens.get(sess.number):
+            self.dial_over(
+                token, token.attempt, AttemptOutcome.CANCELLED if sent_away else AttemptOutcome.RESET
+            )
 
     def stop(self, span: float) -> None:
         self.later(STILL_COMING, self.stop_step, self.now + span - STOP_MARGIN)
 
     def stop_step(self, last: float) -> None:
         """Moves its clients evenly over the time it has; at the end what still waits is answered."""
-        open_ones = [held for held in self.held.values() if held.standing]
+        open_ones = [token for token in self.tokens.values() if token.established]
         share = STOP_STEP / max(STOP_STEP, last - self.now)
-        for held in open_ones[: math.ceil(len(open_ones) * share)]:
-            self.gone(held)
-            self.migrate(held)
+        for token in open_ones[: math.ceil(len(open_ones) * share)]:
+            self.gone(token)
+            self.migrate(token)
         if self.now < last:
             self.later(STOP_STEP, self.stop_step, last)
             return
-        for held in [held for held in self.held.values() if not held.standing and not held.answered]:
-            held.handle.deadline = -math.inf
-            if held.out:
-                self.dial_over(held, held.dial, AttemptOutcome.CANCELLED)
+        for token in [
+            token for token in self.tokens.values() if not token.established and not token.answered
+        ]:
+            token.handle.deadline = -math.inf
+            if token.attempt_in_flight:
+                self.dial_over(token, token.attempt, AttemptOutcome.CANCELLED)
             else:
-                self.balancer.attempt(held.handle)
+                self.balancer.attempt(token.handle)
 
 
-class Virtual:
+class VirtualEngine:
     """The engine: one Instance a proxy that lives."""
 
     def __init__(
         self,
         scenario: Scenario,
         seed: int,
-        maker: Maker,
-        terms: GossipConfig | None = None,
-        trouble: Trouble | None = None,
+        policy_factory: PolicyFactory,
+        gossip_config: GossipConfig | None = None,
+        faults: GossipFaults | None = None,
     ) -> None:
-        """terms: the members tell one another of servers; trouble: what is done to that."""
-        self.scenario, self.maker = scenario, maker
+        """gossip_config: the members tell one another of servers; faults: what is done to that."""
+        self.scenario, self.policy_factory = scenario, policy_factory
         self.world = World(scenario, seed)
-        self.talk = Talk(self, terms, trouble or Trouble()) if terms else None
+        self.gossip = (
+            SimulatedGossip(self, gossip_config, faults or GossipFaults()) if gossip_config else None
+        )
         self.instances: dict[int, Instance] = {}
         self.lives: dict[int, int] = {}
         self.lists: dict[int, tuple[list[Row], int]] = {}
@@ -449,15 +473,15 @@
             instance.when_able(instance.ended, (sess, sent_away))
 
     def load_changed(self, sess: Session) -> None:
-        if (instance := self.instances.get(sess.proxy)) and (held := instance.held.get(sess.number)):
-            if held.handle is not None and held.standing:
-                instance.when_able(held.handle.on_load, (sess.load,))
+        if (instance := self.instances.get(sess.proxy)) and (token := instance.tokens.get(sess.number)):
+            if token.handle is not None and token.established:
+                instance.when_able(token.handle.on_load, (sess.load,))
 
     def crash(self, number: int) -> None:
         if instance := self.instances.pop(number, None):
             instance.alive = False
-            if self.talk:
-                self.talk.left(number)
+            if self.gossip:
+                self.gossip.left(number)
             self.lists[number] = list(instance.rows.values()), instance.seen
 
     def restart(self, number: int) -> None:
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from onyxhollow.lab.evenness import Seen
+from onyxhollow.lab.evenness import ServerLoad
 from onyxhollow.lab.invariant_checker import InvariantChecker
 from onyxhollow.lab.ledger import Ledger
 from onyxhollow.lab.scenario import Scenario
@@ -203,16 +203,16 @@
 
     def look(self) -> None:
         now = self.agenda.now
-        seen: list[Seen] = []
+        seen: list[ServerLoad] = []
         for server in self.servers:
             if not server.running or server.mute:
                 continue
             self.ledger.load(server.name, now, server.load)
             if server.state is State.RUNNING and server.warmth(now) >= 1.0:
-                seen.append(Seen(server.name, server.load, server.capacity(now)))
+                seen.append(ServerLoad(server.name, server.load, server.capacity(now)))
             if server.sessions:
                 self.ledger.messages(server.delay, server.tau, len(server.sessions))
-        self.ledger.evenness.look(now, seen)
+        self.ledger.evenness.record_loads(now, seen)
         self.agenda.after(LOOK, self.look)
 
     def finish(self) -> None:
@@ -337,7 +337,7 @@
         else:
             self.ledger.out(client.wish, client.since, now, client.cause)
         self.ledger.count("up")
-        self.ledger.evenness.placed(now, server.name, sess.proxy)
+        self.ledger.evenness.record_placement(now, server.name, sess.proxy)
         client.tries = 0
         self.stand(sess, server)
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -11,7 +11,7 @@
 from onyxhollow.gossip.messages import ConnectionCounts, EndpointCount, EndpointReport, ReportPage
 from onyxhollow.gossip.ownership import GossipMember
 from onyxhollow.lab import decisions, scenario, virtual
-from onyxhollow.lab.simulated_gossip import Trouble
+from onyxhollow.lab.simulated_gossip import GossipFaults
 
 CONFIG = GossipConfig(push_interval=0.25, poll_interval=2.0, report_interval=1.0)
 
@@ -214,9 +214,9 @@
     for gossip_config, trouble in (
         (None, None),
         (GossipConfig(), None),
-        (GossipConfig(), Trouble(4.0, 8.0, liars=3)),
+        (GossipConfig(), GossipFaults(4.0, 8.0, liars=3)),
     ):
-        engine = virtual.Virtual(test_scenario, 1, decisions.find("module"), gossip_config, trouble)
+        engine = virtual.VirtualEngine(test_scenario, 1, decisions.find("module"), gossip_config, trouble)
         world = engine.run()
         assert world.checker.summary()["clean"] and world.ledger.figures()["service"] > 0.9
         probe_counts.append(world.ledger.counts["probes"])
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,7 +12,7 @@
 from onyxhollow.lab import broken_policies, decisions, runs, scenario  # noqa: E402
 from onyxhollow.lab.invariant_checker import InvariantChecker  # noqa: E402
 from onyxhollow.lab.ledger import merged  # noqa: E402
-from onyxhollow.lab.virtual import Virtual  # noqa: E402
+from onyxhollow.lab.virtual import VirtualEngine  # noqa: E402
 from onyxhollow.lab.world import faults  # noqa: E402
 from onyxhollow.lab.world.servers import State  # noqa: E402
 from onyxhollow.lab.world.types import Cause  # noqa: E402
@@ -44,7 +44,7 @@
 
 def begun(day, seed=1, policy="module"):
     """An engine whose agenda can be turned by hand."""
-    engine = Virtual(day, seed, decisions.find(policy))
+    engine = VirtualEngine(day, seed, decisions.find(policy))
     engine.begin()
     return engine, engine.world
 
@@ -52,7 +52,7 @@
 def test_the_same_run_is_the_same_to_the_byte_in_any_process():
     code = (
         "import sys; from onyxhollow.lab import runs, scenario; sys.stdout.buffer.write("
-        "runs.text(runs.play(scenario.read('reload'), 3, 'module', series=True)))"
+        "runs.to_json(runs.play(scenario.read('reload'), 3, 'module', series=True)))"
     )
     outs = [
         subprocess.run(
@@ -65,7 +65,7 @@
         for salt in ("1", "77")
     ]
     assert outs[0] == outs[1] and b'"score"' in outs[0]
-    assert outs[0] != runs.text(runs.play(scenario.read("reload"), 4, "module", series=True))
+    assert outs[0] != runs.to_json(runs.play(scenario.read("reload"), 4, "module", series=True))
 
 
 def test_the_front_takes_a_proxy_that_was_started_once_it_is_ready_and_each_in_its_turn(monkeypatch):
@@ -87,7 +87,9 @@
 
 def test_what_clients_want_depends_on_no_policy_and_accounts_balance():
     day = small(fault("crash", at=3.0, lasts=3.0, part=0.5) + fault("reconnect", at=8.0, share=0.5))
-    told = {name: Virtual(day, 2, decisions.find(name)).run() for name in ("module", "random", "true-state")}
+    told = {
+        name: VirtualEngine(day, 2, decisions.find(name)).run() for name in ("module", "random", "true-state")
+    }
     assert len({tuple(world.ledger.wanted) for world in told.values()}) == 1
     assert len({tuple(world.ledger.earned) for world in told.values()}) == 3
     for world in told.values():
@@ -101,8 +103,8 @@
 @pytest.mark.parametrize("rule", [1, 2, 3, 4])
 def test_each_rule_is_broken_by_its_policy_and_kept_by_the_module(rule):
     kind, day = broken_policies.scenarios_by_rule()[rule]
-    caught = Virtual(day, 1, lambda host, settings, seed, _: kind(host, settings, seed)).run().checker
-    kept = Virtual(day, 1, lambda host, settings, seed, _: Balancer(host, settings, seed)).run().checker
+    caught = VirtualEngine(day, 1, lambda host, settings, seed, _: kind(host, settings, seed)).run().checker
+    kept = VirtualEngine(day, 1, lambda host, settings, seed, _: Balancer(host, settings, seed)).run().checker
     assert caught.violation_counts[rule] and kept.is_clean
 
 
@@ -251,10 +253,10 @@
 @pytest.mark.parametrize("kind", sorted(SHOWN))
 def test_a_fault_shows_in_the_run_and_not_without_it(kind):
     values, shows = SHOWN[kind]
-    with_it = Virtual(
+    with_it = VirtualEngine(
         small(fault(kind, **{"at": 4.0, "lasts": 3.0, **values})), 1, decisions.find("module")
     ).run()
-    without = Virtual(small(), 1, decisions.find("module")).run()
+    without = VirtualEngine(small(), 1, decisions.find("module")).run()
     without.ledger.counts = dict.fromkeys(
         ["cut: torn down", "cut: dropped", "proxy restarts", "up late"], 0
     ) | (without.ledger.counts)
@@ -306,10 +308,10 @@
     engine, world = begun(day)
     world.agenda.run(3.45)
     out = [
-        held.sess
+        token.sess
         for instance in engine.instances.values()
-        for held in instance.held.values()
-        if held.out and not held.standing
+        for token in instance.tokens.values()
+        if token.attempt_in_flight and not token.established
     ]
     assert out
     world.agenda.run(day.seconds)
--- a/tests/test_lab_evenness.py
+++ b/tests/test_lab_evenness.py
@@ -6,7 +6,7 @@
 from test_lab import fault, small
 
 from onyxhollow.lab import experiment, report, runs
-from onyxhollow.lab.evenness import Evenness, Seen
+from onyxhollow.lab.evenness import Evenness, ServerLoad
 from onyxhollow.lab.invariant_checker import InvariantChecker
 
 NAMES = [f"s{n}" for n in range(10)]
@@ -15,7 +15,9 @@
 def looked(loads_at, seconds=20, age=1.2):
     even = Evenness(age)
     for second in range(seconds):
-        even.look(float(second), [Seen(name, loads_at(second, n), 4.0) for n, name in enumerate(NAMES)])
+        even.record_loads(
+            float(second), [ServerLoad(name, loads_at(second, n), 4.0) for n, name in enumerate(NAMES)]
+        )
     return even
 
 
@@ -45,10 +47,10 @@
 def test_a_herd_is_more_on_one_server_than_chance_explains_and_says_how_many_proxies():
     even = looked(lambda second, n: 0.5)
     for number in range(400):  # spread by turns
-        even.placed(number * 0.05, NAMES[number % 10], number % 50)
+        even.record_placement(number * 0.05, NAMES[number % 10], number % 50)
     assert even.figures()["herd_p99"] <= 1.0
     for proxy in range(40):  # all of them within one report's age
-        even.placed(10.9, "s7", proxy)
+        even.record_placement(10.9, "s7", proxy)
     worst = even.figures()["herd_worst"]
     assert worst["server"] == "s7" and worst["ratio"] > 2 and worst["proxies"] >= 40
 
@@ -61,10 +63,10 @@
         assert even["worst_over_mean"] >= 1 and even["variation"] > 0
     means = experiment.evenness(told, ["module", "random"])
     assert means["worst_over_mean"] == [run["evenness"]["worst_over_mean"] for run in told]
-    assert set(means) == set(experiment.EVEN)
-    page = report.page([json.loads(runs.text(run)) for run in told])
+    assert set(means) == set(experiment.EVENNESS_FIGURES)
+    page = report.page([json.loads(runs.to_json(run)) for run in told])
     assert "How evenly it lies" in page and "over what chance explains" in page
-    old = json.loads(runs.text(told[0]))
+    old = json.loads(runs.to_json(told[0]))
     del old["series"]["evenness"]
     assert "How evenly it lies" in report.page([old])
 
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -11,7 +11,7 @@
 from test_lab import fault, small
 
 from onyxhollow.lab import runs
-from onyxhollow.lab.sockets.engine import Sockets
+from onyxhollow.lab.sockets.engine import SocketEngine
 
 
 def left_over(folder):
@@ -38,7 +38,7 @@
         + fault("watch_ended", at=5.0),
         seconds=8.0,
     )
-    engine = Sockets(day, 1, tmp_path)
+    engine = SocketEngine(day, 1, tmp_path)
     world = engine.run()
     told, counts = engine.findings(), world.ledger.counts
     assert world.checker.summary() == {"clean": True, "broken": {}, "first": []}
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -52,19 +52,19 @@
     assert 0 < made < 60
     seen = []
     cells = experiment.matrix([DAY], POLICIES, range(1, 31))[: made + 4]
-    resumed = experiment.carry_out(cells, tmp_path / "runs", 1, lambda done, _: seen.append(done))
+    resumed = experiment.run_all(cells, tmp_path / "runs", 1, lambda done, _: seen.append(done))
     assert seen[0] > 0  # taken as they were
-    assert resumed == experiment.carry_out(cells, None, 1)
+    assert resumed == experiment.run_all(cells, None, 1)
 
 
 def test_a_torn_file_and_a_changed_scenario_are_played_anew(tmp_path):
     cells = experiment.matrix([DAY], ["module"], [1])
-    first = experiment.carry_out(cells, tmp_path, 1)
+    first = experiment.run_all(cells, tmp_path, 1)
     file = next(tmp_path.glob("*.json"))
     file.write_bytes(file.read_bytes()[:100])
-    assert experiment.carry_out(cells, tmp_path, 1) == first
+    assert experiment.run_all(cells, tmp_path, 1) == first
     other = experiment.matrix([msgspec.structs.replace(DAY, seconds=7.0)], ["module"], [1])
-    assert experiment.carry_out(other, tmp_path, 1) != first and len(list(tmp_path.glob("*.json"))) == 2
+    assert experiment.run_all(other, tmp_path, 1) != first and len(list(tmp_path.glob("*.json"))) == 2
 
 
 def test_comparison_pairs_by_seed_and_tells_how_sure_it_is():
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -200,9 +200,9 @@
 def test_a_picture_is_made_of_a_run_in_virtual_time_and_changes_nothing_in_it(tmp_path):
     day = scenario.read("calm")
     day = msgspec.structs.replace(day, seconds=6.0)
-    plain = runs.text(runs.play(day, 1, "module"))
+    plain = runs.to_json(runs.play(day, 1, "module"))
     path = tmp_path / "run.oxt"
-    assert runs.text(runs.play(day, 1, "module", picture=(path, 3.0))) == plain
+    assert runs.to_json(runs.play(day, 1, "module", picture=(path, 3.0))) == plain
     saved = snapshot_file.read(path)
     assert saved.taken_at == 3.0 and kinds(saved) == []
     assert (len(saved.views), len(saved.endpoints())) == (day.fleet.proxies, day.fleet.servers)
