--- a/onyxhollow/lab/demo.py
+++ b/onyxhollow/lab/demo.py
@@ -45,7 +45,7 @@
         table.add_row(server.name, STATES[server.state] + cold, str(held), bar)
     proxies = Table("proxy", "", "clients", "", box=None)
     for proxy in world.proxies:
-        held = sum(end.sess.proxy == proxy.number for end in engine.ends.values())
+        held = sum(end.sess.proxy == proxy.number for end in engine.client_connections.values())
         proxies.add_row(f"n{proxy.number}", "up" if proxy.alive else "dead", str(held), "#" * min(BAR, held))
     outer.add_row(Text(f"{engine.now:5.1f} s of {engine.scenario.seconds:g} s"))
     outer.add_row(table)
--- a/onyxhollow/lab/sockets/__init__.py
+++ b/onyxhollow/lab/sockets/__init__.py
@@ -1,1 +1,1 @@
-"""The socket engine: real proxies on loopback among stand-ins that speak the protocol."""
+"""The socket engine: real proxies on loopback between emulated clients, servers and a list service."""
--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -1,8 +1,8 @@
-"""The socket engine: the world in real time, its clients, servers and list behind real sockets, proxies as
-processes. Everything stays on loopback, is started and ended here, and is gone when run returns or is
-broken off.
+"""The socket engine: runs the world model in real time, with real sockets and proxies as processes.
 
-Latency counts from when a session was due; if this side itself runs late, the run says so and is void.
+Clients, servers and the list service are emulated in this process. All sockets stay on loopback, and every
+process and socket is closed when run returns or is interrupted. Latency is measured from the time at which
+a session was due. If this process itself runs late, the findings mark the run as void.
 """
 
 from __future__ import annotations
@@ -20,30 +20,28 @@
 
 from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.sockets.line_connection import LineConnection
-from onyxhollow.lab.sockets.list_service import Desk
-from onyxhollow.lab.sockets.proxies import READY_WITHIN, Process, free_address, wire_settings
-from onyxhollow.lab.sockets.servers import Dial, Door
+from onyxhollow.lab.sockets.list_service import ListService
+from onyxhollow.lab.sockets.proxies import READY_TIMEOUT_SECONDS, ProxyProcess, free_address, wire_settings
+from onyxhollow.lab.sockets.servers import ServerConnection, ServerListener
 from onyxhollow.lab.world.servers import Session, State
 from onyxhollow.lab.world.types import Cause
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
 
-SAY_EVERY = 2.0  # seconds between lines of a client
-SLACK = 0.05  # seconds by which the time limits of the rules are longer on sockets
-UP_WITHIN = 30.0  # seconds for the connections that stand at the start
-LATE, LATE_SHARE = (
-    0.1,
-    0.01,
-)  # a run is void if more than this share of its entries was later than that, seconds
-BEHIND = 0.05  # share of the run that may go by in such turns of its own
-BUSY = 85.0  # percent of all cores, over a run, past which its processes waited for one another
-UNACCOUNTED = 0.001  # share of what was wanted that a run in real time may leave unaccounted for
-MANY = 40  # proxies past which their membership takes its time: all of them share this machine
-KNOCK = 0.25  # seconds between questions to a proxy that was started whether it takes clients
-LOOK = 0.05  # seconds between looks at what changed in the world
-MOST_DOORS = 4000  # listening sockets for pairs of proxy and server
-BAD_EVERY = 1.0  # seconds between bad clients
-BAD = (
+CLIENT_LINE_SECONDS = 2.0  # between two lines that a client sends
+TIME_LIMIT_SLACK_SECONDS = 0.05  # added to the time limits of the rules on sockets
+STANDING_TIMEOUT_SECONDS = 30.0  # to establish the connections that exist from the start
+# A run is void if more than this share of its events ran more than LATE_SECONDS late.
+LATE_SECONDS, MAX_LATE_SHARE = 0.1, 0.01
+MAX_SLOW_TURN_SHARE = 0.05  # of the run, spent in loop turns that took longer than LATE_SECONDS
+MAX_CORES_BUSY_PERCENT = 85.0  # of all cores, mean of the run; above it processes wait for a core
+MAX_UNACCOUNTED_SHARE = 0.001  # of the wanted utility, that a run in real time may leave unaccounted for
+SMALL_FLEET_PROXIES = 40  # above it membership uses longer periods: all proxies share one machine
+READY_CHECK_SECONDS = 0.25  # between two PINGs to a restarted proxy
+WORLD_CHECK_SECONDS = 0.05  # between two checks of the world for changes
+MAX_LISTENERS = 4000  # listener sockets with one for each pair of proxy and server
+BAD_CLIENT_SECONDS = 1.0  # between two clients that violate the protocol
+BAD_CLIENT_INPUTS = (
     b"HELLO\r\n",
     b"OPEN \r\n",
     b"\x00\xff" * 40 + b"\r\n",
@@ -56,20 +54,20 @@
 )
 
 
-class ClientEnd:
+class ClientConnection:
     """A client's connection to its proxy."""
 
-    __slots__ = ("engine", "sess", "lines", "answered", "said")
+    __slots__ = ("engine", "sess", "lines", "answered", "lines_sent")
 
     def __init__(self, engine: SocketEngine, sess: Session, sock: socket.socket) -> None:
-        self.engine, self.sess, self.answered, self.said = engine, sess, False, 0
-        self.lines = LineConnection(engine.loop, sock, self.got, self.ended)
+        self.engine, self.sess, self.answered, self.lines_sent = engine, sess, False, 0
+        self.lines = LineConnection(engine.loop, sock, self.on_line, self.on_end)
 
-    def got(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         engine, sess = self.engine, self.sess
-        word, _, rest = line.strip().partition(b" ")
+        answer, _, rest = line.strip().partition(b" ")
         if self.answered:
-            if word == b"MOVE" and not sess.over:
+            if answer == b"MOVE" and not sess.over:
                 engine.world.ledger.count("moves")
                 engine.world.cut(sess, Cause.MOVED)
                 self.lines.close()
@@ -78,39 +76,39 @@
         if sess.over:
             self.lines.close()
             return
-        if sess.answered:  # it stood before the start
-            engine.standing_up(sess, word == b"UP")
-            self.say()
+        if sess.answered:  # the connection exists from the start of the run
+            engine.on_standing_answer(sess, answer == b"UP")
+            self.send_line()
             return
-        how = {b"UP": "up", b"BUSY": "refused"}.get(word, "failed")
-        engine.world.checker.record_answer(engine.now, sess.proxy, sess.number, how)
-        if how == "up":
-            dial = engine.dials.get(sess.number)
-            if dial is None or dial.door.server.state is State.STOPPED:
-                engine.world.cut(sess, Cause.TORN_DOWN)  # its server has ended in this very moment
+        outcome = {b"UP": "up", b"BUSY": "refused"}.get(answer, "failed")
+        engine.world.checker.record_answer(engine.now, sess.proxy, sess.number, outcome)
+        if outcome == "up":
+            connection = engine.server_connections.get(sess.number)
+            if connection is None or connection.listener.server.state is State.STOPPED:
+                engine.world.cut(sess, Cause.TORN_DOWN)  # the server stopped after it accepted
                 self.lines.close()
                 return
-            engine.world.up(sess, dial.door.server)
-            if dial.door.server.mute or dial.door.blocked:
+            engine.world.up(sess, connection.listener.server)
+            if connection.listener.server.mute or connection.listener.blocked:
                 engine.world.mute(sess, True)
-            self.say()
+            self.send_line()
             return
         self.lines.close()
-        if how == "refused":
+        if outcome == "refused":
             wait = float(rest) / 1000 if rest.isdigit() else 0.0
             engine.world.refused(sess, wait)
         else:
             engine.world.failed(sess)
 
-    def say(self) -> None:
+    def send_line(self) -> None:
         if self.lines.open and not self.sess.over:
-            self.said += 1
-            self.lines.send(b"line %d\r\n" % self.said)
-            self.engine.world.agenda.after(SAY_EVERY, self.say)
+            self.lines_sent += 1
+            self.lines.send(b"line %d\r\n" % self.lines_sent)
+            self.engine.world.agenda.after(CLIENT_LINE_SECONDS, self.send_line)
 
-    def ended(self, _: bool) -> None:
+    def on_end(self, _: bool) -> None:
         engine, sess = self.engine, self.sess
-        engine.ends.pop(sess.number, None)
+        engine.client_connections.pop(sess.number, None)
         if sess.over:
             return
         if not self.answered and not sess.answered:
@@ -125,112 +123,121 @@
 
 
 class SocketEngine:
-    notices_silence = True  # the proxies do, by themselves
+    """Plays a scenario with real proxies over real sockets."""
+
+    notices_silence = True  # real proxies detect silent connections themselves
 
     def __init__(
         self, scenario: Scenario, seed: int, folder: Path, in_fleet: bool = False, sharing: bool = False
     ) -> None:
-        """in_fleet: the proxies form one; sharing: they tell one another of servers."""
+        """Prepare a run; in_fleet: the proxies form a fleet; sharing: its members gossip load reports."""
         self.scenario, self.seed, self.folder, self.in_fleet = scenario, seed, folder, in_fleet
         self.world = World(scenario, seed)
-        grace, answer = scenario.proxies.drain_grace + SLACK, scenario.proxies.answer_grace + SLACK
-        self.world.checker.drain_grace, self.world.checker.answer_grace = grace, answer
-        self.loop = Loop(self.failed)
-        self.began = time.monotonic()
-        self.ends: dict[int, ClientEnd] = {}
-        self.dials: dict[int, Dial] = {}
+        drain_grace, answer_grace = (
+            scenario.proxies.drain_grace + TIME_LIMIT_SLACK_SECONDS,
+            scenario.proxies.answer_grace + TIME_LIMIT_SLACK_SECONDS,
+        )
+        self.world.checker.drain_grace, self.world.checker.answer_grace = drain_grace, answer_grace
+        self.loop = Loop(self.record_failure)
+        self.started_at = time.monotonic()
+        self.client_connections: dict[int, ClientConnection] = {}
+        self.server_connections: dict[int, ServerConnection] = {}
         self.sessions: dict[int, Session] = {}
-        self.doors: dict[str, list[Door]] = {}
-        self.complaints: list[str] = []
+        self.listeners: dict[str, list[ServerListener]] = {}
+        self.protocol_errors: list[str] = []
         self.failures: list[str] = []
         self.version = 0
-        self.waiting_up: set[int] = set()
-        self.up: set[int] = set()  # proxies that have answered PING
+        self.awaiting_established: set[int] = set()
+        self.ready_proxies: set[int] = set()  # numbers of the proxies that have answered PING
         self.lateness: list[float] = []
-        self.busy = 0.0  # percent of all cores, over the run
-        self.behind = 0.0  # seconds spent in turns so long that servers and list answered late
-        self.asked_before = 0  # questions to servers until the run began: hundreds come up for half a minute
-        self.states: dict[str, State] = {}
-        self.bad: list[LineConnection] = []
-        self.bad_sent = self.bad_ended = 0
+        self.cores_busy = 0.0  # percent of all cores, mean of the run
+        self.slow_turn_seconds = 0.0  # in loop turns so long that servers and list answered late
+        self.health_checks_before_start = 0  # hundreds of proxies take half a minute to start
+        self.server_states: dict[str, State] = {}
+        self.bad_clients: list[LineConnection] = []
+        self.bad_clients_started = self.bad_clients_ended = 0
         self.list_was_down = False
-        # A door for each pair of proxy and server, as long as descriptors last: past that links are harmed by
-        # zone alone (proxies go round the zones by number).
+        # One listener for each pair of proxy and server. Where that needs too many descriptors, one for each
+        # pair of zone and server: link faults affect whole zones (proxies are assigned to zones round robin).
         fleet = scenario.fleet
         pairs = fleet.proxies * fleet.servers
-        self.lanes = fleet.proxies if pairs <= MOST_DOORS else len(fleet.zones)
-        self.desks = [Desk(self, n) for n in range(scenario.fleet.proxies)]
+        self.listeners_per_server = fleet.proxies if pairs <= MAX_LISTENERS else len(fleet.zones)
+        self.list_services = [ListService(self, n) for n in range(scenario.fleet.proxies)]
         clients = len(self.world.clients)
         self.proxies = [
-            Process(
+            ProxyProcess(
                 n,
                 wire_settings(scenario, self.world.quotas, n),
-                self.desks[n].address,
+                self.list_services[n].address,
                 folder,
                 min(4000, 400 + 3 * clients),
             )
             for n in range(scenario.fleet.proxies)
         ]
         if in_fleet:
-            self.join(sharing)
+            self.write_fleet_files(sharing)
 
     @property
     def now(self) -> float:
         return self.world.agenda.now
 
-    def unix(self, when: float) -> float:
-        """Unix time of a time of the world."""
-        return time.time() - time.monotonic() + self.began + when
+    def to_unix_time(self, when: float) -> float:
+        """Convert a time of the run to Unix time."""
+        return time.time() - time.monotonic() + self.started_at + when
 
-    def failed(self, where: str, error: BaseException) -> None:
+    def record_failure(self, where: str, error: BaseException) -> None:
         if len(self.failures) < 20:
             self.failures.append(f"{where}: {error!r}")
 
-    def complain(self, what: str) -> None:
-        if len(self.complaints) < 50:
-            self.complaints.append(what)
-
-    def door(self, server: str, proxy: int) -> Door:
-        doors = self.doors.get(server)
-        if doors is None:
-            known = self.world.by_name[server]
-            doors = self.doors[server] = [Door(self, known, n) for n in range(self.lanes)]
-            self.states[server] = known.state
-        return doors[proxy % self.lanes]
-
-    def by_id(self, line: bytes) -> Session | None:
-        word = line.split(b" ")[1] if line.count(b" ") >= 3 else b""
-        return self.sessions.get(int(word[1:], 16)) if word[:1] == b"c" and len(word) < 20 else None
-
-    def join(self, sharing: bool) -> None:
-        """The proxies form a fleet, and one of each zone tells the others the list."""
+    def report_protocol_error(self, text: str) -> None:
+        if len(self.protocol_errors) < 50:
+            self.protocol_errors.append(text)
+
+    def get_listener(self, server: str, proxy: int) -> ServerListener:
+        listeners = self.listeners.get(server)
+        if listeners is None:
+            model = self.world.by_name[server]
+            listeners = self.listeners[server] = [
+                ServerListener(self, model, n) for n in range(self.listeners_per_server)
+            ]
+            self.server_states[server] = model.state
+        return listeners[proxy % self.listeners_per_server]
+
+    def find_session(self, line: bytes) -> Session | None:
+        field = line.split(b" ")[1] if line.count(b" ") >= 3 else b""
+        return self.sessions.get(int(field[1:], 16)) if field[:1] == b"c" and len(field) < 20 else None
+
+    def write_fleet_files(self, sharing: bool) -> None:
+        """Write the proxies' fleet files; one leader in each zone polls the list for the others."""
         (self.folder / "fleet.key").write_text("6c61622d" * 4 + "\n")
-        at = [free_address(f"127.0.3.{n % 250 + 1}", socket.SOCK_DGRAM) for n in range(len(self.proxies))]
-        few = {"period": 0.4, "timeout": 0.15, "sync": 2.0}
-        many = {"period": 1.5, "timeout": 0.5, "sync": 8.0}
-        for process, address in zip(self.proxies, at, strict=True):
-            told = {
+        addresses = [
+            free_address(f"127.0.3.{n % 250 + 1}", socket.SOCK_DGRAM) for n in range(len(self.proxies))
+        ]
+        fast = {"period": 0.4, "timeout": 0.15, "sync": 2.0}
+        slow = {"period": 1.5, "timeout": 0.5, "sync": 8.0}
+        for process, address in zip(self.proxies, addresses, strict=True):
+            fleet_settings = {
                 "fleet": "lab",
                 "key_file": "fleet.key",
                 "listen": f"{address[0]}:{address[1]}",
                 "folder": f"votes-{process.number}",
                 "voters": [f"n{number}" for number in range(3)],
-                "seeds": [f"{host}:{port}" for host, port in at[:3]],
-                "membership": few if len(self.proxies) <= MANY else many,
+                "seeds": [f"{host}:{port}" for host, port in addresses[:3]],
+                "membership": fast if len(self.proxies) <= SMALL_FLEET_PROXIES else slow,
                 "sharing": {"on": sharing},
                 "leases": {"lease": 1.0},
                 "duty": [{"name": "list", "work": "list", "per": "zone", "every": 0.4, "service": "lab"}],
             }
             path = self.folder / f"fleet-{process.number}.toml"
-            path.write_text(tomli_w.dumps(told))
+            path.write_text(tomli_w.dumps(fleet_settings))
             process.fleet = str(path)
 
-    # the course of a run
+    # running
 
     def run(self, progress: Any = lambda now, of: None) -> World:
         try:
             self.set_up()
-            self.play(progress)
+            self.run_until_end(progress)
         finally:
             self.tear_down()
         self.world.finish()
@@ -238,127 +245,129 @@
 
     def set_up(self) -> None:
         world = self.world
-        # An entry that comes late on sockets is booked from when it came, not when it was due: hundreds of
-        # processes on one machine missed one part in ten thousand. It is told, and bounded.
-        world.ledger.slack = UNACCOUNTED
+        # An event that runs late is accounted from when it ran, not from when it was due. With hundreds of
+        # processes on one machine that missed one part in ten thousand. It is reported, and bounded.
+        world.ledger.slack = MAX_UNACCOUNTED_SHARE
         world.start(self)
         for server in list(world.servers):
-            self.door(server.name, 0)
+            self.get_listener(server.name, 0)
         for number, process in enumerate(self.proxies):
-            process.start(self.seed * 1009 + number, self.known(number))
+            process.start(self.seed * 1009 + number, self.list_snapshot(number))
         for process in self.proxies:
-            if not process.wait_ready(READY_WITHIN + len(self.proxies) / 5):
+            if not process.wait_ready(READY_TIMEOUT_SECONDS + len(self.proxies) / 5):
                 raise RuntimeError(
-                    f"proxy n{process.number} did not come up; see {self.folder}/n{process.number}.log"
+                    f"proxy n{process.number}: expected an answer to PING, got none; "
+                    f"see {self.folder}/n{process.number}.log"
                 )
-        self.up = set(range(len(self.proxies)))
+        self.ready_proxies = set(range(len(self.proxies)))
         standing = world.standing()
-        self.waiting_up = {sess.number for sess in standing}
-        until = time.monotonic() + UP_WITHIN
-        for place, sess in enumerate(standing):
+        self.awaiting_established = {sess.number for sess in standing}
+        until = time.monotonic() + STANDING_TIMEOUT_SECONDS
+        for count, sess in enumerate(standing):
             self.connect(sess)
-            if place % 50 == 0:
+            if count % 50 == 0:
                 self.loop.turn(0.0)
-        while self.waiting_up and time.monotonic() < until:
+        while self.awaiting_established and time.monotonic() < until:
             self.loop.turn(0.01)
-        if self.waiting_up:
+        if self.awaiting_established:
             raise RuntimeError(
-                f"{len(self.waiting_up)} of {len(standing)} standing connections did not come up"
+                f"connections at the start: expected {len(standing)} to be established, "
+                f"{len(self.awaiting_established)} were not"
             )
 
-    def play(self, progress: Any) -> None:
+    def run_until_end(self, progress: Any) -> None:
         agenda, end = self.world.agenda, self.scenario.seconds
-        self.began = time.monotonic()
-        # Those of the set-up are no part of the run: with sharing they were most of what was counted.
-        self.asked_before = self.world.ledger.counts.pop("probes", 0)
-        psutil.cpu_percent()  # from here on
-        agenda.at(0.0, self.look)
-        agenda.at(0.5, self.bad_client)
+        self.started_at = time.monotonic()
+        # Health checks before the start do not count: with sharing they were most of the total.
+        self.health_checks_before_start = self.world.ledger.counts.pop("probes", 0)
+        psutil.cpu_percent()  # the next call returns the use since this one
+        agenda.at(0.0, self.apply_world_changes)
+        agenda.at(0.5, self.start_bad_client)
         shown = 0
         while agenda.now < end:
-            turn, due = time.monotonic(), self.began + agenda.next
-            self.loop.turn(max(0.0, min(LOOK, due - time.monotonic())))
-            now = min(end, time.monotonic() - self.began)
+            turn_started, due = time.monotonic(), self.started_at + agenda.next
+            self.loop.turn(max(0.0, min(WORLD_CHECK_SECONDS, due - time.monotonic())))
+            now = min(end, time.monotonic() - self.started_at)
             if agenda.next <= now:
                 self.lateness.append(now - agenda.next)
             agenda.run(now)
-            if (took := time.monotonic() - turn) > LATE:
-                self.behind += took
+            if (took := time.monotonic() - turn_started) > LATE_SECONDS:
+                self.slow_turn_seconds += took
             if int(now) > shown:
                 shown = int(now)
                 progress(now, end)
-        self.busy = psutil.cpu_percent()
+        self.cores_busy = psutil.cpu_percent()
 
     def tear_down(self) -> None:
         for process in self.proxies:
-            process.look()
-            process.end()
-        for end in list(self.ends.values()):
-            end.lines.close()
-        for lines in self.bad:
+            process.detect_crash()
+            process.kill()
+        for client in list(self.client_connections.values()):
+            client.lines.close()
+        for lines in self.bad_clients:
             lines.close()
-        for doors in self.doors.values():
-            for door in doors:
-                door.shut()
-        for desk in self.desks:
-            desk.close()
+        for listeners in self.listeners.values():
+            for listener in listeners:
+                listener.close()
+        for service in self.list_services:
+            service.close()
         with contextlib.suppress(OSError):
             self.loop.epoll.close()
 
-    # what follows from the world's state
+    # the world's state on sockets
 
-    def look(self) -> None:
-        """The world changes servers and links; their sockets follow."""
+    def apply_world_changes(self) -> None:
+        """Apply the world's changes of servers, links and list to the sockets."""
         world = self.world
         for server in world.servers:
-            doors = [self.door(server.name, n) for n in range(self.lanes)]
-            if server.state is not self.states[server.name]:
-                before, self.states[server.name] = self.states[server.name], server.state
-                for door in doors:
+            listeners = [self.get_listener(server.name, n) for n in range(self.listeners_per_server)]
+            if server.state is not self.server_states[server.name]:
+                before, self.server_states[server.name] = self.server_states[server.name], server.state
+                for listener in listeners:
                     if server.state is State.STOPPED:
-                        door.shut()
+                        listener.close()
                     elif before is State.STOPPED:
-                        door.open()
-            for door in doors:
-                door.block(bool(server.gone_silent) or bool(world.blocked(door.proxy, server)))
+                        listener.open()
+            for listener in listeners:
+                listener.set_blocked(bool(server.gone_silent) or bool(world.blocked(listener.proxy, server)))
         if world.list.down and not self.list_was_down:
-            for desk in self.desks:
-                desk.down()
+            for service in self.list_services:
+                service.drop_connections()
         self.list_was_down = bool(world.list.down)
         if world.list.version != self.version and not world.list.down:
             self.version = world.list.version
-            for desk in self.desks:
-                desk.changed()
+            for service in self.list_services:
+                service.notify_watchers()
         for process in self.proxies:
-            process.look()
-        self.world.agenda.after(LOOK, self.look)
+            process.detect_crash()
+        self.world.agenda.after(WORLD_CHECK_SECONDS, self.apply_world_changes)
 
-    def known(self, proxy: int) -> dict[str, Any]:
-        rows = [self.desks[proxy].row(row) for row in self.world.list.rows.values()]
+    def list_snapshot(self, proxy: int) -> dict[str, Any]:
+        rows = [self.list_services[proxy].row(row) for row in self.world.list.rows.values()]
         return {"seq": self.world.list.version, "whole": True, "hosts": rows}
 
-    def bad_client(self) -> None:
-        """Those that do not follow the protocol: they must harm nobody."""
-        proxy = self.world.proxies[self.bad_sent % len(self.proxies)]
+    def start_bad_client(self) -> None:
+        """Start a client that violates the protocol, which must not affect other clients."""
+        proxy = self.world.proxies[self.bad_clients_started % len(self.proxies)]
         if proxy.alive:
             with contextlib.suppress(OSError):
                 sock = socket.socket()
                 sock.setblocking(False)
                 with contextlib.suppress(BlockingIOError):
                     sock.connect(self.proxies[proxy.number].listen)
-                lines = LineConnection(self.loop, sock, lambda _: None, self.bad_over)
-                lines.send(BAD[self.bad_sent % len(BAD)])
-                self.bad.append(lines)
-        self.bad_sent += 1
-        self.world.agenda.after(BAD_EVERY, self.bad_client)
+                lines = LineConnection(self.loop, sock, lambda _: None, self.on_bad_client_end)
+                lines.send(BAD_CLIENT_INPUTS[self.bad_clients_started % len(BAD_CLIENT_INPUTS)])
+                self.bad_clients.append(lines)
+        self.bad_clients_started += 1
+        self.world.agenda.after(BAD_CLIENT_SECONDS, self.start_bad_client)
 
-    def bad_over(self, _: bool) -> None:
-        self.bad_ended += 1
+    def on_bad_client_end(self, _: bool) -> None:
+        self.bad_clients_ended += 1
 
-    def standing_up(self, sess: Session, does: bool) -> None:
-        self.waiting_up.discard(sess.number)
-        if not does:
-            self.complain(f"standing session {sess.number} was not put up")
+    def on_standing_answer(self, sess: Session, accepted: bool) -> None:
+        self.awaiting_established.discard(sess.number)
+        if not accepted:
+            self.report_protocol_error(f"session {sess.number}: expected UP for a connection from the start")
 
     # called by the world
 
@@ -377,127 +386,130 @@
             sock.close()
             self.world.lost(sess)
             return
-        end = self.ends[sess.number] = ClientEnd(self, sess, sock)
+        client = self.client_connections[sess.number] = ClientConnection(self, sess, sock)
         spec = scenario.listeners[wish.listener]
         group = f"g{wish.group}" if wish.group >= 0 else f"k{wish.number}"
-        told = [f"c={spec.name}", f"t={scenario.customers[wish.customer].name}", f"g={group}"]
+        fields = [f"c={spec.name}", f"t={scenario.customers[wish.customer].name}", f"g={group}"]
         if sess.answered:
             assert sess.server is not None
-            told.append(f"at={sess.server.name}")
+            fields.append(f"at={sess.server.name}")
         else:
             left = sess.deadline - self.now
-            told.append(f"d={max(1, round(left * 1000))}")
+            fields.append(f"d={max(1, round(left * 1000))}")
             if sess.client.was_up:
-                told.append("again=1")
+                fields.append("again=1")
             self.world.checker.record_session(
                 self.now, sess.proxy, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
             )
-        end.lines.send(f"OPEN c{sess.number:x} k{wish.number} {','.join(told)}\r\n".encode())
+        client.lines.send(f"OPEN c{sess.number:x} k{wish.number} {','.join(fields)}\r\n".encode())
 
     def withdraw(self, sess: Session) -> None:
         self.world.checker.record_client_gone(self.now, sess.number)
-        if end := self.ends.pop(sess.number, None):
-            end.lines.close()
+        if client := self.client_connections.pop(sess.number, None):
+            client.lines.close()
 
     def ended(self, sess: Session, sent_away: bool) -> None:
-        dial = self.dials.get(sess.number)
-        if dial is not None and not dial.over:
+        connection = self.server_connections.get(sess.number)
+        if connection is not None and not connection.ended:
             if sent_away:
-                dial.lines.send(b"MOVE\r\n")
-            dial.finish(reset=not sent_away)
+                connection.lines.send(b"MOVE\r\n")
+            connection.close(reset=not sent_away)
 
     def load_changed(self, sess: Session) -> None:
-        dial = self.dials.get(sess.number)
+        connection = self.server_connections.get(sess.number)
         if (
-            dial is not None
-            and dial.up
-            and not dial.over
-            and not dial.door.blocked
-            and not dial.door.server.mute
+            connection is not None
+            and connection.established
+            and not connection.ended
+            and not connection.listener.blocked
+            and not connection.listener.server.mute
         ):
-            dial.lines.send(b"LOAD %d\r\n" % round(sess.load * 1e6))
+            connection.lines.send(b"LOAD %d\r\n" % round(sess.load * 1e6))
 
     def crash(self, number: int) -> None:
-        self.up.discard(number)
-        self.proxies[number].end()
-        for sess_number, end in list(self.ends.items()):
-            if end.sess.proxy == number:
-                del self.ends[sess_number]
-                end.lines.close()
+        self.ready_proxies.discard(number)
+        self.proxies[number].kill()
+        for sess_number, client in list(self.client_connections.items()):
+            if client.sess.proxy == number:
+                del self.client_connections[sess_number]
+                client.lines.close()
 
     def restart(self, number: int) -> None:
         self.proxies[number].start(
-            self.seed * 1009 + number + 500 * self.proxies[number].lives, self.known(number)
+            self.seed * 1009 + number + 500 * self.proxies[number].start_count, self.list_snapshot(number)
         )
-        self.knock(number, self.proxies[number].lives)
+        self.check_ready(number, self.proxies[number].start_count)
 
-    def knock(self, number: int, life: int, before: LineConnection | None = None) -> None:
-        """Asks a proxy that was started whether it takes clients, until it does."""
+    def check_ready(self, number: int, start_count: int, previous: LineConnection | None = None) -> None:
+        """Send PING to a restarted proxy until it answers."""
         process = self.proxies[number]
-        if before is not None:
-            before.close()
-        if process.lives != life or process.child is None or number in self.up:
+        if previous is not None:
+            previous.close()
+        if process.start_count != start_count or process.child is None or number in self.ready_proxies:
             return
         sock = socket.socket()
         sock.setblocking(False)
         with contextlib.suppress(OSError):
             sock.connect(process.listen)
 
-        def heard(line: bytes) -> None:
-            if line.startswith(b"PONG") and process.lives == life:
-                self.up.add(number)
+        def on_line(line: bytes) -> None:
+            if line.startswith(b"PONG") and process.start_count == start_count:
+                self.ready_proxies.add(number)
 
-        lines = LineConnection(self.loop, sock, heard, lambda _: None)
+        lines = LineConnection(self.loop, sock, on_line, lambda _: None)
         lines.send(b"PING\r\n")
-        self.world.agenda.after(KNOCK, self.knock, number, life, lines)
+        self.world.agenda.after(READY_CHECK_SECONDS, self.check_ready, number, start_count, lines)
 
     def ready(self, number: int) -> bool:
-        return number in self.up
+        return number in self.ready_proxies
 
     def stop(self, number: int, span: float) -> None:
         self.proxies[number].ending = True
-        self.proxies[number].tell(signal.SIGTERM)
+        self.proxies[number].send_signal(signal.SIGTERM)
 
     def stall(self, number: int, span: float) -> None:
-        self.proxies[number].tell(signal.SIGSTOP)
-        self.world.checker.record_stall(number, self.now + span + SLACK)
-        self.world.agenda.after(span, self.proxies[number].tell, signal.SIGCONT)
+        self.proxies[number].send_signal(signal.SIGSTOP)
+        self.world.checker.record_stall(number, self.now + span + TIME_LIMIT_SLACK_SECONDS)
+        self.world.agenda.after(span, self.proxies[number].send_signal, signal.SIGCONT)
 
     # results
 
     def findings(self) -> dict[str, Any]:
-        """What is to be known of the run beside its figures; void: this side was late."""
-        late = sum(value > LATE for value in self.lateness)
+        """Return what happened beside the figures; `void` says why the run does not count, if so."""
+        late = sum(value > LATE_SECONDS for value in self.lateness)
         void = ""
-        if late > LATE_SHARE * max(1, len(self.lateness)):
-            void = f"{late} of {len(self.lateness)} entries over {LATE} s late"
-        elif self.behind > BEHIND * self.scenario.seconds:
-            # One process plays servers, list and clients: a storm of clients that come again keeps it busy,
-            # and proxies are blamed for answers that it owes them.
-            void = f"servers, list and clients stood still for {self.behind:.1f} s in all"
-        elif self.busy > BUSY:
-            # Hundreds of processes starved on full cores answer late: that says nothing of what they decide.
-            void = f"the machine's cores were {self.busy:.0f} % busy"
+        if late > MAX_LATE_SHARE * max(1, len(self.lateness)):
+            void = f"{late} of {len(self.lateness)} entries over {LATE_SECONDS} s late"
+        elif self.slow_turn_seconds > MAX_SLOW_TURN_SHARE * self.scenario.seconds:
+            # One process emulates servers, list and clients. Many clients that reconnect at once keep it
+            # busy, and its late answers would count against the proxies.
+            void = f"servers, list and clients stood still for {self.slow_turn_seconds:.1f} s in all"
+        elif self.cores_busy > MAX_CORES_BUSY_PERCENT:
+            # Hundreds of proxies that wait for a core answer late, which says nothing about their decisions.
+            void = f"the machine's cores were {self.cores_busy:.0f} % busy"
         return {
             "void": void,
-            "cores_busy": self.busy,
-            "probes_before": self.asked_before,
-            "behind_s": round(self.behind, 2),
+            "cores_busy": self.cores_busy,
+            "probes_before": self.health_checks_before_start,
+            "behind_s": round(self.slow_turn_seconds, 2),
             "latest_ms": round(1000 * max(self.lateness, default=0.0), 1),
             "crashes": {f"n{p.number}": p.crashes for p in self.proxies if p.crashes},
-            "complaints": self.complaints,
+            "complaints": self.protocol_errors,
             "failures": self.failures,
-            "bad_clients": self.bad_sent,
-            "bad_clients_ended": self.bad_ended,
+            "bad_clients": self.bad_clients_started,
+            "bad_clients_ended": self.bad_clients_ended,
         }
 
 
 def play(
     scenario: Scenario, seed: int, folder: Path | None = None, progress: Any = lambda now, of: None
 ) -> tuple[World, dict[str, Any]]:
-    """A run on sockets. folder: where the proxies' configurations and logs stay; else they go with the run.
+    """Play a scenario on sockets.
+
+    The proxies' configurations and logs stay in folder; without one they are deleted at the end.
 
-    Raises RuntimeError if the proxies or the standing connections don't come up.
+    Raises:
+        RuntimeError: a proxy did not start, or a connection from the start was not established.
     """
     with contextlib.ExitStack() as stack:
         if folder is None:
--- a/onyxhollow/lab/sockets/line_connection.py
+++ b/onyxhollow/lab/sockets/line_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a stand-in: lines in, bytes out, on the loop that the proxies use too."""
+"""A line-based connection of a stand-in, on the same event loop that the proxies use."""
 
 from __future__ import annotations
 
@@ -9,44 +9,53 @@
 
 from onyxhollow.loop import READ, WRITE, Loop
 
-LONGEST = (
-    64 * 1024
-)  # bytes held of a line or of an answer that is not taken; past it the connection is closed
+MAX_BUFFERED_BYTES = 64 * 1024  # of an unfinished line or of unsent data; beyond it the connection is closed
 
 
 class LineConnection:
-    """got is told each whole line; ended once, with whether the end was a reset."""
+    """A connection that calls on_line for each complete line, and on_end once when the peer ends it.
 
-    __slots__ = ("loop", "sock", "got", "ended", "inbox", "outbox", "open", "raw", "sent")
+    The argument of on_end is whether the connection was reset. With `raw` set, on_line gets the received
+    bytes as they come.
+    """
+
+    __slots__ = ("loop", "sock", "on_line", "on_end", "inbox", "outbox", "open", "raw", "sent")
 
     def __init__(
-        self, loop: Loop, sock: socket.socket, got: Callable[[bytes], None], ended: Callable[[bool], None]
+        self,
+        loop: Loop,
+        sock: socket.socket,
+        on_line: Callable[[bytes], None],
+        on_end: Callable[[bool], None],
     ) -> None:
-        self.loop, self.sock, self.got, self.ended = loop, sock, got, ended
+        self.loop, self.sock, self.on_line, self.on_end = loop, sock, on_line, on_end
         self.inbox, self.outbox, self.open, self.raw = bytearray(), bytearray(), True, False
-        self.sent = False  # whether anything went out: a connection that never came up took nothing
+        self.sent = False  # whether any byte was sent; stays False if the connection was never established
         sock.setblocking(False)
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.listen()
+        self.watch()
 
-    def listen(self) -> None:
-        self.loop.watch(self.sock.fileno(), READ | (WRITE if self.outbox else 0), self.serve)
+    def watch(self) -> None:
+        self.loop.watch(self.sock.fileno(), READ | (WRITE if self.outbox else 0), self.on_ready)
 
-    def serve(self, what: int) -> None:
-        if what & WRITE and self.open:
+    def on_ready(self, events: int) -> None:
+        if events & WRITE and self.open:
             self.flush()
-        if what & ~WRITE and self.open:
+        if events & ~WRITE and self.open:
             self.read()
 
     def read(self) -> None:
-        """What has come by now; also called where the order of two connections matters."""
+        """Process the bytes that have arrived.
+
+        Callers also use it directly where the order of events on two connections matters.
+        """
         broken = over = False
         try:
-            while not over and len(self.inbox) < LONGEST:
-                more = self.sock.recv(65536)
-                over = not more
-                self.inbox += more
+            while not over and len(self.inbox) < MAX_BUFFERED_BYTES:
+                received = self.sock.recv(65536)
+                over = not received
+                self.inbox += received
         except BlockingIOError:
             pass
         except OSError:
@@ -54,21 +63,21 @@
         while self.open and not self.raw and (end := self.inbox.find(b"\n")) >= 0:
             line = bytes(self.inbox[: end + 1])
             del self.inbox[: end + 1]
-            self.got(line)
+            self.on_line(line)
         if self.raw and self.inbox and self.open:
             line, self.inbox = bytes(self.inbox), bytearray()
-            self.got(line)
-        if self.open and (over or broken or len(self.inbox) >= LONGEST):
+            self.on_line(line)
+        if self.open and (over or broken or len(self.inbox) >= MAX_BUFFERED_BYTES):
             self.close()
-            self.ended(broken)
+            self.on_end(broken)
 
     def send(self, text: bytes) -> None:
         if not self.open:
             return
         self.outbox += text
         self.flush()
-        if self.open and len(self.outbox) > LONGEST:
-            self.close()  # a reader that takes nothing
+        if self.open and len(self.outbox) > MAX_BUFFERED_BYTES:
+            self.close()  # the peer does not read
 
     def flush(self) -> None:
         try:
@@ -78,8 +87,8 @@
         except BlockingIOError:
             pass
         except OSError:
-            self.outbox.clear()  # reading tells of the end
-        self.listen()
+            self.outbox.clear()  # the next read reports the end of the connection
+        self.watch()
 
     def close(self, reset: bool = False) -> None:
         if not self.open:
@@ -92,11 +101,11 @@
         self.sock.close()
 
     def pause_reading(self, paused: bool) -> None:
-        """Stops reading, as a machine does that has gone; or goes on."""
+        """Stop reading, as if the host had failed silently, or resume."""
         if self.open:
             self.loop.watch(self.sock.fileno(), 0, None)
             if not paused:
-                self.listen()
+                self.watch()
 
 
 def open_listener(address: tuple[str, int], backlog: int = 1024) -> socket.socket:
@@ -105,10 +114,12 @@
     return sock
 
 
-def accept_connections(loop: Loop, sock: socket.socket, took: Callable[[socket.socket], None]) -> None:
+def accept_connections(loop: Loop, sock: socket.socket, on_accept: Callable[[socket.socket], None]) -> None:
+    """Call on_accept with each new connection of a listener socket."""
+
     def accept(_: int) -> None:
         with contextlib.suppress(OSError):
             while True:
-                took(sock.accept()[0])
+                on_accept(sock.accept()[0])
 
     loop.watch(sock.fileno(), READ, accept)
--- a/onyxhollow/lab/sockets/list_service.py
+++ b/onyxhollow/lab/sockets/list_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for the server list: HTTP/1.1 by h11, whole lists and watches, one address for each proxy."""
+"""A stand-in for the list service: HTTP/1.1 with h11, snapshots and watches, one address for each proxy."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 import orjson
 
 from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
-from onyxhollow.lab.sockets.servers import Door
+from onyxhollow.lab.sockets.servers import ServerListener
 from onyxhollow.lab.world.listing import GONE, Row
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
 
 HEALTH = {"in service": "active", "draining": "leaving", "gone": "left"}
-STILL_WATCHING = 0.2  # seconds from the last answer within which the next call continues a watch
+WATCH_GAP_SECONDS = 0.2  # after an answer, within which the next request continues the watch
 
 
 class ListHost(Protocol):
-    """What the stand-in for the list needs of the engine that runs it."""
+    """The parts of the engine that the list service uses."""
 
     world: World
     loop: Loop
@@ -31,113 +31,115 @@
     def now(self) -> float:
         """Seconds since the run began."""
 
-    def unix(self, when: float) -> float:
-        """Unix time of a time of the world."""
+    def to_unix_time(self, when: float) -> float:
+        """Convert a time of the run to Unix time."""
 
-    def door(self, server: str, proxy: int) -> Door:
-        """Where a proxy finds a server."""
+    def get_listener(self, server: str, proxy: int) -> ServerListener:
+        """Return the listener at which a proxy reaches a server."""
 
-    def complain(self, what: str) -> None:
-        """Reports a breach of the protocol."""
+    def report_protocol_error(self, text: str) -> None:
+        """Record a violation of the protocol by a proxy."""
 
 
-class Asker:
-    """One connection of a proxy to the list."""
+class ListConnection:
+    """One HTTP connection from a proxy to the list service."""
 
-    def __init__(self, desk: Desk, sock: socket.socket) -> None:
-        self.desk, self.waiting = desk, 0
-        self.lines = LineConnection(desk.engine.loop, sock, self.got, self.ended)
+    def __init__(self, service: ListService, sock: socket.socket) -> None:
+        self.service, self.wait_number = service, 0
+        self.lines = LineConnection(service.engine.loop, sock, self.on_data, self.on_end)
         self.lines.raw = True
-        self.speaker = h11.Connection(h11.SERVER)
+        self.http = h11.Connection(h11.SERVER)
 
-    def got(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         try:
-            self.speaker.receive_data(data)
+            self.http.receive_data(data)
             while True:
-                event = self.speaker.next_event()
+                event = self.http.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
                 if isinstance(event, h11.Request):
                     self.target = event.target.decode()
                 elif isinstance(event, h11.EndOfMessage):
-                    self.asked(self.target)
+                    self.on_request(self.target)
                 elif isinstance(event, h11.ConnectionClosed):
                     return
         except h11.RemoteProtocolError as error:
-            self.desk.engine.complain(f"list: {error}")
+            self.service.engine.report_protocol_error(f"list: {error}")
             self.lines.close()
 
-    def asked(self, target: str) -> None:
-        told = parse_qs(urlsplit(target).query)
-        seen, wait = int(told.get("index", ["-1"])[0]), min(60.0, int(told.get("wait", ["0"])[0]) / 1000)
-        desk, engine = self.desk, self.desk.engine
-        engine.world.checker.record_poll(engine.now, desk.proxy)
+    def on_request(self, target: str) -> None:
+        query = parse_qs(urlsplit(target).query)
+        seen, wait = int(query.get("index", ["-1"])[0]), min(60.0, int(query.get("wait", ["0"])[0]) / 1000)
+        service, engine = self.service, self.service.engine
+        engine.world.checker.record_poll(engine.now, service.proxy)
         engine.world.list.calls += 1
         if engine.world.list.down:
             self.answer(503, {})
             return
         if seen < 0 or engine.world.list.version > seen:
-            self.tell(seen)
+            self.send_changes(seen)
             return
-        self.waiting += 1
-        desk.watchers[self] = seen
-        engine.world.checker.set_watching(desk.proxy, True)
-        engine.world.agenda.after(wait, self.waited, self.waiting)
-
-    def waited(self, which: int) -> None:
-        if self.desk.watchers.get(self) is not None and which == self.waiting:
-            self.tell(self.desk.watchers.pop(self))
-
-    def tell(self, seen: int) -> None:
-        self.desk.watchers.pop(self, None)
-        engine, shown = self.desk.engine, self.desk.engine.world.list
-        rows, whole = shown.since(seen)
-        shown.lines_sent += len(rows)
+        self.wait_number += 1
+        service.watchers[self] = seen
+        engine.world.checker.set_watching(service.proxy, True)
+        engine.world.agenda.after(wait, self.on_wait_over, self.wait_number)
+
+    def on_wait_over(self, number: int) -> None:
+        if self.service.watchers.get(self) is not None and number == self.wait_number:
+            self.send_changes(self.service.watchers.pop(self))
+
+    def send_changes(self, seen: int) -> None:
+        """Send what has changed since the version that the proxy has seen, or the whole list."""
+        self.service.watchers.pop(self, None)
+        engine, source = self.service.engine, self.service.engine.world.list
+        rows, whole = source.since(seen)
+        source.lines_sent += len(rows)
         self.answer(
-            200, {"seq": shown.version, "whole": whole, "hosts": [self.desk.row(row) for row in rows]}
+            200, {"seq": source.version, "whole": whole, "hosts": [self.service.row(row) for row in rows]}
         )
         for row in rows:
             engine.world.checker.record_notification(
-                engine.now, self.desk.proxy, row.name, row.readiness, row.started
+                engine.now, self.service.proxy, row.name, row.readiness, row.started
             )
             if engine.in_fleet and HEALTH[row.readiness] == "active":
                 engine.world.checker.record_return_to_service(row.name)
-        engine.world.agenda.after(STILL_WATCHING, self.desk.lapse, engine.now)
-        self.desk.told_at = engine.now
+        engine.world.agenda.after(WATCH_GAP_SECONDS, self.service.end_watch_after, engine.now)
+        self.service.answered_at = engine.now
 
     def answer(self, status: int, body: Any) -> None:
         text = orjson.dumps(body)
         head = h11.Response(status_code=status, headers=[("Content-Length", str(len(text)))])
         parts = (head, h11.Data(data=text), h11.EndOfMessage())
         try:
-            self.lines.send(b"".join(self.speaker.send(part) or b"" for part in parts))
-            self.speaker.start_next_cycle()
+            self.lines.send(b"".join(self.http.send(part) or b"" for part in parts))
+            self.http.start_next_cycle()
         except h11.LocalProtocolError:
             self.lines.close()
 
-    def ended(self, _: bool) -> None:
-        self.desk.watchers.pop(self, None)
-        self.desk.askers.pop(self, None)
+    def on_end(self, _: bool) -> None:
+        self.service.watchers.pop(self, None)
+        self.service.connections.pop(self, None)
 
 
-class Desk:
-    """Where one proxy asks for the list."""
+class ListService:
+    """The endpoint list as one proxy polls and watches it."""
 
     def __init__(self, engine: ListHost, proxy: int) -> None:
         self.engine, self.proxy = engine, proxy
-        self.askers: dict[Asker, None] = {}
-        self.watchers: dict[Asker, int] = {}
-        self.told_at = -math.inf
+        self.connections: dict[ListConnection, None] = {}
+        self.watchers: dict[ListConnection, int] = {}
+        self.answered_at = -math.inf
         self.sock = open_listener(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
-        accept_connections(engine.loop, self.sock, self.took)
+        accept_connections(engine.loop, self.sock, self.on_accept)
 
-    def took(self, sock: socket.socket) -> None:
-        self.askers[Asker(self, sock)] = None
+    def on_accept(self, sock: socket.socket) -> None:
+        self.connections[ListConnection(self, sock)] = None
 
     def row(self, row: Row) -> dict[str, Any]:
-        host, port = self.engine.door(row.name, self.proxy).address
-        born = 0 if row.started is None else max(1, round(self.engine.unix(row.started) * 1000))
+        """Return a server as the list service sends it."""
+        host, port = self.engine.get_listener(row.name, self.proxy).address
+        born = 0 if row.started is None else max(1, round(self.engine.to_unix_time(row.started) * 1000))
         return {
             "host": row.name,
             "dial": f"{host}:{port}",
@@ -149,24 +151,24 @@
             "born_ms": born if row.readiness != GONE else 0,
         }
 
-    def lapse(self, told_at: float) -> None:
-        """Nobody has asked again: the watch is over."""
-        if self.told_at == told_at and not self.watchers:
+    def end_watch_after(self, answered_at: float) -> None:
+        """Record the end of the watch, unless a request has followed the answer sent at that time."""
+        if self.answered_at == answered_at and not self.watchers:
             self.engine.world.checker.set_watching(self.proxy, False)
-            self.engine.world.checker.record_poll(told_at, self.proxy)
+            self.engine.world.checker.record_poll(answered_at, self.proxy)
 
-    def changed(self) -> None:
-        for asker, seen in list(self.watchers.items()):
-            asker.tell(seen)
+    def notify_watchers(self) -> None:
+        for connection, seen in list(self.watchers.items()):
+            connection.send_changes(seen)
 
-    def down(self) -> None:
-        for asker in list(self.askers):
-            asker.lines.close()
-            asker.ended(True)
+    def drop_connections(self) -> None:
+        for connection in list(self.connections):
+            connection.lines.close()
+            connection.on_end(True)
         self.engine.world.checker.set_watching(self.proxy, False)
         self.engine.world.checker.record_poll(self.engine.now, self.proxy)
 
     def close(self) -> None:
-        self.down()
+        self.drop_connections()
         self.engine.loop.watch(self.sock.fileno(), 0, None)
         self.sock.close()
--- a/onyxhollow/lab/sockets/proxies.py
+++ b/onyxhollow/lab/sockets/proxies.py
@@ -1,4 +1,4 @@
-"""Real proxies as child processes: started, waited for, stopped, killed, counted out at the end."""
+"""Real proxies as child processes: start, wait until ready, signal, kill and reap them."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from onyxhollow.lab.scenario import Scenario
 
 SEMANTICS = {"repeatable": "read_like", "referenced": "idempotency_key", "once-only": "non_idempotent"}
-READY_WITHIN = 10.0  # seconds for a proxy to answer PING
+READY_TIMEOUT_SECONDS = 10.0  # until a started proxy answers PING
 
 
 def wire_settings(scenario: Scenario, quotas: list[float], number: int) -> dict[str, Any]:
-    """The settings object of the wire; times in nanoseconds."""
+    """Return the settings object that `serve` reads; times are in nanoseconds."""
 
     def ns(seconds: float) -> int:
         return round(seconds * 1e9)
@@ -78,36 +78,37 @@
 
 
 def free_address(host: str, kind: int = socket.SOCK_STREAM) -> tuple[str, int]:
+    """Return the host with a port that is free at the time of the call."""
     with socket.socket(socket.AF_INET, kind) as sock:
         sock.bind((host, 0))
         return host, int(sock.getsockname()[1])
 
 
-class Process:
-    """One proxy and the lives it has had."""
+class ProxyProcess:
+    """One proxy; it may be started several times in a run."""
 
     def __init__(
-        self, number: int, settings: dict[str, Any], list_at: tuple[str, int], folder: Path, sockets: int
+        self, number: int, settings: dict[str, Any], list_address: tuple[str, int], folder: Path, sockets: int
     ) -> None:
-        self.number, self.settings, self.list_at, self.folder = number, settings, list_at, folder
+        self.number, self.settings, self.list_address, self.folder = number, settings, list_address, folder
         self.listen = free_address(f"127.0.1.{number % 250 + 1}")
-        self.sockets, self.lives = sockets, 0
-        self.fleet = ""  # the fleet file of this proxy; "": it is on its own
+        self.sockets, self.start_count = sockets, 0
+        self.fleet = ""  # path of the fleet file; "": the proxy is in no fleet
         self.child: subprocess.Popen[bytes] | None = None
-        self.crashes: list[int] = []  # exit codes of lives that nobody ended
+        self.crashes: list[int] = []  # exit codes of processes that ended unasked
         self.ending = False
 
-    def start(self, seed: int, known: dict[str, Any]) -> None:
+    def start(self, seed: int, endpoint_list: dict[str, Any]) -> None:
         config = self.folder / f"n{self.number}.json"
         config.write_bytes(
             orjson.dumps(
                 {
                     "name": f"n{self.number}",
                     "listen": ":".join(map(str, self.listen)),
-                    "discovery": ":".join(map(str, self.list_at)),
+                    "discovery": ":".join(map(str, self.list_address)),
                     "seed": f"{seed & 0xFFFFFFFFFFFFFFFF:x}",
                     "limits": {"memory_mb": 256, "sockets": self.sockets},
-                    "known": known,
+                    "known": endpoint_list,
                     "settings": self.settings,
                 }
             )
@@ -115,7 +116,7 @@
         environment = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
         if self.fleet:
             environment["LB_FLEET"] = self.fleet
-        self.lives, self.ending = self.lives + 1, False
+        self.start_count, self.ending = self.start_count + 1, False
         log = (self.folder / f"n{self.number}.log").open("ab")
         with log:
             self.child = subprocess.Popen(
@@ -128,8 +129,8 @@
                 start_new_session=True,
             )
 
-    def ready(self) -> bool:
-        """Whether it answers PING by now."""
+    def is_ready(self) -> bool:
+        """Return whether the proxy answers PING."""
         try:
             with socket.create_connection(self.listen, timeout=0.5) as sock:
                 sock.sendall(b"PING\r\n")
@@ -137,32 +138,32 @@
         except OSError:
             return False
 
-    def wait_ready(self, within: float = READY_WITHIN) -> bool:
-        until = time.monotonic() + within
-        while time.monotonic() < until:
+    def wait_ready(self, timeout: float = READY_TIMEOUT_SECONDS) -> bool:
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
             if self.child is None or self.child.poll() is not None:
                 return False
-            if self.ready():
+            if self.is_ready():
                 return True
             time.sleep(0.02)
         return False
 
-    def tell(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
         if self.child is not None and self.child.poll() is None:
             with contextlib.suppress(ProcessLookupError):
                 self.child.send_signal(number)
 
-    def look(self) -> None:
-        """Notes an end that nobody asked for."""
+    def detect_crash(self) -> None:
+        """Record the exit code if the process ended without being asked to."""
         if self.child is not None and not self.ending and (code := self.child.poll()) is not None:
             self.crashes.append(code)
             self.child = None
 
-    def end(self) -> None:
-        """At once, and waited for: no process is left over."""
+    def kill(self) -> None:
+        """Kill the process and wait for it, so that none is left after the run."""
         self.ending = True
         if self.child is not None:
-            self.tell(signal.SIGCONT)
-            self.tell(signal.SIGKILL)
+            self.send_signal(signal.SIGCONT)
+            self.send_signal(signal.SIGKILL)
             self.child.wait()
             self.child = None
--- a/onyxhollow/lab/sockets/servers.py
+++ b/onyxhollow/lab/sockets/servers.py
@@ -1,5 +1,8 @@
-"""Stand-in servers: the world's servers behind the protocol's lines. One listening address for each pair
-of proxy and server, so that a link between two can be cut alone."""
+"""Emulated servers that speak the proxies' line protocol on behalf of the world model's servers.
+
+Each pair of proxy and server has its own listening address, so that the link between the two can be cut
+without affecting other proxies.
+"""
 
 from __future__ import annotations
 
@@ -12,129 +15,140 @@
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
 
-FILLERS = 2  # connections that fill the queue of a machine that has gone, so that no more come up
+QUEUE_FILLERS = (
+    2  # connections that fill the accept queue of a blocked listener, so that the kernel drops others
+)
 
 
 class ServerHost(Protocol):
-    """What stand-in servers need of the engine that runs them."""
+    """The parts of the engine that emulated servers use."""
 
     world: World
     loop: Loop
-    dials: dict[int, Dial]  # the newest of each session
+    server_connections: dict[int, ServerConnection]  # the newest one of each session
 
     @property
     def now(self) -> float:
         """Seconds since the run began."""
 
-    def by_id(self, line: bytes) -> Session | None:
-        """The session whose id a line carries."""
+    def find_session(self, line: bytes) -> Session | None:
+        """Return the session whose id an OPEN line carries."""
 
-    def complain(self, what: str) -> None:
-        """Reports a breach of the protocol."""
+    def report_protocol_error(self, text: str) -> None:
+        """Record a violation of the protocol by a proxy."""
 
 
-class Dial:
-    """One connection of a proxy to a server."""
+class ServerConnection:
+    """One connection from a proxy to a server."""
 
-    __slots__ = ("door", "lines", "sess", "up", "sent_at", "over", "ran")
+    __slots__ = ("listener", "lines", "sess", "established", "sent_at", "ended", "may_have_run")
 
-    def __init__(self, door: Door, sock: socket.socket) -> None:
-        self.door = door
-        self.up = self.over = self.ran = False
+    def __init__(self, listener: ServerListener, sock: socket.socket) -> None:
+        self.listener = listener
+        self.established = self.ended = self.may_have_run = False
         self.sent_at = 0.0
-        self.lines = LineConnection(door.engine.loop, sock, self.got, self.ended)
+        self.lines = LineConnection(listener.engine.loop, sock, self.on_line, self.on_end)
         self.sess: Session | None = None
 
-    def got(self, line: bytes) -> None:
-        engine, server = self.door.engine, self.door.server
-        word = line.split(b" ", 1)[0].strip()
-        if server.mute or self.door.blocked:
-            return  # read by nobody
-        if self.up:
+    def on_line(self, line: bytes) -> None:
+        engine, server = self.listener.engine, self.listener.server
+        command = line.split(b" ", 1)[0].strip()
+        if server.mute or self.listener.blocked:
+            return  # an unresponsive server answers nothing
+        if self.established:
             self.lines.send(line)
-        elif word == b"STATS" or word == b"PING":
+        elif command == b"STATS" or command == b"PING":
             engine.world.ledger.count("probes")
             now = engine.now
             load = server.told_load(now, engine.world.tables.normal(server.number, int(now * 1000)))
-            self.lines.send(b"PONG x0=%.4f\r\n" % load if word == b"STATS" else b"PONG\r\n")
-        elif word == b"OPEN" and self.sess is None:
-            self.opened(line)
+            self.lines.send(b"PONG x0=%.4f\r\n" % load if command == b"STATS" else b"PONG\r\n")
+        elif command == b"OPEN" and self.sess is None:
+            self.on_open_request(line)
         else:
-            engine.complain(f"{server.name}: a line no client sent: {line[:60]!r}")
+            engine.report_protocol_error(
+                f"{server.name}: expected STATS, PING or one OPEN line, got {line[:60]!r}"
+            )
             self.lines.send(b"SYNTAX\r\n")
 
-    def opened(self, line: bytes) -> None:
-        engine, server, world = self.door.engine, self.door.server, self.door.engine.world
-        sess = engine.by_id(line)
+    def on_open_request(self, line: bytes) -> None:
+        engine, server, world = self.listener.engine, self.listener.server, self.listener.engine.world
+        sess = engine.find_session(line)
         if sess is None:
-            engine.complain(f"{server.name}: an id no client sent: {line[:60]!r}")
+            engine.report_protocol_error(
+                f"{server.name}: expected the id of a client's session, got {line[:60]!r}"
+            )
             self.lines.send(b"SYNTAX\r\n")
             return
         self.sess, self.sent_at = sess, engine.now
-        before = engine.dials.get(sess.number)
-        if before is not None and not before.over:
-            before.lines.read()  # its end may have come, and only wait to be read
-        engine.dials[sess.number] = self
+        previous = engine.server_connections.get(sess.number)
+        if previous is not None and not previous.ended:
+            previous.lines.read()  # its end may have arrived already and wait to be read
+        engine.server_connections[sess.number] = self
         if b"at=" in line:
-            self.stands(sess)
+            self.accept_standing(sess)
             return
         if sess.answered:
-            self.over = True  # its client left while the dial was on its way
+            self.ended = True  # the client left while the request was in transit
             self.lines.close()
             return
         world.checker.record_attempt(engine.now, sess.proxy, sess.number, server.name)
         world.ledger.count("dials")
         verdict, wait = world.offer(sess, server)
-        far = 4.0 * world.one_way(world.proxies[sess.proxy].zone, server.zone)
-        self.ran = verdict in (Verdict.UP, Verdict.ERROR, Verdict.SILENT)
+        network_time = 4.0 * world.one_way(world.proxies[sess.proxy].zone, server.zone)
+        self.may_have_run = verdict in (Verdict.UP, Verdict.ERROR, Verdict.SILENT)
         if verdict is not Verdict.SILENT:
-            world.agenda.after(wait + far, self.answer, verdict)
+            world.agenda.after(wait + network_time, self.answer, verdict)
 
-    def stands(self, sess: Session) -> None:
-        """Open before the start: the world has placed it already."""
-        self.up = self.ran = True
+    def accept_standing(self, sess: Session) -> None:
+        """Accept a connection that exists from the start of the run; the world has placed it already."""
+        self.established = self.may_have_run = True
         self.lines.send(b"UP %d\r\n" % sess.number)
 
     def answer(self, verdict: Verdict) -> None:
         if (
-            self.over
+            self.ended
             or not self.lines.open
-            or self.door.server.mute
-            or self.door.blocked
+            or self.listener.server.mute
+            or self.listener.blocked
             or self.sess is None
         ):
             return
-        if verdict is Verdict.UP and self.door.server.state is not State.STOPPED:
-            self.up = True
+        if verdict is Verdict.UP and self.listener.server.state is not State.STOPPED:
+            self.established = True
             self.lines.send(b"UP %d\r\n" % self.sess.number)
             return
         self.lines.send(b"ERR\r\n" if verdict is Verdict.ERROR else b"BUSY\r\n")
-        self.ran = verdict is Verdict.ERROR
-        self.finish()
+        self.may_have_run = verdict is Verdict.ERROR
+        self.close()
 
-    def finish(self, reset: bool = False) -> None:
-        """This end closes the connection."""
+    def close(self, reset: bool = False) -> None:
+        """Close the connection from the server's side."""
         self.lines.close(reset)
-        self.ended(reset)
+        self.on_end(reset)
 
-    def ended(self, reset: bool) -> None:
-        if self.over:
+    def on_end(self, reset: bool) -> None:
+        if self.ended:
             return
-        self.over = True
-        self.door.dials.pop(self, None)
+        self.ended = True
+        self.listener.connections.pop(self, None)
         if (sess := self.sess) is not None:
-            engine = self.door.engine
-            engine.world.checker.record_attempt_end(engine.now, sess.number, self.sent_at, not self.ran)
-            if engine.dials.get(sess.number) is self:
-                del engine.dials[sess.number]
+            engine = self.listener.engine
+            engine.world.checker.record_attempt_end(
+                engine.now, sess.number, self.sent_at, not self.may_have_run
+            )
+            if engine.server_connections.get(sess.number) is self:
+                del engine.server_connections[sess.number]
+
 
+class ServerListener:
+    """The listener socket of one server for one proxy.
 
-class Door:
-    """Where one proxy finds one server, or in a large fleet those of one zone do: `proxy` is their first."""
+    In a large fleet one listener serves all proxies of a zone; `proxy` is then the first of them.
+    """
 
     def __init__(self, engine: ServerHost, server: Server, proxy: int) -> None:
         self.engine, self.server, self.proxy = engine, server, proxy
-        self.dials: dict[Dial, None] = {}
+        self.connections: dict[ServerConnection, None] = {}
         self.blocked = False
         self.fillers: list[socket.socket] = []
         self.sock: socket.socket | None = None
@@ -144,47 +158,47 @@
     def open(self) -> None:
         self.sock = open_listener(self.address)
         self.address = ("127.0.0.1", self.sock.getsockname()[1])
-        accept_connections(self.engine.loop, self.sock, self.took)
+        accept_connections(self.engine.loop, self.sock, self.on_accept)
 
-    def took(self, sock: socket.socket) -> None:
+    def on_accept(self, sock: socket.socket) -> None:
         if len(self.server.sessions) >= self.server.kind.connections:
             sock.close()
             return
-        self.dials[Dial(self, sock)] = None
+        self.connections[ServerConnection(self, sock)] = None
 
-    def shut(self) -> None:
-        """The process has ended: what is open is reset, new connections are refused."""
-        for dial in list(self.dials):
-            dial.finish(reset=True)
-        self.dials.clear()
+    def close(self) -> None:
+        """Act as if the server process had ended: reset open connections and refuse new ones."""
+        for connection in list(self.connections):
+            connection.close(reset=True)
+        self.connections.clear()
         if self.sock is not None:
             self.engine.loop.watch(self.sock.fileno(), 0, None)
             self.sock.close()
             self.sock = None
-        self.unfill()
+        self.close_fillers()
 
-    def block(self, does: bool) -> None:
-        """No packet comes through: open connections are silent, new ones never come up."""
-        if does == self.blocked or self.sock is None:
+    def set_blocked(self, blocked: bool) -> None:
+        """Block or unblock all packets: open connections stay silent, new ones are never established."""
+        if blocked == self.blocked or self.sock is None:
             return
-        self.blocked = does
-        for dial in self.dials:
-            dial.lines.pause_reading(does)
-        if not does:
-            self.unfill()
+        self.blocked = blocked
+        for connection in self.connections:
+            connection.lines.pause_reading(blocked)
+        if not blocked:
+            self.close_fillers()
             self.sock.listen(1024)
-            accept_connections(self.engine.loop, self.sock, self.took)
+            accept_connections(self.engine.loop, self.sock, self.on_accept)
             return
         self.engine.loop.watch(self.sock.fileno(), 0, None)
-        self.sock.listen(0)  # the system drops what comes once the queue is full
-        for _ in range(FILLERS):
+        self.sock.listen(0)  # the kernel drops new connections once the accept queue is full
+        for _ in range(QUEUE_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             with contextlib.suppress(OSError):
                 filler.connect(self.address)
             self.fillers.append(filler)
 
-    def unfill(self) -> None:
+    def close_fillers(self) -> None:
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -44,14 +44,14 @@
     assert world.checker.summary() == {"clean": True, "broken": {}, "first": []}
     assert not told["crashes"] and not told["complaints"] and not told["failures"]
     assert counts["up"] > 20 and counts["cut: torn down"] > 3 and counts["proxy crashes"] == 1
-    assert told["bad_clients"] >= 6 and engine.proxies[0].lives + engine.proxies[1].lives == 3
+    assert told["bad_clients"] >= 6 and engine.proxies[0].start_count + engine.proxies[1].start_count == 3
     assert 0.5 < world.ledger.figures()["service"] < 1
     assert not left_over(tmp_path)
     # The same run, had this side been late: void, not flattering.
     engine.lateness = [0.2] * 2 + [0.0] * 98
     assert engine.findings()["void"] == "2 of 100 entries over 0.1 s late"
     # Its processes starved on full cores: 300 of them broke the rule on answers, and it counted against them.
-    engine.lateness, engine.busy = [0.0], 97.0
+    engine.lateness, engine.cores_busy = [0.0], 97.0
     assert told["cores_busy"] < 85 and engine.findings()["void"] == "the machine's cores were 97 % busy"
 
 
