--- a/onyxhollow/lab/decisions.py
+++ b/onyxhollow/lab/decisions.py
@@ -1,4 +1,4 @@
-"""What can be played: the module as it stands, as it stood at an earlier commit, or a baseline."""
+"""The policies that can be played: the current module, the module at an earlier commit, and baselines."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 if TYPE_CHECKING:
     from onyxhollow.lab.world.world import World
 
-# host, settings, seed, the world (for the policy that sees it) -> something with the Balancer's calls
+# Creates a policy with the interface of Balancer. Only TrueState reads the world.
 PolicyFactory = Callable[[Host, Settings, int, "World"], Any]
 
 
 class PolicyError(Exception):
-    """No such policy."""
+    """There is no such policy."""
 
 
 def ablation(name: str) -> type[policy.Balancer]:
-    """The module without one of its mechanisms."""
+    """Return the module without one of its mechanisms."""
 
-    class Without(policy.Balancer):
+    class AblatedBalancer(policy.Balancer):
         pass
 
     def nothing(*_: Any, **__: Any) -> None:
@@ -44,45 +44,47 @@
         "no-probing": {"health_check_round": nothing, "awaits_load_report": lambda *_: False},
         "no-gate": {"load_of": lambda *_: 0.0},
     }
-    for method, instead in changes[name].items():
-        setattr(Without, method, instead)
-    return Without
+    for method, replacement in changes[name].items():
+        setattr(AblatedBalancer, method, replacement)
+    return AblatedBalancer
 
 
 ABLATIONS = ("no-distrust", "no-hand-off", "no-cold-budget", "no-probing", "no-gate")
 
 
 def read_files_at(revision: str) -> dict[str, str]:
-    """The texts of onyxhollow/policy/ as they stood at a commit of this repository, by file name.
+    """Return the files of onyxhollow/policy/ at a commit of this repository, by file name.
 
     Raises:
-        PolicyError: there is no such commit, or the package was not there yet.
+        PolicyError: there is no such commit, or it has no such package.
     """
-    wanted = f"policy {revision}: expected a name of onyxhollow lab list, or a commit with onyxhollow/policy/"
+    expected = (
+        f"policy {revision}: expected a name of onyxhollow lab list, or a commit with onyxhollow/policy/"
+    )
     if not re.fullmatch(r"[0-9A-Za-z][0-9A-Za-z_./~^-]{0,80}", revision):
-        raise PolicyError(wanted)  # an option of git's, for one
+        raise PolicyError(expected)  # git would read a leading "-" as an option
     root = str(Path(__file__).resolve().parents[2])
-    asked = ["git", "-C", root, "archive", "--format=tar", revision, "onyxhollow/policy"]
+    command = ["git", "-C", root, "archive", "--format=tar", revision, "onyxhollow/policy"]
     try:
-        got = subprocess.run(asked, capture_output=True, timeout=20, check=False)
+        archive = subprocess.run(command, capture_output=True, timeout=20, check=False)
     except OSError as error:
         raise PolicyError(f"policy {revision}: git: {error.strerror}") from None
-    if got.returncode:
-        raise PolicyError(wanted)
-    with tarfile.open(fileobj=io.BytesIO(got.stdout)) as files:
+    if archive.returncode:
+        raise PolicyError(expected)
+    with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as files:
         texts = {Path(row.name).name: files.extractfile(row) for row in files if row.isfile()}
         return {name: text.read().decode() for name, text in sorted(texts.items()) if text}
 
 
 def source_at(revision: str) -> str:
-    """All texts of the module at a commit, one after another. Raises PolicyError."""
+    """Return the concatenated source files of the module at a commit. Raises PolicyError."""
     return "".join(read_files_at(revision).values())
 
 
 def load_at_revision(revision: str) -> type[policy.Balancer]:
-    """The module of an earlier commit, on today's interface. Raises PolicyError.
+    """Return the module of an earlier commit, on the current interface. Raises PolicyError.
 
-    Its files are loaded as a package of another name, beside today's.
+    Its files are loaded as a package of another name, beside the current one.
     """
     texts = read_files_at(revision)
     package = "onyxhollow_policy_" + re.sub(r"\W", "_", revision)
@@ -96,14 +98,14 @@
             importlib.invalidate_caches()
             balancer: type[policy.Balancer] = importlib.import_module(package).Balancer
         except ImportError as error:
-            raise PolicyError(f"policy {revision}: does not fit today's interface: {error}") from None
+            raise PolicyError(f"policy {revision}: expected the current interface: {error}") from None
         finally:
             sys.path.remove(folder)
     return balancer
 
 
 def find(name: str) -> PolicyFactory:
-    """Raises PolicyError."""
+    """Return the factory of a policy by name or commit. Raises PolicyError."""
     if name in baselines.BY_NAME:
         baseline = baselines.BY_NAME[name]
         return lambda host, settings, seed, world: baseline(host, settings, seed, world)
--- a/onyxhollow/lab/runs.py
+++ b/onyxhollow/lab/runs.py
@@ -1,4 +1,4 @@
-"""One run: a scenario, a seed, a policy, an engine; and what came of it, as plain data."""
+"""Play one run (a scenario, a seed, a policy and an engine) and return its results as plain data."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class RunError(Exception):
-    """A run that can't be played, in one line."""
+    """A run that can't be played; the text is one line."""
 
 
 def digest(scenario: Scenario) -> str:
-    """Which scenario it was, to the last figure."""
+    """Return a hash of the whole scenario."""
     return hashlib.blake2b(encode(scenario), digest_size=6).hexdigest()
 
 
@@ -33,31 +33,37 @@
     progress: Callable[[float, float], None] = lambda now, of: None,
     picture: tuple[Path, float] | None = None,
 ) -> dict[str, Any]:
-    """A run. Raises decisions.PolicyError, and RunError for what else can't be played.
+    """Play a run and return its results.
 
-    engine: virtual, or sockets (which plays what serve is made of: the module). logs: where the
-    proxies' logs go. picture: where a snapshot for the topology tool goes, and at which second it is
-    taken; in virtual time, of the module (on sockets the logs tell as much). The figures of a virtual
-    run hold nothing that differs from one process to another: no wall time, no path.
+    The engine is "virtual", or "sockets", which plays only the module, because `serve` runs no other
+    policy. The proxies' logs go to `logs`. `picture` is the file for a snapshot for the topology tool and the
+    second at which it is taken; it needs the module in virtual time (on sockets, draw the logs instead).
+    The results of a virtual run hold nothing that differs between processes, such as wall time or paths.
+
+    Raises:
+        decisions.PolicyError: there is no such policy.
+        RunError: the run can't be played for another reason.
     """
     policy_factory = decisions.find(policy)
     if picture and (engine != "virtual" or policy != "module"):
-        raise RunError("--picture: expected the module in virtual time; on sockets --logs can be drawn")
-    found: dict[str, Any] = {}
+        raise RunError(
+            "--picture: expected the module in virtual time; on sockets use --logs and draw the logs"
+        )
+    findings: dict[str, Any] = {}
     log: list[Any] = []
     try:
         if engine == "sockets":
             from onyxhollow.lab.sockets.engine import play as play_on_sockets
 
             if policy != "module":
-                raise RunError(f"--policy {policy}: on sockets expected module, which serve carries")
-            world, found = play_on_sockets(scenario, seed, logs, progress)
+                raise RunError(f"--policy: on sockets expected module, got {policy}")
+            world, findings = play_on_sockets(scenario, seed, logs, progress)
         else:
             virtual = VirtualEngine(scenario, seed, policy_factory)
             if picture:
                 virtual.begin()
                 virtual.world.agenda.run(min(picture[1], scenario.seconds))
-                take(virtual, picture[0])
+                save_snapshot(virtual, picture[0])
                 virtual.world.agenda.run(scenario.seconds)
                 world, log = virtual.end(), virtual.logs
             else:
@@ -68,7 +74,7 @@
         raise RunError(f"{scenario.title}: {error}") from None
     verdict = world.checker.summary()
     figures = world.ledger.figures()
-    told: dict[str, Any] = {
+    result: dict[str, Any] = {
         "scenario": scenario.title,
         "digest": digest(scenario),
         "seed": seed,
@@ -84,15 +90,15 @@
         "crossings": world.crossings,
         "faults": [[begin, end, kind] for begin, end, kind in world.fault_marks],
     }
-    if found:
-        told["sockets"] = found
+    if findings:
+        result["sockets"] = findings
     if series:
-        told["series"] = world.ledger.series()
-        told["log"] = [list(line) for line in log]
-    return told
+        result["series"] = world.ledger.series()
+        result["log"] = [list(line) for line in log]
+    return result
 
 
-def take(virtual: VirtualEngine, path: Path) -> None:
+def save_snapshot(virtual: VirtualEngine, path: Path) -> None:
     from onyxhollow.lab import topology_snapshot
     from onyxhollow.topology import snapshot_file
 
@@ -102,6 +108,6 @@
         raise RunError(f"--picture: {error}") from None
 
 
-def to_json(told: dict[str, Any]) -> bytes:
-    """The run as JSON, always the same for the same run."""
-    return msgspec.json.format(msgspec.json.encode(told, order="sorted"), indent=1)
+def to_json(result: dict[str, Any]) -> bytes:
+    """Return the results as JSON with sorted keys: the same results give the same bytes."""
+    return msgspec.json.format(msgspec.json.encode(result, order="sorted"), indent=1)
--- a/onyxhollow/lab/simulated_gossip.py
+++ b/onyxhollow/lab/simulated_gossip.py
@@ -1,7 +1,8 @@
-"""Sharing in virtual time: the members' cores as they are, between the instances of an engine.
+"""Gossip of load reports in virtual time, between the proxies of the virtual-time engine.
 
-Who is there is known a moment after it has changed, as membership would tell it; messages take the network's
-time, and links that are cut for servers of a zone are cut for its proxies too.
+The members' gossip cores are the real ones. Membership changes reach them after a delay, as real membership
+would. Messages take the network's one-way time, and a partition from servers of a zone also cuts the link to
+the proxies of that zone.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 from onyxhollow.lab.world.world import World
 from onyxhollow.policy import Balancer
 
-NOTICED = 2.0  # seconds until all know that a member is gone
-SEEN = 0.5  # ... that one has come
+MEMBER_LOSS_SECONDS = 2.0  # until all members have removed one that ended
+MEMBER_JOIN_SECONDS = 0.5  # until all members have added a new one
 
 
 class GossipingProxy(Protocol):
-    """What gossip needs of a simulated proxy."""
+    """The parts of a simulated proxy that gossip uses."""
 
     number: int
     zone: int
@@ -36,14 +37,14 @@
 
     @property
     def balancer(self) -> Balancer:
-        """Its decisions."""
+        """The decision module of the proxy."""
 
     def check_health(self, server: str, shared: bool = False) -> None:
-        """Sends a health check; with `shared` on behalf of all members."""
+        """Send a health check; with `shared` on behalf of all members."""
 
 
 class GossipEngine(Protocol):
-    """What gossip needs of the engine in virtual time."""
+    """The parts of the virtual-time engine that gossip uses."""
 
     world: World
 
@@ -52,45 +53,47 @@
         """Proxies by number."""
 
     def one_way(self, zone: int, other: int, sess: Session | None) -> float:
-        """Seconds that a message takes between two zones."""
+        """Return the time in seconds that a message takes between two zones."""
 
 
 @dataclass(frozen=True, slots=True)
 class GossipFaults:
-    """What is done to sharing alone."""
+    """Faults that affect gossip only."""
 
     cut_from: float = 0.0
-    cut_until: float = 0.0  # zones hear nothing of one another meanwhile
-    liars: int = 0  # members that tell absurd loads as new, and counts a thousand times too high
+    cut_until: float = 0.0  # no messages pass between zones in this period
+    liars: int = 0  # members that send false loads as new, and counts a thousand times too high
 
 
 class SimulatedGossip:
+    """The gossip cores of all running proxies, with the messages between them."""
+
     def __init__(self, engine: GossipEngine, gossip_config: GossipConfig, faults: GossipFaults) -> None:
         self.engine, self.gossip_config, self.faults = engine, gossip_config, faults
         self.world = engine.world
         self.cores: dict[int, LoadGossip] = {}  # by proxy
-        self.where: dict[int, int] = {}  # by epoch: proxy
+        self.proxy_by_epoch: dict[int, int] = {}  # by epoch
         self.rng = Random(engine.world.seed * 7 + 5)
         self.messages = self.rows = 0
 
-    def joined(self, instance: GossipingProxy, epoch: int) -> None:
-        """A proxy has started."""
+    def add_member(self, instance: GossipingProxy, epoch: int) -> None:
+        """Add the gossip core of a proxy that has started."""
         now, zone = self.world.agenda.now, self.world.zone_name(instance.zone)
         core = LoadGossip(
             GossipMember(epoch, f"n{instance.number}", zone), self.gossip_config, Random(epoch * 31 + 7), now
         )
-        self.cores[instance.number], self.where[epoch] = core, instance.number
-        self.world.agenda.after(SEEN if now else 0.0, self.meet)
+        self.cores[instance.number], self.proxy_by_epoch[epoch] = core, instance.number
+        self.world.agenda.after(MEMBER_JOIN_SECONDS if now else 0.0, self.update_membership)
         self.world.agenda.at(core.next_due, self.tick, instance, core)
 
-    def left(self, number: int) -> None:
+    def remove_member(self, number: int) -> None:
         if self.cores.pop(number, None):
-            self.world.agenda.after(NOTICED, self.meet)
+            self.world.agenda.after(MEMBER_LOSS_SECONDS, self.update_membership)
 
-    def meet(self) -> None:
-        there = [core.local for core in self.cores.values()]
+    def update_membership(self) -> None:
+        members = [core.local for core in self.cores.values()]
         for core in self.cores.values():
-            core.set_members(there)
+            core.set_members(members)
 
     def tick(self, instance: GossipingProxy, core: LoadGossip) -> None:
         if not instance.alive or self.cores.get(instance.number) is not core:
@@ -104,52 +107,53 @@
         if instance.number < self.faults.liars:
             own = {name: 1000 * count for name, count in own.items()}
         core.tick(own, now)
-        self.pass_on(instance, core)
+        self.dispatch(instance, core)
         self.world.agenda.at(core.next_due, self.tick, instance, core)
 
-    def pass_on(self, instance: GossipingProxy, core: LoadGossip) -> None:
-        """What a core has left to be done."""
+    def dispatch(self, instance: GossipingProxy, core: LoadGossip) -> None:
+        """Send the health checks and messages that a core has queued, and pass on its new estimates."""
         for server in core.take_polls():
             instance.check_health(server, shared=True)
         for outgoing in core.take_outbox():
             epoch, message = outgoing.receiver, outgoing.message
-            other = self.where.get(epoch)
-            if other is None or self.cut(instance.number, other):
+            other = self.proxy_by_epoch.get(epoch)
+            if other is None or self.is_cut(instance.number, other):
                 continue
             if instance.number < self.faults.liars and isinstance(message, ReportPage):
-                message = self.lie(message)
-            there = self.world.proxies[other].zone
+                message = self.falsify(message)
+            target_zone = self.world.proxies[other].zone
             self.messages += 1
-            takes = self.engine.one_way(instance.zone, there, None)
-            self.world.agenda.after(takes, self.arrive, other, epoch, core.local.epoch, message)
-        for one in core.take_estimates():
-            report_shared(instance.balancer, one)
+            delay = self.engine.one_way(instance.zone, target_zone, None)
+            self.world.agenda.after(delay, self.deliver, other, epoch, core.local.epoch, message)
+        for estimate in core.take_estimates():
+            report_shared(instance.balancer, estimate)
 
-    def arrive(self, number: int, epoch: int, sender: int, message: ReportPage | ConnectionCounts) -> None:
+    def deliver(self, number: int, epoch: int, sender: int, message: ReportPage | ConnectionCounts) -> None:
         core, instance = self.cores.get(number), self.engine.instances.get(number)
         if core is None or instance is None or core.local.epoch != epoch:
             return
         if self.world.agenda.now < instance.stalled_until:
-            self.world.agenda.at(instance.stalled_until, self.arrive, number, epoch, sender, message)
+            self.world.agenda.at(instance.stalled_until, self.deliver, number, epoch, sender, message)
             return
         core.on_message(sender, message, self.world.agenda.now)
-        self.pass_on(instance, core)
+        self.dispatch(instance, core)
 
-    def cut(self, one: int, other: int) -> bool:
+    def is_cut(self, proxy: int, other: int) -> bool:
+        """Return whether messages between two proxies are lost."""
         proxies, faults = self.world.proxies, self.faults
-        if proxies[one].zone != proxies[other].zone and (
+        if proxies[proxy].zone != proxies[other].zone and (
             faults.cut_from <= self.world.agenda.now < faults.cut_until
         ):
             return True
         for cut in self.world.cuts.values():
-            for here, there in ((one, other), (other, one)):
-                zone = proxies[there].zone
-                if here in cut.proxies and any(self.world.by_name[s].zone == zone for s in cut.servers):
+            for source, target in ((proxy, other), (other, proxy)):
+                zone = proxies[target].zone
+                if source in cut.proxies and any(self.world.by_name[s].zone == zone for s in cut.servers):
                     return True
         return False
 
-    def lie(self, page: ReportPage) -> ReportPage:
-        """Old news as new, loads turned round."""
+    def falsify(self, page: ReportPage) -> ReportPage:
+        """Return the page with old reports marked as new and with inverted loads."""
         rows = [
             msgspec.structs.replace(
                 row,
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -1,6 +1,7 @@
-"""The virtual-time engine: hosts decision modules through interface.Host, one an instance, without a clock.
+"""The virtual-time engine: hosts one decision module per proxy through interface.Host, without a clock.
 
-Same scenario, seed and policy: the same result to the byte, in any process, whatever PYTHONHASHSEED says.
+The same scenario, seed and policy give the same result to the byte, in any process and with any
+PYTHONHASHSEED.
 """
 
 from __future__ import annotations
@@ -30,15 +31,17 @@
 from onyxhollow.lab.world.types import Cause
 from onyxhollow.lab.world.world import World
 
-PROBE_TIME = 0.3  # seconds until a probe is given up
-PROBE_WORK = 0.0002  # core seconds
-STOP_STEP, STILL_COMING, STOP_MARGIN = 0.05, 0.5, 0.3  # of a planned stop, seconds
-LOG_KEPT = 400  # lines of the modules' logs kept
-READINESS = {row.value: row for row in EndpointState}
+HEALTH_CHECK_TIMEOUT_SECONDS = 0.3
+HEALTH_CHECK_CORE_SECONDS = 0.0002  # of work at the server
+# Of a planned stop: the interval of migrations, the delay before the first one (clients may still arrive),
+# and the time reserved at the end.
+STOP_STEP_SECONDS, STOP_DELAY_SECONDS, STOP_MARGIN_SECONDS = 0.05, 0.5, 0.3
+MAX_LOG_LINES = 400  # kept of all modules' logs
+STATE_BY_READINESS = {row.value: row for row in EndpointState}
 
 
 class SessionToken:
-    """A session as its proxy holds it: the module's token."""
+    """A session at its proxy, passed to the decision module as its token."""
 
     __slots__ = (
         "sess",
@@ -64,39 +67,41 @@
 
 
 class Instance:
-    """One proxy's life: the module's Host."""
+    """One process of a proxy, from start to end: the Host of its decision module."""
 
-    def __init__(self, engine: VirtualEngine, number: int, rows: list[Row], seen: int, life: int) -> None:
+    def __init__(
+        self, engine: VirtualEngine, number: int, rows: list[Row], seen: int, start_count: int
+    ) -> None:
         self.engine, self.number, self.world, self.agenda = engine, number, engine.world, engine.world.agenda
         self.alive, self.stalled_until = True, 0.0
         self.seen, self.rows = seen, {row.name: row for row in rows}
         self.tokens: dict[int, SessionToken] = {}
         self.zone = self.world.proxies[number].zone
-        seed = (engine.world.seed * 1_000_003 + number * 7919 + life) & 0x7FFFFFFFFFFFFFFF
+        seed = (engine.world.seed * 1_000_003 + number * 7919 + start_count) & 0x7FFFFFFFFFFFFFFF
         self.settings = engine.settings(number)
         self.balancer = engine.policy_factory(self, self.settings, seed, engine.world)
         self.gossip = engine.gossip
         if self.gossip:
-            self.gossip.joined(self, number * 1000 + life)
-        self.told(EndpointListKind.CACHED, list(self.rows.values()))
+            self.gossip.add_member(self, number * 1000 + start_count)
+        self.pass_endpoint_list(EndpointListKind.CACHED, list(self.rows.values()))
 
     @property
     def now(self) -> float:
         return self.agenda.now
 
-    def later(self, span: float, call: Any, *values: Any) -> None:
-        self.agenda.after(span, self.when_able, call, values)
+    def schedule(self, span: float, call: Any, *values: Any) -> None:
+        self.agenda.after(span, self.call_unless_stalled, call, values)
 
-    def when_able(self, call: Any, values: tuple[Any, ...]) -> None:
-        """A proxy that stands still finds it all when it goes on, in order."""
+    def call_unless_stalled(self, call: Any, values: tuple[Any, ...]) -> None:
+        """Call now, or when the stall of the proxy ends; calls made meanwhile keep their order."""
         if not self.alive:
             return
         if self.agenda.now < self.stalled_until:
-            self.agenda.at(self.stalled_until, self.when_able, call, values)
+            self.agenda.at(self.stalled_until, self.call_unless_stalled, call, values)
         else:
             call(*values)
 
-    # what the module asks
+    # called by the decision module
 
     def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
         assert isinstance(token, SessionToken)
@@ -112,21 +117,23 @@
         if self.zone != target.zone:
             self.world.ledger.count("dials across zones")
         one_way = engine.one_way(self.zone, target.zone, token.sess)
-        self.agenda.after(3 * one_way, self.reach, token, token.attempt, one_way)
-        self.later(min(timeout, max(0.0, token.sess.deadline - now)), self.timed_out, token, token.attempt)
+        self.agenda.after(3 * one_way, self.reach_server, token, token.attempt, one_way)
+        self.schedule(
+            min(timeout, max(0.0, token.sess.deadline - now)), self.on_attempt_timeout, token, token.attempt
+        )
 
     def cancel_attempt(self, token: Hashable, attempt: int) -> None:
         assert isinstance(token, SessionToken)
-        self.later(0.0, self.dial_over, token, token.attempt, AttemptOutcome.CANCELLED)
+        self.schedule(0.0, self.end_attempt, token, token.attempt, AttemptOutcome.CANCELLED)
 
     def reject(self, token: Hashable, retry_after: float) -> None:
         assert isinstance(token, SessionToken)
-        self.answer(token, "refused")
+        self.record_answer(token, "refused")
         self.agenda.after(self.world.network.client, self.world.refused, token.sess, retry_after)
 
     def tear_down(self, token: Hashable) -> None:
         assert isinstance(token, SessionToken)
-        self.answer(token, "failed")
+        self.record_answer(token, "failed")
         self.agenda.after(self.world.network.client, self.world.failed, token.sess)
 
     def migrate(self, token: Hashable) -> None:
@@ -134,10 +141,10 @@
         if token.established and not token.sess.over:
             self.world.ledger.count("moves")
             self.world.cut(token.sess, Cause.MOVED)
-            self.later(0.0, self.dial_over, token, token.attempt, AttemptOutcome.CANCELLED)
+            self.schedule(0.0, self.end_attempt, token, token.attempt, AttemptOutcome.CANCELLED)
 
     def check_health(self, server: str, shared: bool = False) -> None:
-        """shared: asked for all members, and not by the module."""
+        """Check a server's health; shared: gossip asks for it on behalf of all members."""
         target, now = self.world.by_name[server], self.now
         if (
             self.gossip
@@ -145,46 +152,71 @@
             and (known := self.gossip.cores[self.number].load_estimate(server, now))
         ):
             outcome = AttemptOutcome.OK
-            self.later(0.0, self.balancer.on_health_check, server, outcome, 0.0, known.load, known.age)
+            self.schedule(0.0, self.balancer.on_health_check, server, outcome, 0.0, known.load, known.age)
             return
         self.world.ledger.count("probes")
-        there = 3 * self.engine.one_way(self.zone, target.zone, None)
+        network_time = 3 * self.engine.one_way(self.zone, target.zone, None)
         reachable = not target.gone_silent and not self.world.blocked(self.number, target)
         if not reachable or target.hung:
-            self.later(PROBE_TIME, self.probed, server, AttemptOutcome.TIMEOUT, PROBE_TIME, None)
+            self.schedule(
+                HEALTH_CHECK_TIMEOUT_SECONDS,
+                self.on_health_check_result,
+                server,
+                AttemptOutcome.TIMEOUT,
+                HEALTH_CHECK_TIMEOUT_SECONDS,
+                None,
+            )
         elif target.state is State.STOPPED:
-            self.later(there, self.probed, server, AttemptOutcome.CONNECT_FAILED, there, None)
+            self.schedule(
+                network_time,
+                self.on_health_check_result,
+                server,
+                AttemptOutcome.CONNECT_FAILED,
+                network_time,
+                None,
+            )
         else:
-            target.pile += PROBE_WORK
+            target.pile += HEALTH_CHECK_CORE_SECONDS
             draw = int(now * 1000) + self.number
             load = target.told_load(now, self.world.tables.normal(target.number, draw))
-            self.later(1.3 * there, self.probed, server, AttemptOutcome.OK, 1.3 * there, load)
+            self.schedule(
+                1.3 * network_time,
+                self.on_health_check_result,
+                server,
+                AttemptOutcome.OK,
+                1.3 * network_time,
+                load,
+            )
 
-    def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
-        self.balancer.on_health_check(server, end, took, load)
+    def on_health_check_result(
+        self, server: str, outcome: AttemptOutcome, took: float, load: float | None
+    ) -> None:
+        self.balancer.on_health_check(server, outcome, took, load)
         if self.gossip and (core := self.gossip.cores.get(self.number)):
             core.on_poll_result(server, load, self.now)
-            self.gossip.pass_on(self, core)
+            self.gossip.dispatch(self, core)
 
     def poll_endpoint_list(self) -> None:
         self.world.checker.record_poll(self.now, self.number)
-        self.world.list.watch(self.number, self.seen, self.list_news, self.list_answer, self.list_ended)
+        self.world.list.watch(
+            self.number, self.seen, self.on_list_change, self.on_list_answer, self.on_watch_ended
+        )
 
     def set_timer(self, when: float) -> None:
-        self.agenda.at(when, self.when_able, self.tick, ())
+        self.agenda.at(when, self.call_unless_stalled, self.tick, ())
 
     def log(self, line: str) -> None:
-        if len(self.engine.logs) < LOG_KEPT:
+        if len(self.engine.logs) < MAX_LOG_LINES:
             self.engine.logs.append((round(self.now, 3), self.number, line))
 
-    # what it is told
+    # events
 
     def tick(self) -> None:
         self.balancer.tick()
 
-    def told(self, kind: EndpointListKind, rows: list[Row]) -> None:
+    def pass_endpoint_list(self, kind: EndpointListKind, rows: list[Row]) -> None:
         entries = [
-            Endpoint(row.name, READINESS[row.readiness], row.size, row.started, row.zone, row.cell)
+            Endpoint(row.name, STATE_BY_READINESS[row.readiness], row.size, row.started, row.zone, row.cell)
             for row in rows
         ]
         for row in rows:
@@ -193,7 +225,7 @@
             )
         self.balancer.on_endpoint_list(kind, entries)
 
-    def note(self, rows: list[Row], whole: bool, version: int) -> None:
+    def apply_list_update(self, rows: list[Row], whole: bool, version: int) -> None:
         self.seen = version
         if whole:
             for name in [name for name in self.rows if name not in {row.name for row in rows}]:
@@ -201,28 +233,28 @@
             self.rows = {}
         for row in rows:
             self.rows[row.name] = row
-        self.told(EndpointListKind.SNAPSHOT if whole else EndpointListKind.DELTA, rows)
+        self.pass_endpoint_list(EndpointListKind.SNAPSHOT if whole else EndpointListKind.DELTA, rows)
 
-    def list_news(self, rows: list[Row], version: int) -> None:
-        self.when_able(self.note, (rows, False, version))
+    def on_list_change(self, rows: list[Row], version: int) -> None:
+        self.call_unless_stalled(self.apply_list_update, (rows, False, version))
 
-    def list_answer(self, rows: list[Row] | None, whole: bool, version: int) -> None:
+    def on_list_answer(self, rows: list[Row] | None, whole: bool, version: int) -> None:
         if not self.alive:
             return
         if rows is None:
-            self.when_able(self.told, (EndpointListKind.FAILED, []))
+            self.call_unless_stalled(self.pass_endpoint_list, (EndpointListKind.FAILED, []))
             return
         self.world.checker.set_watching(self.number, True)
-        self.when_able(self.note, (rows, whole, version))
+        self.call_unless_stalled(self.apply_list_update, (rows, whole, version))
 
-    def list_ended(self) -> None:
+    def on_watch_ended(self) -> None:
         if self.alive:
             self.world.checker.set_watching(self.number, False)
             self.world.checker.record_poll(self.now, self.number)
-            self.when_able(self.told, (EndpointListKind.FAILED, []))
+            self.call_unless_stalled(self.pass_endpoint_list, (EndpointListKind.FAILED, []))
 
-    def come(self, sess: Session) -> None:
-        """A session has reached the proxy."""
+    def on_session(self, sess: Session) -> None:
+        """Pass a session that has reached the proxy to the decision module."""
         if sess.over:
             return
         spec = self.world.scenario.listeners[sess.client.wish.listener]
@@ -236,7 +268,7 @@
         )
 
     def adopt(self, sess: Session) -> None:
-        """A connection that stood before the start."""
+        """Take over a connection that exists from the start of the run."""
         token = self.tokens[sess.number] = SessionToken(sess)
         token.attempt_in_flight = token.established = token.answered = True
         token.server = sess.server
@@ -244,43 +276,45 @@
         listener, tenant, group = self.engine.describe(sess)
         token.handle = self.balancer.adopt(token, listener, tenant, group, None, sess.server.name)
 
-    def answer(self, token: SessionToken, how: str) -> None:
+    def record_answer(self, token: SessionToken, outcome: str) -> None:
         token.answered = True
-        self.world.checker.record_answer(self.now, self.number, token.sess.number, how)
+        self.world.checker.record_answer(self.now, self.number, token.sess.number, outcome)
         self.tokens.pop(token.sess.number, None)
 
-    def reach(self, token: SessionToken, attempt: int, one_way: float) -> None:
-        """A dial's line has reached its server, if it can."""
+    def reach_server(self, token: SessionToken, attempt: int, one_way: float) -> None:
+        """Offer the session to its server, unless the link is blocked."""
         if not self.alive or not token.attempt_in_flight or token.attempt != attempt or token.server is None:
             return
         server = token.server
         if server.gone_silent or self.world.blocked(self.number, server):
-            left = self.world.network.connect_time - (self.now - token.sent_at)
-            self.later(max(0.0, left), self.dial_over, token, attempt, AttemptOutcome.CONNECT_FAILED)
+            remaining = self.world.network.connect_time - (self.now - token.sent_at)
+            self.schedule(
+                max(0.0, remaining), self.end_attempt, token, attempt, AttemptOutcome.CONNECT_FAILED
+            )
             return
         verdict, wait = self.world.offer(token.sess, server)
         if verdict is Verdict.UP:
-            self.agenda.after(wait + one_way, self.verdict, token, attempt, server, server.started)
+            self.agenda.after(wait + one_way, self.on_verdict, token, attempt, server, server.started)
         elif verdict is not Verdict.SILENT:
-            end = {
+            outcome = {
                 Verdict.FULL: AttemptOutcome.OVERLOADED,
                 Verdict.ERROR: AttemptOutcome.ERROR,
                 Verdict.REFUSED: AttemptOutcome.CONNECT_FAILED,
             }[verdict]
-            self.later(wait + one_way, self.dial_over, token, attempt, end)
+            self.schedule(wait + one_way, self.end_attempt, token, attempt, outcome)
 
-    def verdict(self, token: SessionToken, attempt: int, server: Server, started: float) -> None:
-        """The server's UP has come, unless something stands between."""
+    def on_verdict(self, token: SessionToken, attempt: int, server: Server, started: float) -> None:
+        """Process the UP of a server, unless it is lost on the way."""
         if not self.alive or self.world.blocked(self.number, server) or server.mute:
             return
         if not token.attempt_in_flight or token.attempt != attempt:
             self.world.ledger.count("set up in vain")
         elif server.state is State.STOPPED or server.started != started:
-            self.when_able(self.dial_over, (token, attempt, AttemptOutcome.RESET))
+            self.call_unless_stalled(self.end_attempt, (token, attempt, AttemptOutcome.RESET))
         else:
-            self.when_able(self.stands, (token, attempt, server))
+            self.call_unless_stalled(self.establish, (token, attempt, server))
 
-    def stands(self, token: SessionToken, attempt: int, server: Server) -> None:
+    def establish(self, token: SessionToken, attempt: int, server: Server) -> None:
         if not token.attempt_in_flight or token.attempt != attempt or token.sess.over:
             return
         token.established = token.answered = True
@@ -288,33 +322,33 @@
         token.handle.on_established(self.now - token.sent_at)
         self.world.up(token.sess, server)
 
-    def timed_out(self, token: SessionToken, attempt: int) -> None:
+    def on_attempt_timeout(self, token: SessionToken, attempt: int) -> None:
         if token.attempt_in_flight and token.attempt == attempt and not token.established:
-            self.dial_over(token, attempt, AttemptOutcome.TIMEOUT)
+            self.end_attempt(token, attempt, AttemptOutcome.TIMEOUT)
 
-    def dial_over(self, token: SessionToken, attempt: int, end: AttemptOutcome) -> None:
+    def end_attempt(self, token: SessionToken, attempt: int, outcome: AttemptOutcome) -> None:
         if not token.attempt_in_flight or token.attempt != attempt:
             return
         token.attempt_in_flight = False
-        if end is not AttemptOutcome.OK:
-            self.world.ledger.count(f"dial: {end.value}")
-        self.world.checker.record_attempt_end(self.now, token.sess.number, token.sent_at, end.never_ran)
+        if outcome is not AttemptOutcome.OK:
+            self.world.ledger.count(f"dial: {outcome.value}")
+        self.world.checker.record_attempt_end(self.now, token.sess.number, token.sent_at, outcome.never_ran)
         final = token.answered or token.established
-        if self.gossip and not final and end not in NOT_FAILURES and token.server:
+        if self.gossip and not final and outcome not in NOT_FAILURES and token.server:
             self.gossip.cores[self.number].record_failure(token.server.name, self.now)
         if token.established:
             self.tokens.pop(token.sess.number, None)
         if token.handle is not None:
-            token.handle.on_attempt_ended(end, final, self.now - token.sent_at, None)
+            token.handle.on_attempt_ended(outcome, final, self.now - token.sent_at, None)
 
-    def left(self, sess: Session) -> None:
-        """The client has gone."""
+    def on_client_left(self, sess: Session) -> None:
+        """End the session after its client has left."""
         token = self.tokens.get(sess.number)
         if token is None:
             return
         if token.established:
-            self.gone(token)
-            self.dial_over(token, token.attempt, AttemptOutcome.CANCELLED)
+            self.report_client_gone(token)
+            self.end_attempt(token, token.attempt, AttemptOutcome.CANCELLED)
             return
         self.world.checker.record_client_gone(self.now, sess.number)
         self.tokens.pop(sess.number, None)
@@ -322,42 +356,42 @@
             token.answered = True
             token.handle.on_client_gone()
 
-    def gone(self, token: SessionToken) -> None:
-        """Its end is no word of its server: the module would take it for one that sends its clients away."""
+    def report_client_gone(self, token: SessionToken) -> None:
+        """Report that the client left, so that the module does not attribute the end to the server."""
         if token.handle is not None:
             token.handle.on_client_gone()
 
-    def ended(self, sess: Session, sent_away: bool) -> None:
+    def on_server_ended(self, sess: Session, sent_away: bool) -> None:
         if token := self.tokens.get(sess.number):
-            self.dial_over(
+            self.end_attempt(
                 token, token.attempt, AttemptOutcome.CANCELLED if sent_away else AttemptOutcome.RESET
             )
 
     def stop(self, span: float) -> None:
-        self.later(STILL_COMING, self.stop_step, self.now + span - STOP_MARGIN)
+        self.schedule(STOP_DELAY_SECONDS, self.stop_step, self.now + span - STOP_MARGIN_SECONDS)
 
     def stop_step(self, last: float) -> None:
-        """Moves its clients evenly over the time it has; at the end what still waits is answered."""
-        open_ones = [token for token in self.tokens.values() if token.established]
-        share = STOP_STEP / max(STOP_STEP, last - self.now)
-        for token in open_ones[: math.ceil(len(open_ones) * share)]:
-            self.gone(token)
+        """Migrate clients evenly until `last`; at the end, answer the sessions that still wait."""
+        established = [token for token in self.tokens.values() if token.established]
+        share = STOP_STEP_SECONDS / max(STOP_STEP_SECONDS, last - self.now)
+        for token in established[: math.ceil(len(established) * share)]:
+            self.report_client_gone(token)
             self.migrate(token)
         if self.now < last:
-            self.later(STOP_STEP, self.stop_step, last)
+            self.schedule(STOP_STEP_SECONDS, self.stop_step, last)
             return
         for token in [
             token for token in self.tokens.values() if not token.established and not token.answered
         ]:
             token.handle.deadline = -math.inf
             if token.attempt_in_flight:
-                self.dial_over(token, token.attempt, AttemptOutcome.CANCELLED)
+                self.end_attempt(token, token.attempt, AttemptOutcome.CANCELLED)
             else:
                 self.balancer.attempt(token.handle)
 
 
 class VirtualEngine:
-    """The engine: one Instance a proxy that lives."""
+    """The virtual-time engine, with one Instance for each running proxy."""
 
     def __init__(
         self,
@@ -367,14 +401,14 @@
         gossip_config: GossipConfig | None = None,
         faults: GossipFaults | None = None,
     ) -> None:
-        """gossip_config: the members tell one another of servers; faults: what is done to that."""
+        """Prepare a run; with a gossip_config the proxies share load reports, under the given faults."""
         self.scenario, self.policy_factory = scenario, policy_factory
         self.world = World(scenario, seed)
         self.gossip = (
             SimulatedGossip(self, gossip_config, faults or GossipFaults()) if gossip_config else None
         )
         self.instances: dict[int, Instance] = {}
-        self.lives: dict[int, int] = {}
+        self.start_counts: dict[int, int] = {}
         self.lists: dict[int, tuple[list[Row], int]] = {}
         self.logs: list[tuple[float, int, str]] = []
         self.listeners = [
@@ -423,8 +457,10 @@
         return self.listeners[wish.listener], self.customers[wish.customer], group
 
     def one_way(self, zone: int, other: int, sess: Session | None) -> float:
-        """Seconds, jitter included; a session's own draws, so that other sessions' delays move nothing
-        here."""
+        """Return the one-way time between two zones in seconds, with jitter for a session.
+
+        The jitter comes from the session's own draws, so that it doesn't depend on other sessions.
+        """
         base = self.world.one_way(zone, other)
         if sess is None:
             return base
@@ -437,57 +473,57 @@
         return self.end()
 
     def begin(self) -> None:
-        """Everything up to the first instant: the agenda can be turned from here."""
+        """Prepare the run up to time 0; the caller can then run the agenda step by step."""
         world = self.world
         world.start(self)
         rows = list(world.list.rows.values())
         for number in range(self.scenario.fleet.proxies):
-            self.lists[number], self.lives[number] = (rows, world.list.version), 0
+            self.lists[number], self.start_counts[number] = (rows, world.list.version), 0
             self.instances[number] = Instance(self, number, rows, world.list.version, 0)
         for sess in world.standing():
             self.instances[sess.proxy].adopt(sess)
 
     def end(self) -> World:
-        """Closes the accounts; the agenda must have come to the scenario's end."""
+        """Close the accounts; the agenda must have run to the end of the scenario."""
         self.world.finish()
         return self.world
 
     # called by the world
 
     def submit(self, sess: Session) -> None:
-        self.world.agenda.after(self.world.network.client, self.arrives, sess)
+        self.world.agenda.after(self.world.network.client, self.deliver, sess)
 
-    def arrives(self, sess: Session) -> None:
+    def deliver(self, sess: Session) -> None:
         instance = self.instances.get(sess.proxy)
         if instance is None:
             self.world.lost(sess)
         else:
-            instance.when_able(instance.come, (sess,))
+            instance.call_unless_stalled(instance.on_session, (sess,))
 
     def withdraw(self, sess: Session) -> None:
         if instance := self.instances.get(sess.proxy):
-            instance.when_able(instance.left, (sess,))
+            instance.call_unless_stalled(instance.on_client_left, (sess,))
 
     def ended(self, sess: Session, sent_away: bool) -> None:
         if instance := self.instances.get(sess.proxy):
-            instance.when_able(instance.ended, (sess, sent_away))
+            instance.call_unless_stalled(instance.on_server_ended, (sess, sent_away))
 
     def load_changed(self, sess: Session) -> None:
         if (instance := self.instances.get(sess.proxy)) and (token := instance.tokens.get(sess.number)):
             if token.handle is not None and token.established:
-                instance.when_able(token.handle.on_load, (sess.load,))
+                instance.call_unless_stalled(token.handle.on_load, (sess.load,))
 
     def crash(self, number: int) -> None:
         if instance := self.instances.pop(number, None):
             instance.alive = False
             if self.gossip:
-                self.gossip.left(number)
+                self.gossip.remove_member(number)
             self.lists[number] = list(instance.rows.values()), instance.seen
 
     def restart(self, number: int) -> None:
-        self.lives[number] += 1
+        self.start_counts[number] += 1
         rows, seen = self.lists[number]
-        self.instances[number] = Instance(self, number, rows, seen, self.lives[number])
+        self.instances[number] = Instance(self, number, rows, seen, self.start_counts[number])
 
     def ready(self, number: int) -> bool:
         return True
