--- a/onyxhollow/lab/runs.py
+++ b/onyxhollow/lab/runs.py
@@ -62,9 +62,9 @@
             virtual = VirtualEngine(scenario, seed, policy_factory)
             if picture:
                 virtual.begin()
-                virtual.world.agenda.run(min(picture[1], scenario.seconds))
+                virtual.world.event_queue.run_until(min(picture[1], scenario.seconds))
                 save_snapshot(virtual, picture[0])
-                virtual.world.agenda.run(scenario.seconds)
+                virtual.world.event_queue.run_until(scenario.seconds)
                 world, log = virtual.end(), virtual.logs
             else:
                 world, log = virtual.run(), virtual.logs
@@ -73,7 +73,7 @@
     except RuntimeError as error:
         raise RunError(f"{scenario.title}: {error}") from None
     verdict = world.checker.summary()
-    figures = world.ledger.figures()
+    figures = world.metrics.figures()
     result: dict[str, Any] = {
         "scenario": scenario.title,
         "digest": digest(scenario),
@@ -85,15 +85,15 @@
         "rules": verdict,
         "size": [scenario.fleet.proxies, scenario.fleet.servers],
         "clients": len(world.clients),
-        "events": world.agenda.done,
-        "list_lines": world.list.lines_sent,
+        "events": world.event_queue.executed,
+        "list_lines": world.list_service.lines_sent,
         "crossings": world.crossings,
-        "faults": [[begin, end, kind] for begin, end, kind in world.fault_marks],
+        "faults": [[begin, end, kind] for begin, end, kind in world.fault_spans],
     }
     if findings:
         result["sockets"] = findings
     if series:
-        result["series"] = world.ledger.series()
+        result["series"] = world.metrics.series()
         result["log"] = [list(line) for line in log]
     return result
 
--- a/onyxhollow/lab/simulated_gossip.py
+++ b/onyxhollow/lab/simulated_gossip.py
@@ -78,17 +78,17 @@
 
     def add_member(self, instance: GossipingProxy, epoch: int) -> None:
         """Add the gossip core of a proxy that has started."""
-        now, zone = self.world.agenda.now, self.world.zone_name(instance.zone)
+        now, zone = self.world.event_queue.now, self.world.zone_name(instance.zone)
         core = LoadGossip(
             GossipMember(epoch, f"n{instance.number}", zone), self.gossip_config, Random(epoch * 31 + 7), now
         )
         self.cores[instance.number], self.proxy_by_epoch[epoch] = core, instance.number
-        self.world.agenda.after(MEMBER_JOIN_SECONDS if now else 0.0, self.update_membership)
-        self.world.agenda.at(core.next_due, self.tick, instance, core)
+        self.world.event_queue.schedule_after(MEMBER_JOIN_SECONDS if now else 0.0, self.update_membership)
+        self.world.event_queue.schedule_at(core.next_due, self.tick, instance, core)
 
     def remove_member(self, number: int) -> None:
         if self.cores.pop(number, None):
-            self.world.agenda.after(MEMBER_LOSS_SECONDS, self.update_membership)
+            self.world.event_queue.schedule_after(MEMBER_LOSS_SECONDS, self.update_membership)
 
     def update_membership(self) -> None:
         members = [core.local for core in self.cores.values()]
@@ -98,9 +98,9 @@
     def tick(self, instance: GossipingProxy, core: LoadGossip) -> None:
         if not instance.alive or self.cores.get(instance.number) is not core:
             return
-        now, balancer = self.world.agenda.now, instance.balancer
+        now, balancer = self.world.event_queue.now, instance.balancer
         if now < instance.stalled_until:
-            self.world.agenda.at(instance.stalled_until, self.tick, instance, core)
+            self.world.event_queue.schedule_at(instance.stalled_until, self.tick, instance, core)
             return
         core.set_endpoints({server.name: server.zone for server in balancer.endpoints})
         own = {s.name: len(s.connections) for s in balancer.tracked.values() if s.connections}
@@ -108,7 +108,7 @@
             own = {name: 1000 * count for name, count in own.items()}
         core.tick(own, now)
         self.dispatch(instance, core)
-        self.world.agenda.at(core.next_due, self.tick, instance, core)
+        self.world.event_queue.schedule_at(core.next_due, self.tick, instance, core)
 
     def dispatch(self, instance: GossipingProxy, core: LoadGossip) -> None:
         """Send the health checks and messages that a core has queued, and pass on its new estimates."""
@@ -124,7 +124,9 @@
             target_zone = self.world.proxies[other].zone
             self.messages += 1
             delay = self.engine.one_way(instance.zone, target_zone, None)
-            self.world.agenda.after(delay, self.deliver, other, epoch, core.local.epoch, message)
+            self.world.event_queue.schedule_after(
+                delay, self.deliver, other, epoch, core.local.epoch, message
+            )
         for estimate in core.take_estimates():
             report_shared(instance.balancer, estimate)
 
@@ -132,23 +134,27 @@
         core, instance = self.cores.get(number), self.engine.instances.get(number)
         if core is None or instance is None or core.local.epoch != epoch:
             return
-        if self.world.agenda.now < instance.stalled_until:
-            self.world.agenda.at(instance.stalled_until, self.deliver, number, epoch, sender, message)
+        if self.world.event_queue.now < instance.stalled_until:
+            self.world.event_queue.schedule_at(
+                instance.stalled_until, self.deliver, number, epoch, sender, message
+            )
             return
-        core.on_message(sender, message, self.world.agenda.now)
+        core.on_message(sender, message, self.world.event_queue.now)
         self.dispatch(instance, core)
 
     def is_cut(self, proxy: int, other: int) -> bool:
         """Return whether messages between two proxies are lost."""
         proxies, faults = self.world.proxies, self.faults
         if proxies[proxy].zone != proxies[other].zone and (
-            faults.cut_from <= self.world.agenda.now < faults.cut_until
+            faults.cut_from <= self.world.event_queue.now < faults.cut_until
         ):
             return True
-        for cut in self.world.cuts.values():
+        for cut in self.world.blocked_links.values():
             for source, target in ((proxy, other), (other, proxy)):
                 zone = proxies[target].zone
-                if source in cut.proxies and any(self.world.by_name[s].zone == zone for s in cut.servers):
+                if source in cut.proxies and any(
+                    self.world.servers_by_name[s].zone == zone for s in cut.servers
+                ):
                     return True
         return False
 
--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -23,8 +23,8 @@
 from onyxhollow.lab.sockets.list_service import ListService
 from onyxhollow.lab.sockets.proxies import READY_TIMEOUT_SECONDS, ProxyProcess, free_address, wire_settings
 from onyxhollow.lab.sockets.servers import ServerConnection, ServerListener
-from onyxhollow.lab.world.servers import Session, State
-from onyxhollow.lab.world.types import Cause
+from onyxhollow.lab.world.servers import ServerState, Session
+from onyxhollow.lab.world.types import LossCause
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
 
@@ -67,13 +67,13 @@
         engine, sess = self.engine, self.sess
         answer, _, rest = line.strip().partition(b" ")
         if self.answered:
-            if answer == b"MOVE" and not sess.over:
-                engine.world.ledger.count("moves")
-                engine.world.cut(sess, Cause.MOVED)
+            if answer == b"MOVE" and not sess.ended:
+                engine.world.metrics.increment("moves")
+                engine.world.end_connection(sess, LossCause.MOVED)
                 self.lines.close()
             return
         self.answered = True
-        if sess.over:
+        if sess.ended:
             self.lines.close()
             return
         if sess.answered:  # the connection exists from the start of the run
@@ -84,32 +84,32 @@
         engine.world.checker.record_answer(engine.now, sess.proxy, sess.number, outcome)
         if outcome == "up":
             connection = engine.server_connections.get(sess.number)
-            if connection is None or connection.listener.server.state is State.STOPPED:
-                engine.world.cut(sess, Cause.TORN_DOWN)  # the server stopped after it accepted
+            if connection is None or connection.listener.server.state is ServerState.STOPPED:
+                engine.world.end_connection(sess, LossCause.TORN_DOWN)  # the server stopped after it accepted
                 self.lines.close()
                 return
-            engine.world.up(sess, connection.listener.server)
-            if connection.listener.server.mute or connection.listener.blocked:
-                engine.world.mute(sess, True)
+            engine.world.on_established(sess, connection.listener.server)
+            if connection.listener.server.is_unresponsive or connection.listener.blocked:
+                engine.world.set_blackholed(sess, True)
             self.send_line()
             return
         self.lines.close()
         if outcome == "refused":
             wait = float(rest) / 1000 if rest.isdigit() else 0.0
-            engine.world.refused(sess, wait)
+            engine.world.on_rejected(sess, wait)
         else:
-            engine.world.failed(sess)
+            engine.world.on_failed(sess)
 
     def send_line(self) -> None:
-        if self.lines.open and not self.sess.over:
+        if self.lines.open and not self.sess.ended:
             self.lines_sent += 1
             self.lines.send(b"line %d\r\n" % self.lines_sent)
-            self.engine.world.agenda.after(CLIENT_LINE_SECONDS, self.send_line)
+            self.engine.world.event_queue.schedule_after(CLIENT_LINE_SECONDS, self.send_line)
 
     def on_end(self, _: bool) -> None:
         engine, sess = self.engine, self.sess
         engine.client_connections.pop(sess.number, None)
-        if sess.over:
+        if sess.ended:
             return
         if not self.answered and not sess.answered:
             if engine.world.proxies[sess.proxy].alive and self.lines.sent:
@@ -117,9 +117,9 @@
                     1, engine.now, f"session {sess.number}: ended without an answer"
                 )
             engine.world.checker.record_client_gone(engine.now, sess.number)
-            engine.world.lost(sess)
+            engine.world.on_proxy_lost(sess)
         elif self.answered:
-            engine.world.cut(sess, Cause.TORN_DOWN)
+            engine.world.end_connection(sess, LossCause.TORN_DOWN)
 
 
 class SocketEngine:
@@ -153,7 +153,7 @@
         self.cores_busy = 0.0  # percent of all cores, mean of the run
         self.slow_turn_seconds = 0.0  # in loop turns so long that servers and list answered late
         self.health_checks_before_start = 0  # hundreds of proxies take half a minute to start
-        self.server_states: dict[str, State] = {}
+        self.server_states: dict[str, ServerState] = {}
         self.bad_clients: list[LineConnection] = []
         self.bad_clients_started = self.bad_clients_ended = 0
         self.list_was_down = False
@@ -179,7 +179,7 @@
 
     @property
     def now(self) -> float:
-        return self.world.agenda.now
+        return self.world.event_queue.now
 
     def to_unix_time(self, when: float) -> float:
         """Convert a time of the run to Unix time."""
@@ -196,7 +196,7 @@
     def get_listener(self, server: str, proxy: int) -> ServerListener:
         listeners = self.listeners.get(server)
         if listeners is None:
-            model = self.world.by_name[server]
+            model = self.world.servers_by_name[server]
             listeners = self.listeners[server] = [
                 ServerListener(self, model, n) for n in range(self.listeners_per_server)
             ]
@@ -247,7 +247,7 @@
         world = self.world
         # An event that runs late is accounted from when it ran, not from when it was due. With hundreds of
         # processes on one machine that missed one part in ten thousand. It is reported, and bounded.
-        world.ledger.slack = MAX_UNACCOUNTED_SHARE
+        world.metrics.tolerance = MAX_UNACCOUNTED_SHARE
         world.start(self)
         for server in list(world.servers):
             self.get_listener(server.name, 0)
@@ -260,7 +260,7 @@
                     f"see {self.folder}/n{process.number}.log"
                 )
         self.ready_proxies = set(range(len(self.proxies)))
-        standing = world.standing()
+        standing = world.create_preexisting_sessions()
         self.awaiting_established = {sess.number for sess in standing}
         until = time.monotonic() + STANDING_TIMEOUT_SECONDS
         for count, sess in enumerate(standing):
@@ -276,21 +276,21 @@
             )
 
     def run_until_end(self, progress: Any) -> None:
-        agenda, end = self.world.agenda, self.scenario.seconds
+        event_queue, end = self.world.event_queue, self.scenario.seconds
         self.started_at = time.monotonic()
         # Health checks before the start do not count: with sharing they were most of the total.
-        self.health_checks_before_start = self.world.ledger.counts.pop("probes", 0)
+        self.health_checks_before_start = self.world.metrics.counts.pop("probes", 0)
         psutil.cpu_percent()  # the next call returns the use since this one
-        agenda.at(0.0, self.apply_world_changes)
-        agenda.at(0.5, self.start_bad_client)
+        event_queue.schedule_at(0.0, self.apply_world_changes)
+        event_queue.schedule_at(0.5, self.start_bad_client)
         shown = 0
-        while agenda.now < end:
-            turn_started, due = time.monotonic(), self.started_at + agenda.next
+        while event_queue.now < end:
+            turn_started, due = time.monotonic(), self.started_at + event_queue.next_due
             self.loop.turn(max(0.0, min(WORLD_CHECK_SECONDS, due - time.monotonic())))
             now = min(end, time.monotonic() - self.started_at)
-            if agenda.next <= now:
-                self.lateness.append(now - agenda.next)
-            agenda.run(now)
+            if event_queue.next_due <= now:
+                self.lateness.append(now - event_queue.next_due)
+            event_queue.run_until(now)
             if (took := time.monotonic() - turn_started) > LATE_SECONDS:
                 self.slow_turn_seconds += took
             if int(now) > shown:
@@ -324,27 +324,29 @@
             if server.state is not self.server_states[server.name]:
                 before, self.server_states[server.name] = self.server_states[server.name], server.state
                 for listener in listeners:
-                    if server.state is State.STOPPED:
+                    if server.state is ServerState.STOPPED:
                         listener.close()
-                    elif before is State.STOPPED:
+                    elif before is ServerState.STOPPED:
                         listener.open()
             for listener in listeners:
-                listener.set_blocked(bool(server.gone_silent) or bool(world.blocked(listener.proxy, server)))
-        if world.list.down and not self.list_was_down:
+                listener.set_blocked(
+                    bool(server.vanished_by) or bool(world.blocked_direction(listener.proxy, server))
+                )
+        if world.list_service.down_by and not self.list_was_down:
             for service in self.list_services:
                 service.drop_connections()
-        self.list_was_down = bool(world.list.down)
-        if world.list.version != self.version and not world.list.down:
-            self.version = world.list.version
+        self.list_was_down = bool(world.list_service.down_by)
+        if world.list_service.version != self.version and not world.list_service.down_by:
+            self.version = world.list_service.version
             for service in self.list_services:
                 service.notify_watchers()
         for process in self.proxies:
             process.detect_crash()
-        self.world.agenda.after(WORLD_CHECK_SECONDS, self.apply_world_changes)
+        self.world.event_queue.schedule_after(WORLD_CHECK_SECONDS, self.apply_world_changes)
 
     def list_snapshot(self, proxy: int) -> dict[str, Any]:
-        rows = [self.list_services[proxy].row(row) for row in self.world.list.rows.values()]
-        return {"seq": self.world.list.version, "whole": True, "hosts": rows}
+        rows = [self.list_services[proxy].row(row) for row in self.world.list_service.rows.values()]
+        return {"seq": self.world.list_service.version, "whole": True, "hosts": rows}
 
     def start_bad_client(self) -> None:
         """Start a client that violates the protocol, which must not affect other clients."""
@@ -359,7 +361,7 @@
                 lines.send(BAD_CLIENT_INPUTS[self.bad_clients_started % len(BAD_CLIENT_INPUTS)])
                 self.bad_clients.append(lines)
         self.bad_clients_started += 1
-        self.world.agenda.after(BAD_CLIENT_SECONDS, self.start_bad_client)
+        self.world.event_queue.schedule_after(BAD_CLIENT_SECONDS, self.start_bad_client)
 
     def on_bad_client_end(self, _: bool) -> None:
         self.bad_clients_ended += 1
@@ -375,7 +377,7 @@
         self.connect(sess)
 
     def connect(self, sess: Session) -> None:
-        wish, scenario = sess.client.wish, self.scenario
+        request, scenario = sess.client.request, self.scenario
         self.sessions[sess.number] = sess
         sock = socket.socket()
         sock.setblocking(False)
@@ -384,36 +386,36 @@
                 sock.connect(self.proxies[sess.proxy].listen)
         except OSError:
             sock.close()
-            self.world.lost(sess)
+            self.world.on_proxy_lost(sess)
             return
         client = self.client_connections[sess.number] = ClientConnection(self, sess, sock)
-        spec = scenario.listeners[wish.listener]
-        group = f"g{wish.group}" if wish.group >= 0 else f"k{wish.number}"
-        fields = [f"c={spec.name}", f"t={scenario.customers[wish.customer].name}", f"g={group}"]
+        spec = scenario.listeners[request.listener]
+        group = f"g{request.group}" if request.group >= 0 else f"k{request.number}"
+        fields = [f"c={spec.name}", f"t={scenario.customers[request.tenant].name}", f"g={group}"]
         if sess.answered:
             assert sess.server is not None
             fields.append(f"at={sess.server.name}")
         else:
             left = sess.deadline - self.now
             fields.append(f"d={max(1, round(left * 1000))}")
-            if sess.client.was_up:
+            if sess.client.was_connected:
                 fields.append("again=1")
             self.world.checker.record_session(
                 self.now, sess.proxy, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
             )
-        client.lines.send(f"OPEN c{sess.number:x} k{wish.number} {','.join(fields)}\r\n".encode())
+        client.lines.send(f"OPEN c{sess.number:x} k{request.number} {','.join(fields)}\r\n".encode())
 
-    def withdraw(self, sess: Session) -> None:
+    def cancel(self, sess: Session) -> None:
         self.world.checker.record_client_gone(self.now, sess.number)
         if client := self.client_connections.pop(sess.number, None):
             client.lines.close()
 
-    def ended(self, sess: Session, sent_away: bool) -> None:
+    def close_by_server(self, sess: Session, move: bool) -> None:
         connection = self.server_connections.get(sess.number)
         if connection is not None and not connection.ended:
-            if sent_away:
+            if move:
                 connection.lines.send(b"MOVE\r\n")
-            connection.close(reset=not sent_away)
+            connection.close(reset=not move)
 
     def load_changed(self, sess: Session) -> None:
         connection = self.server_connections.get(sess.number)
@@ -422,7 +424,7 @@
             and connection.established
             and not connection.ended
             and not connection.listener.blocked
-            and not connection.listener.server.mute
+            and not connection.listener.server.is_unresponsive
         ):
             connection.lines.send(b"LOAD %d\r\n" % round(sess.load * 1e6))
 
@@ -458,9 +460,11 @@
 
         lines = LineConnection(self.loop, sock, on_line, lambda _: None)
         lines.send(b"PING\r\n")
-        self.world.agenda.after(READY_CHECK_SECONDS, self.check_ready, number, start_count, lines)
+        self.world.event_queue.schedule_after(
+            READY_CHECK_SECONDS, self.check_ready, number, start_count, lines
+        )
 
-    def ready(self, number: int) -> bool:
+    def is_ready(self, number: int) -> bool:
         return number in self.ready_proxies
 
     def stop(self, number: int, span: float) -> None:
@@ -470,7 +474,7 @@
     def stall(self, number: int, span: float) -> None:
         self.proxies[number].send_signal(signal.SIGSTOP)
         self.world.checker.record_stall(number, self.now + span + TIME_LIMIT_SLACK_SECONDS)
-        self.world.agenda.after(span, self.proxies[number].send_signal, signal.SIGCONT)
+        self.world.event_queue.schedule_after(span, self.proxies[number].send_signal, signal.SIGCONT)
 
     # results
 
--- a/onyxhollow/lab/sockets/list_service.py
+++ b/onyxhollow/lab/sockets/list_service.py
@@ -12,7 +12,7 @@
 
 from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
 from onyxhollow.lab.sockets.servers import ServerListener
-from onyxhollow.lab.world.listing import GONE, Row
+from onyxhollow.lab.world.listing import GONE, ListedServer
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
 
@@ -72,17 +72,17 @@
         seen, wait = int(query.get("index", ["-1"])[0]), min(60.0, int(query.get("wait", ["0"])[0]) / 1000)
         service, engine = self.service, self.service.engine
         engine.world.checker.record_poll(engine.now, service.proxy)
-        engine.world.list.calls += 1
-        if engine.world.list.down:
+        engine.world.list_service.calls += 1
+        if engine.world.list_service.down_by:
             self.answer(503, {})
             return
-        if seen < 0 or engine.world.list.version > seen:
+        if seen < 0 or engine.world.list_service.version > seen:
             self.send_changes(seen)
             return
         self.wait_number += 1
         service.watchers[self] = seen
         engine.world.checker.set_watching(service.proxy, True)
-        engine.world.agenda.after(wait, self.on_wait_over, self.wait_number)
+        engine.world.event_queue.schedule_after(wait, self.on_wait_over, self.wait_number)
 
     def on_wait_over(self, number: int) -> None:
         if self.service.watchers.get(self) is not None and number == self.wait_number:
@@ -91,19 +91,19 @@
     def send_changes(self, seen: int) -> None:
         """Send what has changed since the version that the proxy has seen, or the whole list."""
         self.service.watchers.pop(self, None)
-        engine, source = self.service.engine, self.service.engine.world.list
-        rows, whole = source.since(seen)
+        engine, source = self.service.engine, self.service.engine.world.list_service
+        rows, whole = source.changes_since(seen)
         source.lines_sent += len(rows)
         self.answer(
             200, {"seq": source.version, "whole": whole, "hosts": [self.service.row(row) for row in rows]}
         )
         for row in rows:
             engine.world.checker.record_notification(
-                engine.now, self.service.proxy, row.name, row.readiness, row.started
+                engine.now, self.service.proxy, row.name, row.state, row.started
             )
-            if engine.in_fleet and HEALTH[row.readiness] == "active":
+            if engine.in_fleet and HEALTH[row.state] == "active":
                 engine.world.checker.record_return_to_service(row.name)
-        engine.world.agenda.after(WATCH_GAP_SECONDS, self.service.end_watch_after, engine.now)
+        engine.world.event_queue.schedule_after(WATCH_GAP_SECONDS, self.service.end_watch_after, engine.now)
         self.service.answered_at = engine.now
 
     def answer(self, status: int, body: Any) -> None:
@@ -136,7 +136,7 @@
     def on_accept(self, sock: socket.socket) -> None:
         self.connections[ListConnection(self, sock)] = None
 
-    def row(self, row: Row) -> dict[str, Any]:
+    def row(self, row: ListedServer) -> dict[str, Any]:
         """Return a server as the list service sends it."""
         host, port = self.engine.get_listener(row.name, self.proxy).address
         born = 0 if row.started is None else max(1, round(self.engine.to_unix_time(row.started) * 1000))
@@ -146,9 +146,9 @@
             "site": row.zone,
             "class": "lab",
             "block": row.cell,
-            "health": HEALTH[row.readiness],
-            "share": row.size,
-            "born_ms": born if row.readiness != GONE else 0,
+            "health": HEALTH[row.state],
+            "share": row.weight,
+            "born_ms": born if row.state != GONE else 0,
         }
 
     def end_watch_after(self, answered_at: float) -> None:
--- a/onyxhollow/lab/sockets/servers.py
+++ b/onyxhollow/lab/sockets/servers.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
-from onyxhollow.lab.world.servers import Server, Session, State, Verdict
+from onyxhollow.lab.world.servers import OpenResult, Server, ServerState, Session
 from onyxhollow.lab.world.world import World
 from onyxhollow.loop import Loop
 
@@ -53,14 +53,16 @@
     def on_line(self, line: bytes) -> None:
         engine, server = self.listener.engine, self.listener.server
         command = line.split(b" ", 1)[0].strip()
-        if server.mute or self.listener.blocked:
+        if server.is_unresponsive or self.listener.blocked:
             return  # an unresponsive server answers nothing
         if self.established:
             self.lines.send(line)
         elif command == b"STATS" or command == b"PING":
-            engine.world.ledger.count("probes")
+            engine.world.metrics.increment("probes")
             now = engine.now
-            load = server.told_load(now, engine.world.tables.normal(server.number, int(now * 1000)))
+            load = server.reported_load(
+                now, engine.world.random_tables.normal(server.number, int(now * 1000))
+            )
             self.lines.send(b"PONG x0=%.4f\r\n" % load if command == b"STATS" else b"PONG\r\n")
         elif command == b"OPEN" and self.sess is None:
             self.on_open_request(line)
@@ -92,33 +94,33 @@
             self.lines.close()
             return
         world.checker.record_attempt(engine.now, sess.proxy, sess.number, server.name)
-        world.ledger.count("dials")
-        verdict, wait = world.offer(sess, server)
-        network_time = 4.0 * world.one_way(world.proxies[sess.proxy].zone, server.zone)
-        self.may_have_run = verdict in (Verdict.UP, Verdict.ERROR, Verdict.SILENT)
-        if verdict is not Verdict.SILENT:
-            world.agenda.after(wait + network_time, self.answer, verdict)
+        world.metrics.increment("dials")
+        verdict, wait = world.open_at_server(sess, server)
+        network_time = 4.0 * world.one_way_delay(world.proxies[sess.proxy].zone, server.zone)
+        self.may_have_run = verdict in (OpenResult.ACCEPTED, OpenResult.ERROR, OpenResult.NO_ANSWER)
+        if verdict is not OpenResult.NO_ANSWER:
+            world.event_queue.schedule_after(wait + network_time, self.answer, verdict)
 
     def accept_standing(self, sess: Session) -> None:
         """Accept a connection that exists from the start of the run; the world has placed it already."""
         self.established = self.may_have_run = True
         self.lines.send(b"UP %d\r\n" % sess.number)
 
-    def answer(self, verdict: Verdict) -> None:
+    def answer(self, verdict: OpenResult) -> None:
         if (
             self.ended
             or not self.lines.open
-            or self.listener.server.mute
+            or self.listener.server.is_unresponsive
             or self.listener.blocked
             or self.sess is None
         ):
             return
-        if verdict is Verdict.UP and self.listener.server.state is not State.STOPPED:
+        if verdict is OpenResult.ACCEPTED and self.listener.server.state is not ServerState.STOPPED:
             self.established = True
             self.lines.send(b"UP %d\r\n" % self.sess.number)
             return
-        self.lines.send(b"ERR\r\n" if verdict is Verdict.ERROR else b"BUSY\r\n")
-        self.may_have_run = verdict is Verdict.ERROR
+        self.lines.send(b"ERR\r\n" if verdict is OpenResult.ERROR else b"BUSY\r\n")
+        self.may_have_run = verdict is OpenResult.ERROR
         self.close()
 
     def close(self, reset: bool = False) -> None:
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -26,9 +26,9 @@
 from onyxhollow.lab.decisions import PolicyFactory
 from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.simulated_gossip import GossipFaults, SimulatedGossip
-from onyxhollow.lab.world.listing import Row
-from onyxhollow.lab.world.servers import Server, Session, State, Verdict
-from onyxhollow.lab.world.types import Cause
+from onyxhollow.lab.world.listing import ListedServer
+from onyxhollow.lab.world.servers import OpenResult, Server, ServerState, Session
+from onyxhollow.lab.world.types import LossCause
 from onyxhollow.lab.world.world import World
 
 HEALTH_CHECK_TIMEOUT_SECONDS = 0.3
@@ -63,16 +63,21 @@
 
     @property
     def came_back(self) -> bool:
-        return self.sess.client.was_up
+        return self.sess.client.was_connected
 
 
 class Instance:
     """One process of a proxy, from start to end: the Host of its decision module."""
 
     def __init__(
-        self, engine: VirtualEngine, number: int, rows: list[Row], seen: int, start_count: int
+        self, engine: VirtualEngine, number: int, rows: list[ListedServer], seen: int, start_count: int
     ) -> None:
-        self.engine, self.number, self.world, self.agenda = engine, number, engine.world, engine.world.agenda
+        self.engine, self.number, self.world, self.event_queue = (
+            engine,
+            number,
+            engine.world,
+            engine.world.event_queue,
+        )
         self.alive, self.stalled_until = True, 0.0
         self.seen, self.rows = seen, {row.name: row for row in rows}
         self.tokens: dict[int, SessionToken] = {}
@@ -87,17 +92,17 @@
 
     @property
     def now(self) -> float:
-        return self.agenda.now
+        return self.event_queue.now
 
     def schedule(self, span: float, call: Any, *values: Any) -> None:
-        self.agenda.after(span, self.call_unless_stalled, call, values)
+        self.event_queue.schedule_after(span, self.call_unless_stalled, call, values)
 
     def call_unless_stalled(self, call: Any, values: tuple[Any, ...]) -> None:
         """Call now, or when the stall of the proxy ends; calls made meanwhile keep their order."""
         if not self.alive:
             return
-        if self.agenda.now < self.stalled_until:
-            self.agenda.at(self.stalled_until, self.call_unless_stalled, call, values)
+        if self.event_queue.now < self.stalled_until:
+            self.event_queue.schedule_at(self.stalled_until, self.call_unless_stalled, call, values)
         else:
             call(*values)
 
@@ -105,7 +110,7 @@
 
     def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
         assert isinstance(token, SessionToken)
-        now, target, engine = self.now, self.world.by_name[server], self.engine
+        now, target, engine = self.now, self.world.servers_by_name[server], self.engine
         token.attempt, token.attempt_in_flight, token.server, token.sent_at = (
             token.attempt + 1,
             True,
@@ -113,11 +118,11 @@
             now,
         )
         self.world.checker.record_attempt(now, self.number, token.sess.number, server)
-        self.world.ledger.count("dials")
+        self.world.metrics.increment("dials")
         if self.zone != target.zone:
-            self.world.ledger.count("dials across zones")
+            self.world.metrics.increment("dials across zones")
         one_way = engine.one_way(self.zone, target.zone, token.sess)
-        self.agenda.after(3 * one_way, self.reach_server, token, token.attempt, one_way)
+        self.event_queue.schedule_after(3 * one_way, self.reach_server, token, token.attempt, one_way)
         self.schedule(
             min(timeout, max(0.0, token.sess.deadline - now)), self.on_attempt_timeout, token, token.attempt
         )
@@ -129,23 +134,25 @@
     def reject(self, token: Hashable, retry_after: float) -> None:
         assert isinstance(token, SessionToken)
         self.record_answer(token, "refused")
-        self.agenda.after(self.world.network.client, self.world.refused, token.sess, retry_after)
+        self.event_queue.schedule_after(
+            self.world.network.client, self.world.on_rejected, token.sess, retry_after
+        )
 
     def tear_down(self, token: Hashable) -> None:
         assert isinstance(token, SessionToken)
         self.record_answer(token, "failed")
-        self.agenda.after(self.world.network.client, self.world.failed, token.sess)
+        self.event_queue.schedule_after(self.world.network.client, self.world.on_failed, token.sess)
 
     def migrate(self, token: Hashable) -> None:
         assert isinstance(token, SessionToken)
-        if token.established and not token.sess.over:
-            self.world.ledger.count("moves")
-            self.world.cut(token.sess, Cause.MOVED)
+        if token.established and not token.sess.ended:
+            self.world.metrics.increment("moves")
+            self.world.end_connection(token.sess, LossCause.MOVED)
             self.schedule(0.0, self.end_attempt, token, token.attempt, AttemptOutcome.CANCELLED)
 
     def check_health(self, server: str, shared: bool = False) -> None:
         """Check a server's health; shared: gossip asks for it on behalf of all members."""
-        target, now = self.world.by_name[server], self.now
+        target, now = self.world.servers_by_name[server], self.now
         if (
             self.gossip
             and not shared
@@ -154,10 +161,10 @@
             outcome = AttemptOutcome.OK
             self.schedule(0.0, self.balancer.on_health_check, server, outcome, 0.0, known.load, known.age)
             return
-        self.world.ledger.count("probes")
+        self.world.metrics.increment("probes")
         network_time = 3 * self.engine.one_way(self.zone, target.zone, None)
-        reachable = not target.gone_silent and not self.world.blocked(self.number, target)
-        if not reachable or target.hung:
+        reachable = not target.vanished_by and not self.world.blocked_direction(self.number, target)
+        if not reachable or target.hung_by:
             self.schedule(
                 HEALTH_CHECK_TIMEOUT_SECONDS,
                 self.on_health_check_result,
@@ -166,7 +173,7 @@
                 HEALTH_CHECK_TIMEOUT_SECONDS,
                 None,
             )
-        elif target.state is State.STOPPED:
+        elif target.state is ServerState.STOPPED:
             self.schedule(
                 network_time,
                 self.on_health_check_result,
@@ -176,9 +183,9 @@
                 None,
             )
         else:
-            target.pile += HEALTH_CHECK_CORE_SECONDS
+            target.backlog += HEALTH_CHECK_CORE_SECONDS
             draw = int(now * 1000) + self.number
-            load = target.told_load(now, self.world.tables.normal(target.number, draw))
+            load = target.reported_load(now, self.world.random_tables.normal(target.number, draw))
             self.schedule(
                 1.3 * network_time,
                 self.on_health_check_result,
@@ -198,12 +205,12 @@
 
     def poll_endpoint_list(self) -> None:
         self.world.checker.record_poll(self.now, self.number)
-        self.world.list.watch(
+        self.world.list_service.watch(
             self.number, self.seen, self.on_list_change, self.on_list_answer, self.on_watch_ended
         )
 
     def set_timer(self, when: float) -> None:
-        self.agenda.at(when, self.call_unless_stalled, self.tick, ())
+        self.event_queue.schedule_at(when, self.call_unless_stalled, self.tick, ())
 
     def log(self, line: str) -> None:
         if len(self.engine.logs) < MAX_LOG_LINES:
@@ -214,18 +221,16 @@
     def tick(self) -> None:
         self.balancer.tick()
 
-    def pass_endpoint_list(self, kind: EndpointListKind, rows: list[Row]) -> None:
+    def pass_endpoint_list(self, kind: EndpointListKind, rows: list[ListedServer]) -> None:
         entries = [
-            Endpoint(row.name, STATE_BY_READINESS[row.readiness], row.size, row.started, row.zone, row.cell)
+            Endpoint(row.name, STATE_BY_READINESS[row.state], row.weight, row.started, row.zone, row.cell)
             for row in rows
         ]
         for row in rows:
-            self.world.checker.record_notification(
-                self.now, self.number, row.name, row.readiness, row.started
-            )
+            self.world.checker.record_notification(self.now, self.number, row.name, row.state, row.started)
         self.balancer.on_endpoint_list(kind, entries)
 
-    def apply_list_update(self, rows: list[Row], whole: bool, version: int) -> None:
+    def apply_list_update(self, rows: list[ListedServer], whole: bool, version: int) -> None:
         self.seen = version
         if whole:
             for name in [name for name in self.rows if name not in {row.name for row in rows}]:
@@ -235,10 +240,10 @@
             self.rows[row.name] = row
         self.pass_endpoint_list(EndpointListKind.SNAPSHOT if whole else EndpointListKind.DELTA, rows)
 
-    def on_list_change(self, rows: list[Row], version: int) -> None:
+    def on_list_change(self, rows: list[ListedServer], version: int) -> None:
         self.call_unless_stalled(self.apply_list_update, (rows, False, version))
 
-    def on_list_answer(self, rows: list[Row] | None, whole: bool, version: int) -> None:
+    def on_list_answer(self, rows: list[ListedServer] | None, whole: bool, version: int) -> None:
         if not self.alive:
             return
         if rows is None:
@@ -255,9 +260,9 @@
 
     def on_session(self, sess: Session) -> None:
         """Pass a session that has reached the proxy to the decision module."""
-        if sess.over:
+        if sess.ended:
             return
-        spec = self.world.scenario.listeners[sess.client.wish.listener]
+        spec = self.world.scenario.listeners[sess.client.request.listener]
         self.world.checker.record_session(
             self.now, self.number, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
         )
@@ -286,41 +291,43 @@
         if not self.alive or not token.attempt_in_flight or token.attempt != attempt or token.server is None:
             return
         server = token.server
-        if server.gone_silent or self.world.blocked(self.number, server):
+        if server.vanished_by or self.world.blocked_direction(self.number, server):
             remaining = self.world.network.connect_time - (self.now - token.sent_at)
             self.schedule(
                 max(0.0, remaining), self.end_attempt, token, attempt, AttemptOutcome.CONNECT_FAILED
             )
             return
-        verdict, wait = self.world.offer(token.sess, server)
-        if verdict is Verdict.UP:
-            self.agenda.after(wait + one_way, self.on_verdict, token, attempt, server, server.started)
-        elif verdict is not Verdict.SILENT:
+        verdict, wait = self.world.open_at_server(token.sess, server)
+        if verdict is OpenResult.ACCEPTED:
+            self.event_queue.schedule_after(
+                wait + one_way, self.on_verdict, token, attempt, server, server.started
+            )
+        elif verdict is not OpenResult.NO_ANSWER:
             outcome = {
-                Verdict.FULL: AttemptOutcome.OVERLOADED,
-                Verdict.ERROR: AttemptOutcome.ERROR,
-                Verdict.REFUSED: AttemptOutcome.CONNECT_FAILED,
+                OpenResult.OVERLOADED: AttemptOutcome.OVERLOADED,
+                OpenResult.ERROR: AttemptOutcome.ERROR,
+                OpenResult.CONNECTION_REFUSED: AttemptOutcome.CONNECT_FAILED,
             }[verdict]
             self.schedule(wait + one_way, self.end_attempt, token, attempt, outcome)
 
     def on_verdict(self, token: SessionToken, attempt: int, server: Server, started: float) -> None:
         """Process the UP of a server, unless it is lost on the way."""
-        if not self.alive or self.world.blocked(self.number, server) or server.mute:
+        if not self.alive or self.world.blocked_direction(self.number, server) or server.is_unresponsive:
             return
         if not token.attempt_in_flight or token.attempt != attempt:
-            self.world.ledger.count("set up in vain")
-        elif server.state is State.STOPPED or server.started != started:
+            self.world.metrics.increment("set up in vain")
+        elif server.state is ServerState.STOPPED or server.started != started:
             self.call_unless_stalled(self.end_attempt, (token, attempt, AttemptOutcome.RESET))
         else:
             self.call_unless_stalled(self.establish, (token, attempt, server))
 
     def establish(self, token: SessionToken, attempt: int, server: Server) -> None:
-        if not token.attempt_in_flight or token.attempt != attempt or token.sess.over:
+        if not token.attempt_in_flight or token.attempt != attempt or token.sess.ended:
             return
         token.established = token.answered = True
         self.world.checker.record_answer(self.now, self.number, token.sess.number, "up")
         token.handle.on_established(self.now - token.sent_at)
-        self.world.up(token.sess, server)
+        self.world.on_established(token.sess, server)
 
     def on_attempt_timeout(self, token: SessionToken, attempt: int) -> None:
         if token.attempt_in_flight and token.attempt == attempt and not token.established:
@@ -331,7 +338,7 @@
             return
         token.attempt_in_flight = False
         if outcome is not AttemptOutcome.OK:
-            self.world.ledger.count(f"dial: {outcome.value}")
+            self.world.metrics.increment(f"dial: {outcome.value}")
         self.world.checker.record_attempt_end(self.now, token.sess.number, token.sent_at, outcome.never_ran)
         final = token.answered or token.established
         if self.gossip and not final and outcome not in NOT_FAILURES and token.server:
@@ -361,11 +368,9 @@
         if token.handle is not None:
             token.handle.on_client_gone()
 
-    def on_server_ended(self, sess: Session, sent_away: bool) -> None:
+    def on_server_ended(self, sess: Session, move: bool) -> None:
         if token := self.tokens.get(sess.number):
-            self.end_attempt(
-                token, token.attempt, AttemptOutcome.CANCELLED if sent_away else AttemptOutcome.RESET
-            )
+            self.end_attempt(token, token.attempt, AttemptOutcome.CANCELLED if move else AttemptOutcome.RESET)
 
     def stop(self, span: float) -> None:
         self.schedule(STOP_DELAY_SECONDS, self.stop_step, self.now + span - STOP_MARGIN_SECONDS)
@@ -409,7 +414,7 @@
         )
         self.instances: dict[int, Instance] = {}
         self.start_counts: dict[int, int] = {}
-        self.lists: dict[int, tuple[list[Row], int]] = {}
+        self.lists: dict[int, tuple[list[ListedServer], int]] = {}
         self.logs: list[tuple[float, int, str]] = []
         self.listeners = [
             Listener(
@@ -452,61 +457,61 @@
         )
 
     def describe(self, sess: Session) -> tuple[Listener, Tenant, Hashable]:
-        wish = sess.client.wish
-        group = f"g{wish.group}" if wish.group >= 0 else f"k{wish.number}"
-        return self.listeners[wish.listener], self.customers[wish.customer], group
+        request = sess.client.request
+        group = f"g{request.group}" if request.group >= 0 else f"k{request.number}"
+        return self.listeners[request.listener], self.customers[request.tenant], group
 
     def one_way(self, zone: int, other: int, sess: Session | None) -> float:
         """Return the one-way time between two zones in seconds, with jitter for a session.
 
         The jitter comes from the session's own draws, so that it doesn't depend on other sessions.
         """
-        base = self.world.one_way(zone, other)
+        base = self.world.one_way_delay(zone, other)
         if sess is None:
             return base
-        draw = self.world.tables.uniform(sess.client.wish.number, sess.client.draw())
+        draw = self.world.random_tables.uniform(sess.client.request.number, sess.client.next_draw())
         return base * (1.0 + self.scenario.network.jitter * (2.0 * draw - 1.0))
 
     def run(self) -> World:
         self.begin()
-        self.world.agenda.run(self.scenario.seconds)
+        self.world.event_queue.run_until(self.scenario.seconds)
         return self.end()
 
     def begin(self) -> None:
-        """Prepare the run up to time 0; the caller can then run the agenda step by step."""
+        """Prepare the run up to time 0; the caller can then run the event queue step by step."""
         world = self.world
         world.start(self)
-        rows = list(world.list.rows.values())
+        rows = list(world.list_service.rows.values())
         for number in range(self.scenario.fleet.proxies):
-            self.lists[number], self.start_counts[number] = (rows, world.list.version), 0
-            self.instances[number] = Instance(self, number, rows, world.list.version, 0)
-        for sess in world.standing():
+            self.lists[number], self.start_counts[number] = (rows, world.list_service.version), 0
+            self.instances[number] = Instance(self, number, rows, world.list_service.version, 0)
+        for sess in world.create_preexisting_sessions():
             self.instances[sess.proxy].adopt(sess)
 
     def end(self) -> World:
-        """Close the accounts; the agenda must have run to the end of the scenario."""
+        """Close the accounts; the event queue must have run to the end of the scenario."""
         self.world.finish()
         return self.world
 
     # called by the world
 
     def submit(self, sess: Session) -> None:
-        self.world.agenda.after(self.world.network.client, self.deliver, sess)
+        self.world.event_queue.schedule_after(self.world.network.client, self.deliver, sess)
 
     def deliver(self, sess: Session) -> None:
         instance = self.instances.get(sess.proxy)
         if instance is None:
-            self.world.lost(sess)
+            self.world.on_proxy_lost(sess)
         else:
             instance.call_unless_stalled(instance.on_session, (sess,))
 
-    def withdraw(self, sess: Session) -> None:
+    def cancel(self, sess: Session) -> None:
         if instance := self.instances.get(sess.proxy):
             instance.call_unless_stalled(instance.on_client_left, (sess,))
 
-    def ended(self, sess: Session, sent_away: bool) -> None:
+    def close_by_server(self, sess: Session, move: bool) -> None:
         if instance := self.instances.get(sess.proxy):
-            instance.call_unless_stalled(instance.on_server_ended, (sess, sent_away))
+            instance.call_unless_stalled(instance.on_server_ended, (sess, move))
 
     def load_changed(self, sess: Session) -> None:
         if (instance := self.instances.get(sess.proxy)) and (token := instance.tokens.get(sess.number)):
@@ -525,7 +530,7 @@
         rows, seen = self.lists[number]
         self.instances[number] = Instance(self, number, rows, seen, self.start_counts[number])
 
-    def ready(self, number: int) -> bool:
+    def is_ready(self, number: int) -> bool:
         return True
 
     def stop(self, number: int, span: float) -> None:
@@ -533,5 +538,5 @@
 
     def stall(self, number: int, span: float) -> None:
         instance = self.instances[number]
-        instance.stalled_until = max(instance.stalled_until, self.world.agenda.now + span)
+        instance.stalled_until = max(instance.stalled_until, self.world.event_queue.now + span)
         self.world.checker.record_stall(number, instance.stalled_until)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,11 +11,11 @@
 
 from onyxhollow.lab import broken_policies, decisions, runs, scenario  # noqa: E402
 from onyxhollow.lab.invariant_checker import InvariantChecker  # noqa: E402
-from onyxhollow.lab.ledger import merged  # noqa: E402
+from onyxhollow.lab.run_metrics import merge_quantiles  # noqa: E402
 from onyxhollow.lab.virtual import VirtualEngine  # noqa: E402
 from onyxhollow.lab.world import faults  # noqa: E402
-from onyxhollow.lab.world.servers import State  # noqa: E402
-from onyxhollow.lab.world.types import Cause  # noqa: E402
+from onyxhollow.lab.world.servers import ServerState  # noqa: E402
+from onyxhollow.lab.world.types import LossCause  # noqa: E402
 from onyxhollow.lab.world.world import World  # noqa: E402
 from onyxhollow.policy import Balancer  # noqa: E402
 
@@ -29,12 +29,12 @@
 """
 
 
-def small(more="", **changes):
+def small_scenario(more="", **changes):
     made = scenario.decode((SMALL + more).encode(), "small")
     return msgspec.structs.replace(made, **changes)
 
 
-def fault(kind, **values):
+def fault_section(kind, **values):
     rows = [
         f'{key} = "{value}"' if isinstance(value, str) else f"{key} = {str(value).lower()}"
         for key, value in values.items()
@@ -43,7 +43,7 @@
 
 
 def begun(day, seed=1, policy="module"):
-    """An engine whose agenda can be turned by hand."""
+    """Return a started engine and its world; the test runs the event queue step by step."""
     engine = VirtualEngine(day, seed, decisions.find(policy))
     engine.begin()
     return engine, engine.world
@@ -71,33 +71,35 @@
 def test_the_front_takes_a_proxy_that_was_started_once_it_is_ready_and_each_in_its_turn(monkeypatch):
     """150 of 300 processes came up at once on one machine: clients met closed ports, and 1,820 of them were
     called unanswered."""
-    day = small(fault("proxy_crash", at=1.0, lasts=1.0, part=1.0, one_by_one=2.0))
+    day = small_scenario(fault_section("proxy_crash", at=1.0, lasts=1.0, part=1.0, one_by_one=2.0))
     engine, world = begun(day)
-    monkeypatch.setattr(engine, "ready", lambda number: world.agenda.now >= 6.0)
+    monkeypatch.setattr(engine, "is_ready", lambda number: world.event_queue.now >= 6.0)
     dealt, submit = [], engine.submit
-    monkeypatch.setattr(engine, "submit", lambda sess: (dealt.append(world.agenda.now), submit(sess)))
+    monkeypatch.setattr(engine, "submit", lambda sess: (dealt.append(world.event_queue.now), submit(sess)))
     started = []
     restart = engine.restart
-    monkeypatch.setattr(engine, "restart", lambda n: (started.append(world.agenda.now), restart(n)))
-    world.agenda.run(8.0)
+    monkeypatch.setattr(engine, "restart", lambda n: (started.append(world.event_queue.now), restart(n)))
+    world.event_queue.run_until(8.0)
     assert started == pytest.approx([2.0, 4.0])
     noticed = 1.0 + day.front.notice
     assert not [at for at in dealt if noticed < at < 6.0] and [at for at in dealt if at >= 6.0]
 
 
 def test_what_clients_want_depends_on_no_policy_and_accounts_balance():
-    day = small(fault("crash", at=3.0, lasts=3.0, part=0.5) + fault("reconnect", at=8.0, share=0.5))
+    day = small_scenario(
+        fault_section("crash", at=3.0, lasts=3.0, part=0.5) + fault_section("reconnect", at=8.0, share=0.5)
+    )
     told = {
         name: VirtualEngine(day, 2, decisions.find(name)).run() for name in ("module", "random", "true-state")
     }
-    assert len({tuple(world.ledger.wanted) for world in told.values()}) == 1
-    assert len({tuple(world.ledger.earned) for world in told.values()}) == 3
+    assert len({tuple(world.metrics.wanted) for world in told.values()}) == 1
+    assert len({tuple(world.metrics.earned) for world in told.values()}) == 3
     for world in told.values():
-        figures = world.ledger.figures()  # raises where wanted is not earned and lost
+        figures = world.metrics.figures()  # raises where wanted is not earned and lost
         assert sum(figures["lost"].values()) == pytest.approx(1 - figures["service"], abs=1e-6)
         assert figures["lost"]["torn down"] > 0 and figures["lost"]["dropped"] > 0
-        by_listener = sum(world.ledger.listener_earned)
-        assert by_listener == pytest.approx(sum(world.ledger.earned))
+        by_listener = sum(world.metrics.earned_by_listener)
+        assert by_listener == pytest.approx(sum(world.metrics.earned))
 
 
 @pytest.mark.parametrize("rule", [1, 2, 3, 4])
@@ -198,17 +200,21 @@
 
 # what can be seen of a fault half-way, and of the world after it
 MARKS = {
-    "slow": lambda w: any(s.factors for s in w.servers),
-    "hung": lambda w: any(s.hung for s in w.servers),
-    "fast_errors": lambda w: any(s.errors for s in w.servers),
-    "noisy_neighbour": lambda w: w.struck and any(s.capacity(5.9) < 0.5 * s.full for s in w.servers),
-    "vanish": lambda w: any(s.gone_silent for s in w.servers),
-    "zone_lost": lambda w: sum(bool(s.gone_silent) for s in w.servers) == 3,
-    "crash": lambda w: any(s.state is State.STOPPED for s in w.servers),
-    "partition": lambda w: any(w.blocked(p.number, s) == "both" for p in w.proxies for s in w.servers),
-    "lying_reports": lambda w: any(s.lies for s in w.servers),
-    "list_down": lambda w: w.list.down and not w.list.watchers,
-    "list_stale": lambda w: w.list.late,
+    "slow": lambda w: any(s.capacity_factors for s in w.servers),
+    "hung": lambda w: any(s.hung_by for s in w.servers),
+    "fast_errors": lambda w: any(s.error_shares for s in w.servers),
+    "noisy_neighbour": lambda w: (
+        w.affected_servers and any(s.capacity(5.9) < 0.5 * s.full_capacity for s in w.servers)
+    ),
+    "vanish": lambda w: any(s.vanished_by for s in w.servers),
+    "zone_lost": lambda w: sum(bool(s.vanished_by) for s in w.servers) == 3,
+    "crash": lambda w: any(s.state is ServerState.STOPPED for s in w.servers),
+    "partition": lambda w: any(
+        w.blocked_direction(p.number, s) == "both" for p in w.proxies for s in w.servers
+    ),
+    "lying_reports": lambda w: any(s.report_factors for s in w.servers),
+    "list_down": lambda w: w.list_service.down_by and not w.list_service.watchers,
+    "list_stale": lambda w: w.list_service.delay_by_fault,
     "proxy_crash": lambda w: not all(p.alive for p in w.proxies),
 }
 MORE = {"zone_lost": {"zone": "north"}, "noisy_neighbour": {"on": 10.0, "takes": 0.8}}
@@ -217,36 +223,39 @@
 @pytest.mark.parametrize("kind", sorted(MARKS))
 def test_a_fault_bites_while_it_lasts_and_leaves_nothing_behind(kind):
     values = {"at": 4.0, "lasts": 3.0, **MORE.get(kind, {})}
-    engine, world = begun(small(fault(kind, **values)))
-    world.agenda.run(3.9)
+    engine, world = begun(small_scenario(fault_section(kind, **values)))
+    world.event_queue.run_until(3.9)
     assert not MARKS[kind](world)
-    world.agenda.run(5.9)
+    world.event_queue.run_until(5.9)
     assert MARKS[kind](world)
-    world.agenda.run(13.5)
-    assert not MARKS[kind](world) and not world.struck
-    assert all(s.running for s in world.servers) and all(p.alive and p.listed for p in world.proxies)
+    world.event_queue.run_until(13.5)
+    assert not MARKS[kind](world) and not world.affected_servers
+    assert all(s.is_running for s in world.servers) and all(p.alive and p.in_rotation for p in world.proxies)
     engine.end()
 
 
 # faults that are over at once or change what comes: what the run shows of them
 SHOWN = {
-    "reset": ({}, lambda w: w.ledger.counts["cut: torn down"] >= 5),
-    "reconnect": ({"share": 0.5}, lambda w: w.ledger.counts["cut: dropped"] >= 20),
+    "reset": ({}, lambda w: w.metrics.counts["cut: torn down"] >= 5),
+    "reconnect": ({"share": 0.5}, lambda w: w.metrics.counts["cut: dropped"] >= 20),
     "grow": ({"servers": 3}, lambda w: len(w.servers) == 9 and all(s.sessions for s in w.servers)),
-    "shrink": ({"part": 0.5, "drain": 2.0}, lambda w: sum(s.running for s in w.servers) == 3),
+    "shrink": ({"part": 0.5, "drain": 2.0}, lambda w: sum(s.is_running for s in w.servers) == 3),
     "deploy": ({"part": 1.0, "batch": 0.5, "drain": 1.0}, lambda w: all(s.started > 0 for s in w.servers)),
     "clock_step": (
         {"part": 1.0, "step": 60.0},
-        lambda w: all((r.started or 0) > 60 for r in w.list.rows.values()),
+        lambda w: all((r.started or 0) > 60 for r in w.list_service.rows.values()),
     ),
     "proxy_restart": (
         {"part": 1.0, "apart": 0.2, "stop": 2.0},
-        lambda w: w.ledger.counts["proxy restarts"] == 2,
+        lambda w: w.metrics.counts["proxy restarts"] == 2,
+    ),
+    "proxy_stall": ({"at": 3.0, "part": 1.0, "lasts": 2.0}, lambda w: w.metrics.counts["up late"] >= 3),
+    "watch_ended": ({}, lambda w: w.list_service.calls == 4 and len(w.list_service.watchers) == 2),
+    "burst": ({"times": 4.0}, lambda w: sum(4 <= c.request.due < 7 for c in w.clients) > 30),
+    "costly": (
+        {"share": 1.0, "times": 50.0},
+        lambda w: max(c.request.load for c in w.clients) > 50 * w.average_load,
     ),
-    "proxy_stall": ({"at": 3.0, "part": 1.0, "lasts": 2.0}, lambda w: w.ledger.counts["up late"] >= 3),
-    "watch_ended": ({}, lambda w: w.list.calls == 4 and len(w.list.watchers) == 2),
-    "burst": ({"times": 4.0}, lambda w: sum(4 <= c.wish.due < 7 for c in w.clients) > 30),
-    "costly": ({"share": 1.0, "times": 50.0}, lambda w: max(c.wish.load for c in w.clients) > 50 * w.unit),
 }
 
 
@@ -254,12 +263,14 @@
 def test_a_fault_shows_in_the_run_and_not_without_it(kind):
     values, shows = SHOWN[kind]
     with_it = VirtualEngine(
-        small(fault(kind, **{"at": 4.0, "lasts": 3.0, **values})), 1, decisions.find("module")
+        small_scenario(fault_section(kind, **{"at": 4.0, "lasts": 3.0, **values})),
+        1,
+        decisions.find("module"),
     ).run()
-    without = VirtualEngine(small(), 1, decisions.find("module")).run()
-    without.ledger.counts = dict.fromkeys(
+    without = VirtualEngine(small_scenario(), 1, decisions.find("module")).run()
+    without.metrics.counts = dict.fromkeys(
         ["cut: torn down", "cut: dropped", "proxy restarts", "up late"], 0
-    ) | (without.ledger.counts)
+    ) | (without.metrics.counts)
     assert shows(with_it) and not shows(without)
     assert with_it.checker.is_clean
 
@@ -270,43 +281,48 @@
 
 
 def test_two_faults_on_one_server_are_undone_one_by_one():
-    both = fault("slow", at=2.0, lasts=6.0, part=1.0, times=4.0) + fault(
+    both = fault_section("slow", at=2.0, lasts=6.0, part=1.0, times=4.0) + fault_section(
         "slow", at=4.0, lasts=2.0, part=1.0, times=2.0
     )
-    engine, world = begun(small(both))
+    engine, world = begun(small_scenario(both))
     shares = []
     for when in (3.0, 5.0, 7.0, 9.0):
-        world.agenda.run(when)
-        shares.append(1 / world.servers[0].capacity(when) * world.servers[0].full)
+        world.event_queue.run_until(when)
+        shares.append(1 / world.servers[0].capacity(when) * world.servers[0].full_capacity)
     assert [round(share) for share in shares] == [4, 8, 4, 1]
 
 
 def test_a_fault_that_ends_before_it_bites_changes_nothing_of_the_service():
-    day = small(fault("slow", at=4.0, lasts=0.0) + fault("hung", at=4.0, lasts=0.0, part=1.0))
-    told, plain = runs.play(day, 1, "module"), runs.play(small(), 1, "module")
+    day = small_scenario(
+        fault_section("slow", at=4.0, lasts=0.0) + fault_section("hung", at=4.0, lasts=0.0, part=1.0)
+    )
+    told, plain = runs.play(day, 1, "module"), runs.play(small_scenario(), 1, "module")
     assert told["service"] == plain["service"] and told["faults"][0][2] == "slow"
 
 
 def test_a_life_that_ends_in_the_instant_of_its_drain_is_answered_once():
     for early in (0.0, 1e-9):  # its end before the drain, and the drain before its end
-        engine, world = begun(small())
-        client = next(c for c in world.clients if 3.0 < c.wish.end < 8.0 and c.session)
+        engine, world = begun(small_scenario())
+        client = next(c for c in world.clients if 3.0 < c.request.end < 8.0 and c.session)
         sess, server = client.session, client.session.server
-        world.agenda.at(client.wish.end - early, world.drain_server, server, 2.0, False, False)
-        world.agenda.at(client.wish.end - early, world.drop, client)
-        world.agenda.at(client.wish.end - early, world.end_by_server, sess, True)
-        world.agenda.run(world.scenario.seconds)
+        world.event_queue.schedule_at(
+            client.request.end - early, world.drain_server, server, 2.0, False, False
+        )
+        world.event_queue.schedule_at(client.request.end - early, world.drop_client, client)
+        world.event_queue.schedule_at(client.request.end - early, world.end_by_server, sess, True)
+        world.event_queue.run_until(world.scenario.seconds)
         engine.end()
-        assert sess.over and client.done and client.session is None and sess not in server.sessions
-        assert world.checker.is_clean and world.ledger.figures()["service"] > 0.9
+        assert sess.ended and client.finished and client.session is None and sess not in server.sessions
+        assert world.checker.is_clean and world.metrics.figures()["service"] > 0.9
 
 
 def test_a_proxy_that_crashes_with_dials_out_owes_nothing_and_its_clients_come_again():
-    day = small(
-        fault("hung", at=2.0, lasts=4.0, part=1.0) + fault("proxy_crash", at=3.5, lasts=1.0, part=1.0)
+    day = small_scenario(
+        fault_section("hung", at=2.0, lasts=4.0, part=1.0)
+        + fault_section("proxy_crash", at=3.5, lasts=1.0, part=1.0)
     )
     engine, world = begun(day)
-    world.agenda.run(3.45)
+    world.event_queue.run_until(3.45)
     out = [
         token.sess
         for instance in engine.instances.values()
@@ -314,10 +330,10 @@
         if token.attempt_in_flight and not token.established
     ]
     assert out
-    world.agenda.run(day.seconds)
+    world.event_queue.run_until(day.seconds)
     engine.end()
     assert world.checker.is_clean
-    assert all(sess.client.done or sess.client.was_up or sess.client.session for sess in out)
+    assert all(sess.client.finished or sess.client.was_connected or sess.client.session for sess in out)
 
 
 @pytest.mark.parametrize("name", ["one-server", "no-server", "one-proxy", "once-only", "partition-one-way"])
@@ -328,15 +344,17 @@
 
 
 def test_cut_links_mute_what_stands_on_them_and_mending_lets_it_go_on():
-    engine, world = begun(small(fault("partition", at=2.0, lasts=3.0, part=1.0, proxies=0.5, one_way=True)))
-    world.agenda.run(2.5)
-    muted = [sess for server in world.servers for sess in server.sessions if sess.muted]
-    assert muted and {sess.proxy for sess in muted} == set(world.cuts[0].proxies)
-    world.agenda.run(5.5)
-    assert not any(sess.muted for server in world.servers for sess in server.sessions)
-    world.agenda.run(world.scenario.seconds)
+    engine, world = begun(
+        small_scenario(fault_section("partition", at=2.0, lasts=3.0, part=1.0, proxies=0.5, one_way=True))
+    )
+    world.event_queue.run_until(2.5)
+    muted = [sess for server in world.servers for sess in server.sessions if sess.blackholed]
+    assert muted and {sess.proxy for sess in muted} == set(world.blocked_links[0].proxies)
+    world.event_queue.run_until(5.5)
+    assert not any(sess.blackholed for server in world.servers for sess in server.sessions)
+    world.event_queue.run_until(world.scenario.seconds)
     engine.end()
-    assert world.ledger.figures()["lost"][Cause.UNREACHABLE.value] > 0.05 and world.checker.is_clean
+    assert world.metrics.figures()["lost"][LossCause.UNREACHABLE.value] > 0.05 and world.checker.is_clean
 
 
 @pytest.mark.parametrize(
@@ -376,7 +394,7 @@
 
 
 def test_shipped_scenarios_are_sound_and_read_back_as_written():
-    names = scenario.shipped()
+    names = scenario.shipped_scenarios()
     assert len(names) >= 24
     for name in names:
         day = scenario.read(name)
@@ -389,12 +407,12 @@
 
     record = tmp_path / "arrivals"
     record.write_text("1.0\n2.5\n2.6\n")
-    clients = msgspec.structs.replace(small().clients, record=str(record))
-    world = World(small(clients=clients), 1)
-    assert [wish.due for wish in world.wishes if not wish.stands] == [1.0, 2.5, 2.6]
+    clients = msgspec.structs.replace(small_scenario().clients, record=str(record))
+    world = World(small_scenario(clients=clients), 1)
+    assert [request.due for request in world.requests if not request.preexisting] == [1.0, 2.5, 2.6]
     record.write_text("soon\n")
     path = tmp_path / "day.toml"
-    path.write_bytes(scenario.encode(small(clients=clients)))
+    path.write_bytes(scenario.encode(small_scenario(clients=clients)))
     assert main(["lab", "run", str(path)]) == 2
     assert "$.clients.record" in capfd.readouterr().err
     assert main(["lab", "run", "calm", "--policy", "no such; thing"]) == 2
@@ -419,17 +437,19 @@
 
 
 def test_a_daily_curve_has_its_trough_and_peak_and_a_burst_its_place():
-    day = small(seconds=240.0, clients=msgspec.structs.replace(small().clients, shape="daily", swing=0.9))
-    due = [wish.due for wish in World(day, 1).wishes if not wish.stands]
+    day = small_scenario(
+        seconds=240.0, clients=msgspec.structs.replace(small_scenario().clients, shape="daily", swing=0.9)
+    )
+    due = [request.due for request in World(day, 1).requests if not request.preexisting]
     night, noon = (sum(begin <= at < begin + 40 for at in due) for begin in (20, 100))
     assert noon > 4 * night > 0
     assert max(day.clients.swing, 0) < 1 and all(0 <= at < 240 for at in due)
 
 
 def test_latencies_of_several_runs_are_merged_not_averaged():
-    told = [runs.play(small(), seed, "module") for seed in (1, 2)]
-    told.append(runs.play(small(fault("hung", at=2.0, lasts=8.0, part=0.9)), 3, "random"))
+    told = [runs.play(small_scenario(), seed, "module") for seed in (1, 2)]
+    told.append(runs.play(small_scenario(fault_section("hung", at=2.0, lasts=8.0, part=0.9)), 3, "random"))
     each = [run["setup_ms"]["p99"] for run in told]
-    assert merged(told, "setup")["p50"] < 100 and each[2] > 10 * each[0]
-    assert merged(told, "setup")["p99"] != pytest.approx(sum(each) / 3, rel=0.02)
-    assert merged(told[:1], "setup") == told[0]["setup_ms"]
+    assert merge_quantiles(told, "setup")["p50"] < 100 and each[2] > 10 * each[0]
+    assert merge_quantiles(told, "setup")["p99"] != pytest.approx(sum(each) / 3, rel=0.02)
+    assert merge_quantiles(told[:1], "setup") == told[0]["setup_ms"]
