--- a/onyxhollow/lab/baselines.py
+++ b/onyxhollow/lab/baselines.py
@@ -1,8 +1,8 @@
-"""Policies to compare with, behind the module's own door. They keep the four rules and are else plain.
+"""Baseline policies with the interface of the decision module. They keep the four rules.
 
-Drains: connections placed are moved evenly over a few seconds. Cold servers: each balancer keeps its
-share of the budget, by the own SlowStartBudget of the module. TrueState sees the true state; no real
-policy can."""
+Connections on a draining server are migrated evenly over a few seconds. Warming-up servers get sessions from
+the module's own SlowStartBudget. TrueState reads the true state of the servers, which no real policy can.
+"""
 
 from __future__ import annotations
 
@@ -31,35 +31,33 @@
     from onyxhollow.lab.world import servers
     from onyxhollow.lab.world.world import World
 
-DRAIN_OVER = 3.0  # seconds over which the connections of a draining server are moved
-ASK_EVERY = 0.5  # seconds until the list is asked again after a failure
-FULL, ROOMY, FAR = (
-    0.95,
-    0.7,
-    0.12,
-)  # TrueState: load that bars a server; gathers groups; worth of its own zone
-HOLD = 0.25  # seconds between looks at what waits for a server
+DRAIN_SECONDS = 3.0  # over which the connections of a draining server are migrated
+POLL_RETRY_SECONDS = 0.5  # until the list is polled again after a failure
+# TrueState: load from which a server gets no session; load up to which sessions are placed with their group;
+# load that is added for a server in another zone.
+MAX_LOAD, GROUPING_LOAD, OTHER_ZONE_PENALTY = 0.95, 0.7, 0.12
+RETRY_WAITING_SECONDS = 0.25  # between attempts to place the sessions that wait for a server
 
 
-class Known:
-    """A server as the list tells it."""
+class KnownServer:
+    """A server as the endpoint list describes it."""
 
     def __init__(self, entry: Endpoint) -> None:
-        self.name, self.open = entry.name, dict[Plain.Session, None]()
-        self.learn(entry)
+        self.name, self.open = entry.name, dict[Baseline.Session, None]()
+        self.update(entry)
 
-    def learn(self, entry: Endpoint) -> None:
+    def update(self, entry: Endpoint) -> None:
         self.state, self.size, self.started_at = entry.state, entry.weight, entry.started_at
         self.zone, self.cell = entry.zone, entry.cell
 
 
-class Plain:
-    """What all baselines share; choose is theirs."""
+class Baseline:
+    """The part that all baselines share; each one implements choose."""
 
     class Session:
         def __init__(
             self,
-            balancer: Plain,
+            balancer: Baseline,
             token: Hashable,
             listener: Listener,
             tenant: Tenant | None,
@@ -67,11 +65,11 @@
         ) -> None:
             self.balancer, self.token, self.listener, self.tenant = balancer, token, listener, tenant
             self.deadline = deadline
-            self.attempted: list[Known] = []
+            self.attempted: list[KnownServer] = []
             self.attempt_in_flight = self.established = self.answered = False
-            self.ran_at: Known | None = None
+            self.ran_at: KnownServer | None = None
             self.ran_since = 0.0
-            self.server: Known | None = None
+            self.server: KnownServer | None = None
 
         def on_established(self, took: float) -> None:
             self.established = self.answered = True
@@ -88,45 +86,48 @@
         ) -> None:
             if not self.attempt_in_flight or self.server is None:
                 return
-            self.attempt_in_flight, stood, self.established = False, self.established, False
+            self.attempt_in_flight, was_established, self.established = False, self.established, False
             self.server.open.pop(self, None)
-            if not end.never_ran and not stood and self.ran_at is None:
+            if not end.never_ran and not was_established and self.ran_at is None:
                 self.ran_at = self.server
-            if final or stood:
+            if final or was_established:
                 self.answered = True
             elif not self.answered:
                 self.balancer.attempt(self)
 
     def __init__(self, host: Host, settings: Settings, seed: int, world: World) -> None:
         self.host, self.settings, self.rng, self.world = host, settings, Random(seed), world
-        self.servers: dict[str, Known] = {}
-        self.lost, self.ask_at = settings.list_is_polled, host.now + 0.05 * self.rng.random()
-        self.waiting: list[Plain.Session] = []
-        self.due: list[tuple[float, int, Callable[[], None]]] = []
-        self.counter, self.look_at = 0, 0.0
+        self.servers: dict[str, KnownServer] = {}
+        self.list_lost, self.poll_at = settings.list_is_polled, host.now + 0.05 * self.rng.random()
+        self.waiting: list[Baseline.Session] = []
+        self.migrations: list[tuple[float, int, Callable[[], None]]] = []
+        self.due_count, self.retry_at = 0, 0.0
         self.budget = SlowStartBudget(host.now)
         self.budget.apply_settings(settings)
         host.set_timer(host.now + TICK_SECONDS)
 
-    # the module's door
+    # the interface of the decision module
 
     def on_endpoint_list(self, kind: EndpointListKind, entries: Iterable[Endpoint]) -> None:
         if kind is EndpointListKind.FAILED:
-            self.lost, self.ask_at = True, self.host.now + ASK_EVERY * (0.5 + self.rng.random())
+            self.list_lost, self.poll_at = (
+                True,
+                self.host.now + POLL_RETRY_SECONDS * (0.5 + self.rng.random()),
+            )
             return
         if kind is not EndpointListKind.CACHED:
-            self.lost = False
+            self.list_lost = False
         absent = set(self.servers) if kind is not EndpointListKind.DELTA else set()
         for entry in entries:
             absent.discard(entry.name)
             known = self.servers.get(entry.name)
-            news = known is None or known.state is EndpointState.IN_SERVICE
-            known = known or self.servers.setdefault(entry.name, Known(entry))
+            was_in_service = known is None or known.state is EndpointState.IN_SERVICE
+            known = known or self.servers.setdefault(entry.name, KnownServer(entry))
             if entry.started_at != known.started_at:
                 phase = stable_uniform(known.name, self.settings.instance_index)
                 self.budget.tokens[known] = (phase, self.host.now)  # type: ignore[index]
-            known.learn(entry)
-            if entry.state is EndpointState.DRAINING and news:
+            known.update(entry)
+            if entry.state is EndpointState.DRAINING and was_in_service:
                 self.drain(known)
         for name in sorted(absent):
             self.servers[name].state = EndpointState.REMOVED
@@ -139,8 +140,8 @@
         group: Hashable,
         time_left: float,
         load: float | None,
-    ) -> Plain.Session:
-        sess = Plain.Session(self, token, listener, tenant, self.host.now + time_left)
+    ) -> Baseline.Session:
+        sess = Baseline.Session(self, token, listener, tenant, self.host.now + time_left)
         self.budget.record_arrival(self.host.now)
         self.attempt(sess)
         return sess
@@ -153,10 +154,10 @@
         group: Hashable,
         load: float | None,
         name: str,
-    ) -> Plain.Session | None:
+    ) -> Baseline.Session | None:
         if (server := self.servers.get(name)) is None:
             return None
-        sess = Plain.Session(self, token, listener, tenant, float("inf"))
+        sess = Baseline.Session(self, token, listener, tenant, float("inf"))
         sess.server, sess.attempt_in_flight, sess.established, sess.answered = server, True, True, True
         server.open[sess] = None
         return sess
@@ -165,35 +166,35 @@
 
     def tick(self) -> None:
         now = self.host.now
-        if self.lost and now >= self.ask_at:
-            self.ask_at = now + self.settings.max_poll_interval / 2
+        if self.list_lost and now >= self.poll_at:
+            self.poll_at = now + self.settings.max_poll_interval / 2
             self.host.poll_endpoint_list()
-        while self.due and self.due[0][0] <= now:
-            heapq.heappop(self.due)[2]()
-        if self.waiting and now >= self.look_at:
-            self.look_at = now + HOLD
+        while self.migrations and self.migrations[0][0] <= now:
+            heapq.heappop(self.migrations)[2]()
+        if self.waiting and now >= self.retry_at:
+            self.retry_at = now + RETRY_WAITING_SECONDS
             waiting, self.waiting = self.waiting, []
             for sess in waiting:
                 self.attempt(sess)
         self.host.set_timer(now + TICK_SECONDS)
 
-    # within
+    # placement
 
-    def drain(self, server: Known) -> None:
+    def drain(self, server: KnownServer) -> None:
         moving = [sess for sess in server.open if sess.established]
         for place, sess in enumerate(moving):
-            self.counter += 1
-            when = self.host.now + DRAIN_OVER * (place + 1) / len(moving)
-            heapq.heappush(self.due, (when, self.counter, lambda sess=sess: self.move(sess)))  # type: ignore[misc]
+            self.due_count += 1
+            when = self.host.now + DRAIN_SECONDS * (place + 1) / len(moving)
+            heapq.heappush(self.migrations, (when, self.due_count, lambda sess=sess: self.migrate(sess)))  # type: ignore[misc]
 
-    def move(self, sess: Plain.Session) -> None:
+    def migrate(self, sess: Baseline.Session) -> None:
         if sess.established and sess.server is not None:
             sess.established = False
             sess.server.open.pop(sess, None)
             self.host.migrate(sess.token)
 
-    def allowed(self, sess: Plain.Session, server: Known) -> bool:
-        """Rules 2 and 3, and the cold budget."""
+    def is_allowed(self, sess: Baseline.Session, server: KnownServer) -> bool:
+        """Return whether rules 2 and 3 and the slow-start budget allow a session on a server."""
         now, listener, first = self.host.now, sess.listener, sess.ran_at
         if server.state is not EndpointState.IN_SERVICE:
             return False
@@ -210,32 +211,32 @@
             }
             if not same[listener.deduplication_scope]:
                 return False
-        return self.budget.refill(server, self.fill(), now) >= 1.0  # type: ignore[arg-type]
+        return self.budget.refill(server, self.connections_per_size(), now) >= 1.0  # type: ignore[arg-type]
 
-    def fill(self) -> float:
-        """Own connections that fill a warm server, per size; taken to be what it has now."""
+    def connections_per_size(self) -> float:
+        """Return the connections per server size on this proxy's warm servers, taken as their capacity."""
         warm = [s for s in self.servers.values() if not self.budget.warming_up(s, self.host.now)]  # type: ignore[arg-type]
         size = sum(s.size for s in warm)
         return max(0.5, sum(len(s.open) for s in warm)) / size if size else 1.0
 
-    def attempt(self, sess: Plain.Session) -> None:
+    def attempt(self, sess: Baseline.Session) -> None:
         if sess.answered or sess.attempt_in_flight:
             return
         now, left = self.host.now, sess.deadline - self.host.now
         spent = left <= 0 or len(sess.attempted) >= self.settings.max_attempts
-        fit = [] if spent else [s for s in self.servers.values() if self.allowed(sess, s)]
-        fit = [s for s in fit if s not in sess.attempted] or fit
-        if not fit:
+        eligible = [] if spent else [s for s in self.servers.values() if self.is_allowed(sess, s)]
+        eligible = [s for s in eligible if s not in sess.attempted] or eligible
+        if not eligible:
             if not spent and not sess.attempted and left > sess.listener.attempt_timeout / 2:
                 self.waiting.append(sess)
             else:
-                self.end(sess)
+                self.answer_unplaced(sess)
             return
-        if (server := self.choose(fit, sess)) is None:
-            self.end(sess)
+        if (server := self.choose(eligible, sess)) is None:
+            self.answer_unplaced(sess)
             return
         if self.budget.warming_up(server, now):  # type: ignore[arg-type]
-            level = self.budget.refill(server, self.fill(), now)  # type: ignore[arg-type]
+            level = self.budget.refill(server, self.connections_per_size(), now)  # type: ignore[arg-type]
             self.budget.tokens[server] = (level - 1.0, now)  # type: ignore[index]
         sess.server, sess.attempt_in_flight = server, True
         sess.attempted.append(server)
@@ -250,89 +251,97 @@
             sess.token, server.name, left if last else min(left, sess.listener.handshake_objective)
         )
 
-    def end(self, sess: Plain.Session) -> None:
-        sess.answered, repeat = True, sess.listener.idempotency
+    def answer_unplaced(self, sess: Baseline.Session) -> None:
+        sess.answered, idempotency = True, sess.listener.idempotency
         everywhere = (
-            repeat is Idempotency.KEYED and sess.listener.deduplication_scope is DeduplicationScope.ALL
+            idempotency is Idempotency.KEYED and sess.listener.deduplication_scope is DeduplicationScope.ALL
         )
-        if sess.ran_at is None or repeat is Idempotency.IDEMPOTENT or everywhere:
+        if sess.ran_at is None or idempotency is Idempotency.IDEMPOTENT or everywhere:
             self.host.reject(sess.token, self.settings.max_retry_after * self.rng.random())
         else:
             self.host.tear_down(sess.token)
 
-    def choose(self, fit: list[Known], sess: Plain.Session) -> Known | None:
+    def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer | None:
         raise NotImplementedError
 
 
-class RandomChoice(Plain):
-    def choose(self, fit: list[Known], sess: Plain.Session) -> Known:
-        return self.rng.choice(fit)
+class RandomChoice(Baseline):
+    def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer:
+        return self.rng.choice(eligible)
 
 
-class RoundRobin(Plain):
+class RoundRobin(Baseline):
     turn = -1
 
-    def choose(self, fit: list[Known], sess: Plain.Session) -> Known:
+    def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer:
         if self.turn < 0:
-            self.turn = self.rng.randrange(1 << 16)  # balancers that start in step would go round in step
+            # Without a random start all proxies would pick the same server at the same time.
+            self.turn = self.rng.randrange(1 << 16)
         self.turn += 1
-        return fit[self.turn % len(fit)]
+        return eligible[self.turn % len(eligible)]
+
 
+class LeastConnections(Baseline):
+    def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer:
+        return min(eligible, key=lambda s: ((len(s.open) + 1) / s.size, self.rng.random()))
 
-class LeastConnections(Plain):
-    def choose(self, fit: list[Known], sess: Plain.Session) -> Known:
-        return min(fit, key=lambda s: ((len(s.open) + 1) / s.size, self.rng.random()))
 
+class TwoChoices(Baseline):
+    def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer:
+        sampled = self.rng.sample(eligible, min(2, len(eligible)))
+        return min(sampled, key=lambda s: (len(s.open) + 1) / s.size)
 
-class TwoChoices(Plain):
-    def choose(self, fit: list[Known], sess: Plain.Session) -> Known:
-        two = self.rng.sample(fit, min(2, len(fit)))
-        return min(two, key=lambda s: (len(s.open) + 1) / s.size)
 
+class TrueState(Baseline):
+    """The reference policy: reads the current load, backlog and health of every server.
 
-class TrueState(Plain):
-    """The mark for the best: sees load, pile and health of every server at the instant, and what is on
-    its way."""
+    It also counts its own attempts in flight.
+    """
 
-    def truth(self, server: Known) -> servers.Server:
+    def true_server(self, server: KnownServer) -> servers.Server:
         return self.world.servers_by_name[server.name]
 
-    def choose(self, fit: list[Known], sess: Plain.Session) -> Known | None:
-        now, mine, unit = self.host.now, self.settings.zone, self.world.average_load
+    def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer | None:
+        now, own_zone, unit = self.host.now, self.settings.zone, self.world.average_load
         group = self.world.group_of(sess.token)
 
-        def look(known: Known) -> tuple[float, bool]:
-            """Load over capacity once it has the session too, and whether its group is there already."""
-            server = self.truth(known)
-            bad = (
+        def estimate(known: KnownServer) -> tuple[float, bool]:
+            """Return load over capacity with the session added, and whether its group is on the server."""
+            server = self.true_server(known)
+            unusable = (
                 not server.is_running
                 or server.is_unresponsive
                 or server.error_shares
                 or server.state.value == "draining"
             )
             if (
-                bad
+                unusable
                 or self.world.blocked_links
                 and self.world.blocked_direction(self.settings.instance_index, server)
             ):
                 return 100.0, False
-            there = group < 0 or group in server.groups
-            out = sum(1 for other in known.open if not other.established)
-            wanted = server.demand + server.group_load() + unit * (1 + out)
-            wanted += 0.0 if there else self.world.scenario.fleet.group_cost * unit
+            has_group = group < 0 or group in server.groups
+            in_flight = sum(1 for other in known.open if not other.established)
+            demand = server.demand + server.group_load() + unit * (1 + in_flight)
+            demand += 0.0 if has_group else self.world.scenario.fleet.group_cost * unit
             capacity = server.capacity(now)
-            far = 0.0 if known.zone == mine else FAR
-            return wanted / capacity + server.backlog / capacity + far, there
-
-        seen = sorted((not there, load, s.name, s) for s in fit for load, there in [look(s)] if load < FULL)
-        roomy = [row for row in seen if row[1] < ROOMY]
-        if roomy:
-            return roomy[0][3]
-        # Where none has room for all, another session would cost those that stand more than it earns.
-        return min(seen, key=lambda row: row[1:3])[3] if seen else None
+            penalty = 0.0 if known.zone == own_zone else OTHER_ZONE_PENALTY
+            return demand / capacity + server.backlog / capacity + penalty, has_group
+
+        candidates = sorted(
+            (not has_group, load, s.name, s)
+            for s in eligible
+            for load, has_group in [estimate(s)]
+            if load < MAX_LOAD
+        )
+        unloaded = [row for row in candidates if row[1] < GROUPING_LOAD]
+        if unloaded:
+            return unloaded[0][3]
+        # On a server above MAX_LOAD a new session would cost the existing ones more than it earns.
+        return min(candidates, key=lambda row: row[1:3])[3] if candidates else None
 
 
-BY_NAME: dict[str, type[Plain]] = {
+BY_NAME: dict[str, type[Baseline]] = {
     "random": RandomChoice,
     "round-robin": RoundRobin,
     "least-connections": LeastConnections,
