--- a/onyxhollow/lab/__init__.py
+++ b/onyxhollow/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: a model of fleet, clients and network on which decisions are played, judged and compared."""
+"""The lab: an emulator of fleet, clients and network that plays, checks and compares decisions."""
--- a/onyxhollow/lab/broken_policies.py
+++ b/onyxhollow/lab/broken_policies.py
@@ -1,4 +1,4 @@
-"""Policies that break a rule each on purpose: what the checker must catch. Never offered for use."""
+"""Policies that each break one rule on purpose, to test the invariant checker. They can't be selected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from onyxhollow.policy import Balancer, Session
 from onyxhollow.policy.tracked import TrackedEndpoint
 
-DAY = """
+SCENARIO_TEMPLATE = """
 title = "{title}"
 seconds = 16.0
 [fleet]
@@ -23,19 +23,19 @@
 """
 
 
-class Forgetful(Balancer):
-    """Rule 1: of the sessions that may not be dialled again it forgets every other one."""
+class DroppingBalancer(Balancer):
+    """Breaks rule 1: leaves every other session unanswered that may not be attempted again."""
 
-    forgotten = 0
+    finished_count = 0
 
     def finish(self, sess: Session) -> None:
-        self.forgotten += 1
-        if self.forgotten % 2:
+        self.finished_count += 1
+        if self.finished_count % 2:
             super().finish(sess)
 
 
-class Repeating(Balancer):
-    """Rule 2: dials again whatever may have run."""
+class RetryingBalancer(Balancer):
+    """Breaks rule 2: retries sessions that may have run."""
 
     def attempt(self, sess: Session) -> None:
         sess.may_have_run_on = None
@@ -45,8 +45,8 @@
         return min(left, sess.listener.handshake_objective)
 
 
-class DeafToDrains(Balancer):
-    """Rule 3: goes on placing on servers told draining."""
+class DrainIgnoringBalancer(Balancer):
+    """Breaks rule 3: places sessions on draining servers."""
 
     def withdraw(self, server: TrackedEndpoint, new_state: EndpointState) -> None:
         if new_state is EndpointState.REMOVED:
@@ -59,8 +59,8 @@
         self.redraw_subset()
 
 
-class Rushing(Balancer):
-    """Rule 4: sends all to a server that has just come."""
+class RushingBalancer(Balancer):
+    """Breaks rule 4: sends all sessions to the server that started last."""
 
     def within_slow_start(self, server: TrackedEndpoint, sess: Session) -> bool:
         return True
@@ -72,24 +72,27 @@
         )
 
 
-def day(title: str, more: str) -> Scenario:
-    return decode(DAY.format(title=title, more=more).encode(), title)
+def make_scenario(title: str, more: str) -> Scenario:
+    return decode(SCENARIO_TEMPLATE.format(title=title, more=more).encode(), title)
 
 
-ONCE = '[[listeners]]\nname = "charge"\nrepeat = "once-only"\n'
+ONCE_ONLY_LISTENER = '[[listeners]]\nname = "charge"\nrepeat = "once-only"\n'
 
 
 def scenarios_by_rule() -> dict[int, tuple[type[Balancer], Scenario]]:
-    """For each rule a policy that breaks it, and a day on which that shows."""
-    failing = ONCE + '[[faults]]\nkind = "fast_errors"\nat = 4.0\nlasts = 8.0\npart = 0.5\nshare = 1.0\n'
-    drained = '[[faults]]\nkind = "shrink"\nat = 4.0\nlasts = 2.0\npart = 0.3\ndrain = 8.0\n'
-    grown = (
+    """Return, for each rule, a policy that breaks it and a scenario in which that has consequences."""
+    failing = (
+        ONCE_ONLY_LISTENER
+        + '[[faults]]\nkind = "fast_errors"\nat = 4.0\nlasts = 8.0\npart = 0.5\nshare = 1.0\n'
+    )
+    shrinking = '[[faults]]\nkind = "shrink"\nat = 4.0\nlasts = 2.0\npart = 0.3\ndrain = 8.0\n'
+    growing = (
         '[[faults]]\nkind = "grow"\nat = 3.0\nlasts = 0.5\nservers = 1\n'
         '[[faults]]\nkind = "reconnect"\nat = 6.0\nlasts = 0.5\nshare = 0.7\n'
     )
     return {
-        1: (Forgetful, day("failing", failing)),
-        2: (Repeating, day("failing", failing)),
-        3: (DeafToDrains, day("drained", drained)),
-        4: (Rushing, day("grown", grown)),
+        1: (DroppingBalancer, make_scenario("failing", failing)),
+        2: (RetryingBalancer, make_scenario("failing", failing)),
+        3: (DrainIgnoringBalancer, make_scenario("drained", shrinking)),
+        4: (RushingBalancer, make_scenario("grown", growing)),
     }
--- a/onyxhollow/lab/cli.py
+++ b/onyxhollow/lab/cli.py
@@ -17,78 +17,88 @@
 from onyxhollow.lab import decisions, experiment, runs, scenario
 from onyxhollow.lab.run_metrics import merge_quantiles
 
-LOST_SHOWN = 0.0005  # share of the wanted utility from which a cause gets a line
+MIN_SHOWN_LOSS = 0.0005  # share of the wanted utility; smaller losses are not printed
 
 
 def parser() -> argparse.ArgumentParser:
     top = argparse.ArgumentParser(
-        prog="onyxhollow lab", description="Plays days on a model of fleet and clients."
+        prog="onyxhollow lab", description="Plays scenarios on an emulated fleet with emulated clients."
     )
     commands = top.add_subparsers(dest="command", required=True)
     commands.add_parser("list", help="scenarios and policies")
-    show = commands.add_parser("show", help="a scenario, whole, as TOML")
+    show = commands.add_parser("show", help="print a scenario as TOML")
     show.add_argument("scenario", help="a name of list, or a file")
     run = commands.add_parser("run", help="one run")
     run.add_argument("scenario", help="a name of list, or a file")
     run.add_argument("--seed", type=int, default=1)
     run.add_argument("--policy", default="module", help="a name of list, or a commit of this repository")
-    run.add_argument("--json", metavar="FILE", help="all figures, with series for reports")
+    run.add_argument("--json", metavar="FILE", help="write all figures, with series for reports")
     run.add_argument("--engine", choices=("virtual", "sockets"), default="virtual")
-    run.add_argument("--logs", type=Path, help="on sockets: where the proxies' logs stay")
-    run.add_argument("--picture", type=Path, help="in virtual time: a snapshot for onyxhollow topology")
-    run.add_argument("--picture-at", type=float, default=0.0, metavar="SECONDS", help="else half of the run")
-    for name, does in (
+    run.add_argument("--logs", type=Path, help="on sockets: folder for the proxies' logs")
+    run.add_argument("--picture", type=Path, help="in virtual time: write a snapshot for onyxhollow topology")
+    run.add_argument(
+        "--picture-at", type=float, default=0.0, metavar="SECONDS", help="default: half of the run"
+    )
+    for name, help_text in (
         ("experiment", "scenarios x policies x seeds; resumable"),
-        ("compare", "is B better than A, where, by how much, how sure"),
+        ("compare", "compare policy B with A by scenario, with confidence intervals"),
     ):
-        command = commands.add_parser(name, help=does)
+        command = commands.add_parser(name, help=help_text)
         if name == "compare":
             command.add_argument("a", help="a policy")
             command.add_argument("b", help="a policy")
         else:
-            command.add_argument("file", nargs="?", help="TOML: scenarios, policies, seeds; else the options")
             command.add_argument(
-                "--policies", default="module,true-state,two-choices", help="names, by comma"
+                "file", nargs="?", help="TOML with scenarios, policies and seeds; default: the options"
+            )
+            command.add_argument(
+                "--policies", default="module,true-state,two-choices", help="names, separated by commas"
             )
         command.add_argument(
-            "--scenarios", default="", help="names or files, by comma; else all but the grown ones"
+            "--scenarios",
+            default="",
+            help="names or files, separated by commas; default: all except the grown ones",
         )
         command.add_argument("--seeds", type=int, default=5, metavar="N", help="1 to N")
         command.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="processes")
-        command.add_argument("--dir", type=Path, default=Path("found/lab"), help="where runs are kept")
-        command.add_argument("--json", metavar="FILE", help="the figures for programs")
-    seek = commands.add_parser(
-        "search", help="days on which a policy stands farthest under the true-state mark"
+        command.add_argument(
+            "--dir", type=Path, default=Path("found/lab"), help="folder for the results of runs"
+        )
+        command.add_argument("--json", metavar="FILE", help="write the figures as JSON")
+    search = commands.add_parser(
+        "search", help="find scenarios with the largest gap between a policy and true-state"
     )
-    seek.add_argument("scenario", nargs="?", help="its fleet is kept; else fleets are drawn too")
-    seek.add_argument("--policy", default="module")
-    seek.add_argument("--days", type=int, default=60, help="drawn")
-    seek.add_argument("--keep", type=int, default=3, help="cut down and written")
-    seek.add_argument("--seed", type=int, default=1)
-    seek.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="processes")
-    seek.add_argument("--out", type=Path, default=Path("found"), help="where the scenario files go")
-    show = commands.add_parser("report", help="HTML of one run, or of two beside each other")
+    search.add_argument("scenario", nargs="?", help="keep its fleet; default: draw fleets too")
+    search.add_argument("--policy", default="module")
+    search.add_argument("--days", type=int, default=60, help="scenarios to draw")
+    search.add_argument("--keep", type=int, default=3, help="scenarios to reduce and write")
+    search.add_argument("--seed", type=int, default=1)
+    search.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="processes")
+    search.add_argument("--out", type=Path, default=Path("found"), help="folder for the scenario files")
+    show = commands.add_parser("report", help="HTML of one run, or of two side by side")
     show.add_argument("runs", nargs="+", type=Path, help="files of run --json, or folders of them")
-    show.add_argument("--out", type=Path, help="else beside the first run")
+    show.add_argument("--out", type=Path, help="default: next to the first run")
     show.add_argument("--svg", type=Path, metavar="FOLDER", help="maps of load and herds of one run")
-    fleet = commands.add_parser("fleet", help="duties on real processes, with faults between them")
+    fleet = commands.add_parser(
+        "fleet", help="roles on a cluster of real processes, with faults between them"
+    )
     parts = fleet.add_subparsers(dest="part", required=True)
-    parts.add_parser("list", help="courses")
-    play = parts.add_parser("run", help="one course, shown live, judged from its record")
+    parts.add_parser("list", help="fault scenarios")
+    play = parts.add_parser("run", help="one fault scenario, shown live and checked from its event record")
     play.add_argument("course", help="a name of list, or a file")
     play.add_argument("--seed", type=int, help="instead of the file's")
     play.add_argument("--members", type=int, help="instead of the file's")
-    play.add_argument("--logs", type=Path, help="where the processes' files and logs stay")
-    play.add_argument("--json", action="store_true", help="the verdict for programs")
+    play.add_argument("--logs", type=Path, help="folder for the processes' files and logs")
+    play.add_argument("--json", action="store_true", help="print the verdict as JSON")
     commands.add_parser("demo-addresses", help="three sites, one lost, shown live; half a minute")
     commands.add_parser("demo", help="a small fleet on sockets, shown live; half a minute")
     return top
 
 
-def main(words: list[str]) -> int:
-    told = parser().parse_args(words)
+def main(arguments: list[str]) -> int:
+    args = parser().parse_args(arguments)
     try:
-        return int(globals()[f"do_{told.command.replace('-', '_')}"](told))
+        return int(globals()[f"do_{args.command.replace('-', '_')}"](args))
     except (scenario.ScenarioError, decisions.PolicyError, runs.RunError) as error:
         sys.stderr.write(f"onyxhollow: {error}\n")
         return 2
@@ -108,11 +118,11 @@
     return 0
 
 
-def do_fleet(told: argparse.Namespace) -> int:
+def do_fleet(args: argparse.Namespace) -> int:
     from onyxhollow.lab.fleet import course, show
 
     try:
-        return show.listed() if told.part == "list" else show.play(told)
+        return show.listed() if args.part == "list" else show.play(args)
     except course.CourseError as error:
         raise runs.RunError(str(error)) from None
 
@@ -129,90 +139,89 @@
     return demo.show(Console())
 
 
-def do_search(told: argparse.Namespace) -> int:
+def do_search(args: argparse.Namespace) -> int:
     from onyxhollow.lab import search
 
-    if told.days < 1 or told.keep < 0 or told.jobs < 1:
+    if args.days < 1 or args.keep < 0 or args.jobs < 1:
         raise runs.RunError("--days and --jobs: expected 1 or more; --keep: 0 or more")
     console = Console(stderr=True)
-    decisions.find(told.policy)
-    base = scenario.read(told.scenario) if told.scenario else None
-    told.out.mkdir(parents=True, exist_ok=True)
-    for row in search.search(told.policy, told.days, told.keep, told.seed, told.jobs, console.print, base):
-        path = told.out / f"{row.day.title}.toml"
-        path.write_bytes(scenario.encode(row.day))
+    decisions.find(args.policy)
+    base = scenario.read(args.scenario) if args.scenario else None
+    args.out.mkdir(parents=True, exist_ok=True)
+    for row in search.search(args.policy, args.days, args.keep, args.seed, args.jobs, console.print, base):
+        path = args.out / f"{row.scenario.title}.toml"
+        path.write_bytes(scenario.encode(row.scenario))
         print(f"{path}: {row.gap:.3f} under the mark")
     return 0
 
 
 def read_run(path: Path) -> dict[str, Any]:
     try:
-        told = json.loads(path.read_bytes())
+        result = json.loads(path.read_bytes())
     except (OSError, ValueError) as error:
         raise runs.RunError(f"{path}: expected a file of run --json: {error}") from None
-    if not isinstance(told, dict) or "series" not in told:
+    if not isinstance(result, dict) or "series" not in result:
         raise runs.RunError(f"{path}: expected a file of run --json with series, got none")
-    return told
+    return result
 
 
-def do_report(told: argparse.Namespace) -> int:
-    """A folder: a page for each run in it that holds its series; files: one page, two of them side by
-    side."""
+def do_report(args: argparse.Namespace) -> int:
+    """Write a page for each run with series in a folder, or one page for one or two run files."""
     from onyxhollow.lab import report
 
-    for folder in [path for path in told.runs if path.is_dir()]:
+    for folder in [path for path in args.runs if path.is_dir()]:
         for path in sorted(folder.glob("*.json")):
             if b'"series"' in path.read_bytes():
                 report.write([read_run(path)], path.with_suffix(".html"))
                 print(path.with_suffix(".html"))
-    files = [path for path in told.runs if not path.is_dir()]
+    files = [path for path in args.runs if not path.is_dir()]
     if len(files) > 2:
         raise runs.RunError(f"report: expected one run or two, got {len(files)}")
-    if told.svg and files:
+    if args.svg and files:
         run = read_run(files[0])
-        told.svg.mkdir(parents=True, exist_ok=True)
-        for name, made in (("load", report.heat(run, 9.6)), ("herds", report.herds(run, 9.6))):
-            (told.svg / f"{name}.svg").write_text(made)
-            print(told.svg / f"{name}.svg")
+        args.svg.mkdir(parents=True, exist_ok=True)
+        for name, svg in (("load", report.load_map(run, 9.6)), ("herds", report.herd_map(run, 9.6))):
+            (args.svg / f"{name}.svg").write_text(svg)
+            print(args.svg / f"{name}.svg")
     elif files:
-        out = told.out or files[0].with_suffix(".html")
+        out = args.out or files[0].with_suffix(".html")
         report.write([read_run(path) for path in files], out)
         print(out)
     return 0
 
 
-def do_show(told: argparse.Namespace) -> int:
-    sys.stdout.write(scenario.encode(scenario.read(told.scenario)).decode())
+def do_show(args: argparse.Namespace) -> int:
+    sys.stdout.write(scenario.encode(scenario.read(args.scenario)).decode())
     return 0
 
 
-def do_run(told: argparse.Namespace) -> int:
-    day = scenario.read(told.scenario)
+def do_run(args: argparse.Namespace) -> int:
+    selected = scenario.read(args.scenario)
     with Progress(*Progress.get_default_columns(), console=Console(stderr=True), transient=True) as bar:
-        task = bar.add_task("seconds", total=day.seconds, visible=told.engine == "sockets")
+        task = bar.add_task("seconds", total=selected.seconds, visible=args.engine == "sockets")
         figures = runs.play(
-            day,
-            told.seed,
-            told.policy,
-            bool(told.json),
-            told.engine,
-            told.logs,
+            selected,
+            args.seed,
+            args.policy,
+            bool(args.json),
+            args.engine,
+            args.logs,
             lambda now, of: bar.update(task, completed=now),
-            (told.picture, told.picture_at or day.seconds / 2) if told.picture else None,
+            (args.picture, args.picture_at or selected.seconds / 2) if args.picture else None,
         )
-    if told.json:
-        Path(told.json).write_bytes(runs.to_json(figures))
+    if args.json:
+        Path(args.json).write_bytes(runs.to_json(figures))
     summary(figures, Console())
-    found = figures.get("sockets", {})
-    for what in ("void", "crashes", "complaints", "failures"):
-        if found.get(what):
-            print(f"{what}: {found[what]}")
-    sound = not any(found.get(what) for what in ("void", "crashes", "complaints", "failures"))
-    return 0 if figures["rules"]["clean"] and sound else 1
+    findings = figures.get("sockets", {})
+    for key in ("void", "crashes", "complaints", "failures"):
+        if findings.get(key):
+            print(f"{key}: {findings[key]}")
+    passed = not any(findings.get(key) for key in ("void", "crashes", "complaints", "failures"))
+    return 0 if figures["rules"]["clean"] and passed else 1
 
 
-def days(told: argparse.Namespace) -> list[scenario.Scenario]:
-    names = told.scenarios.split(",") if told.scenarios else []
+def selected_scenarios(args: argparse.Namespace) -> list[scenario.Scenario]:
+    names = args.scenarios.split(",") if args.scenarios else []
     return [
         scenario.read(name)
         for name in names or scenario.shipped_scenarios()
@@ -220,36 +229,36 @@
     ]
 
 
-def carried_out(told: argparse.Namespace, policies: list[str]) -> list[dict[str, Any]]:
-    """The runs of an experiment, with a bar on standard error where somebody looks."""
-    if told.seeds < 1 or told.jobs < 1:
-        raise runs.RunError(f"--seeds and --jobs: expected 1 or more, got {told.seeds} and {told.jobs}")
+def run_planned(args: argparse.Namespace, policies: list[str]) -> list[dict[str, Any]]:
+    """Play the runs of an experiment, with a progress bar on standard error if it is a terminal."""
+    if args.seeds < 1 or args.jobs < 1:
+        raise runs.RunError(f"--seeds and --jobs: expected 1 or more, got {args.seeds} and {args.jobs}")
     for name in policies:
         decisions.find(name)
-    cells = experiment.matrix(days(told), policies, range(1, told.seeds + 1))
+    planned = experiment.matrix(selected_scenarios(args), policies, range(1, args.seeds + 1))
     with Progress(*Progress.get_default_columns(), console=Console(stderr=True), transient=True) as bar:
-        task = bar.add_task("runs", total=len(cells))
+        task = bar.add_task("runs", total=len(planned))
         return experiment.run_all(
-            cells, told.dir, told.jobs, lambda done, of: bar.update(task, completed=done)
+            planned, args.dir, args.jobs, lambda done, of: bar.update(task, completed=done)
         )
 
 
-def do_experiment(told: argparse.Namespace) -> int:
-    if told.file:
-        plan = scenario.read_experiment(told.file)
-        told.scenarios, told.seeds, told.policies = (
+def do_experiment(args: argparse.Namespace) -> int:
+    if args.file:
+        plan = scenario.read_experiment(args.file)
+        args.scenarios, args.seeds, args.policies = (
             ",".join(plan.scenarios),
             plan.seeds,
             ",".join(plan.policies),
         )
-    policies = told.policies.split(",")
-    got = carried_out(told, policies)
+    policies = args.policies.split(",")
+    results = run_planned(args, policies)
     table = Table("scenario", *policies, box=None)
-    titles = list(dict.fromkeys(run["scenario"] for run in got))
+    titles = list(dict.fromkeys(run["scenario"] for run in results))
     means: dict[str, dict[str, float]] = {}
     for title in titles:
         scores = {
-            name: [run["score"] for run in got if run["scenario"] == title and run["policy"] == name]
+            name: [run["score"] for run in results if run["scenario"] == title and run["policy"] == name]
             for name in policies
         }
         means[title] = {name: sum(row) / len(row) for name, row in scores.items()}
@@ -257,27 +266,27 @@
     table.add_row(
         "mean", *(f"{sum(row[name] for row in means.values()) / len(means):.4f}" for name in policies)
     )
-    late = {
-        name: merge_quantiles((run for run in got if run["policy"] == name), "setup") for name in policies
+    setup_times = {
+        name: merge_quantiles((run for run in results if run["policy"] == name), "setup") for name in policies
     }
-    table.add_row("set-up 99%, ms", *(f"{late[name]['p99']:g}" for name in policies))
+    table.add_row("set-up 99%, ms", *(f"{setup_times[name]['p99']:g}" for name in policies))
     Console().print(table)
-    broken = [run for run in got if not run["rules"]["clean"]]
+    broken = [run for run in results if not run["rules"]["clean"]]
     for run in broken[:20]:
         where = f"{run['scenario']}, {run['policy']}, seed {run['seed']}"
         print(f"rules broken: {where}: {run['rules']['first'][0]}")
-    if told.json:
-        Path(told.json).write_text(
-            json.dumps({"means": means, "setup_ms": late, "runs": len(got), "broken": len(broken)})
+    if args.json:
+        Path(args.json).write_text(
+            json.dumps({"means": means, "setup_ms": setup_times, "runs": len(results), "broken": len(broken)})
         )
     return 0
 
 
-def do_compare(told: argparse.Namespace) -> int:
-    runs_made = carried_out(told, [told.a, told.b])
-    found = experiment.compare(runs_made, told.a, told.b)
-    table = Table("scenario", told.a, told.b, "difference", "95%", "", "rules broken", box=None)
-    for row in found:
+def do_compare(args: argparse.Namespace) -> int:
+    results = run_planned(args, [args.a, args.b])
+    findings = experiment.compare(results, args.a, args.b)
+    table = Table("scenario", args.a, args.b, "difference", "95%", "", "rules broken", box=None)
+    for row in findings:
         table.add_row(
             row.title,
             f"{row.mean_a:.4f}",
@@ -288,18 +297,18 @@
             f"{row.broken_a}, {row.broken_b}" if row.broken_a or row.broken_b else "",
         )
     Console().print(table)
-    even = experiment.evenness(runs_made, [told.a, told.b])
-    table = Table("evenness, mean", told.a, told.b, box=None)
+    even = experiment.evenness(results, [args.a, args.b])
+    table = Table("evenness, mean", args.a, args.b, box=None)
     for name, values in even.items():
         table.add_row(name.replace("_", " "), *(f"{value:.3f}" for value in values))
     Console().print(table)
-    if told.json:
-        Path(told.json).write_text(json.dumps([asdict(row) for row in found]))
+    if args.json:
+        Path(args.json).write_text(json.dumps([asdict(row) for row in findings]))
     return 0
 
 
 def summary(figures: dict[str, Any], console: Console) -> None:
-    """One run in words and a table."""
+    """Print the results of one run as text and a table."""
     proxies, servers = figures["size"]
     console.print(
         f"{figures['scenario']}, seed {figures['seed']}, {figures['policy']}: {proxies} proxies, "
@@ -313,7 +322,7 @@
         table.add_row(f"worst of {kind}", f"{figures[kind][worst]:.4f}", worst)
     table.add_row("figure", f"{figures['figure']:.4f}", "weighted by the scenario's goal")
     for cause, share in sorted(figures["lost"].items(), key=lambda row: -row[1]):
-        if share >= LOST_SHOWN:
+        if share >= MIN_SHOWN_LOSS:
             table.add_row(f"lost: {cause}", f"{share:.4f}")
     table.add_row("set-up", f"{figures['setup_ms']['p50']:g} ms", f"99%: {figures['setup_ms']['p99']:g} ms")
     table.add_row(
--- a/onyxhollow/lab/demo.py
+++ b/onyxhollow/lab/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a small fleet on sockets, shown live, then told in plain words. Ends by itself."""
+"""The demo: a small fleet on sockets, shown live and then summarized. It ends by itself."""
 
 from __future__ import annotations
 
@@ -15,83 +15,88 @@
 from onyxhollow.lab.sockets.engine import SocketEngine
 from onyxhollow.lab.world.servers import ServerState
 
-BAR = 40
+MAX_BAR_LENGTH = 40  # characters
 STATES = {ServerState.RUNNING: "in service", ServerState.DRAINING: "draining", ServerState.STOPPED: "stopped"}
 
 
-def told_now(engine: SocketEngine) -> list[str]:
-    """What goes wrong at the moment, and what the proxies do about it."""
-    now, said = engine.now, []
+def active_faults(engine: SocketEngine) -> list[str]:
+    """Return the current faults and what the proxies do about them."""
+    now, faults = engine.now, []
     for begin, _, kind in engine.world.fault_spans:
         if begin <= now < begin + 3.0:
-            said.append(
+            faults.append(
                 {
-                    "reconnect": "all clients drop their connections and come again",
-                    "deploy": "a server is told to drain: the proxies hand its clients off in stages",
-                    "proxy_crash": "a proxy is killed: its clients come again through the other",
+                    "reconnect": "all clients drop their connections and reconnect",
+                    "deploy": "a server starts to drain: the proxies migrate its clients in stages",
+                    "proxy_crash": "a proxy is killed: its clients reconnect through the other one",
                 }[kind]
             )
-    return said
+    return faults
 
 
-def picture(engine: SocketEngine) -> Table:
+def render(engine: SocketEngine) -> Table:
     world = engine.world
     outer = Table.grid()
     table = Table("server", "state", "connections", "", box=None)
     for server in world.servers:
-        held = len(server.sessions)
+        connections = len(server.sessions)
         cold = " (cold)" if server.is_running and server.warm_up_factor(engine.now) < 1 else ""
-        bar = "#" * min(BAR, held) + ("+" if held > BAR else "")
-        table.add_row(server.name, STATES[server.state] + cold, str(held), bar)
+        bar = "#" * min(MAX_BAR_LENGTH, connections) + ("+" if connections > MAX_BAR_LENGTH else "")
+        table.add_row(server.name, STATES[server.state] + cold, str(connections), bar)
     proxies = Table("proxy", "", "clients", "", box=None)
     for proxy in world.proxies:
-        held = sum(end.sess.proxy == proxy.number for end in engine.client_connections.values())
-        proxies.add_row(f"n{proxy.number}", "up" if proxy.alive else "dead", str(held), "#" * min(BAR, held))
+        connections = sum(end.sess.proxy == proxy.number for end in engine.client_connections.values())
+        proxies.add_row(
+            f"n{proxy.number}",
+            "up" if proxy.alive else "dead",
+            str(connections),
+            "#" * min(MAX_BAR_LENGTH, connections),
+        )
     outer.add_row(Text(f"{engine.now:5.1f} s of {engine.scenario.seconds:g} s"))
     outer.add_row(table)
     outer.add_row(proxies)
-    outer.add_row(Text("\n".join(told_now(engine)) or " "))
+    outer.add_row(Text("\n".join(active_faults(engine)) or " "))
     return outer
 
 
 def show(console: Console) -> int:
-    """Plays the demo. 0 if all went as it should."""
-    day = scenario.read("demo")
+    """Play the demo; return 0 if no rule was broken and nothing failed."""
+    demo_scenario = scenario.read("demo")
     console.print("A fleet on this machine: three servers (stand-ins), two onyxhollow proxies, and clients.")
-    began = time.monotonic()
+    started_at = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="onyxhollow-demo-") as folder:
-        engine = SocketEngine(day, 1, Path(folder))
+        engine = SocketEngine(demo_scenario, 1, Path(folder))
         with Live(console=console, refresh_per_second=4) as live:
             if console.is_terminal:
-                live.update(picture(engine))
+                live.update(render(engine))
             shown = [""]
 
             def progress(now: float, _: float) -> None:
                 if console.is_terminal:
-                    live.update(picture(engine))
-                elif (said := "; ".join(told_now(engine))) and said != shown[0]:
-                    shown[0] = said
-                    console.print(f"{now:5.1f} s: {said}")
+                    live.update(render(engine))
+                elif (faults := "; ".join(active_faults(engine))) and faults != shown[0]:
+                    shown[0] = faults
+                    console.print(f"{now:5.1f} s: {faults}")
 
             world = engine.run(progress)
-    counts, figures, found = world.metrics.counts, world.metrics.figures(), engine.findings()
-    sound = world.checker.is_clean and not found["crashes"] and not found["failures"]
-    again = counts.get("cut: dropped", 0) + counts.get("cut: unreachable", 0)
+    counts, figures, findings = world.metrics.counts, world.metrics.figures(), engine.findings()
+    sound = world.checker.is_clean and not findings["crashes"] and not findings["failures"]
+    reconnected = counts.get("cut: dropped", 0) + counts.get("cut: unreachable", 0)
     moved, cut = counts.get("moves", 0), counts.get("cut: torn down", 0)
     if sound:
-        kept = (
-            "All four rules were kept: one answer in time for each session, nothing twice, nothing new to "
-            "the drained server, no cold server pushed over."
+        verdict = (
+            "All four rules were kept: one answer in time for each session, no session run twice, no new "
+            "session on the drained server, no overload of a server that had just started."
         )
     else:
-        kept = f"Something went wrong: {world.checker.summary()} {found}"
+        verdict = f"Expected no broken rule and no failure, got: {world.checker.summary()} {findings}"
     console.print(f"""
 {len(world.clients)} clients wanted a connection; for {figures["service"]:.1%} of the time \
-that they wanted one they had it and were answered in time.
-The drained server's clients were moved one after another: {moved} moves by the proxies, \
-{figures["lost"]["moved"]:.1%} of the time lost by it, {cut} connections cut off without a word.
-{again} connections were dropped by their clients or died with a proxy, and came again.
-{found["bad_clients"]} clients that do not follow the protocol came too, and harmed nobody.
-{kept}
-{time.monotonic() - began:.0f} s in all. All processes are ended. Next: onyxhollow lab list""")
+that they wanted one, they had it and got answers in time.
+The drained server's clients were migrated one after another: {moved} migrations by the proxies, \
+{figures["lost"]["moved"]:.1%} of the time lost by them, {cut} connections closed without notice.
+{reconnected} connections were dropped by their clients or ended with a proxy, and were opened again.
+{findings["bad_clients"]} clients that violate the protocol connected too, without effect on the others.
+{verdict}
+{time.monotonic() - started_at:.0f} s in total. All processes have ended. Next: onyxhollow lab list""")
     return 0 if sound else 1
--- a/onyxhollow/lab/experiment.py
+++ b/onyxhollow/lab/experiment.py
@@ -1,10 +1,9 @@
-"""Experiments: scenarios x policies x seeds over all cores, resumable; and paired comparison of two
-policies.
+"""Resumable experiments (scenarios x policies x seeds) over all cores, and paired comparison of two policies.
 
-Each run is a file of its own, written to a temporary name and renamed, so that a kill leaves whole
-files only. Its name carries what it was made of (the scenario's text, the policy's text, the seed): a
-changed scenario or policy is played anew, the rest is taken as it is. Runs are deterministic, so a
-resumed experiment has the same figures.
+Each run is stored in its own file, which is written under a temporary name and renamed, so that a killed
+experiment leaves complete files only. The file name contains a hash of the scenario, the policy's source and
+the seed: runs of a changed scenario or policy are played again, the others are reused. Runs are
+deterministic, so a resumed experiment has the same figures.
 """
 
 from __future__ import annotations
@@ -28,13 +27,13 @@
 from onyxhollow.lab import baselines, decisions, runs
 from onyxhollow.lab.scenario import Scenario
 
-RESAMPLES = 4000
+BOOTSTRAP_RESAMPLES = 4000
 CONFIDENCE = 0.95
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedRun:
-    """One run to be made."""
+    """One run of an experiment: scenario, policy and seed."""
 
     scenario: Scenario
     policy: str
@@ -47,7 +46,7 @@
 
 
 def policy_text(name: str) -> str:
-    """What a policy's text hashes to: a run of another text under the same name is no run of this one."""
+    """Return a hash of a policy's source, so that stored runs of a changed policy are not reused."""
     decisions.find(name)
     other = baselines if name in baselines.BY_NAME else decisions
     if name not in decisions.names():
@@ -59,75 +58,81 @@
 
 def matrix(scenarios: Iterable[Scenario], policies: Sequence[str], seeds: Iterable[int]) -> list[PlannedRun]:
     seeds = list(seeds)
-    return [PlannedRun(day, policy, seed) for day in scenarios for policy in policies for seed in seeds]
+    return [
+        PlannedRun(scenario, policy, seed) for scenario in scenarios for policy in policies for seed in seeds
+    ]
 
 
-def play(cell: PlannedRun) -> dict[str, Any]:
-    told = runs.play(cell.scenario, cell.seed, cell.policy)
-    return json.loads(runs.to_json(told))  # type: ignore[no-any-return]
+def play_planned(run: PlannedRun) -> dict[str, Any]:
+    result = runs.play(run.scenario, run.seed, run.policy)
+    return json.loads(runs.to_json(result))  # type: ignore[no-any-return]
 
 
-def kept(path: Path) -> dict[str, Any] | None:
-    """A run made before; None if there is none or the file is no good, and it is made anew."""
+def read_result(path: Path) -> dict[str, Any] | None:
+    """Return a stored result, or None if there is none or the file is damaged."""
     try:
-        told = json.loads(path.read_bytes())
+        result = json.loads(path.read_bytes())
     except (OSError, ValueError):
         return None
-    return told if isinstance(told, dict) and "score" in told else None
+    return result if isinstance(result, dict) and "score" in result else None
 
 
-def save(path: Path, told: dict[str, Any]) -> None:
-    part = path.with_suffix(f".{os.getpid()}.part")
-    part.write_bytes(runs.to_json(told))
-    part.replace(path)
+def save(path: Path, result: dict[str, Any]) -> None:
+    temporary = path.with_suffix(f".{os.getpid()}.part")
+    temporary.write_bytes(runs.to_json(result))
+    temporary.replace(path)
 
 
 def run_all(
-    cells: list[PlannedRun],
+    planned: list[PlannedRun],
     folder: Path | None,
     jobs: int,
     progress: Callable[[int, int], None] = lambda done, of: None,
 ) -> list[dict[str, Any]]:
-    """All runs, in the order of cells. folder: where runs are kept; None: nowhere. jobs: processes.
+    """Return the results of all planned runs in their order, reusing results stored in folder.
 
-    Raises decisions.PolicyError before anything is played, and RunError.
+    Without a folder nothing is stored. `jobs` is the number of processes.
+
+    Raises:
+        decisions.PolicyError: a policy doesn't exist; nothing has been played.
+        RunError: a run can't be played.
     """
-    texts = {name: policy_text(name) for name in {cell.policy for cell in cells}}
+    texts = {name: policy_text(name) for name in {run.policy for run in planned}}
     results: dict[int, dict[str, Any]] = {}
-    paths = [folder / cell.file(texts[cell.policy]) if folder else None for cell in cells]
+    paths = [folder / run.file(texts[run.policy]) if folder else None for run in planned]
     if folder:
         folder.mkdir(parents=True, exist_ok=True)
-    for place, path in enumerate(paths):
-        if path and (told := kept(path)) is not None:
-            results[place] = told
-    progress(len(results), len(cells))
-    left = [place for place in range(len(cells)) if place not in results]
-    if left and jobs == 1:
-        for place in left:
-            results[place] = play(cells[place])
-            finish(paths[place], results[place])
-            progress(len(results), len(cells))
-        left = []
-    # Started anew rather than forked: a child must not inherit what the parent holds open.
+    for index, path in enumerate(paths):
+        if path and (result := read_result(path)) is not None:
+            results[index] = result
+    progress(len(results), len(planned))
+    pending = [index for index in range(len(planned)) if index not in results]
+    if pending and jobs == 1:
+        for index in pending:
+            results[index] = play_planned(planned[index])
+            save_if_stored(paths[index], results[index])
+            progress(len(results), len(planned))
+        pending = []
+    # Workers are spawned, not forked: a child must not inherit what the parent has open.
     context = multiprocessing.get_context("spawn")
-    if left:
-        with concurrent.futures.ProcessPoolExecutor(min(jobs, len(left)), mp_context=context) as pool:
-            waiting = {pool.submit(play, cells[place]): place for place in left}
+    if pending:
+        with concurrent.futures.ProcessPoolExecutor(min(jobs, len(pending)), mp_context=context) as pool:
+            waiting = {pool.submit(play_planned, planned[index]): index for index in pending}
             try:
                 for future in concurrent.futures.as_completed(waiting):
-                    place = waiting[future]
-                    results[place] = future.result()
-                    finish(paths[place], results[place])
-                    progress(len(results), len(cells))
+                    index = waiting[future]
+                    results[index] = future.result()
+                    save_if_stored(paths[index], results[index])
+                    progress(len(results), len(planned))
             except BaseException:
                 pool.shutdown(wait=False, cancel_futures=True)
                 raise
-    return [results[place] for place in range(len(cells))]
+    return [results[index] for index in range(len(planned))]
 
 
-def finish(path: Path | None, told: dict[str, Any]) -> None:
+def save_if_stored(path: Path | None, result: dict[str, Any]) -> None:
     if path:
-        save(path, told)
+        save(path, result)
 
 
 EVENNESS_FIGURES = (
@@ -141,14 +146,14 @@
 
 
 def evenness(results: list[dict[str, Any]], policies: list[str]) -> dict[str, list[float]]:
-    """Means over all runs of each policy, by figure. Runs kept from before these figures say nothing."""
-    by = {
+    """Return the mean of each evenness figure for each policy, skipping stored runs without figures."""
+    by_policy = {
         policy: [run["evenness"] for run in results if run["policy"] == policy and "evenness" in run]
         for policy in policies
     }
     return {
         name: [
-            float(np.mean([row[name] for row in by[policy]])) if by[policy] else float("nan")
+            float(np.mean([row[name] for row in by_policy[policy]])) if by_policy[policy] else float("nan")
             for policy in policies
         ]
         for name in EVENNESS_FIGURES
@@ -157,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Of B over A, paired by seed: mean, and a bootstrap interval of 95%."""
+    """The difference of policy B over A, paired by seed: mean and 95% bootstrap interval."""
 
     title: str
     mean_a: float
@@ -175,64 +180,70 @@
 
 
 def interval(rows: Sequence[Sequence[float]], seed: int = 1) -> tuple[float, float]:
-    """Percentile bootstrap of the mean of the rows' means, resampled within each row (each scenario
-    apart)."""
+    """Return the percentile bootstrap interval of the mean of the rows' means.
+
+    Each row (the differences of one scenario) is resampled separately.
+    """
     samples = [np.asarray(row, dtype=float) for row in rows]
     if all(len(row) < 2 or np.ptp(row) == 0 for row in samples):
-        same = float(np.mean([row.mean() for row in samples]))
-        return (same, same) if all(len(row) > 1 for row in samples) else (-math.inf, math.inf)
+        constant = float(np.mean([row.mean() for row in samples]))
+        return (constant, constant) if all(len(row) > 1 for row in samples) else (-math.inf, math.inf)
 
     def mean(*drawn: Any, axis: int = -1) -> Any:
         return np.mean([row.mean(axis=axis) for row in drawn], axis=0)
 
-    told = bootstrap(
+    result = bootstrap(
         samples,
         mean,
-        n_resamples=RESAMPLES,
+        n_resamples=BOOTSTRAP_RESAMPLES,
         confidence_level=CONFIDENCE,
         method="percentile",
         vectorized=True,
         rng=np.random.default_rng(seed),
     )
-    return float(told.confidence_interval.low), float(told.confidence_interval.high)
+    return float(result.confidence_interval.low), float(result.confidence_interval.high)
 
 
-def compare(told: list[dict[str, Any]], a: str, b: str, what: str = "score") -> list[Difference]:
-    """A difference for each scenario and one in all, from the runs of an experiment that holds both."""
-    by: dict[str, dict[str, dict[int, dict[str, Any]]]] = {}
-    for run in told:
-        by.setdefault(run["scenario"], {}).setdefault(run["policy"], {})[run["seed"]] = run
-    rows, found = [], []
-    for title, policies in by.items():
+def compare(results: list[dict[str, Any]], a: str, b: str, figure: str = "score") -> list[Difference]:
+    """Return the difference for each scenario and over all, from the results of runs of both policies."""
+    by_policy: dict[str, dict[str, dict[int, dict[str, Any]]]] = {}
+    for run in results:
+        by_policy.setdefault(run["scenario"], {}).setdefault(run["policy"], {})[run["seed"]] = run
+    rows, differences = [], []
+    for title, policies in by_policy.items():
         seeds = sorted(set(policies.get(a, {})) & set(policies.get(b, {})))
         if not seeds:
             continue
-        ones, others = ([policies[name][seed] for seed in seeds] for name in (a, b))
-        rows.append([float(y[what] - x[what]) for x, y in zip(ones, others, strict=True)])
-        found.append(difference(title, ones, others, what, [rows[-1]]))
-    if found:
-        count = len(found)
+        runs_a, runs_b = ([policies[name][seed] for seed in seeds] for name in (a, b))
+        rows.append([float(y[figure] - x[figure]) for x, y in zip(runs_a, runs_b, strict=True)])
+        differences.append(difference(title, runs_a, runs_b, figure, [rows[-1]]))
+    if differences:
+        count = len(differences)
         low, high = interval(rows)
-        found.append(
+        differences.append(
             Difference(
                 f"all {count}",
-                sum(d.mean_a for d in found) / count,
-                sum(d.mean_b for d in found) / count,
-                sum(d.difference for d in found) / count,
+                sum(d.mean_a for d in differences) / count,
+                sum(d.mean_b for d in differences) / count,
+                sum(d.difference for d in differences) / count,
                 low,
                 high,
-                sum(d.seeds for d in found),
-                sum(d.broken_a for d in found),
-                sum(d.broken_b for d in found),
+                sum(d.seeds for d in differences),
+                sum(d.broken_a for d in differences),
+                sum(d.broken_b for d in differences),
             )
         )
-    return found
+    return differences
 
 
 def difference(
-    title: str, ones: list[dict[str, Any]], others: list[dict[str, Any]], what: str, rows: list[list[float]]
+    title: str,
+    runs_a: list[dict[str, Any]],
+    runs_b: list[dict[str, Any]],
+    figure: str,
+    rows: list[list[float]],
 ) -> Difference:
     low, high = interval(rows)
-    mean_a, mean_b = (float(np.mean([run[what] for run in side])) for side in (ones, others))
-    broken = [sum(not run["rules"]["clean"] for run in side) for side in (ones, others)]
-    return Difference(title, mean_a, mean_b, float(np.mean(rows[0])), low, high, len(ones), *broken)
+    mean_a, mean_b = (float(np.mean([run[figure] for run in side])) for side in (runs_a, runs_b))
+    broken = [sum(not run["rules"]["clean"] for run in side) for side in (runs_a, runs_b)]
+    return Difference(title, mean_a, mean_b, float(np.mean(rows[0])), low, high, len(runs_a), *broken)
--- a/onyxhollow/lab/report.py
+++ b/onyxhollow/lab/report.py
@@ -1,4 +1,4 @@
-"""Reports: one HTML file with its plots inside (SVG), no network, for one run or two beside each other."""
+"""Reports: a self-contained HTML file with SVG plots, for one run or for two side by side."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 from matplotlib.axes import Axes  # noqa: E402
 from matplotlib.figure import Figure  # noqa: E402
 
-WIDE, HALF, NARROW = (9.6, 3.0), (5.8, 2.8), (4.7, 3.2)  # inches: alone, one of two, small
+# Plot sizes in inches: the only run, one of two runs, small plots.
+WIDE, HALF, NARROW = (9.6, 3.0), (5.8, 2.8), (4.7, 3.2)
 COLOURS = {
     "late": "#c9a227",
     "refused": "#d1495b",
@@ -27,7 +28,7 @@
     "slow": "#e08e45",
     "crossing": "#6a994e",
 }
-MOST_SERVERS = 60  # rows of a load map; more are told by the busiest and the others' mean
+MAX_LOAD_MAP_ROWS = 60  # in a larger fleet only the busiest servers are drawn
 STYLE = """
 body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:1240px;color:#222;padding:0 1em}
 h1{font-size:1.5em;margin-bottom:.1em} h2{font-size:1.15em;margin:1.6em 0 .3em;border-bottom:1px solid #ddd}
@@ -38,8 +39,8 @@
 """
 
 
-def drawn(size: tuple[float, float], paint: Callable[[Axes], None]) -> str:
-    """A plot as SVG text. Ids are told by a fixed salt: the same run gives the same file."""
+def render_svg(size: tuple[float, float], paint: Callable[[Axes], None]) -> str:
+    """Return a plot as SVG text; ids use a fixed salt, so that the same run gives the same file."""
     with matplotlib.rc_context(
         {"svg.hashsalt": "onyxhollow", "font.size": 9, "axes.spines.top": False, "axes.spines.right": False}
     ):
@@ -52,7 +53,7 @@
 
 
 def mark_faults(axes: Axes, run: dict[str, Any], named: bool = True) -> None:
-    """Spans of faults, each with its name once, in rows so that names do not lie on each other."""
+    """Shade the periods of faults, with their names in several rows so that they don't overlap."""
     for row, (begin, end, kind) in enumerate(run["faults"]):
         axes.axvspan(begin, max(end, begin + 0.15), color="#d1495b", alpha=0.10, lw=0)
         if named:
@@ -67,7 +68,7 @@
             )
 
 
-def service(run: dict[str, Any], size: tuple[float, float]) -> str:
+def service_plot(run: dict[str, Any], size: tuple[float, float]) -> str:
     series = run["series"]
     wanted, earned = np.array(series["wanted"]), np.array(series["earned"])
 
@@ -79,18 +80,18 @@
         axes.grid(axis="y", alpha=0.25)
         mark_faults(axes, run)
 
-    return drawn(size, paint)
+    return render_svg(size, paint)
 
 
 def shares_lost(run: dict[str, Any]) -> dict[str, np.ndarray]:
-    """By cause, the share of what was wanted in each second; causes that hardly show are left out."""
+    """Return, by cause, the share of the wanted utility lost in each second; omit causes below 0.02%."""
     wanted = np.maximum(np.array(run["series"]["wanted"]), 1e-9)
     rows = {cause: np.array(row) for cause, row in run["series"]["lost"].items()}
     return {cause: row / wanted for cause, row in rows.items() if row.sum() > 2e-4 * wanted.sum()}
 
 
-def losses(run: dict[str, Any], size: tuple[float, float], top: float) -> str:
-    """top: of the scale, the same for two runs beside each other."""
+def loss_plot(run: dict[str, Any], size: tuple[float, float], top: float) -> str:
+    """Draw the losses by cause; `top` is the end of the scale, the same for two runs side by side."""
     rows, seconds = shares_lost(run), len(run["series"]["wanted"])
 
     def paint(axes: Axes) -> None:
@@ -103,10 +104,10 @@
         axes.set(xlim=(0, seconds), ylim=(0, top), xlabel="seconds", ylabel="utility lost")
         mark_faults(axes, run, named=False)
 
-    return drawn(size, paint)
+    return render_svg(size, paint)
 
 
-def heat(run: dict[str, Any], width: float) -> str:
+def load_map(run: dict[str, Any], width: float) -> str:
     loads: dict[str, list[list[float]]] = run["series"]["loads"]
     names = sorted(loads)
     columns = len(run["series"]["wanted"]) + 1
@@ -115,8 +116,8 @@
         for second, load in loads[name]:
             if int(second) < columns:
                 grid[row, int(second)] = load
-    if len(names) > MOST_SERVERS:
-        order = np.argsort(-np.nan_to_num(grid).max(axis=1))[:MOST_SERVERS]
+    if len(names) > MAX_LOAD_MAP_ROWS:
+        order = np.argsort(-np.nan_to_num(grid).max(axis=1))[:MAX_LOAD_MAP_ROWS]
         grid, names = grid[np.sort(order)], [names[place] for place in np.sort(order)]
 
     def paint(axes: Axes) -> None:
@@ -137,10 +138,10 @@
         axes.get_figure().colorbar(image, ax=axes, label="load / capacity", extend="max")  # type: ignore[union-attr]
         axes.set_facecolor("#dddddd")
 
-    return drawn((width, max(2.2, min(6.5, 0.9 + 0.16 * len(names)))), paint)
+    return render_svg((width, max(2.2, min(6.5, 0.9 + 0.16 * len(names)))), paint)
 
 
-def unevenness(run: dict[str, Any], size: tuple[float, float]) -> str:
+def evenness_plot(run: dict[str, Any], size: tuple[float, float]) -> str:
     rows = run["series"].get("evenness", {}).get("course", [])
 
     def paint(axes: Axes) -> None:
@@ -153,18 +154,18 @@
         axes.grid(axis="y", alpha=0.25)
         mark_faults(axes, run, named=False)
 
-    return drawn(size, paint)
+    return render_svg(size, paint)
 
 
-def herds(run: dict[str, Any], width: float) -> str:
-    """Picks: a dot for each server and report's age; large and dark where more met than chance explains."""
-    told = run["series"].get("evenness", {"herds": [], "idle": []})
+def herd_map(run: dict[str, Any], width: float) -> str:
+    """Draw a dot for each server and report age, large and red where herds exceed chance."""
+    evenness = run["series"].get("evenness", {"herds": [], "idle": []})
     names = sorted(run["series"]["loads"])
     place = {name: row for row, name in enumerate(names)}
-    rows = [row for row in told["herds"] if row[1] in place]
+    rows = [row for row in evenness["herds"] if row[1] in place]
 
     def paint(axes: Axes) -> None:
-        for server, begin, end in told["idle"]:
+        for server, begin, end in evenness["idle"]:
             if server in place:
                 axes.hlines(place[server], begin, end, color="#888888", lw=4, alpha=0.5)
         if rows:
@@ -188,10 +189,10 @@
         axes.set(xlim=(0, len(run["series"]["wanted"])), xlabel="seconds (grey bars: idle servers)")
         axes.invert_yaxis()
 
-    return drawn((width, max(2.2, min(6.5, 0.9 + 0.16 * len(names)))), paint)
+    return render_svg((width, max(2.2, min(6.5, 0.9 + 0.16 * len(names)))), paint)
 
 
-def latencies(run: dict[str, Any]) -> str:
+def latency_plot(run: dict[str, Any]) -> str:
     def paint(axes: Axes) -> None:
         rows = {"message": run["series"]["message"]}
         rows |= {f"set-up, {name}": row for name, row in run["series"]["setup_by_listener"].items()}
@@ -203,10 +204,10 @@
         axes.grid(alpha=0.25)
         axes.legend(fontsize=8, frameon=False, loc="lower right")
 
-    return drawn(NARROW, paint)
+    return render_svg(NARROW, paint)
 
 
-def bars(run: dict[str, Any], kind: str) -> str:
+def service_bars(run: dict[str, Any], kind: str) -> str:
     rows = run[kind]
 
     def paint(axes: Axes) -> None:
@@ -215,7 +216,7 @@
         axes.set(xlim=(max(0.0, low), 1.0), xlabel=f"service by {kind[:-1]}")
         axes.invert_yaxis()
 
-    return drawn(NARROW, paint)
+    return render_svg(NARROW, paint)
 
 
 def table(runs: list[dict[str, Any]]) -> str:
@@ -235,11 +236,11 @@
     for name in ("sessions", "up", "dials", "moves", "answered refused", "answered torn down", "probes"):
         if any(name in run["counts"] for run in runs):
             rows.append(row(name, [str(run["counts"].get(name, 0)) for run in runs]))
-    said = [
+    verdicts = [
         "all kept" if run["rules"]["clean"] else f'<span class="bad">broken {run["rules"]["broken"]}</span>'
         for run in runs
     ]
-    rows.append(row("rules", said))
+    rows.append(row("rules", verdicts))
     return f"<table>{''.join(rows)}</table>"
 
 
@@ -248,7 +249,7 @@
 
 
 def page(runs: list[dict[str, Any]]) -> str:
-    """HTML of one run, or of two beside each other. Runs must hold their series (run --json)."""
+    """Return the HTML for one run, or for two side by side; they need their series (run --json)."""
     head = " and ".join(dict.fromkeys(run["scenario"] for run in runs))
     proxies, servers = runs[0]["size"]
     parts = [
@@ -260,14 +261,17 @@
     highest = max(float(sum(shares_lost(run).values(), np.zeros(1)).max()) for run in runs)
     top = min(1.0, max(0.05, 1.35 * highest))
     sections: list[tuple[str, Callable[[dict[str, Any]], str]]] = [
-        ("Service over time (faults shaded)", lambda run: service(run, size)),
-        ("Utility lost, by cause", lambda run: losses(run, size, top)),
-        ("Load of each server (grey: not running)", lambda run: heat(run, size[0])),
-        ("How evenly it lies on the servers", lambda run: unevenness(run, size)),
-        ("New connections within a report's age, over what chance explains", lambda run: herds(run, size[0])),
-        ("Latencies", latencies),
-        ("By listener", lambda run: bars(run, "listeners")),
-        ("By customer", lambda run: bars(run, "customers")),
+        ("Service over time (faults shaded)", lambda run: service_plot(run, size)),
+        ("Utility lost, by cause", lambda run: loss_plot(run, size, top)),
+        ("Load of each server (grey: not running)", lambda run: load_map(run, size[0])),
+        ("How evenly it lies on the servers", lambda run: evenness_plot(run, size)),
+        (
+            "New connections within a report's age, over what chance explains",
+            lambda run: herd_map(run, size[0]),
+        ),
+        ("Latencies", latency_plot),
+        ("By listener", lambda run: service_bars(run, "listeners")),
+        ("By customer", lambda run: service_bars(run, "customers")),
     ]
     for name, paint in sections:
         cells = "".join(
@@ -280,7 +284,7 @@
             lines = "".join(f"<li>{html.escape(line)}</li>" for line in run["rules"]["first"])
             parts.append(f"<h2>Rules broken: {html.escape(title(run))}</h2><ul>{lines}</ul>")
         if run.get("log"):
-            lines = "\n".join(f"{at:8.2f}  n{who}  {line}" for at, who, line in run["log"][:60])
+            lines = "\n".join(f"{at:8.2f}  n{proxy}  {line}" for at, proxy, line in run["log"][:60])
             parts.append(
                 f"<h2>First changes of mode: {html.escape(title(run))}</h2><pre>{html.escape(lines)}</pre>"
             )
@@ -291,6 +295,6 @@
 
 
 def write(runs: list[dict[str, Any]], path: Path) -> None:
-    part = path.with_suffix(".part")
-    part.write_text(page(runs))
-    part.replace(path)
+    temporary = path.with_suffix(".part")
+    temporary.write_text(page(runs))
+    temporary.replace(path)
--- a/onyxhollow/lab/search.py
+++ b/onyxhollow/lab/search.py
@@ -1,7 +1,7 @@
-"""Search: days on which a policy stands farthest under the true-state mark, each cut down to what matters.
+"""Search for scenarios in which a policy scores far below the true-state policy, and reduce them.
 
-Days are drawn at random from the ranges below; the worst are cut: a fault, or something that is not as
-on a plain day, is taken back whenever the gap stays at least as wide as KEEP of it.
+Scenarios are drawn at random from the ranges below, and the worst are reduced: a fault is removed, or a
+setting returns to its default, as long as at least MIN_GAP_SHARE of the gap remains.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from onyxhollow.lab.specs import Clients, Fleet, ListServiceSettings
 from onyxhollow.lab.world import faults
 
-KEEP = 0.75  # share of a day's gap that its cut-down form must show
-MARK = "true-state"
+MIN_GAP_SHARE = 0.75  # of a scenario's gap that its reduced form must keep
+REFERENCE_POLICY = "true-state"
 SEEDS = (1, 2)
-SECONDS = 30.0
-MOST_TRIES = 120  # simpler forms of one day that are played
-MOST_FAULTS = 3
+SCENARIO_SECONDS = 30.0
+MAX_TRIES = 120  # simplified forms of one scenario that are played
+MAX_FAULTS = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    day: Scenario
+class FoundScenario:
+    scenario: Scenario
     gap: float
-    first_gap: float  # before it was cut down
+    first_gap: float  # of the scenario as drawn
     tries: int
 
 
@@ -38,7 +38,7 @@
     at, lasts = rng.uniform(5, 22), rng.uniform(2, 14)
     part = rng.choice([0.1, 0.2, 0.35])
     share = rng.uniform(0.2, 0.7)
-    makes: list[Callable[[], faults.Fault]] = [
+    factories: list[Callable[[], faults.Fault]] = [
         lambda: faults.Slow(at=at, lasts=lasts, part=part, times=rng.uniform(2, 8)),
         lambda: faults.Hung(at=at, lasts=lasts, part=part),
         lambda: faults.FastErrors(at=at, lasts=lasts, part=part, share=rng.uniform(0.4, 1)),
@@ -62,18 +62,18 @@
         lambda: faults.ListDown(at=at, lasts=lasts),
         lambda: faults.ListStale(at=at, lasts=lasts, late=rng.uniform(2, 8)),
     ]
-    made = rng.choice(makes)()
-    # Figures that a person would write: a scenario file is to be read.
+    fault = rng.choice(factories)()
+    # Rounded, because people read the scenario files.
     rounded = {
         name: round(value, 2)
-        for name in made.__struct_fields__
-        if isinstance(value := getattr(made, name), float)
+        for name in fault.__struct_fields__
+        if isinstance(value := getattr(fault, name), float)
     }
-    return msgspec.structs.replace(made, **rounded)
+    return msgspec.structs.replace(fault, **rounded)
 
 
-def draw_day(rng: Random, number: int, base: Scenario | None = None) -> Scenario:
-    """base: a scenario whose fleet, listeners, customers, store and network are kept."""
+def draw_scenario(rng: Random, number: int, base: Scenario | None = None) -> Scenario:
+    """Draw a scenario; with a base, keep its fleet, listeners, customers, store and network."""
     fleet = Fleet(
         servers=rng.choice([6, 9, 12]),
         proxies=rng.choice([2, 4, 6, 12]),
@@ -92,66 +92,75 @@
         rejoin=round(rng.uniform(0.1, 1.2), 2),
         group_size=rng.choice([1.0, 1.0, 30.0]),
     )
-    plan = sorted((draw_fault(rng) for _ in range(rng.randint(1, MOST_FAULTS))), key=lambda fault: fault.at)
-    listed = ListServiceSettings(notice=round(rng.uniform(0.5, 3), 1), add=round(rng.uniform(0.3, 2), 1))
+    plan = sorted((draw_fault(rng) for _ in range(rng.randint(1, MAX_FAULTS))), key=lambda fault: fault.at)
+    list_source = ListServiceSettings(notice=round(rng.uniform(0.5, 3), 1), add=round(rng.uniform(0.3, 2), 1))
     if base is not None:
         clients = msgspec.structs.replace(
             base.clients, load=clients.load, shape=clients.shape, rejoin=clients.rejoin
         )
-        fleet, listed = base.fleet, base.server_list
+        fleet, list_source = base.fleet, base.server_list
         plan = [fault for fault in plan if fault.at < base.seconds]
-    day = base or Scenario(title="x", seconds=SECONDS)
+    scenario = base or Scenario(title="x", seconds=SCENARIO_SECONDS)
     return msgspec.structs.replace(
-        day, title=f"found-{number}", fleet=fleet, clients=clients, server_list=listed, faults=plan
+        scenario, title=f"found-{number}", fleet=fleet, clients=clients, server_list=list_source, faults=plan
     )
 
 
-def gaps(days: list[Scenario], policy: str, jobs: int) -> list[float]:
-    """How far the policy stands under the mark on each day, mean over SEEDS."""
-    cells = experiment.matrix(days, [policy, MARK], SEEDS)
-    told = experiment.run_all(cells, None, jobs)
+def gaps(scenarios: list[Scenario], policy: str, jobs: int) -> list[float]:
+    """Return by how much the policy's score is below the reference in each scenario, mean over SEEDS."""
+    planned = experiment.matrix(scenarios, [policy, REFERENCE_POLICY], SEEDS)
+    results = experiment.run_all(planned, None, jobs)
     width = 2 * len(SEEDS)
-    out = []
-    for place in range(len(days)):
-        rows = told[width * place : width * (place + 1)]
-        score = {name: sum(run["score"] for run in rows if run["policy"] == name) for name in (policy, MARK)}
-        out.append((score[MARK] - score[policy]) / len(SEEDS))
-    return out
-
-
-def simpler(day: Scenario) -> list[Scenario]:
-    """The day with one thing taken back, in each way there is."""
-    out: list[Scenario] = []
-    for place in range(len(day.faults)):
-        if len(day.faults) > 1:
-            out.append(msgspec.structs.replace(day, faults=day.faults[:place] + day.faults[place + 1 :]))
+    gap_list = []
+    for index in range(len(scenarios)):
+        rows = results[width * index : width * (index + 1)]
+        score = {
+            name: sum(run["score"] for run in rows if run["policy"] == name)
+            for name in (policy, REFERENCE_POLICY)
+        }
+        gap_list.append((score[REFERENCE_POLICY] - score[policy]) / len(SEEDS))
+    return gap_list
+
+
+def simplified_forms(scenario: Scenario) -> list[Scenario]:
+    """Return all forms of the scenario with one fault removed or one setting set to its default."""
+    forms: list[Scenario] = []
+    for index in range(len(scenario.faults)):
+        if len(scenario.faults) > 1:
+            forms.append(
+                msgspec.structs.replace(
+                    scenario, faults=scenario.faults[:index] + scenario.faults[index + 1 :]
+                )
+            )
     for name in ("fleet", "clients", "server_list"):
-        part: Any = getattr(day, name)
-        plain = type(part)()
+        part: Any = getattr(scenario, name)
+        default = type(part)()
         for field in part.__struct_fields__:
-            if getattr(part, field) != getattr(plain, field):
-                less = msgspec.structs.replace(part, **{field: getattr(plain, field)})
-                out.append(msgspec.structs.replace(day, **{name: less}))
-    return out
-
-
-def cut_down(day: Scenario, gap: float, policy: str, jobs: int) -> tuple[Scenario, float, int]:
-    """The simplest form found that still shows KEEP of the gap."""
-    tries, least = 0, KEEP * gap
-    while tries < MOST_TRIES and (options := [option for option in simpler(day) if playable(option)]):
-        told = gaps(options, policy, jobs)
+            if getattr(part, field) != getattr(default, field):
+                changed = msgspec.structs.replace(part, **{field: getattr(default, field)})
+                forms.append(msgspec.structs.replace(scenario, **{name: changed}))
+    return forms
+
+
+def reduce_scenario(scenario: Scenario, gap: float, policy: str, jobs: int) -> tuple[Scenario, float, int]:
+    """Return the simplest form found that keeps MIN_GAP_SHARE of the gap, its gap and the number of tries."""
+    tries, least = 0, MIN_GAP_SHARE * gap
+    while tries < MAX_TRIES and (
+        options := [option for option in simplified_forms(scenario) if is_playable(option)]
+    ):
+        results = gaps(options, policy, jobs)
         tries += len(options)
-        wide = [(value, place) for place, value in enumerate(told) if value >= least]
-        if not wide:
+        ranked = [(value, index) for index, value in enumerate(results) if value >= least]
+        if not ranked:
             break
-        value, place = max(wide)
-        day, gap = options[place], value
-    return day, gap, tries
+        value, index = max(ranked)
+        scenario, gap = options[index], value
+    return scenario, gap, tries
 
 
-def playable(day: Scenario) -> bool:
+def is_playable(scenario: Scenario) -> bool:
     try:
-        check(day, day.title)
+        check(scenario, scenario.title)
     except Exception:
         return False
     return True
@@ -163,26 +172,31 @@
     keep: int,
     seed: int,
     jobs: int,
-    told: Callable[[str], None] = lambda line: None,
+    report: Callable[[str], None] = lambda line: None,
     base: Scenario | None = None,
-) -> Iterator[Found]:
-    """Draws count days and cuts down the keep worst of different kinds; each is given as it is found."""
+) -> Iterator[FoundScenario]:
+    """Draw `count` scenarios and yield the `keep` worst with different kinds of faults, in reduced form."""
     rng = Random(seed)
-    days = [draw_day(rng, number, base) for number in range(count)]
-    wide = sorted(zip(gaps(days, policy, jobs), range(count), strict=True), reverse=True)
-    told(f"{count} days drawn; gap to {MARK}: widest {wide[0][0]:.3f}, median {wide[count // 2][0]:.3f}")
-    found = 0
+    scenarios = [draw_scenario(rng, number, base) for number in range(count)]
+    ranked = sorted(zip(gaps(scenarios, policy, jobs), range(count), strict=True), reverse=True)
+    report(
+        f"{count} scenarios drawn; gap to {REFERENCE_POLICY}: "
+        f"largest {ranked[0][0]:.3f}, median {ranked[count // 2][0]:.3f}"
+    )
+    found_count = 0
     seen: set[tuple[str, ...]] = set()
-    for gap, place in wide:
-        if found >= keep or gap <= 0:
+    for gap, index in ranked:
+        if found_count >= keep or gap <= 0:
             break
-        day, left, tries = cut_down(days[place], gap, policy, jobs)
-        kinds = tuple(str(type(fault).__struct_config__.tag) for fault in day.faults)
+        scenario, remaining, tries = reduce_scenario(scenarios[index], gap, policy, jobs)
+        kinds = tuple(str(type(fault).__struct_config__.tag) for fault in scenario.faults)
         if kinds in seen:
             continue
         seen.add(kinds)
-        about = f"Found by search: {policy} {left:.3f} under {MARK} (seeds {SEEDS})."
-        day = msgspec.structs.replace(day, title="-".join(kinds)[:40].replace("_", "-"), about=about)
-        told(f"{day.title}: gap {gap:.3f}, cut down to {left:.3f} in {tries} tries")
-        found += 1
-        yield Found(day, left, gap, tries)
+        about = f"Found by search: {policy} {remaining:.3f} under {REFERENCE_POLICY} (seeds {SEEDS})."
+        scenario = msgspec.structs.replace(
+            scenario, title="-".join(kinds)[:40].replace("_", "-"), about=about
+        )
+        report(f"{scenario.title}: gap {gap:.3f}, reduced to {remaining:.3f} in {tries} tries")
+        found_count += 1
+        yield FoundScenario(scenario, remaining, gap, tries)
--- a/onyxhollow/lab/topology_snapshot.py
+++ b/onyxhollow/lab/topology_snapshot.py
@@ -1,4 +1,4 @@
-"""A snapshot for the topology tool from a run in virtual time: what each proxy's module holds at a moment."""
+"""Take a snapshot for the topology tool from a run in virtual time: the state of each proxy's decisions."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 if TYPE_CHECKING:
     from onyxhollow.lab.virtual import Instance, VirtualEngine
 
-OLD = 60.0  # seconds past which a load tells nothing
+MAX_LOAD_AGE_SECONDS = 60.0  # older load reports are left out
 
 
-def view(instance: Instance, members: list[MemberStatus]) -> MemberView:
+def view_of(instance: Instance, members: list[MemberStatus]) -> MemberView:
     now, balancer, zone = instance.now, instance.balancer, instance.world.zone_name(instance.zone)
     servers = [
         EndpointStatus(
@@ -28,8 +28,8 @@
             s.state.value,
             len(s.connections),
             s.size,
-            round(s.load, 3) if now - s.load_reported_at < OLD else None,
-            round(now - s.load_reported_at, 1) if now - s.load_reported_at < OLD else None,
+            round(s.load, 3) if now - s.load_reported_at < MAX_LOAD_AGE_SECONDS else None,
+            round(now - s.load_reported_at, 1) if now - s.load_reported_at < MAX_LOAD_AGE_SECONDS else None,
             round(s.outlier_score(now), 2),
             s.arrival is not None,
         )
@@ -50,18 +50,20 @@
 
 
 def take_snapshot(engine: VirtualEngine) -> Snapshot:
-    """As it stands now; a proxy that is down is told as silent. at: seconds since the run began."""
-    number_of = engine.scenario.fleet.proxies
-    up = {number for number, instance in engine.instances.items() if instance.alive}
+    """Return a snapshot of the current state; proxies that are down are listed as unreachable."""
+    proxy_count = engine.scenario.fleet.proxies
+    running = {number for number, instance in engine.instances.items() if instance.alive}
     members = [
         MemberStatus(
             f"n{number}",
             0,
-            "alive" if number in up else "dead",
+            "alive" if number in running else "dead",
             engine.world.zone_name(engine.world.proxies[number].zone),
         )
-        for number in range(number_of)
+        for number in range(proxy_count)
     ]
-    views = [view(engine.instances[number], members) for number in sorted(up)]
-    silent = [UnreachableMember(f"n{number}", "down") for number in range(number_of) if number not in up]
-    return Snapshot(engine.world.event_queue.now, views, silent)
+    views = [view_of(engine.instances[number], members) for number in sorted(running)]
+    unreachable = [
+        UnreachableMember(f"n{number}", "down") for number in range(proxy_count) if number not in running
+    ]
+    return Snapshot(engine.world.event_queue.now, views, unreachable)
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -149,16 +149,16 @@
     )
     day = msgspec.structs.replace(small_scenario(noise), title="wide")
     gap = search.gaps([day], "random", 1)[0]
-    less, left, tries = search.cut_down(day, gap, "random", 1)
-    assert [type(row).__struct_config__.tag for row in less.faults] == ["hung"]
-    assert gap > 0.01 and left >= search.KEEP * gap and tries > 1
-    assert scenario.decode(scenario.encode(less), "found") == less
+    reduced, remaining, tries = search.reduce_scenario(day, gap, "random", 1)
+    assert [type(row).__struct_config__.tag for row in reduced.faults] == ["hung"]
+    assert gap > 0.01 and remaining >= search.MIN_GAP_SHARE * gap and tries > 1
+    assert scenario.decode(scenario.encode(reduced), "found") == reduced
 
 
 def test_days_drawn_by_search_are_sound_and_follow_the_seed():
-    days = [search.draw_day(search.Random(seed), seed) for seed in range(40)]
-    assert all(search.playable(day) for day in days)
-    assert days == [search.draw_day(search.Random(seed), seed) for seed in range(40)]
+    days = [search.draw_scenario(search.Random(seed), seed) for seed in range(40)]
+    assert all(search.is_playable(day) for day in days)
+    assert days == [search.draw_scenario(search.Random(seed), seed) for seed in range(40)]
     assert len({type(row) for day in days for row in day.faults}) >= 15
     assert runs.play(msgspec.structs.replace(days[0], seconds=30.0), 1, "module")["rules"]["clean"]
 
@@ -177,9 +177,9 @@
 
 def test_search_round_a_scenario_keeps_its_fleet():
     base = scenario.read("groups-jam")
-    days = [search.draw_day(search.Random(seed), seed, base) for seed in range(10)]
+    days = [search.draw_scenario(search.Random(seed), seed, base) for seed in range(10)]
     assert all(day.fleet == base.fleet and day.clients.group_size == 40 for day in days)
-    assert all(search.playable(day) for day in days) and len({day.clients.load for day in days}) > 5
+    assert all(search.is_playable(day) for day in days) and len({day.clients.load for day in days}) > 5
 
 
 def test_a_change_in_any_module_of_the_decisions_makes_other_runs(tmp_path, monkeypatch):
