--- a/onyxhollow/lab/cli.py
+++ b/onyxhollow/lab/cli.py
@@ -122,7 +122,7 @@
     from onyxhollow.lab.fleet import course, show
 
     try:
-        return show.listed() if args.part == "list" else show.play(args)
+        return show.print_scenarios() if args.part == "list" else show.play(args)
     except course.CourseError as error:
         raise runs.RunError(str(error)) from None
 
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -8,7 +8,7 @@
 import pytest
 
 from onyxhollow.lab import runs, scenario
-from onyxhollow.lab.fleet.rig import Rig, text
+from onyxhollow.lab.fleet.process_cluster import ProcessCluster, format_address
 from onyxhollow.lab.fleet.sites import Sites
 from onyxhollow.topology import (
     commands,
@@ -372,7 +372,7 @@
 # Tests with real processes.
 
 
-def wait_for_faults(rig, expected, within, excluded=(), polled=None):
+def wait_for_faults(cluster, expected, within, excluded=(), polled=None):
     """Wait until exactly the expected faults are found.
 
     Only the members `polled` are polled, by default all that are alive and not excluded.
@@ -380,19 +380,19 @@
     snapshots = []
 
     def faults_match():
-        names = [name for name, process in rig.now_by.items() if process.alive and name not in excluded]
-        targets = [text(rig.now_by[name].management) for name in (polled or names)]
+        names = [name for name, process in cluster.current.items() if process.alive and name not in excluded]
+        targets = [format_address(cluster.current[name].management) for name in (polled or names)]
         result = []
         worker = threading.Thread(target=lambda: result.append(gather.gather(targets)))
         worker.start()
         while worker.is_alive():
-            rig.turn()
+            cluster.run_once()
         snapshots[:] = [result[0]]
         faults = [fault for fault in find_faults(result[0]) if fault.kind != "silent"]
         return sorted((fault.kind, fault.subjects) for fault in faults) == sorted(expected)
 
     try:
-        rig.wait(faults_match, within, f"faults {expected}")
+        cluster.wait(faults_match, within, f"faults {expected}")
     except Exception as error:
         raise AssertionError(
             f"{error}; {[fault.description for fault in find_faults(snapshots[0])]}"
@@ -402,26 +402,26 @@
 
 def test_each_fault_of_real_processes_is_found_and_no_other(tmp_path, monkeypatch):
     monkeypatch.setattr(fault_types, "RECENT_STALL_SECONDS", 6.0)
-    with Rig(tmp_path / "rig", members=5, zones=("a", "b"), period=0.25, lease=0.8) as rig:
-        rig.start()
-        rig.wait_members()
-        rig.wait_holder()
-        healthy = wait_for_faults(rig, [], 15)
+    with ProcessCluster(tmp_path / "rig", members=5, zones=("a", "b"), period=0.25, lease=0.8) as cluster:
+        cluster.start()
+        cluster.wait_members()
+        cluster.wait_holder()
+        healthy = wait_for_faults(cluster, [], 15)
         assert len(healthy.views) == 5 and len(healthy.members()) == 5
-        rig.stop("n4")
-        rig.play(1.2)
-        rig.go_on("n4")
-        wait_for_faults(rig, [("stalled", ("n4",))], 10)
-        wait_for_faults(rig, [], 30)
-        rules = rig.cut(["n3"], ["n1"], both=False)
-        wait_for_faults(rig, [("one-way", ("n3", "n1"))], 30)
-        rig.mend(rules)
-        wait_for_faults(rig, [], 30)
-        rules = rig.cut(["n1", "n3"], ["n0", "n2", "n4"])
-        partitioned = wait_for_faults(rig, [("cut", ("n1", "n3"))], 40)
-        assert {view.name for view in partitioned.views} == set(rig.names)
+        cluster.stop("n4")
+        cluster.run_for(1.2)
+        cluster.resume("n4")
+        wait_for_faults(cluster, [("stalled", ("n4",))], 10)
+        wait_for_faults(cluster, [], 30)
+        rules = cluster.cut(["n3"], ["n1"], both=False)
+        wait_for_faults(cluster, [("one-way", ("n3", "n1"))], 30)
+        cluster.heal(rules)
+        wait_for_faults(cluster, [], 30)
+        rules = cluster.cut(["n1", "n3"], ["n0", "n2", "n4"])
+        partitioned = wait_for_faults(cluster, [("cut", ("n1", "n3"))], 40)
+        assert {view.name for view in partitioned.views} == set(cluster.names)
         wait_for_faults(
-            rig,
+            cluster,
             [
                 ("gone", ("n0",)),
                 ("gone", ("n2",)),
@@ -432,17 +432,17 @@
             30,
             polled=["n1", "n3"],
         )
-        rig.mend(rules)
-        rig.wait_members(within=60)
-        wait_for_faults(rig, [], 40)
+        cluster.heal(rules)
+        cluster.wait_members(within=60)
+        wait_for_faults(cluster, [], 40)
         for name in ("n1", "n3"):
-            rig.ask(name, "/out-of-service", "POST", base="/control")
-        wait_for_faults(rig, [("zone draining", ("b",))], 20)
+            cluster.query(name, "/out-of-service", "POST", base="/control")
+        wait_for_faults(cluster, [("zone draining", ("b",))], 20)
         for name in ("n1", "n3"):
-            rig.ask(name, "/in-service", "POST", base="/control")
-        wait_for_faults(rig, [], 20)
-        rig.kill("n4")
-        wait_for_faults(rig, [("gone", ("n4",))], 30)
+            cluster.query(name, "/in-service", "POST", base="/control")
+        wait_for_faults(cluster, [], 20)
+        cluster.kill("n4")
+        wait_for_faults(cluster, [("gone", ("n4",))], 30)
         folder = tmp_path / "rig"
 
         def logs_show_the_fault():
@@ -451,35 +451,37 @@
             faults = [fault for fault in list_faults(snapshot) if fault[0] != "silent"]
             return names == {"n0", "n1", "n2", "n3"} and faults == [("gone", ("n4",))]
 
-        rig.wait(logs_show_the_fault, 15, "the logs show that n4 is gone")
-        rig.trial("n4", version="9.9")
-        rig.start("n4")
-        rig.wait_members(within=40)
-        wait_for_faults(rig, [("versions", ("0.2.0", "9.9"))], 30)
+        cluster.wait(logs_show_the_fault, 15, "the logs show that n4 is gone")
+        cluster.set_process_faults("n4", version="9.9")
+        cluster.start("n4")
+        cluster.wait_members(within=40)
+        wait_for_faults(cluster, [("versions", ("0.2.0", "9.9"))], 30)
 
 
 def test_a_withdrawn_address_and_dead_lease_holders_are_found_on_real_processes(tmp_path):
     with Sites(tmp_path / "rig") as sites:
-        rig = sites.rig
+        cluster = sites.cluster
         sites.start()
-        sites.wait_standing(a=2, b=2, c=2)
-        wait_for_faults(rig, [], 20)
-        for server in sites.of("a"):
-            server.base = 1.2
-        sites.wait_standing(a=0, b=2, c=2)
-        wait_for_faults(rig, [("withdrawn", ("addr0", "a")), ("withdrawn", ("addr1", "a"))], 20)
-        for server in sites.of("a"):
-            server.base = 0.1
-        sites.wait_standing(a=2, b=2, c=2)
-        holder = rig.wait_holder("announcer/b")
+        sites.wait_for_route_states(a=2, b=2, c=2)
+        wait_for_faults(cluster, [], 20)
+        for server in sites.servers_at("a"):
+            server.base_load = 1.2
+        sites.wait_for_route_states(a=0, b=2, c=2)
+        wait_for_faults(cluster, [("withdrawn", ("addr0", "a")), ("withdrawn", ("addr1", "a"))], 20)
+        for server in sites.servers_at("a"):
+            server.base_load = 0.1
+        sites.wait_for_route_states(a=2, b=2, c=2)
+        holder = cluster.wait_holder("announcer/b")
         other = next(name for name in sites.members("b") if name != holder)
-        rig.kill(holder, other)
-        rig.wait(lambda: rig.there(rig.now_by["n0"]) == 4, 30, "both are reported as dead")
+        cluster.kill(holder, other)
+        cluster.wait(
+            lambda: cluster.visible_members(cluster.current["n0"]) == 4, 30, "both are reported as dead"
+        )
         # The next controller receives no report from the site of the dead members.
-        controller = rig.wait_holder("addresses", within=40)
-        rig.ask(controller, "/release?name=addresses", "POST")
-        rig.wait_holder("addresses", other_than=controller, within=40)
+        controller = cluster.wait_holder("addresses", within=40)
+        cluster.query(controller, "/release?name=addresses", "POST")
+        cluster.wait_holder("addresses", other_than=controller, within=40)
         snapshot = wait_for_faults(
-            rig, [("gone", tuple(one for one in [name])) for name in sorted((holder, other))], 30
+            cluster, [("gone", tuple(one for one in [name])) for name in sorted((holder, other))], 30
         )
         assert "announcer/b" in snapshot.leases()
