--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -188,7 +188,7 @@
     from msgspec.structs import replace
 
     from onyxhollow.lab import scenario
-    from onyxhollow.lab.sockets.engine import Sockets
+    from onyxhollow.lab.sockets.engine import SocketEngine
 
     broken_rules, lines = 0, []
     for name in ("deploy",) if quick else ("deploy", "list-down"):
@@ -199,7 +199,7 @@
             fleet=replace(selected.fleet, servers=12, proxies=6, zones=selected.fleet.zones[:2]),
         )
         (folder / name).mkdir()
-        engine = Sockets(selected, 1, folder / name, in_fleet=True)
+        engine = SocketEngine(selected, 1, folder / name, in_fleet=True)
         world = engine.run()
         rules = world.checker.summary()
         count = sum(rules["broken"].values())  # type: ignore[attr-defined]
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -28,8 +28,8 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path.insert(0, str(ROOT))
 
-from onyxhollow.lab import broken, decisions, runs, scenario  # noqa: E402
-from onyxhollow.lab.virtual import Virtual  # noqa: E402
+from onyxhollow.lab import broken_policies, decisions, runs, scenario  # noqa: E402
+from onyxhollow.lab.virtual import VirtualEngine  # noqa: E402
 
 # Scenarios that resemble the twelve of the bench: the same faults and sizes, similar loads.
 SCENARIO_TEMPLATE = """
@@ -263,7 +263,7 @@
     """Return whether the output is the same for different hash seeds."""
     code = (
         "import sys; from onyxhollow.lab import runs, scenario; sys.stdout.buffer.write("
-        "runs.text(runs.play(scenario.read('deploy'), 5, 'module', series=True)))"
+        "runs.to_json(runs.play(scenario.read('deploy'), 5, 'module', series=True)))"
     )
     outputs = {
         subprocess.run(
@@ -281,13 +281,13 @@
 def count_caught_policies() -> int:
     """Count the broken policies that their rule detects and the correct policy passes."""
     count = 0
-    for rule, (kind, selected) in broken.days().items():
+    for rule, (kind, selected) in broken_policies.scenarios_by_rule().items():
         checker = (
-            Virtual(selected, 1, lambda host, settings, seed, _, kind=kind: kind(host, settings, seed))
+            VirtualEngine(selected, 1, lambda host, settings, seed, _, kind=kind: kind(host, settings, seed))
             .run()
             .checker
         )
-        correct = Virtual(selected, 1, decisions.find("module")).run().checker
+        correct = VirtualEngine(selected, 1, decisions.find("module")).run().checker
         count += bool(checker.violation_counts[rule]) and correct.is_clean
     return count
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -28,9 +28,9 @@
 
 from onyxhollow.gossip.config import GossipConfig  # noqa: E402
 from onyxhollow.lab import decisions, scenario  # noqa: E402
-from onyxhollow.lab.sockets.engine import Sockets  # noqa: E402
-from onyxhollow.lab.together import Trouble  # noqa: E402
-from onyxhollow.lab.virtual import Virtual  # noqa: E402
+from onyxhollow.lab.simulated_gossip import GossipFaults  # noqa: E402
+from onyxhollow.lab.sockets.engine import SocketEngine  # noqa: E402
+from onyxhollow.lab.virtual import VirtualEngine  # noqa: E402
 
 # Interval between restarts of killed processes: the fastest that one machine manages beside the others.
 START_INTERVAL_SECONDS = 0.12
@@ -75,9 +75,11 @@
     """
     title, size, seconds, seed, mode = cell
     gossip = GossipConfig() if mode in ("together", "cut", "liar") else None
-    trouble = {"cut": Trouble(6.0, seconds - 6.0), "liar": Trouble(liars=3)}.get(mode, Trouble())
+    trouble = {"cut": GossipFaults(6.0, seconds - 6.0), "liar": GossipFaults(liars=3)}.get(
+        mode, GossipFaults()
+    )
     policy = "module" if gossip or mode == "alone" else mode.removeprefix("before=")
-    engine = Virtual(make_scenario(title, size, seconds), seed, decisions.find(policy), gossip, trouble)
+    engine = VirtualEngine(make_scenario(title, size, seconds), seed, decisions.find(policy), gossip, trouble)
     world = engine.run()
     figures, verdict = world.metrics.figures(), world.checker.summary()
     return {
@@ -97,7 +99,7 @@
         ]
         selected = msgspec.structs.replace(selected, faults=staggered)
     with tempfile.TemporaryDirectory() as folder:
-        engine = Sockets(selected, 1, Path(folder), in_fleet=True, sharing=together)
+        engine = SocketEngine(selected, 1, Path(folder), in_fleet=True, sharing=together)
         try:
             world = engine.run()
         except OSError as error:  # the machine has too few descriptors or too little memory for this run
--- a/onyxhollow/lab/fleet/routing_daemons.py
+++ b/onyxhollow/lab/fleet/routing_daemons.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Generator
 from dataclasses import dataclass, field
 
-from onyxhollow.lab.sockets.lines import Lines, accepting, listening
+from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
 from onyxhollow.loop import Loop
 
 HOLD_SECONDS = 1.5  # hold time of a stopped daemon's routes, scaled down from 90 s
@@ -37,34 +37,34 @@
     def __init__(self, loop: Loop, site: str) -> None:
         self.loop, self.site = loop, site
         host = f"127.4.1.{ord(site[0]) % 100 + 1}"  # not shared, so that the port is still free at a restart
-        self.sock: socket.socket | None = listening((host, 0))
+        self.sock: socket.socket | None = open_listener((host, 0))
         self.address: tuple[str, int] = (host, self.sock.getsockname()[1])
         self.routes: dict[str, int] = {}
         self.changes: list[RouteChange] = []
-        self.connections: list[Lines] = []
+        self.connections: list[LineConnection] = []
         self.max_connections = self.commands = 0
         self.invalid_commands: list[str] = []  # lines that do not parse
         self.rejects_commands, self.reply_delay = False, 0.0
-        accepting(loop, self.sock, self.on_accepted)
+        accept_connections(loop, self.sock, self.on_accepted)
 
     def on_accepted(self, sock: socket.socket) -> None:
-        lines = Lines(
+        lines = LineConnection(
             self.loop, sock, lambda line: self.on_command(lines, line), lambda _: self.on_closed(lines)
         )
         self.connections.append(lines)
         self.max_connections = max(self.max_connections, len(self.connections))
 
-    def on_closed(self, lines: Lines) -> None:
+    def on_closed(self, lines: LineConnection) -> None:
         if lines in self.connections:
             self.connections.remove(lines)
 
-    def on_command(self, lines: Lines, line: bytes) -> None:
+    def on_command(self, lines: LineConnection, line: bytes) -> None:
         self.commands += 1
         match = ROUTE_COMMAND.fullmatch(line.decode(errors="replace").strip())
         if match is None or self.rejects_commands:
             if match is None:
                 self.invalid_commands.append(line.decode(errors="replace"))
-            lines.say(b"error\n")
+            lines.send(b"error\n")
             return
         verb, prefix, _, rest = match.groups()
         state = 0 if verb == "withdraw" else 1 if "community [65535:0]" in rest else 2
@@ -74,12 +74,12 @@
         if self.reply_delay:
             self.loop.spawn(self.reply_later(lines))
         else:
-            lines.say(b"done\n")
+            lines.send(b"done\n")
 
-    def reply_later(self, lines: Lines) -> Generator[float, None, None]:
+    def reply_later(self, lines: LineConnection) -> Generator[float, None, None]:
         yield from self.loop.sleep(self.reply_delay)
         if lines.open:
-            lines.say(b"done\n")
+            lines.send(b"done\n")
 
     def route_state(self, prefix: str) -> int:
         """Return 0 if the route is withdrawn, 1 if lowered, 2 if advertised."""
@@ -102,8 +102,8 @@
 
     def start(self) -> None:
         """Start the daemon again, without routes."""
-        self.sock = listening(self.address)
-        accepting(self.loop, self.sock, self.on_accepted)
+        self.sock = open_listener(self.address)
+        accept_connections(self.loop, self.sock, self.on_accepted)
 
     def close(self) -> None:
         if self.sock is not None:
--- a/onyxhollow/lab/fleet/stand_ins.py
+++ b/onyxhollow/lab/fleet/stand_ins.py
@@ -19,7 +19,7 @@
 import orjson
 
 from onyxhollow.lab.fleet.proxied_links import LinkFault, ProxiedLinks
-from onyxhollow.lab.sockets.lines import Lines, accepting, listening
+from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
 from onyxhollow.loop import Loop
 
 MAX_WATCH_SECONDS = 60.0
@@ -32,10 +32,10 @@
         self.listener, self.number = listener, 0
         self.http = h11.Connection(h11.SERVER)
         self.target = ""
-        self.lines = Lines(listener.loop, sock, self.on_data, self.on_closed)
+        self.lines = LineConnection(listener.loop, sock, self.on_data, self.on_closed)
         self.lines.raw = True
         if listener.blocked:
-            self.lines.quiet(True)
+            self.lines.pause_reading(True)
 
     def on_data(self, data: bytes) -> None:
         try:
@@ -66,7 +66,7 @@
     def send(self, response: bytes) -> None:
         # A cut link loses the answer, although the request was processed.
         if not self.listener.response_fault().cut:
-            self.lines.say(response)
+            self.lines.send(response)
 
     def on_closed(self, _: bool) -> None:
         self.listener.on_connection_closed(self)
@@ -79,9 +79,9 @@
         self.stand_in, self.loop, self.member = stand_in, stand_in.loop, member
         self.connections: dict[MemberConnection, None] = {}
         self.blocked = False
-        self.sock = listening(("127.0.0.1", 0))
+        self.sock = open_listener(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
-        accepting(self.loop, self.sock, self.on_accepted)
+        accept_connections(self.loop, self.sock, self.on_accepted)
 
     def request_fault(self) -> LinkFault:
         return self.stand_in.links.fault_on(self.member, self.stand_in.name)
@@ -120,7 +120,7 @@
         self.blocked = blocked
         for connection in list(self.connections):
             if blocked:
-                connection.lines.quiet(True)
+                connection.lines.pause_reading(True)
             else:
                 connection.lines.close()  # requests in flight are lost; the member reconnects
                 self.on_connection_closed(connection)
--- a/onyxhollow/lab/fleet/traffic.py
+++ b/onyxhollow/lab/fleet/traffic.py
@@ -6,7 +6,7 @@
 from collections import deque
 from collections.abc import Generator
 
-from onyxhollow.lab.sockets.lines import Lines, accepting, listening
+from onyxhollow.lab.sockets.line_connection import LineConnection, accept_connections, open_listener
 from onyxhollow.loop import Loop
 
 LINE_INTERVAL_SECONDS = 0.1
@@ -29,10 +29,10 @@
             overload_delay,
         )
         self.silent, self.health_checks = False, 0  # silent: accepts connections and does not answer
-        self.sock = listening(("127.0.0.1", 0))
+        self.sock = open_listener(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
         self.connections: list[ServerConnection] = []
-        accepting(loop, self.sock, self.on_accepted)
+        accept_connections(loop, self.sock, self.on_accepted)
 
     def on_accepted(self, sock: socket.socket) -> None:
         self.connections.append(ServerConnection(self, sock))
@@ -57,7 +57,7 @@
 
     def __init__(self, server: EchoServer, sock: socket.socket) -> None:
         self.server, self.established = server, False
-        self.lines = Lines(server.loop, sock, self.on_line, lambda _: None)
+        self.lines = LineConnection(server.loop, sock, self.on_line, lambda _: None)
 
     def on_line(self, line: bytes) -> None:
         server = self.server
@@ -68,19 +68,19 @@
             if delay > 0.0:
                 server.loop.spawn(self.echo_after(line, delay))
             else:
-                self.lines.say(line)
+                self.lines.send(line)
         elif line.startswith(b"OPEN"):
             self.established = True
-            self.lines.say(b"UP 1\r\n")
+            self.lines.send(b"UP 1\r\n")
         elif line.startswith(b"STATS"):
             server.health_checks += 1
-            self.lines.say(b"PONG x0=%.4f\r\n" % server.load)
+            self.lines.send(b"PONG x0=%.4f\r\n" % server.load)
         else:
-            self.lines.say(b"PONG\r\n")
+            self.lines.send(b"PONG\r\n")
 
     def echo_after(self, line: bytes, delay: float) -> Generator[float, None, None]:
         yield from self.server.loop.sleep(delay)
-        self.lines.say(line)
+        self.lines.send(line)
 
 
 class Client:
@@ -93,7 +93,7 @@
         self.established = self.closed = False
         self.retry_at = 0.0
         self.echoed_at = 0.0  # on the event loop's clock
-        self.lines: Lines | None = None
+        self.lines: LineConnection | None = None
         loop.spawn(self.run())
 
     def run(self) -> Generator[float, None, None]:
@@ -102,7 +102,7 @@
                 if self.loop.now >= self.retry_at:
                     self.connect()
             elif self.established:
-                self.lines.say(b"line %d %d\r\n" % (self.number, self.echoes))
+                self.lines.send(b"line %d %d\r\n" % (self.number, self.echoes))
             next_line_at = self.loop.now + LINE_INTERVAL_SECONDS
             while self.loop.now < next_line_at:
                 yield next_line_at
@@ -114,8 +114,8 @@
         if sock.connect_ex(self.address) not in (0, 115):
             sock.close()
             return
-        self.lines = Lines(self.loop, sock, self.on_line, self.on_closed)
-        self.lines.say(
+        self.lines = LineConnection(self.loop, sock, self.on_line, self.on_closed)
+        self.lines.send(
             b"OPEN c%dx%d k%d c=chat,d=1500\r\n" % (self.number, self.connection_count, self.number)
         )
 
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -1,6 +1,7 @@
-"""The virtual-time engine: hosts decision modules through interface.Host, one an instance, without a clock.
+"""The virtual-time engine: hosts one decision module per proxy through interface.Host, without a clock.
 
-Same scenario, seed and policy: the same result to the byte, in any process, whatever PYTHONHASHSEED says.
+The same scenario, seed and policy give the same result to the byte, in any process and with any
+PYTHONHASHSEED.
 """
 
 from __future__ import annotations
@@ -22,32 +23,43 @@
     Settings,
     Tenant,
 )
-from onyxhollow.lab.decisions import Maker
+from onyxhollow.lab.decisions import PolicyFactory
 from onyxhollow.lab.scenario import Scenario
-from onyxhollow.lab.together import Talk, Trouble
+from onyxhollow.lab.simulated_gossip import GossipFaults, SimulatedGossip
 from onyxhollow.lab.world.listing import ListedServer
 from onyxhollow.lab.world.servers import OpenResult, Server, ServerState, Session
 from onyxhollow.lab.world.types import LossCause
 from onyxhollow.lab.world.world import World
 
-PROBE_TIME = 0.3  # seconds until a probe is given up
-PROBE_WORK = 0.0002  # core seconds
-STOP_STEP, STILL_COMING, STOP_MARGIN = 0.05, 0.5, 0.3  # of a planned stop, seconds
-LOG_KEPT = 400  # lines of the modules' logs kept
-READINESS = {row.value: row for row in EndpointState}
-
-
-class Held:
-    """A session as its proxy holds it: the module's token."""
-
-    __slots__ = ("sess", "handle", "dial", "out", "server", "sent_at", "standing", "answered")
+HEALTH_CHECK_TIMEOUT_SECONDS = 0.3
+HEALTH_CHECK_CORE_SECONDS = 0.0002  # of work at the server
+# Of a planned stop: the interval of migrations, the delay before the first one (clients may still arrive),
+# and the time reserved at the end.
+STOP_STEP_SECONDS, STOP_DELAY_SECONDS, STOP_MARGIN_SECONDS = 0.05, 0.5, 0.3
+MAX_LOG_LINES = 400  # kept of all modules' logs
+STATE_BY_READINESS = {row.value: row for row in EndpointState}
+
+
+class SessionToken:
+    """A session at its proxy, passed to the decision module as its token."""
+
+    __slots__ = (
+        "sess",
+        "handle",
+        "attempt",
+        "attempt_in_flight",
+        "server",
+        "sent_at",
+        "established",
+        "answered",
+    )
 
     def __init__(self, sess: Session) -> None:
         self.sess = sess
         self.handle: Any = None
-        self.dial, self.out, self.sent_at = 0, False, 0.0
+        self.attempt, self.attempt_in_flight, self.sent_at = 0, False, 0.0
         self.server: Server | None = None
-        self.standing = self.answered = False
+        self.established = self.answered = False
 
     @property
     def came_back(self) -> bool:
@@ -55,9 +67,11 @@
 
 
 class Instance:
-    """One proxy's life: the module's Host."""
+    """One process of a proxy, from start to end: the Host of its decision module."""
 
-    def __init__(self, engine: Virtual, number: int, rows: list[ListedServer], seen: int, life: int) -> None:
+    def __init__(
+        self, engine: VirtualEngine, number: int, rows: list[ListedServer], seen: int, start_count: int
+    ) -> None:
         self.engine, self.number, self.world, self.event_queue = (
             engine,
             number,
@@ -66,123 +80,157 @@
         )
         self.alive, self.stalled_until = True, 0.0
         self.seen, self.rows = seen, {row.name: row for row in rows}
-        self.held: dict[int, Held] = {}
+        self.tokens: dict[int, SessionToken] = {}
         self.zone = self.world.proxies[number].zone
-        seed = (engine.world.seed * 1_000_003 + number * 7919 + life) & 0x7FFFFFFFFFFFFFFF
+        seed = (engine.world.seed * 1_000_003 + number * 7919 + start_count) & 0x7FFFFFFFFFFFFFFF
         self.settings = engine.settings(number)
-        self.balancer = engine.maker(self, self.settings, seed, engine.world)
-        self.talk = engine.talk
-        if self.talk:
-            self.talk.joined(self, number * 1000 + life)
-        self.told(EndpointListKind.CACHED, list(self.rows.values()))
+        self.balancer = engine.policy_factory(self, self.settings, seed, engine.world)
+        self.gossip = engine.gossip
+        if self.gossip:
+            self.gossip.add_member(self, number * 1000 + start_count)
+        self.pass_endpoint_list(EndpointListKind.CACHED, list(self.rows.values()))
 
     @property
     def now(self) -> float:
         return self.event_queue.now
 
-    def later(self, span: float, call: Any, *values: Any) -> None:
-        self.event_queue.schedule_after(span, self.when_able, call, values)
+    def schedule(self, span: float, call: Any, *values: Any) -> None:
+        self.event_queue.schedule_after(span, self.call_unless_stalled, call, values)
 
-    def when_able(self, call: Any, values: tuple[Any, ...]) -> None:
-        """A proxy that stands still finds it all when it goes on, in order."""
+    def call_unless_stalled(self, call: Any, values: tuple[Any, ...]) -> None:
+        """Call now, or when the stall of the proxy ends; calls made meanwhile keep their order."""
         if not self.alive:
             return
         if self.event_queue.now < self.stalled_until:
-            self.event_queue.schedule_at(self.stalled_until, self.when_able, call, values)
+            self.event_queue.schedule_at(self.stalled_until, self.call_unless_stalled, call, values)
         else:
             call(*values)
 
-    # what the module asks
+    # called by the decision module
 
     def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
-        assert isinstance(token, Held)
+        assert isinstance(token, SessionToken)
         now, target, engine = self.now, self.world.servers_by_name[server], self.engine
-        token.dial, token.out, token.server, token.sent_at = token.dial + 1, True, target, now
+        token.attempt, token.attempt_in_flight, token.server, token.sent_at = (
+            token.attempt + 1,
+            True,
+            target,
+            now,
+        )
         self.world.checker.record_attempt(now, self.number, token.sess.number, server)
         self.world.metrics.increment("dials")
         if self.zone != target.zone:
             self.world.metrics.increment("dials across zones")
         one_way = engine.one_way(self.zone, target.zone, token.sess)
-        self.event_queue.schedule_after(3 * one_way, self.reach, token, token.dial, one_way)
-        self.later(min(timeout, max(0.0, token.sess.deadline - now)), self.timed_out, token, token.dial)
+        self.event_queue.schedule_after(3 * one_way, self.reach_server, token, token.attempt, one_way)
+        self.schedule(
+            min(timeout, max(0.0, token.sess.deadline - now)), self.on_attempt_timeout, token, token.attempt
+        )
 
-    def cancel_attempt(self, token: Hashable, dial: int) -> None:
-        assert isinstance(token, Held)
-        self.later(0.0, self.dial_over, token, token.dial, AttemptOutcome.CANCELLED)
+    def cancel_attempt(self, token: Hashable, attempt: int) -> None:
+        assert isinstance(token, SessionToken)
+        self.schedule(0.0, self.end_attempt, token, token.attempt, AttemptOutcome.CANCELLED)
 
     def reject(self, token: Hashable, retry_after: float) -> None:
-        assert isinstance(token, Held)
-        self.answer(token, "refused")
+        assert isinstance(token, SessionToken)
+        self.record_answer(token, "refused")
         self.event_queue.schedule_after(
             self.world.network.client, self.world.on_rejected, token.sess, retry_after
         )
 
     def tear_down(self, token: Hashable) -> None:
-        assert isinstance(token, Held)
-        self.answer(token, "failed")
+        assert isinstance(token, SessionToken)
+        self.record_answer(token, "failed")
         self.event_queue.schedule_after(self.world.network.client, self.world.on_failed, token.sess)
 
     def migrate(self, token: Hashable) -> None:
-        assert isinstance(token, Held)
-        if token.standing and not token.sess.ended:
+        assert isinstance(token, SessionToken)
+        if token.established and not token.sess.ended:
             self.world.metrics.increment("moves")
             self.world.end_connection(token.sess, LossCause.MOVED)
-            self.later(0.0, self.dial_over, token, token.dial, AttemptOutcome.CANCELLED)
+            self.schedule(0.0, self.end_attempt, token, token.attempt, AttemptOutcome.CANCELLED)
 
     def check_health(self, server: str, shared: bool = False) -> None:
-        """shared: asked for all members, and not by the module."""
+        """Check a server's health; shared: gossip asks for it on behalf of all members."""
         target, now = self.world.servers_by_name[server], self.now
-        if self.talk and not shared and (known := self.talk.cores[self.number].load_estimate(server, now)):
+        if (
+            self.gossip
+            and not shared
+            and (known := self.gossip.cores[self.number].load_estimate(server, now))
+        ):
             outcome = AttemptOutcome.OK
-            self.later(0.0, self.balancer.on_health_check, server, outcome, 0.0, known.load, known.age)
+            self.schedule(0.0, self.balancer.on_health_check, server, outcome, 0.0, known.load, known.age)
             return
         self.world.metrics.increment("probes")
-        there = 3 * self.engine.one_way(self.zone, target.zone, None)
+        network_time = 3 * self.engine.one_way(self.zone, target.zone, None)
         reachable = not target.vanished_by and not self.world.blocked_direction(self.number, target)
         if not reachable or target.hung_by:
-            self.later(PROBE_TIME, self.probed, server, AttemptOutcome.TIMEOUT, PROBE_TIME, None)
+            self.schedule(
+                HEALTH_CHECK_TIMEOUT_SECONDS,
+                self.on_health_check_result,
+                server,
+                AttemptOutcome.TIMEOUT,
+                HEALTH_CHECK_TIMEOUT_SECONDS,
+                None,
+            )
         elif target.state is ServerState.STOPPED:
-            self.later(there, self.probed, server, AttemptOutcome.CONNECT_FAILED, there, None)
+            self.schedule(
+                network_time,
+                self.on_health_check_result,
+                server,
+                AttemptOutcome.CONNECT_FAILED,
+                network_time,
+                None,
+            )
         else:
-            target.backlog += PROBE_WORK
+            target.backlog += HEALTH_CHECK_CORE_SECONDS
             draw = int(now * 1000) + self.number
             load = target.reported_load(now, self.world.random_tables.normal(target.number, draw))
-            self.later(1.3 * there, self.probed, server, AttemptOutcome.OK, 1.3 * there, load)
+            self.schedule(
+                1.3 * network_time,
+                self.on_health_check_result,
+                server,
+                AttemptOutcome.OK,
+                1.3 * network_time,
+                load,
+            )
 
-    def probed(self, server: str, end: AttemptOutcome, took: float, load: float | None) -> None:
-        self.balancer.on_health_check(server, end, took, load)
-        if self.talk and (core := self.talk.cores.get(self.number)):
+    def on_health_check_result(
+        self, server: str, outcome: AttemptOutcome, took: float, load: float | None
+    ) -> None:
+        self.balancer.on_health_check(server, outcome, took, load)
+        if self.gossip and (core := self.gossip.cores.get(self.number)):
             core.on_poll_result(server, load, self.now)
-            self.talk.pass_on(self, core)
+            self.gossip.dispatch(self, core)
 
     def poll_endpoint_list(self) -> None:
         self.world.checker.record_poll(self.now, self.number)
         self.world.list_service.watch(
-            self.number, self.seen, self.list_news, self.list_answer, self.list_ended
+            self.number, self.seen, self.on_list_change, self.on_list_answer, self.on_watch_ended
         )
 
     def set_timer(self, when: float) -> None:
-        self.event_queue.schedule_at(when, self.when_able, self.tick, ())
+        self.event_queue.schedule_at(when, self.call_unless_stalled, self.tick, ())
 
     def log(self, line: str) -> None:
-        if len(self.engine.logs) < LOG_KEPT:
+        if len(self.engine.logs) < MAX_LOG_LINES:
             self.engine.logs.append((round(self.now, 3), self.number, line))
 
-    # what it is told
+    # events
 
     def tick(self) -> None:
         self.balancer.tick()
 
-    def told(self, kind: EndpointListKind, rows: list[ListedServer]) -> None:
+    def pass_endpoint_list(self, kind: EndpointListKind, rows: list[ListedServer]) -> None:
         entries = [
-            Endpoint(row.name, READINESS[row.state], row.weight, row.started, row.zone, row.cell)
+            Endpoint(row.name, STATE_BY_READINESS[row.state], row.weight, row.started, row.zone, row.cell)
             for row in rows
         ]
         for row in rows:
             self.world.checker.record_notification(self.now, self.number, row.name, row.state, row.started)
         self.balancer.on_endpoint_list(kind, entries)
 
-    def note(self, rows: list[ListedServer], whole: bool, version: int) -> None:
+    def apply_list_update(self, rows: list[ListedServer], whole: bool, version: int) -> None:
         self.seen = version
         if whole:
             for name in [name for name in self.rows if name not in {row.name for row in rows}]:
@@ -190,174 +238,182 @@
             self.rows = {}
         for row in rows:
             self.rows[row.name] = row
-        self.told(EndpointListKind.SNAPSHOT if whole else EndpointListKind.DELTA, rows)
+        self.pass_endpoint_list(EndpointListKind.SNAPSHOT if whole else EndpointListKind.DELTA, rows)
 
-    def list_news(self, rows: list[ListedServer], version: int) -> None:
-        self.when_able(self.note, (rows, False, version))
+    def on_list_change(self, rows: list[ListedServer], version: int) -> None:
+        self.call_unless_stalled(self.apply_list_update, (rows, False, version))
 
-    def list_answer(self, rows: list[ListedServer] | None, whole: bool, version: int) -> None:
+    def on_list_answer(self, rows: list[ListedServer] | None, whole: bool, version: int) -> None:
         if not self.alive:
             return
         if rows is None:
-            self.when_able(self.told, (EndpointListKind.FAILED, []))
+            self.call_unless_stalled(self.pass_endpoint_list, (EndpointListKind.FAILED, []))
             return
         self.world.checker.set_watching(self.number, True)
-        self.when_able(self.note, (rows, whole, version))
+        self.call_unless_stalled(self.apply_list_update, (rows, whole, version))
 
-    def list_ended(self) -> None:
+    def on_watch_ended(self) -> None:
         if self.alive:
             self.world.checker.set_watching(self.number, False)
             self.world.checker.record_poll(self.now, self.number)
-            self.when_able(self.told, (EndpointListKind.FAILED, []))
+            self.call_unless_stalled(self.pass_endpoint_list, (EndpointListKind.FAILED, []))
 
-    def come(self, sess: Session) -> None:
-        """A session has reached the proxy."""
+    def on_session(self, sess: Session) -> None:
+        """Pass a session that has reached the proxy to the decision module."""
         if sess.ended:
             return
         spec = self.world.scenario.listeners[sess.client.request.listener]
         self.world.checker.record_session(
             self.now, self.number, sess.number, sess.deadline, spec.repeat, spec.scope, spec.window
         )
-        held = self.held[sess.number] = Held(sess)
+        token = self.tokens[sess.number] = SessionToken(sess)
         listener, tenant, group = self.engine.describe(sess)
-        held.handle = self.balancer.admit(
-            held, listener, tenant, group, max(0.0, sess.deadline - self.now), None
+        token.handle = self.balancer.admit(
+            token, listener, tenant, group, max(0.0, sess.deadline - self.now), None
         )
 
     def adopt(self, sess: Session) -> None:
-        """A connection that stood before the start."""
-        held = self.held[sess.number] = Held(sess)
-        held.out = held.standing = held.answered = True
-        held.server = sess.server
+        """Take over a connection that exists from the start of the run."""
+        token = self.tokens[sess.number] = SessionToken(sess)
+        token.attempt_in_flight = token.established = token.answered = True
+        token.server = sess.server
         assert sess.server is not None
         listener, tenant, group = self.engine.describe(sess)
-        held.handle = self.balancer.adopt(held, listener, tenant, group, None, sess.server.name)
+        token.handle = self.balancer.adopt(token, listener, tenant, group, None, sess.server.name)
 
-    def answer(self, held: Held, how: str) -> None:
-        held.answered = True
-        self.world.checker.record_answer(self.now, self.number, held.sess.number, how)
-        self.held.pop(held.sess.number, None)
+    def record_answer(self, token: SessionToken, outcome: str) -> None:
+        token.answered = True
+        self.world.checker.record_answer(self.now, self.number, token.sess.number, outcome)
+        self.tokens.pop(token.sess.number, None)
 
-    def reach(self, held: Held, dial: int, one_way: float) -> None:
-        """A dial's line has reached its server, if it can."""
-        if not self.alive or not held.out or held.dial != dial or held.server is None:
+    def reach_server(self, token: SessionToken, attempt: int, one_way: float) -> None:
+        """Offer the session to its server, unless the link is blocked."""
+        if not self.alive or not token.attempt_in_flight or token.attempt != attempt or token.server is None:
             return
-        server = held.server
+        server = token.server
         if server.vanished_by or self.world.blocked_direction(self.number, server):
-            left = self.world.network.connect_time - (self.now - held.sent_at)
-            self.later(max(0.0, left), self.dial_over, held, dial, AttemptOutcome.CONNECT_FAILED)
+            remaining = self.world.network.connect_time - (self.now - token.sent_at)
+            self.schedule(
+                max(0.0, remaining), self.end_attempt, token, attempt, AttemptOutcome.CONNECT_FAILED
+            )
             return
-        verdict, wait = self.world.open_at_server(held.sess, server)
+        verdict, wait = self.world.open_at_server(token.sess, server)
         if verdict is OpenResult.ACCEPTED:
-            self.event_queue.schedule_after(wait + one_way, self.verdict, held, dial, server, server.started)
+            self.event_queue.schedule_after(
+                wait + one_way, self.on_verdict, token, attempt, server, server.started
+            )
         elif verdict is not OpenResult.NO_ANSWER:
-            end = {
+            outcome = {
                 OpenResult.OVERLOADED: AttemptOutcome.OVERLOADED,
                 OpenResult.ERROR: AttemptOutcome.ERROR,
                 OpenResult.CONNECTION_REFUSED: AttemptOutcome.CONNECT_FAILED,
             }[verdict]
-            self.later(wait + one_way, self.dial_over, held, dial, end)
+            self.schedule(wait + one_way, self.end_attempt, token, attempt, outcome)
 
-    def verdict(self, held: Held, dial: int, server: Server, started: float) -> None:
-        """The server's UP has come, unless something stands between."""
+    def on_verdict(self, token: SessionToken, attempt: int, server: Server, started: float) -> None:
+        """Process the UP of a server, unless it is lost on the way."""
         if not self.alive or self.world.blocked_direction(self.number, server) or server.is_unresponsive:
             return
-        if not held.out or held.dial != dial:
+        if not token.attempt_in_flight or token.attempt != attempt:
             self.world.metrics.increment("set up in vain")
         elif server.state is ServerState.STOPPED or server.started != started:
-            self.when_able(self.dial_over, (held, dial, AttemptOutcome.RESET))
+            self.call_unless_stalled(self.end_attempt, (token, attempt, AttemptOutcome.RESET))
         else:
-            self.when_able(self.stands, (held, dial, server))
+            self.call_unless_stalled(self.establish, (token, attempt, server))
 
-    def stands(self, held: Held, dial: int, server: Server) -> None:
-        if not held.out or held.dial != dial or held.sess.ended:
+    def establish(self, token: SessionToken, attempt: int, server: Server) -> None:
+        if not token.attempt_in_flight or token.attempt != attempt or token.sess.ended:
             return
-        held.standing = held.answered = True
-        self.world.checker.record_answer(self.now, self.number, held.sess.number, "up")
-        held.handle.on_established(self.now - held.sent_at)
-        self.world.on_established(held.sess, server)
+        token.established = token.answered = True
+        self.world.checker.record_answer(self.now, self.number, token.sess.number, "up")
+        token.handle.on_established(self.now - token.sent_at)
+        self.world.on_established(token.sess, server)
 
-    def timed_out(self, held: Held, dial: int) -> None:
-        if held.out and held.dial == dial and not held.standing:
-            self.dial_over(held, dial, AttemptOutcome.TIMEOUT)
+    def on_attempt_timeout(self, token: SessionToken, attempt: int) -> None:
+        if token.attempt_in_flight and token.attempt == attempt and not token.established:
+            self.end_attempt(token, attempt, AttemptOutcome.TIMEOUT)
 
-    def dial_over(self, held: Held, dial: int, end: AttemptOutcome) -> None:
-        if not held.out or held.dial != dial:
+    def end_attempt(self, token: SessionToken, attempt: int, outcome: AttemptOutcome) -> None:
+        if not token.attempt_in_flight or token.attempt != attempt:
             return
-        held.out = False
-        if end is not AttemptOutcome.OK:
-            self.world.metrics.increment(f"dial: {end.value}")
-        self.world.checker.record_attempt_end(self.now, held.sess.number, held.sent_at, end.never_ran)
-        final = held.answered or held.standing
-        if self.talk and not final and end not in NOT_FAILURES and held.server:
-            self.talk.cores[self.number].record_failure(held.server.name, self.now)
-        if held.standing:
-            self.held.pop(held.sess.number, None)
-        if held.handle is not None:
-            held.handle.on_attempt_ended(end, final, self.now - held.sent_at, None)
-
-    def left(self, sess: Session) -> None:
-        """The client has gone."""
-        held = self.held.get(sess.number)
-        if held is None:
+        token.attempt_in_flight = False
+        if outcome is not AttemptOutcome.OK:
+            self.world.metrics.increment(f"dial: {outcome.value}")
+        self.world.checker.record_attempt_end(self.now, token.sess.number, token.sent_at, outcome.never_ran)
+        final = token.answered or token.established
+        if self.gossip and not final and outcome not in NOT_FAILURES and token.server:
+            self.gossip.cores[self.number].record_failure(token.server.name, self.now)
+        if token.established:
+            self.tokens.pop(token.sess.number, None)
+        if token.handle is not None:
+            token.handle.on_attempt_ended(outcome, final, self.now - token.sent_at, None)
+
+    def on_client_left(self, sess: Session) -> None:
+        """End the session after its client has left."""
+        token = self.tokens.get(sess.number)
+        if token is None:
             return
-        if held.standing:
-            self.gone(held)
-            self.dial_over(held, held.dial, AttemptOutcome.CANCELLED)
+        if token.established:
+            self.report_client_gone(token)
+            self.end_attempt(token, token.attempt, AttemptOutcome.CANCELLED)
             return
         self.world.checker.record_client_gone(self.now, sess.number)
-        self.held.pop(sess.number, None)
-        if not held.answered:
-            held.answered = True
-            held.handle.on_client_gone()
+        self.tokens.pop(sess.number, None)
+        if not token.answered:
+            token.answered = True
+            token.handle.on_client_gone()
 
-    def gone(self, held: Held) -> None:
-        """Its end is no word of its server: the module would take it for one that sends its clients away."""
-        if held.handle is not None:
-            held.handle.on_client_gone()
+    def report_client_gone(self, token: SessionToken) -> None:
+        """Report that the client left, so that the module does not attribute the end to the server."""
+        if token.handle is not None:
+            token.handle.on_client_gone()
 
-    def ended(self, sess: Session, sent_away: bool) -> None:
-        if held := self.held.get(sess.number):
-            self.dial_over(held, held.dial, AttemptOutcome.CANCELLED if sent_away else AttemptOutcome.RESET)
+    def on_server_ended(self, sess: Session, move: bool) -> None:
+        if token := self.tokens.get(sess.number):
+            self.end_attempt(token, token.attempt, AttemptOutcome.CANCELLED if move else AttemptOutcome.RESET)
 
     def stop(self, span: float) -> None:
-        self.later(STILL_COMING, self.stop_step, self.now + span - STOP_MARGIN)
+        self.schedule(STOP_DELAY_SECONDS, self.stop_step, self.now + span - STOP_MARGIN_SECONDS)
 
     def stop_step(self, last: float) -> None:
-        """Moves its clients evenly over the time it has; at the end what still waits is answered."""
-        open_ones = [held for held in self.held.values() if held.standing]
-        share = STOP_STEP / max(STOP_STEP, last - self.now)
-        for held in open_ones[: math.ceil(len(open_ones) * share)]:
-            self.gone(held)
-            self.migrate(held)
+        """Migrate clients evenly until `last`; at the end, answer the sessions that still wait."""
+        established = [token for token in self.tokens.values() if token.established]
+        share = STOP_STEP_SECONDS / max(STOP_STEP_SECONDS, last - self.now)
+        for token in established[: math.ceil(len(established) * share)]:
+            self.report_client_gone(token)
+            self.migrate(token)
         if self.now < last:
-            self.later(STOP_STEP, self.stop_step, last)
+            self.schedule(STOP_STEP_SECONDS, self.stop_step, last)
             return
-        for held in [held for held in self.held.values() if not held.standing and not held.answered]:
-            held.handle.deadline = -math.inf
-            if held.out:
-                self.dial_over(held, held.dial, AttemptOutcome.CANCELLED)
+        for token in [
+            token for token in self.tokens.values() if not token.established and not token.answered
+        ]:
+            token.handle.deadline = -math.inf
+            if token.attempt_in_flight:
+                self.end_attempt(token, token.attempt, AttemptOutcome.CANCELLED)
             else:
-                self.balancer.attempt(held.handle)
+                self.balancer.attempt(token.handle)
 
 
-class Virtual:
-    """The engine: one Instance a proxy that lives."""
+class VirtualEngine:
+    """The virtual-time engine, with one Instance for each running proxy."""
 
     def __init__(
         self,
         scenario: Scenario,
         seed: int,
-        maker: Maker,
-        terms: GossipConfig | None = None,
-        trouble: Trouble | None = None,
+        policy_factory: PolicyFactory,
+        gossip_config: GossipConfig | None = None,
+        faults: GossipFaults | None = None,
     ) -> None:
-        """terms: the members tell one another of servers; trouble: what is done to that."""
-        self.scenario, self.maker = scenario, maker
+        """Prepare a run; with a gossip_config the proxies share load reports, under the given faults."""
+        self.scenario, self.policy_factory = scenario, policy_factory
         self.world = World(scenario, seed)
-        self.talk = Talk(self, terms, trouble or Trouble()) if terms else None
+        self.gossip = (
+            SimulatedGossip(self, gossip_config, faults or GossipFaults()) if gossip_config else None
+        )
         self.instances: dict[int, Instance] = {}
-        self.lives: dict[int, int] = {}
+        self.start_counts: dict[int, int] = {}
         self.lists: dict[int, tuple[list[ListedServer], int]] = {}
         self.logs: list[tuple[float, int, str]] = []
         self.listeners = [
@@ -406,8 +462,10 @@
         return self.listeners[request.listener], self.customers[request.tenant], group
 
     def one_way(self, zone: int, other: int, sess: Session | None) -> float:
-        """Seconds, jitter included; a session's own draws, so that other sessions' delays move nothing
-        here."""
+        """Return the one-way time between two zones in seconds, with jitter for a session.
+
+        The jitter comes from the session's own draws, so that it doesn't depend on other sessions.
+        """
         base = self.world.one_way_delay(zone, other)
         if sess is None:
             return base
@@ -420,57 +478,57 @@
         return self.end()
 
     def begin(self) -> None:
-        """Everything up to the first instant: the event queue can be run from here."""
+        """Prepare the run up to time 0; the caller can then run the event queue step by step."""
         world = self.world
         world.start(self)
         rows = list(world.list_service.rows.values())
         for number in range(self.scenario.fleet.proxies):
-            self.lists[number], self.lives[number] = (rows, world.list_service.version), 0
+            self.lists[number], self.start_counts[number] = (rows, world.list_service.version), 0
             self.instances[number] = Instance(self, number, rows, world.list_service.version, 0)
         for sess in world.create_preexisting_sessions():
             self.instances[sess.proxy].adopt(sess)
 
     def end(self) -> World:
-        """Closes the accounts; the event queue must have come to the scenario's end."""
+        """Close the accounts; the event queue must have run to the end of the scenario."""
         self.world.finish()
         return self.world
 
     # called by the world
 
     def submit(self, sess: Session) -> None:
-        self.world.event_queue.schedule_after(self.world.network.client, self.arrives, sess)
+        self.world.event_queue.schedule_after(self.world.network.client, self.deliver, sess)
 
-    def arrives(self, sess: Session) -> None:
+    def deliver(self, sess: Session) -> None:
         instance = self.instances.get(sess.proxy)
         if instance is None:
             self.world.on_proxy_lost(sess)
         else:
-            instance.when_able(instance.come, (sess,))
+            instance.call_unless_stalled(instance.on_session, (sess,))
 
     def cancel(self, sess: Session) -> None:
         if instance := self.instances.get(sess.proxy):
-            instance.when_able(instance.left, (sess,))
+            instance.call_unless_stalled(instance.on_client_left, (sess,))
 
     def close_by_server(self, sess: Session, move: bool) -> None:
         if instance := self.instances.get(sess.proxy):
-            instance.when_able(instance.ended, (sess, move))
+            instance.call_unless_stalled(instance.on_server_ended, (sess, move))
 
     def load_changed(self, sess: Session) -> None:
-        if (instance := self.instances.get(sess.proxy)) and (held := instance.held.get(sess.number)):
-            if held.handle is not None and held.standing:
-                instance.when_able(held.handle.on_load, (sess.load,))
+        if (instance := self.instances.get(sess.proxy)) and (token := instance.tokens.get(sess.number)):
+            if token.handle is not None and token.established:
+                instance.call_unless_stalled(token.handle.on_load, (sess.load,))
 
     def crash(self, number: int) -> None:
         if instance := self.instances.pop(number, None):
             instance.alive = False
-            if self.talk:
-                self.talk.left(number)
+            if self.gossip:
+                self.gossip.remove_member(number)
             self.lists[number] = list(instance.rows.values()), instance.seen
 
     def restart(self, number: int) -> None:
-        self.lives[number] += 1
+        self.start_counts[number] += 1
         rows, seen = self.lists[number]
-        self.instances[number] = Instance(self, number, rows, seen, self.lives[number])
+        self.instances[number] = Instance(self, number, rows, seen, self.start_counts[number])
 
     def is_ready(self, number: int) -> bool:
         return True
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from onyxhollow.lab.evenness import Seen
+from onyxhollow.lab.evenness import ServerLoad
 from onyxhollow.lab.invariant_checker import InvariantChecker
 from onyxhollow.lab.run_metrics import RunMetrics
 from onyxhollow.lab.scenario import Scenario
@@ -224,16 +224,16 @@
     def sample(self) -> None:
         """Sample the servers' loads and message latencies."""
         now = self.event_queue.now
-        samples: list[Seen] = []
+        samples: list[ServerLoad] = []
         for server in self.servers:
             if not server.is_running or server.is_unresponsive:
                 continue
             self.metrics.record_load(server.name, now, server.load)
             if server.state is ServerState.RUNNING and server.warm_up_factor(now) >= 1.0:
-                samples.append(Seen(server.name, server.load, server.capacity(now)))
+                samples.append(ServerLoad(server.name, server.load, server.capacity(now)))
             if server.sessions:
                 self.metrics.record_messages(server.delay, server.tau, len(server.sessions))
-        self.metrics.evenness.look(now, samples)
+        self.metrics.evenness.record_loads(now, samples)
         self.event_queue.schedule_after(SAMPLE_SECONDS, self.sample)
 
     def finish(self) -> None:
@@ -374,7 +374,7 @@
         else:
             self.metrics.record_disconnected(client.request, client.cause_since, now, client.cause)
         self.metrics.increment("up")
-        self.metrics.evenness.placed(now, server.name, sess.proxy)
+        self.metrics.evenness.record_placement(now, server.name, sess.proxy)
         client.open_count = 0
         self.attach(sess, server)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,10 +9,10 @@
 
 pytest.importorskip("msgspec")
 
-from onyxhollow.lab import broken, decisions, runs, scenario  # noqa: E402
+from onyxhollow.lab import broken_policies, decisions, runs, scenario  # noqa: E402
 from onyxhollow.lab.invariant_checker import InvariantChecker  # noqa: E402
 from onyxhollow.lab.run_metrics import merge_quantiles  # noqa: E402
-from onyxhollow.lab.virtual import Virtual  # noqa: E402
+from onyxhollow.lab.virtual import VirtualEngine  # noqa: E402
 from onyxhollow.lab.world import faults  # noqa: E402
 from onyxhollow.lab.world.servers import ServerState  # noqa: E402
 from onyxhollow.lab.world.types import LossCause  # noqa: E402
@@ -46,7 +46,7 @@
 
 def started_engine(spec, seed=1, policy="module"):
     """Return a started engine and its world; the test runs the event queue step by step."""
-    engine = Virtual(spec, seed, decisions.find(policy))
+    engine = VirtualEngine(spec, seed, decisions.find(policy))
     engine.begin()
     return engine, engine.world
 
@@ -54,7 +54,7 @@
 def test_a_run_gives_the_same_bytes_in_every_process():
     code = (
         "import sys; from onyxhollow.lab import runs, scenario; sys.stdout.buffer.write("
-        "runs.text(runs.play(scenario.read('reload'), 3, 'module', series=True)))"
+        "runs.to_json(runs.play(scenario.read('reload'), 3, 'module', series=True)))"
     )
     outputs = [
         subprocess.run(
@@ -67,7 +67,7 @@
         for hash_seed in ("1", "77")
     ]
     assert outputs[0] == outputs[1] and b'"score"' in outputs[0]
-    assert outputs[0] != runs.text(runs.play(scenario.read("reload"), 4, "module", series=True))
+    assert outputs[0] != runs.to_json(runs.play(scenario.read("reload"), 4, "module", series=True))
 
 
 def test_a_restarted_proxy_gets_clients_only_once_it_is_ready(monkeypatch):
@@ -101,7 +101,8 @@
         fault_section("crash", at=3.0, lasts=3.0, part=0.5) + fault_section("reconnect", at=8.0, share=0.5)
     )
     worlds = {
-        name: Virtual(spec, 2, decisions.find(name)).run() for name in ("module", "random", "true-state")
+        name: VirtualEngine(spec, 2, decisions.find(name)).run()
+        for name in ("module", "random", "true-state")
     }
     assert len({tuple(world.metrics.wanted) for world in worlds.values()}) == 1
     assert len({tuple(world.metrics.earned) for world in worlds.values()}) == 3
@@ -115,9 +116,13 @@
 
 @pytest.mark.parametrize("rule", [1, 2, 3, 4])
 def test_the_checker_reports_the_policy_that_breaks_a_rule_and_not_the_module(rule):
-    kind, spec = broken.days()[rule]
-    violating = Virtual(spec, 1, lambda host, settings, seed, _: kind(host, settings, seed)).run().checker
-    compliant = Virtual(spec, 1, lambda host, settings, seed, _: Balancer(host, settings, seed)).run().checker
+    kind, spec = broken_policies.scenarios_by_rule()[rule]
+    violating = (
+        VirtualEngine(spec, 1, lambda host, settings, seed, _: kind(host, settings, seed)).run().checker
+    )
+    compliant = (
+        VirtualEngine(spec, 1, lambda host, settings, seed, _: Balancer(host, settings, seed)).run().checker
+    )
     assert violating.violation_counts[rule] and compliant.is_clean
 
 
@@ -308,12 +313,12 @@
 @pytest.mark.parametrize("kind", sorted(RESULT_CONDITIONS))
 def test_a_fault_changes_the_results_of_a_run(kind):
     values, condition = RESULT_CONDITIONS[kind]
-    with_fault = Virtual(
+    with_fault = VirtualEngine(
         small_scenario(fault_section(kind, **{"at": 4.0, "lasts": 3.0, **values})),
         1,
         decisions.find("module"),
     ).run()
-    without = Virtual(small_scenario(), 1, decisions.find("module")).run()
+    without = VirtualEngine(small_scenario(), 1, decisions.find("module")).run()
     without.metrics.counts = dict.fromkeys(
         ["cut: torn down", "cut: dropped", "proxy restarts", "up late"], 0
     ) | (without.metrics.counts)
@@ -370,10 +375,10 @@
     engine, world = started_engine(spec)
     world.event_queue.run_until(3.45)
     in_flight = [
-        held.sess
+        token.sess
         for instance in engine.instances.values()
-        for held in instance.held.values()
-        if held.out and not held.standing
+        for token in instance.tokens.values()
+        if token.attempt_in_flight and not token.established
     ]
     assert in_flight
     world.event_queue.run_until(spec.seconds)
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -11,7 +11,7 @@
 from test_lab import fault_section, small_scenario
 
 from onyxhollow.lab import runs
-from onyxhollow.lab.sockets.engine import Sockets
+from onyxhollow.lab.sockets.engine import SocketEngine
 
 
 def left_over(folder):
@@ -38,20 +38,20 @@
         + fault_section("watch_ended", at=5.0),
         seconds=8.0,
     )
-    engine = Sockets(day, 1, tmp_path)
+    engine = SocketEngine(day, 1, tmp_path)
     world = engine.run()
     told, counts = engine.findings(), world.metrics.counts
     assert world.checker.summary() == {"clean": True, "broken": {}, "first": []}
     assert not told["crashes"] and not told["complaints"] and not told["failures"]
     assert counts["up"] > 20 and counts["cut: torn down"] > 3 and counts["proxy crashes"] == 1
-    assert told["bad_clients"] >= 6 and engine.proxies[0].lives + engine.proxies[1].lives == 3
+    assert told["bad_clients"] >= 6 and engine.proxies[0].start_count + engine.proxies[1].start_count == 3
     assert 0.5 < world.metrics.figures()["service"] < 1
     assert not left_over(tmp_path)
     # The same run, had this side been late: void, not flattering.
     engine.lateness = [0.2] * 2 + [0.0] * 98
     assert engine.findings()["void"] == "2 of 100 entries over 0.1 s late"
     # Its processes starved on full cores: 300 of them broke the rule on answers, and it counted against them.
-    engine.lateness, engine.busy = [0.0], 97.0
+    engine.lateness, engine.cores_busy = [0.0], 97.0
     assert told["cores_busy"] < 85 and engine.findings()["void"] == "the machine's cores were 97 % busy"
 
 
--- a/tests/test_lab_tools.py
+++ b/tests/test_lab_tools.py
@@ -52,19 +52,19 @@
     assert 0 < made < 60
     seen = []
     cells = experiment.matrix([DAY], POLICIES, range(1, 31))[: made + 4]
-    resumed = experiment.carry_out(cells, tmp_path / "runs", 1, lambda done, _: seen.append(done))
+    resumed = experiment.run_all(cells, tmp_path / "runs", 1, lambda done, _: seen.append(done))
     assert seen[0] > 0  # taken as they were
-    assert resumed == experiment.carry_out(cells, None, 1)
+    assert resumed == experiment.run_all(cells, None, 1)
 
 
 def test_a_torn_file_and_a_changed_scenario_are_played_anew(tmp_path):
     cells = experiment.matrix([DAY], ["module"], [1])
-    first = experiment.carry_out(cells, tmp_path, 1)
+    first = experiment.run_all(cells, tmp_path, 1)
     file = next(tmp_path.glob("*.json"))
     file.write_bytes(file.read_bytes()[:100])
-    assert experiment.carry_out(cells, tmp_path, 1) == first
+    assert experiment.run_all(cells, tmp_path, 1) == first
     other = experiment.matrix([msgspec.structs.replace(DAY, seconds=7.0)], ["module"], [1])
-    assert experiment.carry_out(other, tmp_path, 1) != first and len(list(tmp_path.glob("*.json"))) == 2
+    assert experiment.run_all(other, tmp_path, 1) != first and len(list(tmp_path.glob("*.json"))) == 2
 
 
 def test_comparison_pairs_by_seed_and_tells_how_sure_it_is():
@@ -149,16 +149,16 @@
     )
     day = msgspec.structs.replace(small_scenario(noise), title="wide")
     gap = search.gaps([day], "random", 1)[0]
-    less, left, tries = search.cut_down(day, gap, "random", 1)
-    assert [type(row).__struct_config__.tag for row in less.faults] == ["hung"]
-    assert gap > 0.01 and left >= search.KEEP * gap and tries > 1
-    assert scenario.decode(scenario.encode(less), "found") == less
+    reduced, remaining, tries = search.reduce_scenario(day, gap, "random", 1)
+    assert [type(row).__struct_config__.tag for row in reduced.faults] == ["hung"]
+    assert gap > 0.01 and remaining >= search.MIN_GAP_SHARE * gap and tries > 1
+    assert scenario.decode(scenario.encode(reduced), "found") == reduced
 
 
 def test_days_drawn_by_search_are_sound_and_follow_the_seed():
-    days = [search.draw_day(search.Random(seed), seed) for seed in range(40)]
-    assert all(search.playable(day) for day in days)
-    assert days == [search.draw_day(search.Random(seed), seed) for seed in range(40)]
+    days = [search.draw_scenario(search.Random(seed), seed) for seed in range(40)]
+    assert all(search.is_playable(day) for day in days)
+    assert days == [search.draw_scenario(search.Random(seed), seed) for seed in range(40)]
     assert len({type(row) for day in days for row in day.faults}) >= 15
     assert runs.play(msgspec.structs.replace(days[0], seconds=30.0), 1, "module")["rules"]["clean"]
 
@@ -177,9 +177,9 @@
 
 def test_search_round_a_scenario_keeps_its_fleet():
     base = scenario.read("groups-jam")
-    days = [search.draw_day(search.Random(seed), seed, base) for seed in range(10)]
+    days = [search.draw_scenario(search.Random(seed), seed, base) for seed in range(10)]
     assert all(day.fleet == base.fleet and day.clients.group_size == 40 for day in days)
-    assert all(search.playable(day) for day in days) and len({day.clients.load for day in days}) > 5
+    assert all(search.is_playable(day) for day in days) and len({day.clients.load for day in days}) > 5
 
 
 def test_a_change_in_any_module_of_the_decisions_makes_other_runs(tmp_path, monkeypatch):
