--- a/benchmarks/addresses.py
+++ b/benchmarks/addresses.py
@@ -53,7 +53,7 @@
 
 
 class Run:
-    """Runs all cases with one policy on one process cluster."""
+    """Runs all cases with one policy on one cluster."""
 
     def __init__(self, folder: Path, policy_name: str, args: argparse.Namespace) -> None:
         self.policy_name, self.args = policy_name, args
@@ -170,9 +170,8 @@
         sites.start()
         sites.wait_for_route_states(90.0 * self.slower, **{zone: 2 for zone in sites.zones})
         sites.cluster.wait(lambda: sites.served_share() == 1.0, 60, "all clients are served")
-        sites.cluster.run_for(
-            1.5 * self.slower
-        )  # until every route guard has been informed that it is not the last
+        # Until every route guard has been informed that it is not the last.
+        sites.cluster.run_for(1.5 * self.slower)
         cluster, zones = sites.cluster, sites.zones
 
         def stop_site(zone: str) -> None:
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -41,7 +41,7 @@
 
 
 class Gaps:
-    """Causes faults one after another on a process cluster; records the time without a holder after each."""
+    """Causes faults one after another on one cluster and records the time without a holder after each."""
 
     def __init__(self, folder: Path, members: int, seed: int) -> None:
         period = 0.4 if members <= 20 else 1.0
--- a/tests/test_fleet_addresses.py
+++ b/tests/test_fleet_addresses.py
@@ -173,9 +173,8 @@
     # The endpoints of site a fail while it is cut off: it may withdraw its routes without the controller.
     set_load(sites, "a")
     sites.wait_for_route_states(a=0, b=2, c=2)
-    assert sites.route_guards["a"].events(
-        "orphaned"
-    )  # without a majority of the voters no announcer holds a lease
+    # Without a majority of the voters no announcer holds a lease.
+    assert sites.route_guards["a"].events("orphaned")
     cluster.heal(links)
     cluster.wait_members(within=60)
     assert sites.route_states("a") == [0, 0]
@@ -192,7 +191,7 @@
     management = {name: format_address(process.management) for name, process in cluster.current.items()}
 
     def run(*arguments, name="n0"):
-        """Run a command in its own process, and the cluster's event loop until the command ends."""
+        """Run a command in its own process, and the cluster's loop until the command ends."""
         command = [sys.executable, "-m", "onyxhollow", "addresses", *arguments, "--at", management[name]]
         pipe = subprocess.PIPE
         process = subprocess.Popen(command, stdout=pipe, stderr=pipe, cwd=ROOT, text=True)
