--- a/onyxhollow/policy/subset.py
+++ b/onyxhollow/policy/subset.py
@@ -8,9 +8,10 @@
 
 import math
 
-from onyxhollow.policy.load_reports import REPORT_LIFETIME_SECONDS
+from onyxhollow.policy.load_reports import REPORT_LIFETIME_SECONDS, SHED_LOAD
 from onyxhollow.policy.outlier_detection import ejection_threshold
 from onyxhollow.policy.state import PolicyState
+from onyxhollow.policy.tracked import TrackedEndpoint
 
 MIN_SUBSET = 16  # endpoints; fleets up to this size are used whole
 MAX_SUBSET = 64  # endpoints
@@ -62,6 +63,22 @@
     state.refresh_health()
 
 
+def connections_at_full_load(state: PolicyState, reporting: list[TrackedEndpoint]) -> float:
+    """Return the own connections per size that make a load of 1, from the recent load reports.
+
+    An endpoint that hangs or is overloaded reports a load that its connections do not explain. Such endpoints
+    are left out, unless no other endpoint has connections of this instance.
+    """
+    connections = state.mean_connections
+    healthy = [s for s in reporting if s.load < SHED_LOAD]
+    healthy_connections = sum(len(s.connections) for s in healthy)
+    if healthy_connections and len(healthy) < len(reporting):
+        reporting = healthy
+        connections = healthy_connections / sum(s.size for s in healthy)
+    load = sum(s.size * s.load for s in reporting) / sum(s.size for s in reporting) if reporting else 1.0
+    return connections / max(MIN_USABLE_LOAD, load)
+
+
 def refresh_health(state: PolicyState) -> None:
     """Update the ejection threshold, the eligible share and the capacity estimate from the subset."""
     now = state.host.now
@@ -71,8 +88,7 @@
     state.prefer_local = sum(s.size * (local_load - state.load_of(s)) for s in subset) > 0.0
     state.eligible_share = sum(map(state.eligible, subset)) / max(1, len(subset))
     reporting = [s for s in subset if not s.arrival and now - s.load_reported_at < REPORT_LIFETIME_SECONDS]
-    load = sum(s.size * s.load for s in reporting) / sum(s.size for s in reporting) if reporting else 1.0
-    capacity = state.total_size * state.mean_connections / max(MIN_USABLE_LOAD, load)
+    capacity = state.total_size * connections_at_full_load(state, reporting)
     capacity = capacity or state.slow_start.rate(now) * state.slow_start.warm_up_time
     is_load_reported = state.checks_per_session or state.live_weights or reporting
     state.loads_unknown = state.own_quota > 0 and not is_load_reported
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -39,6 +39,25 @@
     assert balancer.eligible(balancer.tracked["a"])
 
 
+def test_an_endpoint_that_hangs_does_not_lower_the_capacity_estimate_of_the_others(make_host):
+    # While some endpoints hung and reported a load of 9, the others looked full and cold ones hardly got
+    # sessions, so that clients were rejected although there was capacity.
+    host = make_host()
+    host.list_endpoints("a", "b", "c", "d")
+    for _ in range(40):
+        host.admit()
+    host.report_loads(a=0.5, b=0.5, c=0.5, d=0.5)
+    host.balancer.redraw_subset()
+    capacity = host.balancer.connections_at_capacity
+    host.report_loads(d=9.0)
+    host.balancer.redraw_subset()
+    assert host.balancer.connections_at_capacity == pytest.approx(capacity, rel=0.2)
+    # If all are overloaded, their connections are explained by their loads.
+    host.report_loads(a=2.0, b=2.0, c=2.0, d=2.0)
+    host.balancer.redraw_subset()
+    assert host.balancer.connections_at_capacity == pytest.approx(capacity / 4, rel=0.2)
+
+
 def test_without_load_reports_this_instances_share_of_the_quotas_limits_an_endpoint(make_host):
     # With 200 proxies and no reports, a group's endpoint was filled until it dropped its connections.
     host, servers = start_without_reports(make_host, max_retry_after=1.0)
