--- a/onyxhollow/gossip/evidence_table.py
+++ b/onyxhollow/gossip/evidence_table.py
@@ -3,7 +3,9 @@
 Push gossip (Demers et al., 1987) sends the reports that were sent least often first, and of these the newest
 first. The number of datagrams per second does not depend on the fleet's size. Reports are not trusted: a
 report must come from one of the highest-ranked owners of the endpoint, and reports with values out of range
-are dropped.
+are dropped. While several owners report on an endpoint, the report of the highest-ranked one is stored. Without
+this order the report that is created last would be stored, so a deputy that reports after each report of the
+owner would never learn that the owner is alive.
 """
 
 from __future__ import annotations
@@ -30,6 +32,9 @@
 MAX_TOTAL_CONNECTIONS = 10_000_000  # of all members at one endpoint; more is invalid
 STALE_AFTER_REPORT_INTERVALS = 4  # an older report answers no health check
 STALE_LOAD_AFTER_POLL_INTERVALS = 1.5  # an older load answers no health check
+# A lower-ranked owner's report is stored only if it is newer by this time per rank. It is shorter than the time
+# after which a deputy takes over, so that the first report of a deputy is stored.
+PRECEDENCE_REPORT_INTERVALS = 2
 QUARANTINE_SECONDS = 30.0  # an owner whose report fails two audits is ignored for that endpoint
 MIN_FAILING_MEMBERS = 2  # failures of one member may be caused by its own link
 SCORE_PER_FAILING_MEMBER = 0.5  # in the outlier score
@@ -88,7 +93,7 @@
         self.estimates: list[EndpointEstimate] = []  # not yet returned by `LoadGossip.take_estimates`
 
     def on_report(self, report: EndpointReport, now: float) -> None:
-        """Accept a report of another member if it is valid and newer than the stored one."""
+        """Accept a report of another member if it is valid and takes precedence over the stored one."""
         owners = self.ownership.owners.get(report.endpoint)
         if owners is None or report.owner not in owners:
             self.counters[REPORTS_OF_NON_OWNER] += 1
@@ -101,7 +106,7 @@
         if self.quarantined_until.get((report.endpoint, report.owner), -math.inf) > now:
             return
         created_at = now - report.age / MILLISECONDS_PER_SECOND
-        if self._is_newer(report, created_at, now):
+        if self._has_precedence(report, created_at, now):
             self.store(report, created_at, now)
 
     def store(self, report: EndpointReport, created_at: float, now: float) -> None:
@@ -172,16 +177,34 @@
             reports.append(replace(evidence.report, age=age))
         return ReportPage(reports)
 
-    def _is_newer(self, report: EndpointReport, created_at: float, now: float) -> bool:
+    def _has_precedence(self, report: EndpointReport, created_at: float, now: float) -> bool:
         evidence = self.evidence.get(report.endpoint)
         if evidence is None:
             return True
         if evidence.report.owner != report.owner:
-            return created_at > evidence.created_at + self.config.push_interval
+            return created_at > evidence.created_at + self._min_lead(report, evidence.report)
         # Any sequence number is accepted after this time, so a forged one cannot block reports for longer.
         is_recent = now - evidence.created_at < STALE_AFTER_REPORT_INTERVALS * self.config.report_interval
         return report.sequence > evidence.report.sequence or not is_recent
 
+    def _min_lead(self, report: EndpointReport, stored: EndpointReport) -> float:
+        """Return by how many seconds a report must be newer than the stored one of another owner.
+
+        The lead is negative for a report of a higher-ranked owner. The rank counts only with a current load:
+        an owner whose polls fail does not displace the load that its deputy has polled.
+        """
+        owners = self.ownership.owners[report.endpoint]
+        if stored.owner not in owners:
+            return self.config.push_interval
+        rank_difference = owners.index(report.owner) - owners.index(stored.owner)
+        if not self._has_current_load(report if rank_difference < 0 else stored):
+            return self.config.push_interval
+        return rank_difference * PRECEDENCE_REPORT_INTERVALS * self.config.report_interval
+
+    def _has_current_load(self, report: EndpointReport) -> bool:
+        max_load_age = STALE_LOAD_AFTER_POLL_INTERVALS * self.config.poll_interval
+        return report.load >= 0 and report.load_age <= MILLISECONDS_PER_SECOND * max_load_age
+
     def _append_estimate(self, evidence: EndpointEvidence, now: float) -> None:
         """Append an estimate; during a surge with ages so high that the decisions ignore it."""
         report = evidence.report
