--- a/onyxhollow/gossip/evidence_table.py
+++ b/onyxhollow/gossip/evidence_table.py
@@ -3,9 +3,9 @@
 Push gossip (Demers et al., 1987) sends the reports that were sent least often first, and of these the newest
 first. The number of datagrams per second does not depend on the fleet's size. Reports are not trusted: a
 report must come from one of the highest-ranked owners of the endpoint, and reports with values out of range
-are dropped. While several owners report on an endpoint, the report of the highest-ranked one is stored. Without
-this order the report that is created last would be stored, so a deputy that reports after each report of the
-owner would never learn that the owner is alive.
+are dropped. While several owners report on an endpoint, the report of the highest-ranked one is stored. If
+only the time of creation decided, a deputy whose reports are created at nearly the same times as the owner's
+would not accept these and would go on reporting.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 MAX_TOTAL_CONNECTIONS = 10_000_000  # of all members at one endpoint; more is invalid
 STALE_AFTER_REPORT_INTERVALS = 4  # an older report answers no health check
 STALE_LOAD_AFTER_POLL_INTERVALS = 1.5  # an older load answers no health check
-# A lower-ranked owner's report is stored only if it is newer by this time per rank. It is shorter than the time
-# after which a deputy takes over, so that the first report of a deputy is stored.
+# A lower-ranked owner's report is stored only if it is newer by this time per rank. A deputy takes over after
+# a longer time, so that its first report is stored.
 PRECEDENCE_REPORT_INTERVALS = 2
 QUARANTINE_SECONDS = 30.0  # an owner whose report fails two audits is ignored for that endpoint
 MIN_FAILING_MEMBERS = 2  # failures of one member may be caused by its own link
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -18,7 +18,7 @@
 
 
 class SimulatedFleet:
-    """Gossip cores in simulated time. Messages arrive at once unless the link is cut or the receiver stalled."""
+    """Gossip cores in simulated time. Messages arrive at once except at stalled members and on cut links."""
 
     def __init__(self, count, endpoint_count, zones=("a",), seed=1, config=CONFIG, step=0.05):
         self.now, self.step, self.rng = 100.0, step, Random(seed)
@@ -177,7 +177,7 @@
 
 
 def test_a_deputys_report_is_stored_only_if_the_owners_is_stale_quarantined_or_without_a_load():
-    # Guards against an owner whose rank hides its deputy's reports although it is silent, wrong or cannot poll.
+    # Guards against an owner that is silent, wrong or cannot poll and whose rank hides its deputy's reports.
     for owners_load, min_lead in ((300, 2 * CONFIG.report_interval), (-1, CONFIG.push_interval)):
         core, owner, deputy, third = core_without_reports()
         receive_report(core, owner, load=owners_load)
