--- a/onyxhollow/fleet/leader_tasks.py
+++ b/onyxhollow/fleet/leader_tasks.py
@@ -2,6 +2,8 @@
 
 A task receives its term and a function that checks the lease; it is independent of voters and members. The
 check reads the clock. A task must call it immediately before each action, after any operation that may block.
+A process can still be suspended between the check and the system call. The server therefore rejects an action
+whose term is older than the newest that it has received.
 """
 
 from __future__ import annotations
@@ -15,7 +17,11 @@
 from onyxhollow.loop import Loop, Task
 from onyxhollow.membership.messages import Address
 from onyxhollow.wire.buffers import BufferPool
-from onyxhollow.wire.discovery_connection import DiscoveryConnection, DiscoveryStatusError
+from onyxhollow.wire.discovery_connection import (
+    DiscoveryConnection,
+    DiscoveryStatusError,
+    RequestWithheldError,
+)
 from onyxhollow.wire.endpoint_list import EndpointListError
 
 CALL_TIMEOUT_SECONDS = 1.0
@@ -130,6 +136,10 @@
             except DiscoveryStatusError as error:
                 self.close_connection()
                 self.superseded = error.status == STALE_TERM_STATUS
+            except RequestWithheldError:
+                self.count("acts not done: the lease had ended")
+                if self.run_number == this_run:
+                    self.close_connection()
             except (EndpointListError, OSError, h11.ProtocolError):
                 if self.run_number == this_run:
                     self.close_connection()
@@ -149,8 +159,7 @@
             if self.loop.now >= deadline or self.run_number != this_run:
                 raise EndpointListError("webhook: expected an established connection, got a pending one")
             yield deadline
-        if not holds_lease():  # must be the last check before the request
-            self.count("acts not done: the lease had ended")
-            return
-        yield from connection.get(target, deadline, lambda: self.run_number != this_run, "POST")
+        yield from connection.get(
+            target, deadline, lambda: self.run_number != this_run, "POST", may_send=holds_lease
+        )
         self.last_progress_at = self.loop.now
--- a/onyxhollow/fleet/shared_addresses/announcer_task.py
+++ b/onyxhollow/fleet/shared_addresses/announcer_task.py
@@ -124,7 +124,8 @@
         """Call the guard and pass its response to the core.
 
         Raises:
-            EndpointListError: there is no response in time, the run has ended, or the lease is not held.
+            RequestWithheldError: the lease is not held.
+            EndpointListError: there is no response in time, the request is not sent, or the run has ended.
             DiscoveryStatusError: the status of the response is not 200.
         """
         loop = self.member.loop
@@ -137,9 +138,9 @@
             if loop.now >= deadline or self.run_number != this_run:
                 raise EndpointListError("route guard: expected an established connection, got a pending one")
             yield deadline
-        if not holds_lease():  # must be the last check before the request
-            raise EndpointListError("route guard call: expected a held lease, got one that has ended")
-        body = yield from connection.get(target, deadline, lambda: self.run_number != this_run, "POST")
+        body = yield from connection.get(
+            target, deadline, lambda: self.run_number != this_run, "POST", may_send=holds_lease
+        )
         core.on_guard_state(read_guard_state(body), clock.now())
         self.last_progress_at = loop.now
 
--- a/onyxhollow/wire/discovery_connection.py
+++ b/onyxhollow/wire/discovery_connection.py
@@ -29,6 +29,10 @@
         self.status = status
 
 
+class RequestWithheldError(EndpointListError):
+    """The caller no longer permitted the request when it was about to be written; no byte was sent."""
+
+
 class DiscoveryConnection:
     """HTTP connection to the discovery service, used for one call after another until it ends.
 
@@ -51,7 +55,12 @@
         self.channel.close()
 
     def get(
-        self, target: str, deadline: float, is_superseded: Callable[[], bool], method: str = "GET"
+        self,
+        target: str,
+        deadline: float,
+        is_superseded: Callable[[], bool],
+        method: str = "GET",
+        may_send: Callable[[], bool] | None = None,
     ) -> Generator[float, None, bytes]:
         """Make one call, wait for its complete answer and return the body, of at most 4 MiB.
 
@@ -60,14 +69,17 @@
             deadline: Loop time in seconds by which the complete answer must be received.
             is_superseded: Returns whether the answer is no longer needed; called at each wake-up.
             method: HTTP method; the request has no body.
+            may_send: Returns whether the request may still be written, such as whether a lease is held;
+                called immediately before the write. Such a request is never sent later from a buffer.
 
         Raises:
+            RequestWithheldError: `may_send` returned False.
             DiscoveryTimeoutError: The connect or the complete answer took too long.
             DiscoveryStatusError: The status was not 200.
             EndpointListError: The call was superseded, or the answer was reset, incomplete or too long.
             h11.RemoteProtocolError: The answer is not valid HTTP.
         """
-        self.send_request(target, method)
+        self.send_request(target, method, may_send)
         body = bytearray()
         connect_deadline = min(deadline, self.loop.now + CONNECT_TIMEOUT_SECONDS)
         while True:
@@ -102,12 +114,25 @@
             return True
         raise EndpointListError("answer: expected a complete one, got the end of the connection")
 
-    def send_request(self, target: str, method: str) -> None:
-        """Write a request without a body."""
+    def send_request(self, target: str, method: str, may_send: Callable[[], bool] | None) -> None:
+        """Write a request without a body, if `may_send` permits it."""
         headers = [("Host", self.host), ("Accept", "application/json")]
-        request = h11.Request(method=method, target=target, headers=headers)
-        for part in (request, h11.EndOfMessage()):
-            self.channel.write(self.http.send(part) or b"")
+        parts = (h11.Request(method=method, target=target, headers=headers), h11.EndOfMessage())
+        request = b"".join(self.http.send(part) or b"" for part in parts)
+        if may_send is None:
+            self.channel.write(request)
+            return
+        if not may_send():  # nothing may come between this check and the write
+            raise RequestWithheldError(
+                f"{self.host}: expected a permitted request, got one that no longer is"
+            )
+        self.channel.write(request)
+        if self.channel.outgoing:
+            # The channel would send the rest without another check. An incomplete request has no effect.
+            self.channel.close()
+            raise EndpointListError(
+                f"{self.host}: expected the request to be sent at once, got a full buffer"
+            )
 
     def receive(self, is_superseded: Callable[[], bool]) -> bool:
         """Pass received bytes, or the end of the connection, to the parser; return whether there were any."""
