--- a/onyxhollow/lab/fleet/fault_scenario.py
+++ b/onyxhollow/lab/fleet/fault_scenario.py
@@ -144,6 +144,7 @@
             "stale": self.verdict.stale[:5],
             "late": self.verdict.late[:5],
             "falling": self.verdict.falling[:5],
+            "suspended": self.verdict.suspended[:5],
             "gap_median_s": round(statistics.median(self.gaps), 3) if self.gaps else None,
             "gap_worst_s": round(max(self.gaps), 3) if self.gaps else None,
             "planned_gap_worst_ms": round(1000 * max(self.planned_gaps), 1) if self.planned_gaps else None,
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -2,6 +2,7 @@
 
 import signal
 import time
+from dataclasses import replace
 
 import orjson
 import pytest
@@ -9,7 +10,14 @@
 from onyxhollow.fleet import commands
 from onyxhollow.lab.fleet import bug_detection, fault_scenario, injected_bugs
 from onyxhollow.lab.fleet.process_cluster import KEY, ClusterError, ProcessCluster, format_address, server_row
-from onyxhollow.lab.fleet.stand_ins import ListService
+from onyxhollow.lab.fleet.record import (
+    ACTION_TOLERANCE_SECONDS,
+    ActionKey,
+    Hold,
+    SlowWrite,
+    check_holds,
+)
+from onyxhollow.lab.fleet.stand_ins import Action, ListService
 from onyxhollow.lab.fleet.traffic import Client, EchoServer
 
 
@@ -104,6 +112,76 @@
     assert_clean(cluster)
 
 
+def is_suspended(process):
+    with open(f"/proc/{process.pid}/stat", encoding="ascii") as file:
+        return file.read().rpartition(")")[2].split()[0] == "T"
+
+
+def test_an_action_of_a_process_suspended_between_check_and_write_is_refused_by_its_term(make_cluster):
+    """Guards against a ledger that accepts such an action, and against a checker that counts it as late.
+
+    The member suspends itself between its check of the lease and the write, until another one holds the role.
+    """
+    cluster = make_cluster(duties=[bug_detection.FREQUENT_DUTY])
+    holder = start_and_wait_for_holder(cluster)
+    process = cluster.current[holder]
+    cluster.cut([holder], cluster.names)
+    cluster.set_process_faults(holder, stop_after_check=1)
+    cluster.wait(lambda: is_suspended(process), 5, "suspended after its check")
+    cluster.stop(holder)
+    successor = cluster.wait_holder(other_than=holder)
+    cluster.wait(lambda: acts_by_member(cluster, successor), 5, "an action of the successor")
+    cluster.run_for(2 * ACTION_TOLERANCE_SECONDS)  # longer than the tolerance for late actions
+    action_count = len(acts_by_member(cluster, holder))
+    cluster.resume(holder)
+    cluster.wait(lambda: len(acts_by_member(cluster, holder)) > action_count, 5, "the suspended action")
+    cluster.wait(lambda: has_ended_lease(cluster, process.title), 5, "its lease has ended")
+    cluster.heal()
+    action = acts_by_member(cluster, holder)[action_count]
+    assert not action.accepted and action.term < action.newest_term
+    verdict = assert_clean(cluster)
+    assert len(verdict.suspended) == 1 and len(acts_by_member(cluster, holder)) == action_count + 1
+
+
+LATE_ACTION = Action(12.0, 12.0, "ledger", 3, "n0~7", 29, accepted=False, newest_term=4)
+LATE_KEY = ActionKey("ledger", 3, "n0~7", 29)
+
+
+@pytest.mark.parametrize(
+    ("action", "checked_at", "resumed_at", "is_excused"),
+    [
+        (LATE_ACTION, 9.9, 11.9, True),
+        (replace(LATE_ACTION, accepted=True, newest_term=3), 9.9, 11.9, True),
+        (replace(LATE_ACTION, accepted=True), 9.9, 11.9, False),
+        (LATE_ACTION, 10.1, 11.9, False),
+        (LATE_ACTION, 9.9, 9.8, False),
+        (LATE_ACTION, 9.9, 12.5, False),
+        (LATE_ACTION, 9.9, None, False),
+        (LATE_ACTION, None, 11.9, False),
+    ],
+    ids=[
+        "refused",
+        "no newer term",
+        "accepted after a newer term",
+        "checked after the lease",
+        "resumed before the check",
+        "resumed after the write",
+        "never resumed",
+        "not observed",
+    ],
+)
+def test_a_late_action_counts_unless_its_process_was_suspended_between_check_and_write(
+    action, checked_at, resumed_at, is_excused
+):
+    """Guards against an excuse for late actions that a program could have withheld."""
+    hold = Hold("ledger", 3, "n0~7", "n0.1", since=5.0, until=10.0)
+    slow_writes = {} if checked_at is None else {LATE_KEY: SlowWrite("n0.1", checked_at, 12.0)}
+    resumptions = {"n1.1": [11.9]} if resumed_at is None else {"n0.1": [resumed_at]}
+    verdict = check_holds([hold], [action], slow_writes, resumptions)
+    assert (bool(verdict.suspended), bool(verdict.late)) == (is_excused, not is_excused)
+    assert verdict.clean is is_excused
+
+
 def has_ended_lease(cluster, process):
     last_change = [line for line in cluster.log_lines(process, "duty") if line.fields["duty"] == "ledger"][-1]
     return last_change.fields["change"] == "ended"
