--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -21,6 +21,7 @@
 from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.sockets.line_connection import LineConnection
 from onyxhollow.lab.sockets.list_service import ListService
+from onyxhollow.lab.sockets.processor_time import processor_seconds
 from onyxhollow.lab.sockets.proxies import READY_TIMEOUT_SECONDS, ProxyProcess, free_address, wire_settings
 from onyxhollow.lab.sockets.servers import ServerConnection, ServerListener
 from onyxhollow.lab.world.servers import ServerState, Session
@@ -150,7 +151,8 @@
         self.awaiting_established: set[int] = set()
         self.ready_proxies: set[int] = set()  # numbers of the proxies that have answered PING
         self.lateness: list[float] = []
-        self.cores_busy = 0.0  # percent of all cores, mean of the run
+        self.cores_busy = 0.0  # percent of all cores, by all processes of the machine, mean of the run
+        self.own_cores_busy = 0.0  # number of cores that the run's own processes kept busy, mean of the run
         self.slow_turn_seconds = 0.0  # in loop turns so long that servers and list answered late
         self.health_checks_before_start = 0  # hundreds of proxies take half a minute to start
         self.server_states: dict[str, ServerState] = {}
@@ -281,6 +283,7 @@
         # Health checks before the start do not count: with sharing they were most of the total.
         self.health_checks_before_start = self.world.metrics.counts.pop("probes", 0)
         psutil.cpu_percent()  # the next call returns the use since this one
+        used_before = processor_seconds(self.proxy_process_ids())
         event_queue.schedule_at(0.0, self.apply_world_changes)
         event_queue.schedule_at(0.5, self.start_bad_client)
         shown = 0
@@ -297,6 +300,16 @@
                 shown = int(now)
                 progress(now, end)
         self.cores_busy = psutil.cpu_percent()
+        used = processor_seconds(self.proxy_process_ids()) - used_before
+        self.own_cores_busy = used / (time.monotonic() - self.started_at)
+
+    def proxy_process_ids(self) -> list[int]:
+        """Return the process ids of the proxies that have been started and not been waited for."""
+        return [
+            proxy.child.pid
+            for proxy in self.proxies
+            if proxy.child is not None and proxy.child.returncode is None
+        ]
 
     def tear_down(self) -> None:
         for process in self.proxies:
@@ -494,6 +507,7 @@
         return {
             "void": void,
             "cores_busy": self.cores_busy,
+            "own_cores_busy": round(self.own_cores_busy, 3),
             "probes_before": self.health_checks_before_start,
             "behind_s": round(self.slow_turn_seconds, 2),
             "latest_ms": round(1000 * max(self.lateness, default=0.0), 1),
--- a/tests/test_lab_sockets.py
+++ b/tests/test_lab_sockets.py
@@ -12,6 +12,9 @@
 
 from onyxhollow.lab import runs
 from onyxhollow.lab.sockets.engine import SocketEngine
+from onyxhollow.lab.sockets.processor_time import processor_seconds
+
+MAX_OWN_CORES_BUSY = 0.4
 
 
 def remaining_processes(folder):
@@ -51,8 +54,45 @@
     engine.lateness = [0.2] * 2 + [0.0] * 98
     assert engine.findings()["void"] == "2 of 100 entries over 0.1 s late"
     # A run on busy cores is void: 300 proxies that waited for a core broke the rule on answers.
-    engine.lateness, engine.cores_busy = [0.0], 97.0
-    assert result["cores_busy"] < 85 and engine.findings()["void"] == "the machine's cores were 97 % busy"
+    engine.lateness, engine.slow_turn_seconds, engine.cores_busy = [0.0], 0.0, 97.0
+    assert engine.findings()["void"] == "the machine's cores were 97 % busy"
+    engine.cores_busy = 84.9
+    assert not engine.findings()["void"]
+    # Two proxies with few clients use little processor time; one that spins would use a core.
+    assert 0.0 < result["own_cores_busy"] < MAX_OWN_CORES_BUSY, result
+
+
+BURN_PROCESSOR = """
+import sys, time
+while time.process_time() < 0.3:
+    pass
+print("done", flush=True)
+sys.stdin.read()
+"""
+
+
+def test_the_processor_time_of_a_run_counts_its_own_processes_only():
+    """Guards against a figure that other processes change, and against one that misses a child."""
+    used_before = processor_seconds([])
+    children = [
+        subprocess.Popen(
+            [sys.executable, "-c", BURN_PROCESSOR], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+        )
+        for _ in range(2)
+    ]
+    try:
+        for child in children:
+            assert child.stdout.readline() == b"done\n"
+        own, other = children
+        assert processor_seconds([]) - used_before < 0.2, "a process that is not of the run is counted"
+        while_running = processor_seconds([own.pid]) - used_before
+        assert 0.25 < while_running < 0.5
+        own.communicate()
+        assert 0.25 < processor_seconds([]) - used_before < 0.5, "the time of an ended child is lost"
+    finally:
+        for child in children:
+            child.kill()
+            child.communicate()
 
 
 def test_a_drain_migrates_clients_with_move_lines(tmp_path):
