--- a/onyxhollow/gossip/connection_counts.py
+++ b/onyxhollow/gossip/connection_counts.py
@@ -57,8 +57,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SentCount:
-    """Counts that this process last sent for an endpoint, and the owners it sent them to."""
+class QueuedCount:
+    """Counts that this process last queued for an endpoint, and the owners it queued them for."""
 
     connections: int
     failures: int
@@ -84,7 +84,8 @@
             return
         for count in message.counts:
             valid = 0 <= count.connections <= MAX_MEMBER_COUNT and 0 <= count.failures <= MAX_MEMBER_COUNT
-            if not valid or len(self.received) >= MAX_ENDPOINTS:
+            is_excess = count.endpoint not in self.received and len(self.received) >= MAX_ENDPOINTS
+            if not valid or is_excess:
                 self.counters[COUNTS_INVALID] += 1
                 continue
             by_member = self.received.setdefault(count.endpoint, {})
@@ -121,7 +122,10 @@
 
 
 class CountPublisher:
-    """Sends this process's counts to the owners after changes and at regular intervals."""
+    """Sends this process's counts to the owners after changes and at regular intervals.
+
+    Each owner has a queue of endpoints, from which each tick takes as many as fit one message.
+    """
 
     def __init__(
         self,
@@ -136,45 +140,58 @@
         self.failure_log = failure_log
         self.sequence = sequence
         self.refresh_at = refresh_at
-        self.last_sent: dict[str, SentCount] = {}
+        self.last_queued: dict[str, QueuedCount] = {}
+        self.queues: dict[int, dict[str, None]] = {}  # endpoints to send by owner, the next one first
 
     def messages(self, connections: Mapping[str, int], now: float) -> list[OutgoingMessage]:
         """Return the messages to send, given this process's open connections by endpoint."""
+        self._queue_endpoints(connections, now)
+        messages = []
+        for owner in list(self.queues):
+            if page := self._take_page(owner, connections, now):
+                messages.append(OutgoingMessage(owner, ConnectionCounts(next(self.sequence), page)))
+        return messages
+
+    def _queue_endpoints(self, connections: Mapping[str, int], now: float) -> None:
         refresh = now >= self.refresh_at
         if refresh:
             self.refresh_at = now + self.config.count_refresh_interval
-        by_owner: dict[int, list[EndpointCount]] = {}
-        for endpoint in {*connections, *self.last_sent, *self.failure_log.failure_times}:
-            owners = self.ownership.owners.get(endpoint, ())[:OWNERS_PER_ENDPOINT]
-            count = SentCount(connections.get(endpoint, 0), self.failure_log.count(endpoint, now), owners)
+        for endpoint in {*connections, *self.last_queued, *self.failure_log.failure_times}:
+            owners = self._owners(endpoint)
+            count = QueuedCount(connections.get(endpoint, 0), self.failure_log.count(endpoint, now), owners)
             if not count.failures:
                 self.failure_log.clear(endpoint)
-            if count == self.last_sent.get(endpoint) and not refresh:
+            if count == self.last_queued.get(endpoint) and not refresh:
                 continue
-            self._record_sent(endpoint, count)
+            self._record_queued(endpoint, count)
             for owner in owners:
                 if owner != self.ownership.local.epoch:
-                    row = EndpointCount(endpoint, count.connections, count.failures)
-                    by_owner.setdefault(owner, []).append(row)
-        return [
-            OutgoingMessage(owner, ConnectionCounts(next(self.sequence), _first_page(rows)))
-            for owner, rows in by_owner.items()
-        ]
-
-    def _record_sent(self, endpoint: str, count: SentCount) -> None:
+                    self.queues.setdefault(owner, {})[endpoint] = None  # a queued one keeps its position
+
+    def _record_queued(self, endpoint: str, count: QueuedCount) -> None:
         if count.connections or count.failures:
-            self.last_sent[endpoint] = count
+            self.last_queued[endpoint] = count
         else:
-            self.last_sent.pop(endpoint, None)
-
-
-def _first_page(rows: list[EndpointCount]) -> list[EndpointCount]:
-    """Return the first rows that fit one message; the others wait for a later refresh."""
-    space = MAX_MESSAGE_BYTES
-    page = []
-    for row in rows:
-        space -= len(row.endpoint.encode()) + MAX_COUNT_BYTES
-        if space < 0:
-            break
-        page.append(row)
-    return page
+            self.last_queued.pop(endpoint, None)
+
+    def _take_page(self, owner: int, connections: Mapping[str, int], now: float) -> list[EndpointCount]:
+        """Return the current counts of the next endpoints in a queue that fit one message."""
+        queue = self.queues.pop(owner)
+        space = MAX_MESSAGE_BYTES
+        page: list[EndpointCount] = []
+        for endpoint in list(queue):
+            size = len(endpoint.encode()) + MAX_COUNT_BYTES
+            if size > space and page:
+                self.queues[owner] = queue
+                break
+            del queue[endpoint]
+            # A name that does not fit an empty message cannot be sent at all.
+            if size <= space and owner in self._owners(endpoint):
+                space -= size
+                failures = self.failure_log.count(endpoint, now)
+                page.append(EndpointCount(endpoint, connections.get(endpoint, 0), failures))
+        return page
+
+    def _owners(self, endpoint: str) -> tuple[int, ...]:
+        """Return the owner and the deputy."""
+        return self.ownership.owners.get(endpoint, ())[:OWNERS_PER_ENDPOINT]
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -10,7 +10,7 @@
 from onyxhollow.gossip.config import GossipConfig
 from onyxhollow.gossip.load_gossip import LoadGossip
 from onyxhollow.gossip.messages import ConnectionCounts, EndpointCount, EndpointReport, ReportPage
-from onyxhollow.gossip.ownership import GossipMember
+from onyxhollow.gossip.ownership import MAX_ENDPOINTS, GossipMember
 from onyxhollow.lab import decisions, scenario, virtual
 from onyxhollow.lab.simulated_gossip import GossipFaults
 
@@ -316,6 +316,55 @@
     assert core.counters["rows far off what was seen"] == 1
 
 
+def test_counts_that_do_not_fit_one_message_are_sent_with_the_next_ones():
+    # Guards against counts recorded as sent that were cut from the only message, at each refresh again.
+    fleet = SimulatedFleet(2, 200)
+    fleet.run(3.0)
+    fleet.own_connections[0] = {name: 5 for name in fleet.loads}
+    fleet.run(2.5)  # less than until a refresh has sent them again
+    received = fleet.cores[1].aggregator.received
+    assert {name: received[name][1].connections for name in fleet.loads} == fleet.own_connections[0]
+
+
+def test_each_count_is_sent_although_all_change_before_each_message():
+    # Guards against counts that never arrive because others that change as often are always sent before them.
+    fleet = SimulatedFleet(2, 200)
+    fleet.run(3.0)
+    for connections in range(10, 20):
+        fleet.own_connections[0] = {name: connections for name in fleet.loads}
+        fleet.run(CONFIG.push_interval)
+    received = fleet.cores[1].aggregator.received
+    assert all(received[name][1].connections >= 10 for name in fleet.loads)
+    fleet.own_connections[0] = {}
+    fleet.run(2.5)
+    assert not any(received[name][1].connections for name in fleet.loads)
+
+
+def test_a_count_for_an_endpoint_that_is_no_longer_owned_is_not_sent():
+    # Guards against messages to a former owner, and to a member that has left, from its queue.
+    fleet = SimulatedFleet(2, 200)
+    fleet.run(3.0)
+    core = fleet.cores[0]
+    fleet.own_connections[0] = {name: 5 for name in fleet.loads}
+    core.tick(fleet.own_connections[0], fleet.now)
+    assert core.publisher.queues
+    core.set_members([core.local])
+    core.take_outbox()
+    core.tick(fleet.own_connections[0], fleet.now + 1.0)
+    assert not core.publisher.queues
+    assert not [out for out in core.take_outbox() if isinstance(out.message, ConnectionCounts)]
+
+
+def test_counts_for_known_endpoints_are_updated_when_no_further_endpoint_is_accepted():
+    # Guards against counts that expire at an owner of as many endpoints as it accepts.
+    core = SimulatedFleet(2, 1).cores[0]
+    names = [f"s{n}" for n in range(MAX_ENDPOINTS + 1)]
+    core.on_message(2, ConnectionCounts(1, [EndpointCount(name, 1, 0) for name in names]), 100.0)
+    core.on_message(2, ConnectionCounts(2, [EndpointCount("s0", 7, 0)]), 100.0)
+    assert core.aggregator.received["s0"][2].connections == 7
+    assert len(core.aggregator.received) == MAX_ENDPOINTS
+
+
 def test_partitioned_zones_use_their_own_reports_and_merge_afterwards():
     fleet = SimulatedFleet(8, 4, zones=("a", "b"))
     fleet.own_connections = {n: {"s0": 1} for n in range(8)}
