--- a/onyxhollow/gossip/ownership.py
+++ b/onyxhollow/gossip/ownership.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import heapq
+import itertools
 import math
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -84,10 +85,11 @@
         self.is_stale = True
 
     def set_endpoints(self, endpoints: Mapping[str, str]) -> bool:
-        """Replace the endpoints in service, given as zones by name; return whether the names have changed."""
-        if endpoints.keys() == self.endpoints.keys():
+        """Replace the endpoints in service, given as zones by name; return whether they have changed."""
+        kept_endpoints = dict(itertools.islice(endpoints.items(), MAX_ENDPOINTS))
+        if kept_endpoints == self.endpoints:
             return False
-        self.endpoints = dict(list(endpoints.items())[:MAX_ENDPOINTS])
+        self.endpoints = kept_endpoints
         self.is_stale = True
         return True
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -10,7 +10,7 @@
 from onyxhollow.gossip.config import GossipConfig
 from onyxhollow.gossip.load_gossip import LoadGossip
 from onyxhollow.gossip.messages import ConnectionCounts, EndpointCount, EndpointReport, ReportPage
-from onyxhollow.gossip.ownership import MAX_ENDPOINTS, GossipMember
+from onyxhollow.gossip.ownership import MAX_ENDPOINTS, GossipMember, Ownership
 from onyxhollow.lab import decisions, scenario, virtual
 from onyxhollow.lab.simulated_gossip import GossipFaults
 
@@ -365,6 +365,28 @@
     assert len(core.aggregator.received) == MAX_ENDPOINTS
 
 
+def test_a_changed_zone_of_an_endpoint_ranks_the_owners_again():
+    # Guards against an endpoint that keeps owners in the zone that it has left.
+    members = [GossipMember(n + 1, f"n{n}", "ab"[n % 2]) for n in range(8)]
+    ownership = Ownership(members[0], CONFIG, Random(1), 100.0)
+    ownership.set_members(members)
+    for zone, now in (("a", 100.0), ("b", 101.0)):
+        assert ownership.set_endpoints({"s0": zone})
+        assert ownership.rank_if_due(now)
+        assert {members[epoch - 1].zone for epoch in ownership.owners["s0"]} == {zone}
+
+
+def test_more_endpoints_than_are_ranked_do_not_cause_repeated_rankings():
+    # Guards against a ranking every half second, because the limited endpoints never equal the given ones.
+    member = GossipMember(1, "n0", "a")
+    ownership = Ownership(member, CONFIG, Random(1), 100.0)
+    endpoints = {f"s{n}": "a" for n in range(MAX_ENDPOINTS + 1)}
+    assert ownership.set_endpoints(endpoints) and ownership.rank_if_due(100.0)
+    assert len(ownership.owners) == MAX_ENDPOINTS
+    assert not ownership.set_endpoints(endpoints)
+    assert not ownership.rank_if_due(101.0)
+
+
 def test_partitioned_zones_use_their_own_reports_and_merge_afterwards():
     fleet = SimulatedFleet(8, 4, zones=("a", "b"))
     fleet.own_connections = {n: {"s0": 1} for n in range(8)}
