--- a/onyxhollow/membership/datagram_authenticator.py
+++ b/onyxhollow/membership/datagram_authenticator.py
@@ -88,8 +88,10 @@
             self.highest = sequence
             return True
         distance = self.highest - sequence
+        if distance >= REPLAY_WINDOW:  # before the shift, whose result has as many bits as the distance
+            return False
         bit = 1 << distance
-        if distance >= REPLAY_WINDOW or self.accepted_bits & bit:
+        if self.accepted_bits & bit:
             return False
         self.accepted_bits |= bit
         return True
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -142,6 +142,18 @@
     assert rates[1] < 2.0 * rates[0]
 
 
+def test_a_sequence_number_far_below_the_highest_is_dropped_as_repeated():
+    # Guards against a shift by the distance to the highest sequence number, which exhausted the memory.
+    sender = DatagramAuthenticator("f", "a", 5, KEYS)
+    receiver = DatagramAuthenticator("f", "b", 7, KEYS)
+    early = sender.sign([], 0)
+    sender.sequence = 2**62
+    assert receiver.verify(sender.sign([], 0)) is not None
+    assert receiver.verify(early) is None
+    assert receiver.dropped == {"repeated": 1}
+    assert receiver.verify(sender.sign([], 0)) is not None
+
+
 def test_unauthenticated_replayed_and_misaddressed_datagrams_are_counted_and_dropped(tmp_path):
     sender, receiver = (
         DatagramAuthenticator("f", "a", 5, KEYS),
