--- a/onyxhollow/membership/dissemination_queue.py
+++ b/onyxhollow/membership/dissemination_queue.py
@@ -37,14 +37,10 @@
 
     def enqueue(self, key: MemberKey | BroadcastKey, message: Message) -> None:
         """Queue a message in place of an earlier one with the same key; apply the size limit."""
-        self.replace(key, message)
+        self.messages[key] = QueuedMessage(encode(message))
         if len(self.messages) > MAX_QUEUED:
             del self.messages[max(self.messages, key=lambda queued: len(self.messages[queued].sent_to))]
 
-    def replace(self, key: MemberKey | BroadcastKey, message: Message) -> None:
-        """Queue a message without applying the size limit, since its key is usually queued already."""
-        self.messages[key] = QueuedMessage(encode(message))
-
     def take_messages(self, receiver: Address, space: int, live_count: int) -> list[bytes]:
         """Return messages that fit `space` bytes of a datagram to `receiver`, least often sent first."""
         taken = []
--- a/onyxhollow/membership/state_rules.py
+++ b/onyxhollow/membership/state_rules.py
@@ -89,7 +89,7 @@
             if suspected_by in member.suspected_by or len(member.suspected_by) > self.config.indirect_probes:
                 return
             member.suspected_by.add(suspected_by)
-            self.outbox.queue.replace(member.key, replace(member.update(), suspected_by=suspected_by))
+            self.outbox.queue.enqueue(member.key, replace(member.update(), suspected_by=suspected_by))
         else:
             member.suspected_by = {suspected_by}
             self._transition(member, MemberState.SUSPECT, incarnation, now, f"by {suspected_by}")
--- a/onyxhollow/membership/swim.py
+++ b/onyxhollow/membership/swim.py
@@ -232,8 +232,7 @@
         self.broadcast_sequence += 1
         message = Broadcast(self.local.name, self.local.epoch, self.broadcast_sequence, kind, body)
         key = message.name, message.epoch, message.sequence
-        self.seen_broadcasts[key] = None
-        self.dissemination_queue.enqueue(key, message)
+        self.dissemination_queue.enqueue(key, message)  # returned copies are recognized by the name
 
     # Receiving.
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,8 +6,17 @@
 from membership_network import KEYS, MembershipNetwork, all_members_agree
 
 from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator, read_keys
+from onyxhollow.membership.dissemination_queue import MAX_QUEUED
 from onyxhollow.membership.member_table import InvalidTransitionError
-from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES, MemberState, MemberUpdate, Packet, Ping
+from onyxhollow.membership.messages import (
+    MAX_DATAGRAM_BYTES,
+    Broadcast,
+    MemberState,
+    MemberUpdate,
+    Packet,
+    Ping,
+)
+from onyxhollow.membership.swim import MAX_SEEN_BROADCASTS
 
 
 def test_a_broadcast_reaches_all_members_although_most_datagrams_go_to_one_member():
@@ -62,6 +71,45 @@
     assert minimum_seconds(1000) < 4 * minimum_seconds(10)
 
 
+def test_confirmed_suspicions_do_not_pass_the_limit_of_queued_changes():
+    # Guards against a queue of unlimited size: a confirmation was queued again without applying the limit.
+    net = MembershipNetwork(1)
+    swim = net.members["m0~1"]
+    add_members(swim, 100, net.now)
+    for member in swim.live_members():
+        swim.state_rules.suspect(member, 0, "m1", net.now)
+    swim.dissemination_queue.messages.clear()  # as if all had been sent
+    for sequence in range(MAX_QUEUED):
+        swim.dissemination_queue.enqueue(("m1", 1, sequence), Broadcast("m1", 1, sequence, 7, b""))
+    for member in swim.live_members():
+        swim.state_rules.suspect(member, 0, "m2", net.now)
+    assert len(swim.dissemination_queue.messages) == MAX_QUEUED
+
+
+def test_own_broadcasts_are_delivered_once_and_do_not_pass_the_limit_of_seen_ones():
+    # Guards against a record of seen broadcasts that grows with each broadcast of this process.
+    net = MembershipNetwork(2)
+    net.run(3.0)
+    sender, receiver = net.members["m0~1"], net.members["m1~1"]
+    for _ in range(MAX_SEEN_BROADCASTS + 1):
+        sender.broadcast(7, b"")
+    assert len(sender.seen_broadcasts) <= MAX_SEEN_BROADCASTS
+    net.run(3.0)
+    received = [broadcast.sequence for broadcast in receiver.take_broadcasts()]
+    assert received and len(received) == len(set(received))
+    packet = Packet("f", "m1", 1, 1, 1, [Broadcast("m0", 1, 1, 7, b"")])
+    sender.on_message(net.now, packet, ("m1~1", 1))
+    assert not sender.take_broadcasts()
+
+
+def add_members(swim, count, now):
+    """Add the members m1, m2 and so on to a process's table."""
+    for number in range(1, count + 1):
+        swim.state_rules.apply_update(
+            MemberUpdate(f"m{number}", 1, 0, MemberState.ALIVE, (f"a{number}", 1), "z", 3), now
+        )
+
+
 def test_a_member_that_stalled_declares_no_member_dead():
     # Guards against treating the process's own 2 s stall as missing answers of all other members.
     net = MembershipNetwork(8)
