--- a/onyxhollow/membership/anti_entropy.py
+++ b/onyxhollow/membership/anti_entropy.py
@@ -58,14 +58,23 @@
         if not live:
             self.next_sync_at = now + self.config.period * self.rng.uniform(0.5, 1.0)
 
-    def on_sync(self, request: Sync, sender: Member, now: float) -> None:
-        """Answer with the members known here if the digests differ, up to a limit of datagrams."""
+    def on_sync(self, request: Sync, sender: Member, introduces_sender: bool, now: float) -> None:
+        """Answer with the members known here if the digests differ, up to a limit of datagrams.
+
+        Args:
+            request: The request.
+            sender: The member that sent it.
+            introduces_sender: Whether the datagram also has the sender's own update. A joining member sends
+                it; the request that an established member sends in turn has the same flag but no update.
+            now: The current time.
+        """
         if request.digest == self.table.digest():
             return
-        limit = MAX_PAGES_JOINING if request.joining else MAX_PAGES_ESTABLISHED
+        is_joining = request.joining and introduces_sender
+        limit = MAX_PAGES_JOINING if is_joining else MAX_PAGES_ESTABLISHED
         for page in self._pages(sender, limit):
             self.outbox.reply(OutgoingDatagram(sender.address, sender.epoch, page), now)
-        if not request.joining:  # request the sender's members in turn
+        if not request.joining:  # request the sender's members in turn; the flag ends the exchange
             reverse_request = [encode(Sync(self.table.digest(), joining=True))]
             self.outbox.reply(OutgoingDatagram(sender.address, sender.epoch, reverse_request), now)
 
--- a/onyxhollow/membership/messages.py
+++ b/onyxhollow/membership/messages.py
@@ -78,7 +78,7 @@
     """An anti-entropy request. The receiver answers with its members if its digest differs."""
 
     digest: int  # of the live members known to the sender
-    joining: bool = False  # longer answer, and the receiver sends no `Sync` back
+    joining: bool = False  # the receiver sends no `Sync` back; longer answer if sent with the sender's update
 
 
 class Broadcast(Message, frozen=True, tag=7):
--- a/onyxhollow/membership/swim.py
+++ b/onyxhollow/membership/swim.py
@@ -259,9 +259,9 @@
             return
         self.failure_detector.link_statistics.record_datagram(sender.key, now)
         for message in packet.messages:
-            self._dispatch(sender, message, now, packet.receiver_epoch)
+            self._dispatch(sender, message, packet, now)
 
-    def _dispatch(self, sender: Member, message: Message, now: float, receiver_epoch: int) -> None:
+    def _dispatch(self, sender: Member, message: Message, packet: Packet, now: float) -> None:
         match message:
             case Ping():
                 reply = self._outbox.build_datagram(sender, [Ack(message.nonce)])
@@ -275,11 +275,11 @@
             case Nack():
                 self.failure_detector.on_nack(message)
             case Sync():
-                self.anti_entropy.on_sync(message, sender, now)
+                self.anti_entropy.on_sync(message, sender, _introduces_sender(packet), now)
             case Broadcast():
                 self._on_broadcast(message)
             case Payload():
-                if receiver_epoch == self.local.epoch:
+                if packet.receiver_epoch == self.local.epoch:
                     self.received_payloads.append((sender, message))
                 else:  # possibly a datagram replayed from the time of an earlier process of this name
                     self.counters[PAYLOADS_TO_UNKNOWN_EPOCH] += 1
@@ -303,6 +303,15 @@
         self.failure_detector.link_statistics.prune(self.members)
 
 
+def _introduces_sender(packet: Packet) -> bool:
+    """Return whether a packet contains its sender's own member update."""
+    sender = packet.name, packet.epoch
+    return any(
+        isinstance(message, MemberUpdate) and (message.name, message.epoch) == sender
+        for message in packet.messages
+    )
+
+
 def _drain(items: list[Item]) -> list[Item]:
     taken = items.copy()
     items.clear()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,6 +15,7 @@
     MemberUpdate,
     Packet,
     Ping,
+    Sync,
 )
 from onyxhollow.membership.swim import MAX_SEEN_BROADCASTS
 
@@ -71,6 +72,21 @@
     assert minimum_seconds(1000) < 4 * minimum_seconds(10)
 
 
+def test_only_a_joining_member_gets_the_long_answer_to_a_sync():
+    # Guards against 16 datagrams at each exchange of established members: the request that the answering
+    # member sends in turn has the flag of a joining member, but not its member update.
+    net = MembershipNetwork(1)
+    swim = net.members["m0~1"]
+    add_members(swim, 300, net.now)
+    local = MemberUpdate("m1", 1, 0, MemberState.ALIVE, ("a1", 1), "z", 3)
+    answers = []
+    for messages in ([local, Sync(0, joining=True)], [Sync(0, joining=True)], [Sync(0)]):
+        swim.on_message(net.now, Packet("f", "m1", 1, 1, 1, messages), ("a1", 1))
+        answers.append(len(swim.take_outbox()))
+    complete_answer, answer_in_turn, answer_and_request = answers
+    assert complete_answer > 3 and answer_in_turn == 3 and answer_and_request == 3 + 1
+
+
 def test_confirmed_suspicions_do_not_pass_the_limit_of_queued_changes():
     # Guards against a queue of unlimited size: a confirmation was queued again without applying the limit.
     net = MembershipNetwork(1)
