--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -10,7 +10,7 @@
 from onyxhollow.gossip.config import GossipConfig
 from onyxhollow.gossip.load_gossip import LoadGossip
 from onyxhollow.gossip.messages import ConnectionCounts, EndpointCount, EndpointReport, ReportPage
-from onyxhollow.gossip.ownership import GossipMember
+from onyxhollow.gossip.ownership import MAX_ENDPOINTS, GossipMember, Ownership
 from onyxhollow.lab import decisions, scenario, virtual
 from onyxhollow.lab.simulated_gossip import GossipFaults
 
@@ -148,6 +148,16 @@
 def test_a_resumed_owner_takes_over_from_its_deputy_whatever_the_phase_of_their_reports():
     # Guards against two reporters: the owner's reports were all created within a push interval after those of
     # the deputy, which took none of them and reported on.
+    assert not phases_without_takeover()
+
+
+def test_a_resumed_owner_takes_over_among_members_of_a_version_without_rank_order():
+    # Guards against a deputy that reports on while a fleet is upgraded, since other members keep its reports.
+    assert not phases_without_takeover(other_members_know_ranks=False)
+
+
+def phases_without_takeover(other_members_know_ranks=True):
+    """Stall an owner and return the phases after which its deputy polls on or its reports are not stored."""
     step = 1 / 64  # binary fractions, so that the phases stay the same
     config = GossipConfig(
         push_interval=12 * step, report_interval=0.5, poll_interval=1.0, audit_interval=10.0
@@ -159,21 +169,24 @@
         for n, core in fleet.cores.items():
             core.next_due = fleet.now + 2 * n * step
         fleet.run(3.0)
-        owner = fleet.cores[0].ownership.owners["s0"][0] - 1
+        owner, deputy = (epoch - 1 for epoch in fleet.cores[0].ownership.owners["s0"][:2])
+        others = [core for n, core in fleet.cores.items() if n not in (owner, deputy)]
+        if not other_members_know_ranks:
+            for core in others:
+                core.table._min_lead = lambda report, stored: config.push_interval
         fleet.loads["s0"] = 0.6  # a high load, which is polled for each report
         fleet.stalled.add(owner)
         fleet.run(2.5 + phase * step)
-        assert all(fleet.cores[n].evidence["s0"].report.owner != owner + 1 for n in range(6) if n != owner)
+        assert all(core.evidence["s0"].report.owner != owner + 1 for core in others)
         fleet.resume(owner)
         fleet.run(2.0)
         fleet.polled.clear()
         fleet.run(2.0)
         reporters = {core.evidence["s0"].report.owner - 1 for core in fleet.cores.values()}
-        deputy = fleet.cores[0].ownership.owners["s0"][1] - 1
         deputy_polls = fleet.polled.count((deputy, "s0"))
         if reporters != {owner} or deputy_polls:
             failed_phases.append((phase, reporters, deputy_polls))
-    assert not failed_phases
+    return failed_phases
 
 
 def test_a_deputys_report_is_stored_only_if_the_owners_is_stale_quarantined_or_without_a_load():
@@ -316,6 +329,77 @@
     assert core.counters["rows far off what was seen"] == 1
 
 
+def test_counts_that_do_not_fit_one_message_are_sent_with_the_next_ones():
+    # Guards against counts recorded as sent that were cut from the only message, at each refresh again.
+    fleet = SimulatedFleet(2, 200)
+    fleet.run(3.0)
+    fleet.own_connections[0] = {name: 5 for name in fleet.loads}
+    fleet.run(2.5)  # less than until a refresh has sent them again
+    received = fleet.cores[1].aggregator.received
+    assert {name: received[name][1].connections for name in fleet.loads} == fleet.own_connections[0]
+
+
+def test_each_count_is_sent_although_all_change_before_each_message():
+    # Guards against counts that never arrive because others that change as often are always sent before them.
+    fleet = SimulatedFleet(2, 200)
+    fleet.run(3.0)
+    for connections in range(10, 20):
+        fleet.own_connections[0] = {name: connections for name in fleet.loads}
+        fleet.run(CONFIG.push_interval)
+    received = fleet.cores[1].aggregator.received
+    assert all(received[name][1].connections >= 10 for name in fleet.loads)
+    fleet.own_connections[0] = {}
+    fleet.run(2.5)
+    assert not any(received[name][1].connections for name in fleet.loads)
+
+
+def test_a_count_for_an_endpoint_that_is_no_longer_owned_is_not_sent():
+    # Guards against messages to a former owner, and to a member that has left, from its queue.
+    fleet = SimulatedFleet(2, 200)
+    fleet.run(3.0)
+    core = fleet.cores[0]
+    fleet.own_connections[0] = {name: 5 for name in fleet.loads}
+    core.tick(fleet.own_connections[0], fleet.now)
+    assert core.publisher.queues
+    core.set_members([core.local])
+    core.take_outbox()
+    core.tick(fleet.own_connections[0], fleet.now + 1.0)
+    assert not core.publisher.queues
+    assert not [out for out in core.take_outbox() if isinstance(out.message, ConnectionCounts)]
+
+
+def test_counts_for_known_endpoints_are_updated_when_no_further_endpoint_is_accepted():
+    # Guards against counts that expire at an owner of as many endpoints as it accepts.
+    core = SimulatedFleet(2, 1).cores[0]
+    names = [f"s{n}" for n in range(MAX_ENDPOINTS + 1)]
+    core.on_message(2, ConnectionCounts(1, [EndpointCount(name, 1, 0) for name in names]), 100.0)
+    core.on_message(2, ConnectionCounts(2, [EndpointCount("s0", 7, 0)]), 100.0)
+    assert core.aggregator.received["s0"][2].connections == 7
+    assert len(core.aggregator.received) == MAX_ENDPOINTS
+
+
+def test_a_changed_zone_of_an_endpoint_ranks_the_owners_again():
+    # Guards against an endpoint that keeps owners in the zone that it has left.
+    members = [GossipMember(n + 1, f"n{n}", "ab"[n % 2]) for n in range(8)]
+    ownership = Ownership(members[0], CONFIG, Random(1), 100.0)
+    ownership.set_members(members)
+    for zone, now in (("a", 100.0), ("b", 101.0)):
+        assert ownership.set_endpoints({"s0": zone})
+        assert ownership.rank_if_due(now)
+        assert {members[epoch - 1].zone for epoch in ownership.owners["s0"]} == {zone}
+
+
+def test_more_endpoints_than_are_ranked_do_not_cause_repeated_rankings():
+    # Guards against a ranking every half second, because the limited endpoints never equal the given ones.
+    member = GossipMember(1, "n0", "a")
+    ownership = Ownership(member, CONFIG, Random(1), 100.0)
+    endpoints = {f"s{n}": "a" for n in range(MAX_ENDPOINTS + 1)}
+    assert ownership.set_endpoints(endpoints) and ownership.rank_if_due(100.0)
+    assert len(ownership.owners) == MAX_ENDPOINTS
+    assert not ownership.set_endpoints(endpoints)
+    assert not ownership.rank_if_due(101.0)
+
+
 def test_partitioned_zones_use_their_own_reports_and_merge_afterwards():
     fleet = SimulatedFleet(8, 4, zones=("a", "b"))
     fleet.own_connections = {n: {"s0": 1} for n in range(8)}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,8 +6,18 @@
 from membership_network import KEYS, MembershipNetwork, all_members_agree
 
 from onyxhollow.membership.datagram_authenticator import DatagramAuthenticator, read_keys
+from onyxhollow.membership.dissemination_queue import MAX_QUEUED
 from onyxhollow.membership.member_table import InvalidTransitionError
-from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES, MemberState, MemberUpdate, Packet, Ping
+from onyxhollow.membership.messages import (
+    MAX_DATAGRAM_BYTES,
+    Broadcast,
+    MemberState,
+    MemberUpdate,
+    Packet,
+    Ping,
+    Sync,
+)
+from onyxhollow.membership.swim import MAX_SEEN_BROADCASTS
 
 
 def test_a_broadcast_reaches_all_members_although_most_datagrams_go_to_one_member():
@@ -62,6 +72,60 @@
     assert minimum_seconds(1000) < 4 * minimum_seconds(10)
 
 
+def test_only_a_joining_member_gets_the_long_answer_to_a_sync():
+    # Guards against 16 datagrams at each exchange of established members: the request that the answering
+    # member sends in turn has the flag of a joining member, but not its member update.
+    net = MembershipNetwork(1)
+    swim = net.members["m0~1"]
+    add_members(swim, 300, net.now)
+    local = MemberUpdate("m1", 1, 0, MemberState.ALIVE, ("a1", 1), "z", 3)
+    answers = []
+    for messages in ([local, Sync(0, joining=True)], [Sync(0, joining=True)], [Sync(0)]):
+        swim.on_message(net.now, Packet("f", "m1", 1, 1, 1, messages), ("a1", 1))
+        answers.append(len(swim.take_outbox()))
+    complete_answer, answer_in_turn, answer_and_request = answers
+    assert complete_answer > 3 and answer_in_turn == 3 and answer_and_request == 3 + 1
+
+
+def test_confirmed_suspicions_do_not_pass_the_limit_of_queued_changes():
+    # Guards against a queue of unlimited size: a confirmation was queued again without applying the limit.
+    net = MembershipNetwork(1)
+    swim = net.members["m0~1"]
+    add_members(swim, 100, net.now)
+    for member in swim.live_members():
+        swim.state_rules.suspect(member, 0, "m1", net.now)
+    swim.dissemination_queue.messages.clear()  # as if all had been sent
+    for sequence in range(MAX_QUEUED):
+        swim.dissemination_queue.enqueue(("m1", 1, sequence), Broadcast("m1", 1, sequence, 7, b""))
+    for member in swim.live_members():
+        swim.state_rules.suspect(member, 0, "m2", net.now)
+    assert len(swim.dissemination_queue.messages) == MAX_QUEUED
+
+
+def test_own_broadcasts_are_delivered_once_and_do_not_pass_the_limit_of_seen_ones():
+    # Guards against a record of seen broadcasts that grows with each broadcast of this process.
+    net = MembershipNetwork(2)
+    net.run(3.0)
+    sender, receiver = net.members["m0~1"], net.members["m1~1"]
+    for _ in range(MAX_SEEN_BROADCASTS + 1):
+        sender.broadcast(7, b"")
+    assert len(sender.seen_broadcasts) <= MAX_SEEN_BROADCASTS
+    net.run(3.0)
+    received = [broadcast.sequence for broadcast in receiver.take_broadcasts()]
+    assert received and len(received) == len(set(received))
+    packet = Packet("f", "m1", 1, 1, 1, [Broadcast("m0", 1, 1, 7, b"")])
+    sender.on_message(net.now, packet, ("m1~1", 1))
+    assert not sender.take_broadcasts()
+
+
+def add_members(swim, count, now):
+    """Add the members m1, m2 and so on to a process's table."""
+    for number in range(1, count + 1):
+        swim.state_rules.apply_update(
+            MemberUpdate(f"m{number}", 1, 0, MemberState.ALIVE, (f"a{number}", 1), "z", 3), now
+        )
+
+
 def test_a_member_that_stalled_declares_no_member_dead():
     # Guards against treating the process's own 2 s stall as missing answers of all other members.
     net = MembershipNetwork(8)
@@ -142,6 +206,18 @@
     assert rates[1] < 2.0 * rates[0]
 
 
+def test_a_sequence_number_far_below_the_highest_is_dropped_as_repeated():
+    # Guards against a shift by the distance to the highest sequence number, which exhausted the memory.
+    sender = DatagramAuthenticator("f", "a", 5, KEYS)
+    receiver = DatagramAuthenticator("f", "b", 7, KEYS)
+    early = sender.sign([], 0)
+    sender.sequence = 2**62
+    assert receiver.verify(sender.sign([], 0)) is not None
+    assert receiver.verify(early) is None
+    assert receiver.dropped == {"repeated": 1}
+    assert receiver.verify(sender.sign([], 0)) is not None
+
+
 def test_unauthenticated_replayed_and_misaddressed_datagrams_are_counted_and_dropped(tmp_path):
     sender, receiver = (
         DatagramAuthenticator("f", "a", 5, KEYS),
