--- a/onyxhollow/addresses/routes.py
+++ b/onyxhollow/addresses/routes.py
@@ -112,6 +112,11 @@
     pin: str = ""
     exclude: str = ""
 
+    @property
+    def takes_out(self) -> bool:
+        """Whether the route's site is to be taken out of service; a pin prevents that."""
+        return bool(self.drain or self.exclude) and not self.pin
+
 
 NO_OVERRIDES = ActiveOverrides()
 
--- a/tests/test_address_schedules.py
+++ b/tests/test_address_schedules.py
@@ -1,8 +1,11 @@
 """Tests of controller, announcers and route guards together, under schedules of faults in virtual time."""
 
 import pytest
+from address_support import WITHDRAWN
 
+from onyxhollow.addresses.messages import Override
 from onyxhollow.lab.fleet import address_explorer, random_walk
+from onyxhollow.lab.fleet.random_walk import STEP_SECONDS, VOTERS
 
 
 def test_no_schedule_of_faults_breaks_an_invariant():
@@ -22,6 +25,63 @@
     )
 
 
+class DrainedWorld(address_explorer.ExploredWorld):
+    """The explorer's world without faults, in which overrides do not expire."""
+
+    def __init__(self):
+        super().__init__(())
+        self.run_until(lambda: {self.preference(site, name) for site in "abc" for name in "xy"} == {2})
+
+    def run_until(self, condition, within=40.0):
+        for _ in range(round(within / STEP_SECONDS)):
+            if condition():
+                return
+            self.step()
+        raise AssertionError(f"not reached within {within} simulated seconds")
+
+    def preference(self, site, name):
+        return self.sites[site].table.preferences[name]
+
+    def drain(self, site):
+        for voter in VOTERS[:2]:
+            override = Override("o1", 1, "drain", "", site, "op", "power", self.now, 0.0)
+            self.override_logs[voter].add(override, self.now, self.now)
+
+    def run_until_withdrawn(self, site):
+        self.run_until(lambda: {self.preference(site, name) for name in "xy"} == {WITHDRAWN})
+
+    def drained_addresses(self, site):
+        return self.sites[site].announcers[-1].core.drained_addresses()
+
+
+def test_a_drain_continues_under_a_new_controller_and_a_new_announcer():
+    """Open connections stayed: both had forgotten that an override had withdrawn the site's routes."""
+    world = DrainedWorld()
+    world.drain("a")
+    world.run_until_withdrawn("a")
+    world.run_until(lambda: world.drained_addresses("a") == ["x", "y"])
+    world.controllers.clear()
+    world.sites["a"].announcers.clear()
+    world.step()
+    assert world.drained_addresses("a") == []  # the new announcer has not received an assignment yet
+    world.run_until(lambda: world.drained_addresses("a") == ["x", "y"])
+
+
+def test_a_drain_continues_under_an_announcer_that_starts_after_the_site_was_out_of_reach():
+    """The controller adopted the new announcer's report, which has no causes, and forgot its own."""
+    world = DrainedWorld()
+    world.drain("a")
+    world.run_until_withdrawn("a")
+    world.run_until(lambda: world.drained_addresses("a") == ["x", "y"])
+    controller = world.current_controller()
+    world.sites["a"].announcers[-1].stopped_until = world.now + 8.0
+    world.run_until(lambda: not controller.core.routes["x", "a"].reachable)
+    world.sites["a"].announcers.clear()
+    world.run_until(lambda: controller.core.routes["x", "a"].reachable)
+    world.run_until(lambda: world.drained_addresses("a") == ["x", "y"])
+    assert world.current_controller() is controller
+
+
 # By injected bug: the first seed in range(400) whose schedule reveals it (random_walk.detect_bug).
 REVEALING_SEEDS = {
     "no least": 24,
--- a/tests/test_fleet_addresses.py
+++ b/tests/test_fleet_addresses.py
@@ -268,6 +268,50 @@
     assert_invariants(sites)
 
 
+def start_clients(sites, zone):
+    """Connect to the own address of a site's member, from which no route change moves clients away."""
+    cluster = sites.cluster
+    address = cluster.listen_addresses[sites.members(zone)[0]]
+    clients = [Client(cluster.loop, address, 7000 + number) for number in range(12)]
+    cluster.wait(lambda: all(client.echoes for client in clients), 10, "open connections")
+    return clients
+
+
+def count_moves(clients):
+    return sum(client.moves for client in clients)
+
+
+def test_open_connections_keep_moving_under_a_new_announcer_and_a_new_controller(start_sites):
+    """They stayed: neither of the two knew that an override had withdrawn the site's routes."""
+    sites = start_sites()
+    cluster = sites.cluster
+    clients = start_clients(sites, "a")
+    controller = cluster.wait_holder("addresses")
+    if controller in sites.members("a"):
+        successor = sites.members("c")[0]
+        cluster.query(controller, f"/hand-over?name=addresses&to={successor}", "POST")
+        controller = cluster.wait_holder("addresses", other_than=controller)
+    sites.request(controller, "/order", "verb=exclude&site=a&who=op&why=power", "POST")
+    sites.wait_for_route_states(a=0, b=2, c=2)
+    cluster.wait(lambda: count_moves(clients), 10, "open connections to be moved")
+
+    # The new announcer starts while no controller runs, so that it can learn the causes from none.
+    announcer = cluster.wait_holder("announcer/a")
+    successor = next(name for name in sites.members("a") if name != announcer)
+    cluster.stop(controller)
+    cluster.query(announcer, f"/hand-over?name=announcer/a&to={successor}", "POST")
+    cluster.wait_holder("announcer/a", other_than=announcer)
+    controller = cluster.wait_holder("addresses", other_than=controller)
+    cluster.wait(
+        lambda: sites.status_row("addr0", "a", controller)["cause"] == "order", 10, "the cause to be known"
+    )
+    moves_before = count_moves(clients)
+    cluster.wait(lambda: count_moves(clients) > moves_before, 10, "open connections to be moved")
+    for client in clients:
+        client.close()
+    assert_invariants(sites)
+
+
 def test_a_guard_withdraws_a_dead_site_flapping_is_damped_and_a_clock_step_has_no_effect(start_sites):
     sites = start_sites(cut_off="withdraw", partners=6, orphaned_after=2.5)
     cluster = sites.cluster
