--- a/onyxhollow/addresses/controller.py
+++ b/onyxhollow/addresses/controller.py
@@ -16,6 +16,7 @@
 from onyxhollow.addresses.health import HealthAggregator
 from onyxhollow.addresses.messages import (
     DecisionRecord,
+    DrainRequest,
     HealthReport,
     Message,
     OverrideQuery,
@@ -60,6 +61,14 @@
     message: Message
 
 
+@dataclass(frozen=True, slots=True)
+class ToMembers:
+    """An outgoing message for all members of a site."""
+
+    site: str
+    message: Message
+
+
 @dataclass(frozen=True, slots=True)
 class ToVoter:
     """An outgoing message for a voter."""
@@ -108,7 +117,7 @@
         self.reported_routes: set[tuple[str, str]] = set()  # routes with a state reported by their site
         self.assigned_in: dict[tuple[str, str], int] = {}  # by route: assignment with its last change
         self.pending: dict[str, PendingRecord] = {}  # by record id
-        self.outbox: list[ToSite | ToVoter] = []
+        self.outbox: list[ToSite | ToMembers | ToVoter] = []
         self.committed: list[DecisionRecord] = []
         self.suppressed: list[SuppressedChange] = []  # in the last round
         self.counts: Counter[str] = Counter()
@@ -261,6 +270,7 @@
             return  # later decisions depend on these changes
         overrides = self.active_overrides(now)
         changes, self.suppressed = decide(self.policy, self.routes.values(), overrides, now)
+        self.request_drains(overrides, changes)
         for suppressed in self.suppressed:
             self.counts[f"stays: {suppressed.rule}"] += 1
         for change in changes:
@@ -310,6 +320,26 @@
             is_last=self.is_last(route, now),
         )
 
+    def request_drains(
+        self, overrides: dict[tuple[str, str], ActiveOverrides], changes: list[RouteChange]
+    ) -> None:
+        """Queue requests to move connections off routes withdrawn for health, if an override drains them.
+
+        The site's announcer requests the moves only for routes that the override itself has withdrawn. The
+        route keeps its cause, so that it still counts towards the withdrawal limit and is restored as late as
+        without the override.
+        """
+        excepted = {(change.address, change.site) for change in [*changes, *self.suppressed]}
+        addresses_by_site: dict[str, list[str]] = {}
+        for key, route in self.routes.items():
+            is_withdrawn = route.reachable and route.installed and route.preference is Preference.WITHDRAWN
+            takes_out = overrides.get(key, NO_OVERRIDES).takes_out and key not in excepted
+            if is_withdrawn and takes_out and route.cause != Cause.OVERRIDE:
+                addresses_by_site.setdefault(route.site, []).append(route.address)
+        for site, addresses in addresses_by_site.items():
+            for page in paginate(addresses):
+                self.outbox.append(ToMembers(site, DrainRequest(site, page)))
+
     def send_store_requests(self) -> None:
         """Queue pending records for the voters that have not acknowledged them."""
         for voter in self.voters:
--- a/onyxhollow/addresses/rules.py
+++ b/onyxhollow/addresses/rules.py
@@ -235,11 +235,15 @@
 
     def apply_drain_or_exclusion(self, route: RouteState, override: ActiveOverrides) -> None:
         """Apply a drain or an exclusion in two steps: lower the route, then withdraw it (rules 3 and 6)."""
-        if route.preference is Preference.WITHDRAWN:
+        if route.preference is Preference.WITHDRAWN and route.cause == Cause.OVERRIDE:
             return
         applied = f"excluded: {override.exclude}" if override.exclude else f"drain: {override.drain}"
         obstacle = self.find_obstacle(route)
-        if obstacle is not None:
+        if route.preference is Preference.WITHDRAWN:
+            # Withdrawn for its health: only the open connections are left to move.
+            if obstacle is not None:
+                self.suppress(route, obstacle.rule, obstacle.reason)
+        elif obstacle is not None:
             if route.preference is Preference.LOWERED and obstacle.rule is SuppressionRule.LAST_SITE:
                 self.change(
                     route, Preference.ADVERTISED, Cause.NONE, f"{applied}; not possible: {obstacle.reason}"
--- a/onyxhollow/fleet/shared_addresses/controller_task.py
+++ b/onyxhollow/fleet/shared_addresses/controller_task.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable
 
-from onyxhollow.addresses.controller import Controller, ToSite, ToVoter
+from onyxhollow.addresses.controller import Controller, ToMembers, ToSite, ToVoter
 from onyxhollow.addresses.file import AddressesFile
 from onyxhollow.addresses.messages import (
     ControllerAnnouncement,
@@ -97,6 +97,8 @@
                 return
             if isinstance(outgoing, ToVoter):
                 self.messenger.send_to_name(outgoing.voter, outgoing.message)
+            elif isinstance(outgoing, ToMembers):
+                self.messenger.send_to_zone(outgoing.site, outgoing.message)
             else:
                 self.send_to_site(core, outgoing)
 
--- a/onyxhollow/lab/fleet/random_walk.py
+++ b/onyxhollow/lab/fleet/random_walk.py
@@ -20,7 +20,7 @@
 
 from onyxhollow.addresses import rules
 from onyxhollow.addresses.announcer import Announcer, GuardedRoute, GuardState
-from onyxhollow.addresses.controller import Controller, ToVoter
+from onyxhollow.addresses.controller import Controller, ToSite, ToVoter
 from onyxhollow.addresses.file import AddressesFile, Policy, Service, Site
 from onyxhollow.addresses.messages import (
     AddressHealth,
@@ -174,7 +174,7 @@
                     partial(self.deliver_to_voter, outgoing.voter, outgoing.message, holder),
                     outgoing.voter in self.unavailable_voters,
                 )
-            else:
+            elif isinstance(outgoing, ToSite):  # drain requests to members have no effect on routes
                 site = self.sites[outgoing.site]
                 self.send(partial(self.deliver_to_site, site, outgoing.message, holder), site.cut_off)
 
--- a/tests/test_address_rules.py
+++ b/tests/test_address_rules.py
@@ -182,3 +182,14 @@
     a, b = make_routes(a=(0.0, 10, 99), b=(1.0, 10, 99))
     a.reachable = False
     assert decide_all([a, b]) == (set(), set())
+
+
+def test_a_drain_of_a_withdrawn_site_shows_why_its_open_connections_cannot_move():
+    """The drain had no effect and showed no reason, since the route itself was withdrawn already."""
+    drain = {("x", "a"): ActiveOverrides(drain="op: work")}
+    for load_elsewhere, suppressed in ((10, set()), (80, {("a", SuppressionRule.NO_CAPACITY)})):
+        a, b = make_routes(a=(0.0, 60, 99), b=(1.0, load_elsewhere, 99))
+        a.preference, a.cause = WITHDRAWN, Cause.HEALTH
+        assert decide_all([a, b], drain) == (set(), suppressed)
+    a.cause = Cause.OVERRIDE  # withdrawn by the drain itself, whose obstacles were checked before
+    assert decide_all([a, b], drain) == (set(), set())
--- a/tests/test_address_schedules.py
+++ b/tests/test_address_schedules.py
@@ -3,7 +3,8 @@
 import pytest
 from address_support import WITHDRAWN
 
-from onyxhollow.addresses.messages import Override
+from onyxhollow.addresses.messages import DrainRequest, Override
+from onyxhollow.addresses.routes import Cause
 from onyxhollow.lab.fleet import address_explorer, random_walk
 from onyxhollow.lab.fleet.random_walk import STEP_SECONDS, VOTERS
 
@@ -30,6 +31,7 @@
 
     def __init__(self):
         super().__init__(())
+        self.requested = []  # drain requests of controllers
         self.run_until(lambda: {self.preference(site, name) for site in "abc" for name in "xy"} == {2})
 
     def run_until(self, condition, within=40.0):
@@ -39,6 +41,10 @@
             self.step()
         raise AssertionError(f"not reached within {within} simulated seconds")
 
+    def send_outbox(self, holder):
+        self.requested += [row.message for row in holder.core.outbox if isinstance(row.message, DrainRequest)]
+        super().send_outbox(holder)
+
     def preference(self, site, name):
         return self.sites[site].table.preferences[name]
 
@@ -82,6 +88,22 @@
     assert world.current_controller() is controller
 
 
+def test_open_connections_move_off_a_site_that_was_out_for_its_health_before_its_drain():
+    """They never moved: the site's announcer requests it only for routes that an override has withdrawn."""
+    world = DrainedWorld()
+    world.sites["a"].health = 0.0
+    world.run_until_withdrawn("a")
+    world.run_until(lambda: world.current_controller().core.routes["y", "a"].installed)
+    for _ in range(20):
+        world.step()
+    assert world.drained_addresses("a") == [] and world.requested == []  # no override is in force
+    world.drain("a")
+    world.run_until(lambda: world.requested)
+    assert world.requested == [DrainRequest("a", ["x", "y"])]
+    route = world.current_controller().core.routes["x", "a"]
+    assert route.cause == Cause.HEALTH  # still counts towards the withdrawal limit
+
+
 # By injected bug: the first seed in range(400) whose schedule reveals it (random_walk.detect_bug).
 REVEALING_SEEDS = {
     "no least": 24,
--- a/tests/test_fleet_addresses.py
+++ b/tests/test_fleet_addresses.py
@@ -312,6 +312,35 @@
     assert_invariants(sites)
 
 
+def test_open_connections_move_off_a_site_that_was_out_for_its_health_before_its_drain(start_sites):
+    """They never moved, since an override had not withdrawn the routes."""
+    sites = start_sites()
+    cluster = sites.cluster
+    clients = start_clients(sites, "a")
+    set_load(sites, "a")
+    sites.wait_for_route_states(a=0, b=2, c=2)
+    controller = cluster.wait_holder("addresses")
+    for address in sites.prefixes:
+        cluster.wait(
+            lambda address=address: sites.status_row(address, "a", controller)["carried"], 10, "confirmations"
+        )
+        assert sites.status_row(address, "a", controller)["cause"] == "health"
+    drains = lambda: [line for line in cluster.lines if line.event == "address drain"]  # noqa: E731
+    assert not drains()
+    sites.request(controller, "/order", "verb=drain&site=a&who=op&why=power", "POST")
+    cluster.wait(
+        lambda: {line.process.partition(".")[0] for line in drains()} == set(sites.members("a")),
+        10,
+        "the members of a to move connections",
+    )
+    # A member's connections may move off its full endpoints too; the drain counts those of its addresses.
+    assert {tuple(line.fields["names"]) for line in drains()} == {("addr0", "addr1")}
+    assert max(line.fields["connections"] for line in drains()) > 0
+    for client in clients:
+        client.close()
+    assert_invariants(sites)
+
+
 def test_a_guard_withdraws_a_dead_site_flapping_is_damped_and_a_clock_step_has_no_effect(start_sites):
     sites = start_sites(cut_off="withdraw", partners=6, orphaned_after=2.5)
     cluster = sites.cluster
