--- a/onyxhollow/addresses/controller.py
+++ b/onyxhollow/addresses/controller.py
@@ -329,7 +329,8 @@
         route keeps its cause, so that it still counts towards the withdrawal limit and is restored as late as
         without the override.
         """
-        excepted = {(change.address, change.site) for change in [*changes, *self.suppressed]}
+        excepted = {(change.address, change.site) for change in changes}
+        excepted |= {(change.address, change.site) for change in self.suppressed}
         addresses_by_site: dict[str, list[str]] = {}
         for key, route in self.routes.items():
             is_withdrawn = route.reachable and route.installed and route.preference is Preference.WITHDRAWN
