--- a/onyxhollow/addresses/controller_views.py
+++ b/onyxhollow/addresses/controller_views.py
@@ -86,14 +86,14 @@
     for logged in [*controller.overrides.overrides.values(), override]:
         log.add(logged, now, wall)
     overrides = log.active({address for address, _ in controller.routes}, controller.capacity, now)
-    routes = [replace(route) for route in controller.routes.values()]
-    changes, suppressed = decide(controller.policy, routes, overrides, now)
-    changes_without, _ = decide(controller.policy, routes, controller.active_overrides(now), now)
+    routes = {key: replace(route) for key, route in controller.routes.items()}
+    changes, suppressed = decide(controller.policy, routes.values(), overrides, now)
+    changes_without, _ = decide(controller.policy, routes.values(), controller.active_overrides(now), now)
     expected = {(change.address, change.site): change.preference for change in changes_without}
-    planned_round = DecisionRound(controller.policy, routes, overrides, now)
+    planned_round = DecisionRound(controller.policy, routes.values(), overrides, now)
     return {
         "would": [
-            plan_row(change, controller.routes[change.address, change.site], planned_round)
+            plan_row(change, routes[change.address, change.site], planned_round)
             for change in changes
             if expected.get((change.address, change.site))
             is not change.preference  # else it is made without the override too
@@ -108,7 +108,10 @@
 
 
 def plan_row(change: RouteChange, route: RouteState, planned_round: DecisionRound) -> JsonObject:
-    """Return one change of a plan, with the sites that its sessions would move to."""
+    """Return one change of a plan, with the sites that its sessions would move to.
+
+    The route must be one of those of the round, which leaves out this very object as a receiver.
+    """
     receivers = planned_round.usable_advertisers(route)
     moves_sessions = change.preference is not Preference.ADVERTISED
     return {
--- a/tests/test_address_controller.py
+++ b/tests/test_address_controller.py
@@ -4,10 +4,11 @@
 
 from onyxhollow.addresses import file
 from onyxhollow.addresses.controller import Controller, ToVoter
-from onyxhollow.addresses.controller_views import view
+from onyxhollow.addresses.controller_views import plan, view
 from onyxhollow.addresses.messages import (
     AddressHealth,
     HealthReport,
+    Override,
     OverrideQuery,
     OverrideResponse,
     RouteStatus,
@@ -82,3 +83,22 @@
         SiteReport("b", 2, 1, 1, True, [RouteStatus("x", int(WITHDRAWN), "health", 0.0, 0.0)]), "b0", 2.0, 2.0
     )
     assert {row["site"]: row["standing"] for row in view(controller, 2.0)["rows"]}["b"] == "withdrawn"
+
+
+def test_a_plan_divides_the_sessions_of_a_drained_site_among_the_other_sites_alone():
+    """The plan counted the drained site among the receivers, and showed too few sessions for the others."""
+    config = file.AddressesFile(
+        services=[file.Service(name="x", prefix="198.51.100.1/32")],
+        sites=[file.Site(name=site, route_guard="127.0.0.1:1", capacity=100.0) for site in "abc"],
+        policy=POLICY,
+    )
+    controller = Controller(config, ("v0",), 1, 0.0)
+    for site in "abc":
+        status = RouteStatus("x", int(ADVERTISED), "", 0.0, 0.0)
+        controller.on_message(SiteReport(site, 1, 1, 1, True, [status]), f"{site}0", 1.0, 1.0)
+        health = AddressHealth("x", 1.0, "", 30.0, 1.0)
+        controller.on_message(HealthReport(site, [health]), f"{site}0", 1.0, 1.0)
+    controller.tick(1.0, 1.0)
+    drain = Override("1-1", 1, "drain", "", "a", "op", "power", 1.0, 0.0)
+    (row,) = plan(controller, drain, 1.0, 1.0)["would"]
+    assert row["site"] == "a" and row["goes_to"] == {"b": 15.0, "c": 15.0}
