--- a/onyxhollow/fleet/shared_addresses/override_store.py
+++ b/onyxhollow/fleet/shared_addresses/override_store.py
@@ -20,7 +20,7 @@
     record_id,
 )
 from onyxhollow.addresses.overrides import MAX_OVERRIDES, OverrideLog
-from onyxhollow.append_log import AppendLog, AppendLogError
+from onyxhollow.append_log import AppendLog, AppendLogError, AppendLogLockedError
 from onyxhollow.fleet import clock
 from onyxhollow.fleet.context import MemberContext
 from onyxhollow.fleet.shared_addresses.messenger import AddressMessenger
@@ -28,8 +28,8 @@
 FILE_NAME = "addresses"
 MAX_RECORDS = 3000  # the file is compacted instead of growing beyond this number
 MAX_DECISIONS = 1000  # kept by a compaction
-OPEN_RETRY_SECONDS = 0.5  # between attempts to open the store
-OPEN_RETRY_AFTER_FAILURE_SECONDS = 5.0  # if another process has the store open, or it is damaged
+OPEN_RETRY_SECONDS = 0.5  # between attempts while another process, such as a predecessor, has it open
+OPEN_RETRY_AFTER_FAILURE_SECONDS = 5.0  # if the store is damaged or the disk fails
 
 
 class OverrideStore:
@@ -42,10 +42,12 @@
 
     def __init__(self, folder: str) -> None:
         self.log = AppendLog(folder, FILE_NAME)
-        self.records: dict[str, StoredRecord] = {}
-        for body in self.log.bodies:
-            record = STORED_RECORDS.decode(body)
-            self.records[record_id(record)] = record
+        try:
+            records = [STORED_RECORDS.decode(body) for body in self.log.bodies]
+        except msgspec.DecodeError:
+            self.log.close()
+            raise
+        self.records: dict[str, StoredRecord] = {record_id(record): record for record in records}
 
     def append(self, records: list[StoredRecord]) -> list[str]:
         """Store records that are not stored yet, and return the ids of all given records.
@@ -56,20 +58,31 @@
         new_records = [record for record in records if record_id(record) not in self.records]
         if new_records:
             if len(self.log.bodies) + len(new_records) > MAX_RECORDS:
-                self.compact()
-                self.log.rewrite([encode(record) for record in [*self.records.values(), *new_records]])
+                retained = [*self.retained_overrides(), *self.decisions()[-MAX_DECISIONS:], *new_records]
+                self.log.rewrite([encode(record) for record in retained])
+                self.records = {record_id(record): record for record in retained}
             else:
                 self.log.append(*(encode(record) for record in new_records))
-            self.records |= {record_id(record): record for record in new_records}
+                self.records |= {record_id(record): record for record in new_records}
         return [record_id(record) for record in records]
 
-    def compact(self) -> None:
-        """Remove the oldest records beyond MAX_OVERRIDES and MAX_DECISIONS."""
-        retained: list[StoredRecord] = [
-            *self.overrides()[-MAX_OVERRIDES:],
-            *self.decisions()[-MAX_DECISIONS:],
-        ]
-        self.records = {record_id(record): record for record in retained}
+    def retained_overrides(self) -> list[Override]:
+        """Return the overrides that a compaction keeps, in the order of storage.
+
+        These are all that are in force, and the newest of the others, up to MAX_OVERRIDES together.
+        """
+        overrides = self.overrides()
+        log = OverrideLog()
+        wall = time.time()
+        for override in overrides:
+            log.add(override, 0.0, wall)
+        in_force = {override.id for override in log.newest_active(0.0)}
+        others = sorted(
+            (override.number, override.id) for override in overrides if override.id not in in_force
+        )
+        obsolete_count = max(0, len(overrides) - MAX_OVERRIDES)
+        obsolete = {override_id for _, override_id in others[:obsolete_count]}
+        return [override for override in overrides if override.id not in obsolete]
 
     def overrides(self) -> list[Override]:
         """Return all overrides, oldest first."""
@@ -97,6 +110,7 @@
         self.overrides = overrides
         self.store: OverrideStore | None = None
         self.next_open_at = clock.now()
+        self.open_error = ""  # as last logged
 
     def tick(self, now: float) -> None:
         """Open the store if it is not open and an attempt is due."""
@@ -104,14 +118,13 @@
             self.open(now)
 
     def open(self, now: float) -> None:
-        """Try to open the store; a failed attempt is logged and repeated later."""
-        self.next_open_at = now + OPEN_RETRY_SECONDS
+        """Try to open the store; repeat a failed attempt later, and log it if its reason has changed."""
         try:
             self.store = OverrideStore(self.member.fleet.folder)
         except (AppendLogError, msgspec.DecodeError) as error:
-            self.member.counts["addresses: store can't be had"] += 1
-            self.member.log_event("store unavailable", why=str(error)[:200])
-            self.next_open_at = now + OPEN_RETRY_AFTER_FAILURE_SECONDS
+            is_locked = isinstance(error, AppendLogLockedError)
+            self.next_open_at = now + (OPEN_RETRY_SECONDS if is_locked else OPEN_RETRY_AFTER_FAILURE_SECONDS)
+            self.on_open_failed(str(error)[:200])
             return
         for override in self.store.overrides():
             self.overrides.add(override, now, time.time())
@@ -122,6 +135,13 @@
             cut=self.store.log.torn_tail,
         )
 
+    def on_open_failed(self, reason: str) -> None:
+        """Count a failed attempt to open the store, and log its reason if it differs from the last one."""
+        self.member.counts["addresses: store can't be had"] += 1
+        if reason != self.open_error:
+            self.open_error = reason
+            self.member.log_event("store unavailable", why=reason)
+
     def voting_store(self) -> OverrideStore | None:
         """Return the store if it is open and this member is a voter, else None."""
         return self.store if self.member.name in self.member.voters.names else None
