--- a/onyxhollow/append_log.py
+++ b/onyxhollow/append_log.py
@@ -157,9 +157,13 @@
         self._must_rewrite = False
         try:
             os.makedirs(folder, exist_ok=True)
-            self._lock_descriptor = self._acquire_lock()
-            self._descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
-            self._load()
+            with contextlib.ExitStack() as on_failure:
+                self._lock_descriptor = self._acquire_lock()
+                on_failure.callback(os.close, self._lock_descriptor)
+                self._descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, FILE_MODE)
+                on_failure.callback(os.close, self._descriptor)
+                self._load()
+                on_failure.pop_all()  # keeps both descriptors open
         except OSError as error:
             raise AppendLogUnavailableError(self.path, error) from None
 
--- a/tests/test_append_log.py
+++ b/tests/test_append_log.py
@@ -1,11 +1,17 @@
 """Tests of the append log: failing I/O and recovery after a crash."""
 
 import errno
+import os
 
 import pytest
 
 from onyxhollow import append_log
-from onyxhollow.append_log import AppendLog, AppendLogFormatError, AppendLogLockedError
+from onyxhollow.append_log import (
+    AppendLog,
+    AppendLogFormatError,
+    AppendLogLockedError,
+    AppendLogUnavailableError,
+)
 
 
 @pytest.mark.parametrize("call", ["pwrite", "fsync", "rename", "fsync folder"])
@@ -50,3 +56,30 @@
     (tmp_path / "s").write_bytes(b"something else")
     with pytest.raises(AppendLogFormatError, match="expected records"):
         AppendLog(str(tmp_path), "s")
+
+
+def count_descriptors():
+    return len(os.listdir("/proc/self/fd"))
+
+
+def test_failed_attempt_to_open_releases_the_lock(tmp_path, monkeypatch):
+    """The lock of a foreign file stayed, so a second attempt of the process found it locked for good."""
+    before = count_descriptors()
+    (tmp_path / "foreign").write_bytes(b"something else")
+    for _ in range(2):
+        with pytest.raises(AppendLogFormatError):
+            AppendLog(str(tmp_path), "foreign")
+    (tmp_path / "folder").mkdir()
+    for _ in range(2):
+        with pytest.raises(AppendLogUnavailableError, match="directory"):
+            AppendLog(str(tmp_path), "folder")
+    with monkeypatch.context() as patch:
+        patch.setattr(append_log.os, "fsync", lambda _: (_ for _ in ()).throw(OSError(errno.EIO, "failed")))
+        for _ in range(2):
+            with pytest.raises(AppendLogUnavailableError, match="failed"):
+                AppendLog(str(tmp_path), "new")
+            (tmp_path / "new").unlink()
+    assert count_descriptors() == before
+    (tmp_path / "foreign").unlink()
+    for name in ("foreign", "new"):
+        AppendLog(str(tmp_path), name).close()
