--- a/onyxhollow/fleet/shared_addresses/query_api.py
+++ b/onyxhollow/fleet/shared_addresses/query_api.py
@@ -37,6 +37,7 @@
 MAX_CACHED_RESPONSES = 16  # beyond it the oldest is dropped
 MAX_HISTORY_ROWS = 100  # latest decisions, and as many overrides
 PLANNED_NUMBER = 1 << 60  # of a planned override: higher than the number of any existing one
+INVALID_RESPONSE_STATUS = 502  # HTTP status if another member's response cannot be served
 JSON = "application/json"
 
 
@@ -48,6 +49,51 @@
     HISTORY = "history"
 
 
+class InvalidResponseError(ValueError):
+    """A response that cannot be served; the message names the expected response and the actual one."""
+
+
+class PendingQuery:
+    """A query whose response has not arrived completely."""
+
+    def __init__(self) -> None:
+        self.part_count = 0  # as given by the first part; 0: none has arrived
+        self.parts: dict[int, bytes] = {}  # by number
+
+    def add(self, message: QueryResponsePart) -> bool:
+        """Record a part, and return whether all have arrived.
+
+        A request that the network has duplicated is answered twice. Parts of a response whose number of parts
+        differs from that of the first one are ignored.
+        """
+        self.part_count = self.part_count or message.parts
+        if message.parts == self.part_count:
+            self.parts[message.part] = message.body
+        return len(self.parts) == self.part_count
+
+    def assemble(self) -> bytes:
+        """Return the compressed response."""
+        return b"".join(self.parts[number] for number in range(self.part_count))
+
+
+def decompress_response(compressed: bytes) -> bytes:
+    """Return the JSON of a response.
+
+    Raises:
+        InvalidResponseError: the body is not compressed, incomplete or too large.
+    """
+    decompressor = zlib.decompressobj()
+    try:
+        body = decompressor.decompress(compressed, MAX_RESPONSE_BYTES + 1)
+    except zlib.error as error:
+        raise InvalidResponseError(f"response: expected compressed JSON, got {error}") from None
+    if len(body) > MAX_RESPONSE_BYTES:
+        raise InvalidResponseError(f"response: expected at most {MAX_RESPONSE_BYTES} bytes, got more")
+    if not decompressor.eof:
+        raise InvalidResponseError(f"response: expected its end, got {len(body)} bytes of an incomplete one")
+    return body
+
+
 class QueryApi:
     """Forwards operators' queries to other members, and answers the queries of other members."""
 
@@ -66,8 +112,8 @@
         self.voter_store = voter_store
         self.reader = reader
         self.ids = ids
-        self.pending: OrderedDict[str, dict[int, bytes]] = OrderedDict()  # received parts, by query id
-        self.responses: OrderedDict[str, bytes] = OrderedDict()  # JSON, by query id
+        self.pending: OrderedDict[str, PendingQuery] = OrderedDict()  # by query id
+        self.responses: OrderedDict[str, Answer] = OrderedDict()  # by query id
 
     # On the member that receives an operator's call
 
@@ -87,7 +133,7 @@
     def show_response(self, query_id: str) -> Answer:
         """Return the response to a query; status 202 while it is pending."""
         if query_id in self.responses:
-            return 200, self.responses[query_id], JSON
+            return self.responses[query_id]
         if query_id in self.pending:
             return 202, orjson.dumps({"id": query_id}), JSON
         return (
@@ -107,7 +153,7 @@
                 else b"controller: expected one known to this process, got none\n"
             )
             return 503, text, PLAIN_TEXT
-        self.pending[query_id] = {}
+        self.pending[query_id] = PendingQuery()
         while len(self.pending) > MAX_PENDING_QUERIES:
             self.pending.popitem(last=False)
         self.messenger.send_to_process(process_id, QueryRequest(query_id, kind.value, override))
@@ -124,16 +170,27 @@
         return ""
 
     def on_response_part(self, message: QueryResponsePart) -> None:
-        """Record a part of a response, and assemble the response once all parts have arrived."""
-        parts = self.pending.get(message.id)
-        if parts is None or not 0 <= message.part < message.parts <= MAX_PARTS:
-            return
-        parts[message.part] = message.body
-        if len(parts) < message.parts:
+        """Record a part of a response, and store the answer to the operator once all parts have arrived."""
+        query = self.pending.get(message.id)
+        if query is None or not 0 <= message.part < message.parts:
             return
-        del self.pending[message.id]
-        compressed = b"".join(parts[number] for number in range(message.parts))
-        self.responses[message.id] = zlib.decompressobj().decompress(compressed, MAX_RESPONSE_BYTES)
+        if message.parts > MAX_PARTS:
+            text = f"response: expected at most {MAX_PARTS} parts, got {message.parts}\n"
+            self.store_answer(message.id, (INVALID_RESPONSE_STATUS, text.encode(), PLAIN_TEXT))
+        elif query.add(message):
+            self.store_answer(message.id, self.make_answer(query.assemble()))
+
+    def make_answer(self, compressed: bytes) -> Answer:
+        """Return the answer to the operator, which is an error if the response cannot be served."""
+        try:
+            return 200, decompress_response(compressed), JSON
+        except InvalidResponseError as error:
+            return INVALID_RESPONSE_STATUS, f"{error}\n".encode(), PLAIN_TEXT
+
+    def store_answer(self, query_id: str, answer: Answer) -> None:
+        """Store the answer to a query, which is no longer pending."""
+        del self.pending[query_id]
+        self.responses[query_id] = answer
         while len(self.responses) > MAX_CACHED_RESPONSES:
             self.responses.popitem(last=False)
 
--- a/tests/test_override_api.py
+++ b/tests/test_override_api.py
@@ -1,6 +1,7 @@
 """Operators' calls about shared addresses: replication of overrides to the voters, and queries."""
 
 import json
+import zlib
 from types import SimpleNamespace
 from urllib.parse import urlencode
 
@@ -12,6 +13,7 @@
     OverrideQuery,
     OverrideResponse,
     QueryRequest,
+    QueryResponsePart,
     StoreAcknowledgement,
     StoreRequest,
 )
@@ -22,7 +24,13 @@
     OverrideReader,
     RequestIds,
 )
-from onyxhollow.fleet.shared_addresses.query_api import PART_BYTES, QueryApi, QueryKind
+from onyxhollow.fleet.shared_addresses.query_api import (
+    MAX_PARTS,
+    MAX_RESPONSE_BYTES,
+    PART_BYTES,
+    QueryApi,
+    QueryKind,
+)
 
 VALID_PARAMETERS = {"verb": "drain", "site": "a", "who": "op", "why": "power"}
 VOTERS = SimpleNamespace(names=("v0", "v1", "v2"), majority=2)
@@ -118,3 +126,62 @@
         local_api.on_response_part(part)
     status, body, _ = local_api.handle(QueryKind.HISTORY, f"id={query_id}")
     assert status == 200 and [row["id"] for row in json.loads(body)["orders"]] == [row.id for row in history]
+
+
+def start_view_query():
+    """Return the API of a member that waits for the controller's response, and the query's id."""
+    idle, no_store = SimpleNamespace(core=None), SimpleNamespace(store=None)
+    api = QueryApi(make_member(), SentMessages(), idle, no_store, make_reader(), RequestIds(7))
+    return api, json.loads(api.handle(QueryKind.VIEW, "")[1])["id"]
+
+
+VALID_RESPONSE = zlib.compress(b'{"rows":[]}')
+
+
+@pytest.mark.parametrize(
+    ("compressed", "message"),
+    [
+        (zlib.compress(b"x" * (MAX_RESPONSE_BYTES + 1)), "expected at most 4194304 bytes, got more"),
+        (VALID_RESPONSE[:-4], "expected its end, got 11 bytes of an incomplete one"),
+        (b"{}", "expected compressed JSON, got Error -3"),
+        (VALID_RESPONSE[:-1] + b"!", "expected compressed JSON, got Error -3"),
+    ],
+    ids=["too large", "incomplete", "not compressed", "damaged"],
+)
+def test_a_response_that_cannot_be_served_is_answered_with_its_fault(compressed, message):
+    """A too large one was cut and served as broken JSON; a malformed one raised an exception."""
+    api, query_id = start_view_query()
+    for number in range(MAX_PARTS):
+        size = -(-len(compressed) // MAX_PARTS)
+        part = compressed[number * size : (number + 1) * size]
+        api.on_response_part(QueryResponsePart(query_id, number, MAX_PARTS, part))
+    status, body, _ = api.handle(QueryKind.VIEW, f"id={query_id}")
+    assert status == 502 and message in body.decode()
+
+
+def test_the_largest_response_is_served_whole():
+    api, query_id = start_view_query()
+    body = b"x" * MAX_RESPONSE_BYTES
+    api.on_response_part(QueryResponsePart(query_id, 0, 1, zlib.compress(body)))
+    assert api.handle(QueryKind.VIEW, f"id={query_id}")[:2] == (200, body)
+
+
+def test_a_response_of_too_many_parts_ends_the_query():
+    """Its parts were ignored, so the query stayed pending and the operator never heard why."""
+    api, query_id = start_view_query()
+    api.on_response_part(QueryResponsePart(query_id, 3, MAX_PARTS + 1, b""))
+    status, body, _ = api.handle(QueryKind.VIEW, f"id={query_id}")
+    assert status == 502 and b"expected at most 256 parts, got 257" in body
+
+
+def test_parts_of_a_second_response_with_another_count_are_ignored():
+    """A request that arrives twice is answered twice; mixed parts raised an exception."""
+    api, query_id = start_view_query()
+    parts = [VALID_RESPONSE[start : start + 5] for start in range(0, len(VALID_RESPONSE), 5)]
+    api.on_response_part(QueryResponsePart(query_id, 0, len(parts), parts[0]))
+    for other_count in (1, 2, len(parts) + 1):
+        api.on_response_part(QueryResponsePart(query_id, other_count - 1, other_count, b"other"))
+    for number, part in enumerate(parts):
+        assert api.handle(QueryKind.VIEW, f"id={query_id}")[0] == 202
+        api.on_response_part(QueryResponsePart(query_id, number, len(parts), part))
+    assert api.handle(QueryKind.VIEW, f"id={query_id}")[:2] == (200, b'{"rows":[]}')
