--- a/onyxhollow/fleet/shared_addresses/connection_drain.py
+++ b/onyxhollow/fleet/shared_addresses/connection_drain.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from onyxhollow.addresses.file import AddressesFile, Service
+from onyxhollow.addresses.file import AddressesFile
 from onyxhollow.addresses.messages import DrainRequest
 from onyxhollow.fleet.context import MemberContext
+from onyxhollow.fleet.shared_addresses.listeners import listeners_of
 from onyxhollow.policy.migration import StagedMigration
 
 STEP_INTERVAL_SECONDS = 1.0  # the allowance of a staged migration is per second
@@ -68,9 +69,6 @@
         drained: set[str] = set()
         still_used: set[str] = set()
         for service in self.services:
-            (drained if service.name in self.drain_until else still_used).update(self.listeners_of(service))
+            listeners = listeners_of(service, self.member)
+            (drained if service.name in self.drain_until else still_used).update(listeners)
         return drained - still_used
-
-    def listeners_of(self, service: Service) -> list[str]:
-        """Return the listeners served under an address; all if the addresses file names none."""
-        return service.listeners or list(self.member.proxy.config.settings.listeners)
--- a/onyxhollow/fleet/shared_addresses/local_health.py
+++ b/onyxhollow/fleet/shared_addresses/local_health.py
@@ -4,11 +4,12 @@
 
 from collections import Counter
 
-from onyxhollow.addresses.file import AddressesFile, Service
+from onyxhollow.addresses.file import AddressesFile
 from onyxhollow.addresses.health import HealthTracker
 from onyxhollow.addresses.messages import AddressHealth
 from onyxhollow.counters import ACCEPTED, FINAL_ANSWERS
 from onyxhollow.fleet.context import MemberContext
+from onyxhollow.fleet.shared_addresses.listeners import listeners_of
 
 
 class LocalHealth:
@@ -34,7 +35,7 @@
         rows = []
         for service in self.services:
             tracker = self.trackers[service.name]
-            listeners = self.listeners_of(service)
+            listeners = listeners_of(service, self.member)
             accepted, total = self.count_outcomes(listeners)
             tracker.record_outcomes(now, accepted, total)
             assessment = tracker.assess(ready, endpoints, with_capacity)
@@ -45,10 +46,6 @@
         self.latest = rows
         return rows
 
-    def listeners_of(self, service: Service) -> list[str]:
-        """Return an address's listeners; if the file names none, all that have accepted sessions."""
-        return service.listeners or list(self.member.proxy.counters.final_answers[ACCEPTED])
-
     def count_sessions(self) -> Counter[str]:
         """Return the number of open sessions by listener."""
         counts: Counter[str] = Counter()
--- a/tests/test_connection_drain.py
+++ b/tests/test_connection_drain.py
@@ -2,9 +2,11 @@
 
 from types import SimpleNamespace
 
-from address_support import two_site_config
+from address_support import POLICY, two_site_config
 
+from onyxhollow.addresses.file import AddressesFile, Service, Site
 from onyxhollow.addresses.messages import DrainRequest
+from onyxhollow.counters import Counters
 from onyxhollow.fleet.shared_addresses.service import SharedAddresses
 
 
@@ -15,9 +17,13 @@
         self.name, self.zone, self.process_id, self.epoch = "a0", "a", "a0~1", 1
         self.loop = SimpleNamespace(now=0.0, spawn=lambda run: None)
         self.proxy = SimpleNamespace(
+            counters=Counters(),
+            decisions=SimpleNamespace(count_with_capacity=lambda zone: (1, 1)),
+            service=SimpleNamespace(ready=True, replaced=False),
             sessions=SimpleNamespace(table=SimpleNamespace(live=[])),
             config=SimpleNamespace(settings=SimpleNamespace(listeners={"chat": None, "talk": None})),
         )
+        self.proxy.counters.add_listeners(self.proxy.config.settings.listeners)
         self.live, self.moved = self.proxy.sessions.table.live, []
         self.addresses = SharedAddresses(self, config)
 
@@ -77,3 +83,20 @@
     for second in range(2, 12):
         member.count_moved(second, "x0", "x1")
     assert not member.live
+
+
+def test_connections_of_a_removed_listener_move_if_the_address_names_no_listeners():
+    """They were counted as the address's load, but stayed open: a reload had removed their listener."""
+    config = AddressesFile(
+        services=[Service(name="x0", prefix="198.51.100.0/32")],
+        sites=[Site(name=site, route_guard="127.0.0.1:1") for site in "ab"],
+        policy=POLICY,
+    )
+    member = FakeMember(config)
+    member.open_sessions(3, "chat")
+    member.open_sessions(2, "talk")
+    del member.proxy.config.settings.listeners["talk"]  # as a reload does
+    assert [row.load for row in member.addresses.health.measure(0.0)] == [5.0]
+    for second in range(10):
+        member.count_moved(second, "x0")
+    assert not member.live
