--- a/onyxhollow/addresses/controller.py
+++ b/onyxhollow/addresses/controller.py
@@ -299,11 +299,13 @@
     def assign(self, site: str, now: float) -> None:
         """Queue a site's assignment.
 
-        A site that has not answered recently receives no rows: it has to report its state first.
+        A site that has not answered recently receives no rows: it has to report its state first. So does a
+        route that the site has not reported yet, such as one on a later page of the report.
         """
         rows = []
         if self.has_answered_recently(site, now):
-            rows = [self.route_status(route, now) for route in self.routes.values() if route.site == site]
+            routes = [self.routes[key] for key in self.routes if key in self.reported_routes]
+            rows = [self.route_status(route, now) for route in routes if route.site == site]
         for page in paginate(rows) if rows else [rows]:
             self.last_number += 1
             assignment = RouteAssignment(self.term, self.last_number, site, page)
--- a/tests/test_address_controller.py
+++ b/tests/test_address_controller.py
@@ -3,6 +3,7 @@
 from address_support import ADVERTISED, POLICY, WITHDRAWN
 
 from onyxhollow.addresses import file
+from onyxhollow.addresses.announcer import Announcer, GuardedRoute, GuardState
 from onyxhollow.addresses.controller import Controller, ToVoter
 from onyxhollow.addresses.controller_views import plan, view
 from onyxhollow.addresses.messages import (
@@ -11,6 +12,7 @@
     Override,
     OverrideQuery,
     OverrideResponse,
+    RouteAssignment,
     RouteStatus,
     SiteReport,
     StoreAcknowledgement,
@@ -102,3 +104,29 @@
     drain = Override("1-1", 1, "drain", "", "a", "op", "power", 1.0, 0.0)
     (row,) = plan(controller, drain, 1.0, 1.0)["would"]
     assert row["site"] == "a" and row["goes_to"] == {"b": 15.0, "c": 15.0}
+
+
+def test_a_new_controller_assigns_no_route_that_its_site_has_not_reported_yet():
+    """Between two pages of a site's report, the routes of the second page were assigned as withdrawn."""
+    names = [f"address-{number:03}" for number in range(40)]
+    config = file.AddressesFile(
+        services=[file.Service(name=name, prefix=f"198.51.100.{n}/32") for n, name in enumerate(names)],
+        sites=[file.Site(name=site, route_guard="127.0.0.1:1") for site in "ab"],
+        policy=POLICY,
+    )
+    controller = Controller(config, ("v0",), 1, 0.0)
+    statuses = [RouteStatus(name, int(ADVERTISED), "", 0.0, 0.0) for name in names]
+    first_page, *other_pages = paginate(statuses)
+    assert other_pages
+    controller.on_message(SiteReport("a", 1, 1, 1, True, first_page), "a0", 1.0, 1.0)
+    controller.tick(1.0, 1.0)
+    assigned = [row for outgoing in controller.outbox for row in getattr(outgoing.message, "rows", [])]
+    assert {row.address for row in assigned} == {row.address for row in first_page}
+    assert {row.preference for row in assigned} == {int(ADVERTISED)}
+    announcer = Announcer(config, config.sites[0], 1, 0.0)
+    guarded = {name: GuardedRoute(ADVERTISED, ADVERTISED) for name in names}
+    announcer.on_guard_state(GuardState(guarded, 1, True), 0.5)
+    for outgoing in controller.outbox:
+        if isinstance(outgoing.message, RouteAssignment):
+            announcer.on_assignment(outgoing.message, 1.0)
+    assert announcer.pending_routes() == []  # no route changes at the guard
