--- a/onyxhollow/lifecycle/proxy.py
+++ b/onyxhollow/lifecycle/proxy.py
@@ -87,7 +87,7 @@
             config.discovery,
             WatchConfig.of(settings),
             clock=config.clock,
-            version=config.known.version,
+            known=config.known,
             on_update=self.on_endpoint_list,
             rng=Random(config.seed),
             answer_at_once=is_successor,
--- a/onyxhollow/lifecycle/replacement.py
+++ b/onyxhollow/lifecycle/replacement.py
@@ -138,7 +138,7 @@
             return
         for name, address in endpoint_list.addresses.items():
             self.addresses.store(name, address)
-        self.discovery.version = endpoint_list.version
+        self.discovery.restore(endpoint_list)
         self.decisions.report_list(EndpointListKind.CACHED, endpoint_list.endpoints)
 
     def open_receiver(self) -> HandoffReceiver | None:
--- a/onyxhollow/wire/endpoint_list.py
+++ b/onyxhollow/wire/endpoint_list.py
@@ -28,6 +28,7 @@
     is_snapshot: bool  # else a delta: endpoints that it does not contain are unchanged
     endpoints: list[Endpoint]
     addresses: dict[str, Address]  # by endpoint name
+    records: list[dict[str, Any]]  # the endpoints as encoded in the document
 
 
 def decode_address(text: Any) -> Address:
@@ -65,7 +66,7 @@
         if state is not EndpointState.REMOVED or record.get("dial"):
             addresses[name] = decode_address(record.get("dial"))
         endpoints.append(decode_endpoint(name, state, record, clock, now))
-    return EndpointList(version, document.get("whole") is True, endpoints, addresses)
+    return EndpointList(version, document.get("whole") is True, endpoints, addresses, records)
 
 
 def decode_identity(record: Any) -> tuple[str, EndpointState]:
--- a/onyxhollow/wire/endpoint_list_watch.py
+++ b/onyxhollow/wire/endpoint_list_watch.py
@@ -68,7 +68,7 @@
         address: Address,
         config: WatchConfig,
         clock: RemoteClock,
-        version: int,
+        known: EndpointList,
         on_update: Callable[[EndpointListKind, list[Endpoint]], None],
         rng: Random,
         answer_at_once: bool = False,
@@ -81,7 +81,6 @@
         self.address = address
         self.config = config
         self.clock = clock
-        self.version = version
         self.on_update = on_update
         self.rng = rng
         # The next poll requests an answer at once, even without a change.
@@ -93,6 +92,7 @@
         self.backoff = REJECTED_BACKOFF_SECONDS  # seconds before the next poll after a failure
         # The list in the service's format, by endpoint; passed to a successor.
         self.records: dict[str, Any] = {}
+        self.restore(known)
         self.connection: DiscoveryConnection | None = None
         self.next_address: Address | None = None  # service to switch to at the next poll
         self.suspended = False  # another member of the fleet polls the list for this proxy
@@ -103,6 +103,15 @@
         self.poll_requested = True
         self.task.wake()
 
+    def restore(self, endpoint_list: EndpointList) -> None:
+        """Start from a list that this process has not polled; the next poll requests the changes to it.
+
+        Its records are kept, because a delta contains only some of them and this process may hand the list
+        over before it receives a snapshot.
+        """
+        self.version = endpoint_list.version
+        self.records = {record["host"]: record for record in endpoint_list.records}
+
     def snapshot(self) -> dict[str, Any]:
         """Return the list as last reported, in the service's format."""
         return {"seq": self.version, "whole": True, "hosts": list(self.records.values())}
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -31,6 +31,7 @@
 from onyxhollow.state_snapshot import count_avoided, restore_snapshot, take_snapshot
 from onyxhollow.wire.client_session import accept_handoff
 from onyxhollow.wire.connection_handoff import ConnectionHandoff
+from onyxhollow.wire.endpoint_list import decode_endpoint_list
 from onyxhollow.wire.established_connection import EstablishedConnection
 from onyxhollow.wire.handoff_channel import HandoffReceiver
 from onyxhollow.wire.listening import ListenError
@@ -695,6 +696,46 @@
     assert states == {"a": "in service", "b": "draining"} and new.proxy.discovery.version == 41
 
 
+@pytest.mark.parametrize("hears_delta", [False, True])
+def test_a_second_replacement_hands_over_the_whole_list_of_the_first_predecessor(
+    processes, monkeypatch, hears_delta
+):
+    # Guards against endpoints lost in a second replacement: a successor that had received no snapshot itself
+    # handed over no records, or only those of its first delta, as a whole list.
+    monkeypatch.setattr(replacement, "LIST_TIMEOUT_SECONDS", 0.2)
+    first = processes.start()
+    records = [first.list_record("a"), first.list_record("a") | {"host": "b"}]
+    first.answer_list(json.dumps({"seq": 41, "whole": True, "hosts": records}).encode())
+    processes.until(lambda: first.proxy.discovery.version == 41)
+    second = processes.start(has_cached_list=False)
+    first.proxy.discovery.address = second.config.discovery  # all three use one list service
+    processes.until(lambda: second.proxy.service.ready)
+    if hears_delta:
+        processes.until(lambda: second.proxy.discovery.version == 41)
+        delta = {"seq": 42, "whole": False, "hosts": [records[1] | {"health": "leaving"}]}
+        second.proxy.discovery.apply(
+            delta["hosts"], decode_endpoint_list(delta, second.proxy.discovery.clock, 0.0)
+        )
+    processes.kill(first)
+    processes.until(lambda: second.proxy.handover.serving_lock is not None)
+    third = processes.start(has_cached_list=False)
+    second.proxy.discovery.address = third.config.discovery
+    processes.until(lambda: third.proxy.service.ready)
+    states = {name: row.state.value for name, row in third.proxy.decisions.balancer.tracked.items()}
+    assert states == {"a": "in service", "b": "draining" if hears_delta else "in service"}
+    assert third.proxy.discovery.version == (42 if hears_delta else 41)
+
+
+def test_a_delta_to_the_configured_list_is_handed_over_with_the_other_endpoints(loopback):
+    # Guards against the same loss in a process that started from the list of its configuration.
+    proxy = loopback("ab")
+    record = proxy.list_record("b", "leaving")
+    proxy.answer_list(json.dumps({"seq": 8, "whole": False, "hosts": [record]}).encode())
+    proxy.until(lambda: proxy.proxy.discovery.version == 8)
+    snapshot = proxy.proxy.discovery.snapshot()
+    assert snapshot == {"seq": 8, "whole": True, "hosts": [proxy.list_record("a"), record]}
+
+
 def test_endpoint_and_list_answers_are_parsed_at_any_fragmentation(loopback):
     for length in range(1, 7):
         proxy = loopback()
