--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -33,6 +33,8 @@
     ("topology", "topology of a fleet: draw, show, diff, save, record, replay"),
     ("addresses", "routes of the shared addresses and their causes; overrides"),
 )
+LAB = "lab"
+COMMANDS_WITH_OWN_PARSER = {LAB, *(name for name, _ in OTHER_COMMANDS)}
 
 
 def report_missing_extra(extra: str, error: ImportError) -> int:
@@ -64,27 +66,36 @@
             "--fleet", default=os.environ.get("LB_FLEET"), help="TOML file (default: $LB_FLEET)"
         )
     commands.add_parser("version", help="print the version")
-    lab = commands.add_parser("lab", help="run scenarios on a model of fleet and clients", add_help=False)
-    lab.add_argument("arguments", nargs=argparse.REMAINDER)
+    commands.add_parser(LAB, help="run scenarios on a model of fleet and clients")
     for name, purpose in OTHER_COMMANDS:
-        command = commands.add_parser(name, help=purpose, add_help=False)
-        command.add_argument("arguments", nargs=argparse.REMAINDER)
+        commands.add_parser(name, help=purpose)
     for name, purpose in ROUTE_GUARD_COMMANDS:
         command = commands.add_parser(name, help=purpose)
         command.add_argument("--config", required=True, help="TOML file")
     return parser
 
 
+def parse_arguments(argv: list[str]) -> argparse.Namespace:
+    """Return the command and its options.
+
+    A command with a parser of its own gets all arguments after its name: a subparser of argparse does not
+    accept an option as the first of its remaining arguments, and leaves `--help` to the main parser.
+    """
+    if argv and argv[0] in COMMANDS_WITH_OWN_PARSER:
+        return argparse.Namespace(command=argv[0], arguments=argv[1:])
+    return make_parser().parse_args(argv)
+
+
 def main(argv: list[str] | None = None) -> int:
     """Run one command; return the exit status."""
-    options = make_parser().parse_args(argv)
+    options = parse_arguments(sys.argv[1:] if argv is None else argv)
     command = options.command
     if command == "version":
         print(__version__)
         return 0
     if command == "check":
         return check(options)
-    if command == "lab":
+    if command == LAB:
         return run_lab(options.arguments)
     if command == "topology":
         return run_topology(options.arguments)
--- a/onyxhollow/fleet/commands.py
+++ b/onyxhollow/fleet/commands.py
@@ -68,12 +68,8 @@
 def make_parser(name: str) -> argparse.ArgumentParser:
     """Return the parser for the command line of a command."""
     parser = argparse.ArgumentParser(prog=f"onyxhollow {name}")
-    default_address = os.environ.get("LB_MANAGEMENT", "")
-    parser.add_argument(
-        "--at", default=default_address, help="management address HOST:PORT (default: $LB_MANAGEMENT)"
-    )
-    parser.add_argument("--json", action="store_true", help="print the JSON answer of the process")
-    parser.add_argument("--watch", action="store_true", help="repeat every second until interrupted")
+    _add_address_option(parser, os.environ.get("LB_MANAGEMENT", ""))
+    _add_output_options(parser, default=False)
     if name == "duties":
         _add_role_subcommands(parser)
     elif name == "voters":
@@ -81,10 +77,29 @@
     return parser
 
 
+def _add_address_option(parser: argparse.ArgumentParser, default: str = argparse.SUPPRESS) -> None:
+    """Add `--at`. By default a parser without the option on its command line leaves the value unchanged."""
+    parser.add_argument(
+        "--at", default=default, help="management address HOST:PORT (default: $LB_MANAGEMENT)"
+    )
+
+
+def _add_output_options(parser: argparse.ArgumentParser, default: bool | str = argparse.SUPPRESS) -> None:
+    """Add the options of commands that show something; the default is as in `_add_address_option`."""
+    parser.add_argument(
+        "--json", action="store_true", default=default, help="print the JSON answer of the process"
+    )
+    parser.add_argument(
+        "--watch", action="store_true", default=default, help="repeat every second until interrupted"
+    )
+
+
 def _add_role_subcommands(parser: argparse.ArgumentParser) -> None:
     subparsers = parser.add_subparsers(dest="subcommand")
-    subparsers.add_parser("show", help="show roles and lease holders (default)")
-    subparsers.add_parser("history", help="show the latest changes of holders that the process received")
+    show = subparsers.add_parser("show", help="show roles and lease holders (default)")
+    history = subparsers.add_parser(
+        "history", help="show the latest changes of holders that the process received"
+    )
     hand_over = subparsers.add_parser("hand-over", help="hand a role over to another member at once")
     hand_over.add_argument("name")
     hand_over.add_argument("--to", required=True, metavar="MEMBER")
@@ -92,16 +107,23 @@
         "release", help="release a role; its holder does not compete for it for a while"
     )
     release.add_argument("name")
+    for subparser in (show, history, hand_over, release):
+        _add_address_option(subparser)
+    for subparser in (show, history):
+        _add_output_options(subparser)
 
 
 def _add_voter_subcommands(parser: argparse.ArgumentParser) -> None:
     subparsers = parser.add_subparsers(dest="subcommand")
-    subparsers.add_parser("show", help="show the voter set (default)")
+    show = subparsers.add_parser("show", help="show the voter set (default)")
     replace = subparsers.add_parser(
         "replace", help="replace a voter with another member, granted by the current voters"
     )
     replace.add_argument("remove", metavar="OLD")
     replace.add_argument("add", metavar="NEW")
+    _add_address_option(show)
+    _add_address_option(replace)
+    _add_output_options(show)
 
 
 def main(name: str, argv: list[str]) -> int:
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -6,6 +6,9 @@
 from types import SimpleNamespace
 from unittest.mock import MagicMock
 
+import pytest
+
+from onyxhollow.__main__ import main
 from onyxhollow.fleet import clock, datagram_transport
 from onyxhollow.fleet.datagram_transport import DatagramTransport
 from onyxhollow.fleet.lease_messenger import LeaseMessenger
@@ -65,3 +68,39 @@
     assert [message.granted for _, message in messenger.local_messages] == [True] and not service.disk_failing
     assert events[2:] == [("voter disk", "")]
     service.close()
+
+
+@pytest.mark.parametrize(
+    "command", ["members", "duties", "voters", "duties show", "duties history", "voters show"]
+)
+@pytest.mark.parametrize("order", ["{command} --at {address}", "{command} --json --at {address}"])
+def test_a_fleet_command_takes_its_options_in_any_place(command, order, capsys):
+    # Guards against a main parser that refuses an option right after the name of a command.
+    arguments = order.format(command=command, address="127.0.0.1:1").split()
+    assert main(arguments) == 2
+    assert capsys.readouterr().err.startswith("onyxhollow: 127.0.0.1:1: expected an answer, got ")
+
+
+@pytest.mark.parametrize(
+    "arguments",
+    [
+        "hand-over r --to n2 --at {}",
+        "--at {} hand-over r --to n2",
+        "release r --at {}",
+        "show",
+        "--at {} show",
+    ],
+)
+def test_a_duties_subcommand_and_the_command_itself_take_the_address(arguments, monkeypatch, capsys):
+    # Guards against a subcommand without `--at`, and against one whose default replaces the given address.
+    monkeypatch.setenv("LB_MANAGEMENT", "127.0.0.1:1" if "{}" not in arguments else "invalid")
+    assert main(["duties", *arguments.format("127.0.0.1:1").split()]) == 2
+    assert capsys.readouterr().err.startswith("onyxhollow: 127.0.0.1:1: expected an answer, got ")
+
+
+@pytest.mark.parametrize("command", ["members", "duties", "voters", "addresses", "topology", "lab"])
+def test_a_command_with_a_parser_of_its_own_prints_its_own_help(command, capsys):
+    # Guards against a main parser that answers `--help` of a command with its own usage.
+    with pytest.raises(SystemExit) as ended:
+        main([command, "--help"])
+    assert ended.value.code == 0 and capsys.readouterr().out.startswith(f"usage: onyxhollow {command} ")
