--- a/onyxhollow/addresses/file.py
+++ b/onyxhollow/addresses/file.py
@@ -16,6 +16,8 @@
 import msgspec
 from msgspec import Meta, field
 
+from onyxhollow.host_port import split_host_port
+
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 Ratio = Annotated[float, Meta(ge=0, le=1)]
@@ -95,10 +97,10 @@
     Raises:
         AddressesError: the text has another form; the message names `key`.
     """
-    host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+    address = split_host_port(text)
+    if address is None:
         raise AddressesError(f"{key}: expected HOST:PORT, got {text[:80]!r}")
-    return host, int(port)
+    return address
 
 
 def describe(error: msgspec.ValidationError) -> str:
--- a/onyxhollow/fleet/commands.py
+++ b/onyxhollow/fleet/commands.py
@@ -11,6 +11,7 @@
 from urllib.parse import urlencode
 
 from onyxhollow.fleet.command_tables import format_history, format_members, format_roles, format_voters
+from onyxhollow.host_port import split_host_port
 
 CALL_TIMEOUT_SECONDS = 3.0
 WATCH_INTERVAL_SECONDS = 1.0
@@ -40,11 +41,11 @@
         CallError: The address is invalid, the process does not answer in time, or its answer has another
             status.
     """
-    host, _, port = address.rpartition(":")
-    if not host or not port.isdigit():
+    host_port = split_host_port(address)
+    if host_port is None:
         raise CallError(f"--at: expected HOST:PORT, got {address!r}")
     target = f"{root}{path}" + (f"?{urlencode(query)}" if query else "")
-    status, body = _request(address, host, int(port), method, target)
+    status, body = _request(address, *host_port, method, target)
     if status == http.HTTPStatus.NOT_FOUND and body == b"no such path\n":
         requirement = "addresses in its fleet file" if root.endswith("addresses") else "a fleet file"
         raise CallError(f"{address}: expected a process with {requirement}, got one without")
--- a/onyxhollow/fleet/file.py
+++ b/onyxhollow/fleet/file.py
@@ -14,6 +14,7 @@
 
 from onyxhollow.addresses.file import AddressesError, AddressesFile, read_addresses
 from onyxhollow.gossip.config import GossipConfig
+from onyxhollow.host_port import split_host_port
 from onyxhollow.leases.messages import VOTERS_ROLE
 from onyxhollow.leases.timing import LeaseTiming
 from onyxhollow.leases.voter import MAX_LEASE_DURATION_SECONDS, MAX_ROLES
@@ -22,7 +23,6 @@
 from onyxhollow.membership.messages import MAX_NAME_CHARACTERS, Address
 
 VOTER_COUNTS = (3, 5, 7)
-MAX_PORT = 65535
 MAX_QUOTED_CHARS = 80  # of an invalid value in an error message
 
 
@@ -232,10 +232,10 @@
 
 
 def _read_address(text: str, key: str) -> Address:
-    host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+    address = split_host_port(text)
+    if address is None:
         raise FleetFileError(f"{key}: expected HOST:PORT, got {text!r}")
-    return host, int(port)
+    return address
 
 
 def explain_validation_error(error: msgspec.ValidationError) -> str:
--- a/onyxhollow/fleet/identity.py
+++ b/onyxhollow/fleet/identity.py
@@ -25,4 +25,4 @@
 def split_process_id(process_id: str) -> tuple[str, int] | None:
     """Return name and epoch; None if the text is not a process id."""
     name, _, epoch = process_id.rpartition(SEPARATOR)
-    return (name, int(epoch)) if epoch.isdigit() else None
+    return (name, int(epoch)) if epoch.isascii() and epoch.isdigit() else None
--- a/onyxhollow/fleet/route_guard.py
+++ b/onyxhollow/fleet/route_guard.py
@@ -65,7 +65,7 @@
 def read_number(query: dict[str, list[str]], name: str) -> int:
     """Return a non-negative integer parameter of a query; -1 if it is missing or invalid."""
     text = query.get(name, [""])[0]
-    return int(text) if text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else -1
+    return int(text) if text.isascii() and text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else -1
 
 
 def read_text(query: dict[str, list[str]], name: str) -> str:
--- a/onyxhollow/lifecycle/config.py
+++ b/onyxhollow/lifecycle/config.py
@@ -131,9 +131,11 @@
     known = document.get("known") or {"seq": -1, "hosts": []}
     return Config(
         name=environment.get("LB_NAME") or get_text(document, "name", "proxy"),
-        listen=decode_address(environment.get("LB_LISTEN") or document.get("listen")),
-        discovery=decode_address(environment.get("LB_DISCOVERY") or document.get("discovery")),
-        management=decode_address(management) if management else None,
+        listen=decode_address(environment.get("LB_LISTEN") or document.get("listen"), "listen address"),
+        discovery=decode_address(
+            environment.get("LB_DISCOVERY") or document.get("discovery"), "discovery address"
+        ),
+        management=decode_address(management, "management address") if management else None,
         seed=seed,
         max_sockets=check_integer(limits.get("sockets", 1024), "limits: sockets", 64),
         memory_bytes=check_integer(limits.get("memory_mb", 64), "limits: memory_mb", 16) << 20,
--- a/onyxhollow/topology/gather.py
+++ b/onyxhollow/topology/gather.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from onyxhollow.host_port import split_host_port
 from onyxhollow.topology.model import MemberView, Snapshot, UnreachableMember, decode_view
 
 POLL_TIMEOUT_SECONDS = 2.0  # for all requests to one member
@@ -23,7 +24,6 @@
 READ_SIZE_BYTES = 65536
 MAX_MEMBERS = 2048
 CONCURRENT_POLLS = 32
-MAX_PORT = 65535
 JsonRow = dict[str, object]
 
 
@@ -41,11 +41,11 @@
         ValueError: `target` is not HOST:PORT, or the body is larger than MAX_BODY_BYTES.
         OSError, http.client.HTTPException: no complete response before the deadline.
     """
-    host, _, port = target.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+    address = split_host_port(target)
+    if address is None:
         raise ValueError("expected HOST:PORT")
     timeout = max(MIN_SOCKET_TIMEOUT_SECONDS, deadline - time.monotonic())
-    connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
+    connection = http.client.HTTPConnection(*address, timeout=timeout)
     try:
         connection.request("GET", path)
         response = connection.getresponse()
--- a/onyxhollow/topology/model.py
+++ b/onyxhollow/topology/model.py
@@ -157,7 +157,7 @@
     def incarnation(self) -> int:
         """Incarnation of the reporting process; 0 if its id has none."""
         suffix = self.member_id.rpartition("~")[2]
-        return int(suffix) if suffix.isdigit() else 0
+        return int(suffix) if suffix.isascii() and suffix.isdigit() else 0
 
 
 class UnreachableMember(msgspec.Struct, frozen=True):
--- a/onyxhollow/wire/endpoint_list.py
+++ b/onyxhollow/wire/endpoint_list.py
@@ -6,6 +6,7 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
+from onyxhollow.host_port import split_host_port
 from onyxhollow.interface import Endpoint, EndpointState
 from onyxhollow.wire.endpoint_addresses import Address
 from onyxhollow.wire.remote_clock import RemoteClock
@@ -31,12 +32,16 @@
     records: list[dict[str, Any]]  # the endpoints as encoded in the document
 
 
-def decode_address(text: Any) -> Address:
-    """Decode `host:port`; raise EndpointListError for anything else."""
-    host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise EndpointListError(f"address: expected HOST:PORT, got {text!r}")
-    return host, int(port)
+def decode_address(text: Any, place: str) -> Address:
+    """Decode `host:port`.
+
+    Raises:
+        EndpointListError: The value is anything else. The message starts with `place`.
+    """
+    address = split_host_port(text) if isinstance(text, str) else None
+    if address is None:
+        raise EndpointListError(f"{place}: expected HOST:PORT, got {text!r:.80}")
+    return address
 
 
 def decode_endpoint_list(document: Any, clock: RemoteClock, now: float) -> EndpointList:
@@ -64,7 +69,7 @@
     for record in records:
         name, state = decode_identity(record)
         if state is not EndpointState.REMOVED or record.get("dial"):
-            addresses[name] = decode_address(record.get("dial"))
+            addresses[name] = decode_address(record.get("dial"), f"{name}: address")
         endpoints.append(decode_endpoint(name, state, record, clock, now))
     return EndpointList(version, document.get("whole") is True, endpoints, addresses, records)
 
--- a/tests/test_addresses_file.py
+++ b/tests/test_addresses_file.py
@@ -21,6 +21,7 @@
     [
         (("7/32", "7/33"), "service[0].prefix: expected a prefix"),
         (('"127.0.0.1:7"', '"nowhere"'), "site[0].gate: expected HOST:PORT, got 'nowhere'"),
+        (('"127.0.0.1:7"', '"h:\u00b2"'), "site[0].gate: expected HOST:PORT, got 'h:\u00b2'"),
         (("[[site]]", "[policy]\nleast = 3\n[[site]]"), "policy.least: expected at most 1"),
         (('name = "north"', 'name = "north"\ncut_off = "withdraw"'), "site: expected at least 1 with"),
         (('name = "north"', 'name = "no rth"'), "site[0].name: expected"),
--- a/tests/test_fleet_file.py
+++ b/tests/test_fleet_file.py
@@ -28,6 +28,7 @@
         (('fleet = "f"', 'fleet = "f"\nfolders = 1'), "top: Object contains unknown field `folders`"),
         (('"key"', '"keys"'), "keys: No such file"),
         (('"127.0.0.1:7946"', '"here"'), "listen: expected HOST:PORT, got 'here'"),
+        (('"127.0.0.1:7946"', '"127.0.0.1:\u00b2"'), "listen: expected HOST:PORT, got '127.0.0.1:\u00b2'"),
         (('name = "list"', 'name = "voters"'), "none of them 'voters'"),
     ],
 )
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -11,10 +11,14 @@
 from onyxhollow.__main__ import main
 from onyxhollow.fleet import clock, datagram_transport
 from onyxhollow.fleet.datagram_transport import DatagramTransport
+from onyxhollow.fleet.identity import split_process_id
 from onyxhollow.fleet.lease_messenger import LeaseMessenger
+from onyxhollow.fleet.route_guard import read_number
 from onyxhollow.fleet.voter_service import VoterService
 from onyxhollow.leases.messages import VoteRequest, VoterSet
 from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES
+from onyxhollow.topology.gather import fetch
+from onyxhollow.topology.model import MemberView
 
 VOTER_SET = VoterSet(0, ("a", "b", "c"))
 
@@ -104,3 +108,14 @@
     with pytest.raises(SystemExit) as ended:
         main([command, "--help"])
     assert ended.value.code == 0 and capsys.readouterr().out.startswith(f"usage: onyxhollow {command} ")
+
+
+def test_a_superscript_digit_is_neither_a_port_nor_an_epoch_nor_a_term(capsys):
+    # Guards against int() of a text that str.isdigit accepts: a traceback instead of an error or a refusal.
+    assert main(["members", "--at", "127.0.0.1:\u00b2"]) == 2
+    assert capsys.readouterr().err == "onyxhollow: --at: expected HOST:PORT, got '127.0.0.1:\u00b2'\n"
+    assert split_process_id("n0~7") == ("n0", 7) and split_process_id("n0~\u00b2") is None
+    assert read_number({"term": ["7"]}, "term") == 7 and read_number({"term": ["\u00b2"]}, "term") == -1
+    assert MemberView("n0~7").incarnation == 7 and MemberView("n0~\u00b2").incarnation == 0
+    with pytest.raises(ValueError, match="^expected HOST:PORT$"):
+        fetch("127.0.0.1:\u00b2", "/", 0.0)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -31,10 +31,11 @@
 from onyxhollow.state_snapshot import count_avoided, restore_snapshot, take_snapshot
 from onyxhollow.wire.client_session import accept_handoff
 from onyxhollow.wire.connection_handoff import ConnectionHandoff
-from onyxhollow.wire.endpoint_list import decode_endpoint_list
+from onyxhollow.wire.endpoint_list import EndpointListError, decode_endpoint_list
 from onyxhollow.wire.established_connection import EstablishedConnection
 from onyxhollow.wire.handoff_channel import HandoffReceiver
 from onyxhollow.wire.listening import ListenError
+from onyxhollow.wire.remote_clock import RemoteClock
 from onyxhollow.wire.session_registry import SessionRegistry
 
 MANAGEMENT_ADDRESS = ("127.0.0.1", 0)
@@ -341,6 +342,31 @@
     )
 
 
+# Not ports: a superscript digit, Arabic digits, too large, zero, more digits than int() accepts, a sign.
+INVALID_PORTS = ("\u00b2", "\u0661\u0662", "65536", "0", "1" * 5000, "-1", "")
+
+
+@pytest.mark.parametrize("port", INVALID_PORTS)
+@pytest.mark.parametrize("key", ["listen", "discovery", "management"])
+def test_an_invalid_port_is_reported_by_check_with_file_key_and_expected_form(tmp_path, capfd, key, port):
+    # Guards against ports that str.isdigit accepts and int() does not: the error named neither file nor key.
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(CONFIG_DOCUMENT | {key: f"127.0.0.1:{port}"}))
+    assert main(["check", "--config", str(path)]) == 2
+    error = capfd.readouterr().err
+    assert error.startswith(
+        f"onyxhollow: {path}: {key} address: expected HOST:PORT, got '127.0.0.1:{port[:30]}"
+    )
+    assert error.count("\n") == 1
+
+
+def test_an_invalid_port_in_the_endpoint_list_is_reported_with_the_endpoint():
+    # Guards against the same error in an answer of the list service, which must be rejected as malformed.
+    document = {"seq": 1, "whole": True, "hosts": [{"host": "a", "health": "active", "dial": "h:\u00b2"}]}
+    with pytest.raises(EndpointListError, match=r"^a: address: expected HOST:PORT, got 'h:\u00b2'$"):
+        decode_endpoint_list(document, RemoteClock(), 0.0)
+
+
 def test_a_reload_changes_listeners_and_max_attempts_for_new_sessions_only(start_proxy, monkeypatch):
     proxy = start_proxy("ab", listeners=TWO_LISTENERS, max_attempts=2)
     attempting = proxy.open_session("calls")
