--- a/onyxhollow/settings.py
+++ b/onyxhollow/settings.py
@@ -137,6 +137,16 @@
     return values[index] if isinstance(values, list) and index < len(values) else None
 
 
+def get_number_at(values: Mapping[str, Any], name: str, index: int) -> float:
+    """Return the finite number from 0 at that index of the list under `name`; 0 if there is none.
+
+    Raises:
+        SettingError: It is not a number from 0. The message names the list and the index.
+    """
+    place = f"{name}[{index}]"
+    return get_number({place: get_item(values.get(name), index)}, place, 0.0)
+
+
 def read_listener(row: Mapping[str, Any], message_objective: float) -> Listener:
     """Decode one listener. The message objective is in seconds.
 
@@ -165,9 +175,8 @@
     """
     listeners = []
     for index, row in enumerate(get_object_list(options, "listeners", required=True)):
-        objective = get_item(extra.get("messageAimNs"), index) or 0
-        objective = objective / NANOSECONDS_PER_SECOND if isinstance(objective, int | float) else 0.0
-        listeners.append(read_listener(row, objective))
+        objective_ns = get_number_at(extra, "messageAimNs", index)
+        listeners.append(read_listener(row, objective_ns / NANOSECONDS_PER_SECOND))
     if not listeners:
         raise SettingError("setting listeners: expected at least one listener, got none")
     return {listener.name: listener for listener in listeners}
@@ -181,10 +190,8 @@
     """
     tenants = []
     for index, row in enumerate(get_object_list(options, "tenants")):
-        quota = {"quota": get_item(extra.get("tenantQuotaConnections"), index)}
-        tenants.append(
-            Tenant(get_text(row, "name"), get_number(row, "share", 0.0), get_number(quota, "quota", 0.0))
-        )
+        quota = get_number_at(extra, "tenantQuotaConnections", index)
+        tenants.append(Tenant(get_text(row, "name"), get_number(row, "share", 0.0), quota))
     return {tenant.name: tenant for tenant in tenants}
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -28,6 +28,7 @@
     open_inherited_socket,
 )
 from onyxhollow.management import metrics
+from onyxhollow.settings import WireError
 from onyxhollow.state_snapshot import count_avoided, restore_snapshot, take_snapshot
 from onyxhollow.wire.client_session import accept_handoff
 from onyxhollow.wire.connection_handoff import ConnectionHandoff
@@ -367,6 +368,23 @@
         decode_endpoint_list(document, RemoteClock(), 0.0)
 
 
+@pytest.mark.parametrize("name", ["messageAimNs", "tenantQuotaConnections"])
+@pytest.mark.parametrize("value", [-1, True, False, float("nan"), float("inf"), "5", [5]])
+def test_an_invalid_message_objective_or_quota_is_reported_under_its_own_name(name, value):
+    # Guards against a negative or boolean objective in use, and against the error "setting quota".
+    document = change_document(("settings",), "tenants", [{"name": "t"}, {"name": "u"}])
+    document["settings"]["extra"] = {name: [None, value]}
+    with pytest.raises(WireError, match=rf"^setting {name}\[1\]: expected a number from 0, got "):
+        decode_config(document, {})
+    document["settings"]["extra"] = {name: [5e9]}  # a missing value is 0
+    settings = decode_config(document, {}).settings
+    assert [row.message_objective for row in settings.listeners.values()] == (
+        [5.0, 0.0] if name == "messageAimNs" else [0.0, 0.0]
+    )
+    quotas = [5e9, 0.0] if name == "tenantQuotaConnections" else [0.0, 0.0]
+    assert [tenant.connection_quota for tenant in settings.tenants.values()] == quotas
+
+
 def test_a_reload_changes_listeners_and_max_attempts_for_new_sessions_only(start_proxy, monkeypatch):
     proxy = start_proxy("ab", listeners=TWO_LISTENERS, max_attempts=2)
     attempting = proxy.open_session("calls")
