--- a/onyxhollow/simulator_adapter/instance.py
+++ b/onyxhollow/simulator_adapter/instance.py
@@ -97,8 +97,8 @@
 
     def on_endpoint_list(self, kind: Any, _index: Any, rows: Any = None, *_: Any) -> None:
         """Apply an answer of discovery: a snapshot, a delta, a cached copy or a failure."""
-        if kind not in LIST_KINDS:
-            raise WireError(f"form: expected cached, full, delta or failed, got {kind!r}")
+        if not isinstance(kind, str) or kind not in LIST_KINDS:
+            raise WireError(f"form: expected cached, full, delta or failed, got {kind!r:.80}")
         if rows is not None and not isinstance(rows, list):
             raise WireError(f"membersList: expected a list, got {rows!r}")
         self.balancer.on_endpoint_list(LIST_KINDS[kind], [read_endpoint(row) for row in rows or []])
--- a/onyxhollow/simulator_adapter/wire.py
+++ b/onyxhollow/simulator_adapter/wire.py
@@ -96,6 +96,30 @@
     return value
 
 
+def read_optional_text(value: Any, field: str) -> str:
+    """Return the value if it is a text, and an empty text if the message omits it.
+
+    Raises:
+        WireError: It is neither. The message names the field.
+    """
+    if value is None:
+        return ""
+    if not isinstance(value, str):
+        raise WireError(f"{field}: expected text, got {value!r:.80}")
+    return value
+
+
+def read_identifier(value: Any, field: str) -> Any:
+    """Return a value that the policy only compares: text, a number or None.
+
+    Raises:
+        WireError: It is a list or an object. The message names the field.
+    """
+    if isinstance(value, list | dict):
+        raise WireError(f"{field}: expected text or a number, got {value!r:.80}")
+    return value
+
+
 def read_amount(value: Any, field: str) -> float:
     """Return the value if it is a finite number of at least 0.
 
@@ -136,17 +160,17 @@
     if not isinstance(row, list) or len(row) < 2:
         raise WireError(f"list entry: expected a list of at least a state and a name, got {row!r}")
     state, name, weight, machine_type, start_time, zone, cell = _pad(row, ENDPOINT_FIELD_COUNT)
-    if state not in ENDPOINT_STATES:
-        raise WireError(f"readiness: expected in_service, terminating or terminated, got {state!r}")
+    if not isinstance(state, str) or state not in ENDPOINT_STATES:
+        raise WireError(f"readiness: expected in_service, terminating or terminated, got {state!r:.80}")
     start_ns = check_integer(start_time or 0, "startTimeNs")
     return Endpoint(
         weight=1.0 if weight is None else read_amount(weight, "powerHint"),
         name=read_text(name, "server"),
         state=ENDPOINT_STATES[state],
         started_at=start_ns / NS_PER_S if start_ns else None,
-        zone=zone or "",
-        cell=cell or 0,
-        machine_type=machine_type or "",
+        zone=read_optional_text(zone, "zone"),
+        cell=0 if cell is None else check_integer(cell, "cell"),
+        machine_type=read_optional_text(machine_type, "machineType"),
     )
 
 
@@ -157,12 +181,19 @@
         WireError: A value is invalid, or the settings have no such listener.
     """
     token, listener, tenant, _, expires_in, work, group, bitmap = _pad(values, SESSION_FIELD_COUNT)
-    if listener not in listeners:
-        raise WireError(f"band: expected the name of a listener, got {listener!r}")
+    if not isinstance(listener, str) or listener not in listeners:
+        raise WireError(f"band: expected the name of a listener, got {listener!r:.80}")
     flags = check_integer(bitmap or 0, "bitmap")
     load = read_amount(work, "workNs") / NS_PER_S if work is not None and flags & WORK_IS_SET else None
     time_left = read_seconds(expires_in or 0, "expiresInNs")
-    return SessionRequest(check_integer(token, "corr"), listener, tenant or None, time_left, load, group)
+    return SessionRequest(
+        token=check_integer(token, "corr"),
+        listener=listener,
+        tenant=read_identifier(tenant, "tenant") or None,
+        time_left=time_left,
+        load=load,
+        group=read_identifier(group, "group"),
+    )
 
 
 def _pad(values: list[Any], count: int) -> list[Any]:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -24,6 +24,8 @@
 }
 ENDPOINT_ROW = ["in_service", "10.0.0.1:80", 1, "k", 0, "z", 0]
 
+ORDER = ["order", 3, 9, "calls", None, "s-1", 2000000000, None, None, 0]
+
 
 def run_adapter(*lines):
     """Return the adapter's exit code, its messages and its error output for these lines."""
@@ -40,14 +42,13 @@
 
 def batches_with_one_session(settings=SETTINGS):
     """Return batches that create proxy 3 with one endpoint and request session 9 from it."""
-    order = ["order", 3, 9, "calls", None, "s-1", 2000000000, None, None, 0]
     return [
         ["sync", 5000000000],
         ["provision", 3, 17, settings],
         ["members", 3, "cached", 1, [ENDPOINT_ROW]],
         ["go"],
         ["sync", 5100000000],
-        order,
+        ORDER,
         ["go"],
     ]
 
@@ -105,6 +106,46 @@
     assert messages[-1] == ["ok"]
 
 
+@pytest.mark.parametrize("value", [["x"], {"x": 1}])
+@pytest.mark.parametrize(
+    "message, position, expected",
+    [
+        (["members", 3, "full", 1, []], (2,), "form: expected cached, full, delta or failed, got "),
+        (["members", 3, "full", 1, [ENDPOINT_ROW]], (4, 0, 0), "readiness: expected in_service, "),
+        (["members", 3, "full", 1, [ENDPOINT_ROW]], (4, 0, 3), "machineType: expected text, got "),
+        (["members", 3, "full", 1, [ENDPOINT_ROW]], (4, 0, 5), "zone: expected text, got "),
+        (["members", 3, "full", 1, [ENDPOINT_ROW]], (4, 0, 6), "cell: expected a whole number from 0, got "),
+        (ORDER, (3,), "band: expected the name of a listener, got "),
+        (ORDER, (4,), "tenant: expected text or a number, got "),
+        (ORDER, (8,), "group: expected text or a number, got "),
+    ],
+)
+def test_a_list_or_an_object_in_place_of_a_scalar_is_reported_as_malformed(
+    message, position, expected, value
+):
+    # Guards against internalError, which ends the proxy in the simulator, for a malformed message.
+    message = json.loads(json.dumps(message))
+    target = message
+    for step in position[:-1]:
+        target = target[step]
+    target[position[-1]] = value
+    exit_code, messages, errors = run_adapter(
+        *batches_with_one_session(), ["sync", 7000000000], message, ["go"]
+    )
+    assert exit_code == 1 and errors.startswith(f"line 9: {expected}") and errors.count("\n") == 1
+    assert not [row for row in messages if row[0] == "internalError"]
+
+
+@pytest.mark.parametrize("position, value", [(3, 5), (5, True), (6, "z"), (6, -1), (6, 1.5), (6, True)])
+def test_a_zone_cell_or_machine_type_of_a_wrong_type_is_reported(position, value):
+    # Guards against values that compare unequal to every valid one, for example a cell as text.
+    row = [*ENDPOINT_ROW[:position], value, *ENDPOINT_ROW[position + 1 :]]
+    exit_code, _, errors = run_adapter(
+        *batches_with_one_session(), ["sync", 7000000000], ["members", 3, "full", 1, [row]]
+    )
+    assert exit_code == 1 and errors.startswith("line 9: ") and errors.count("\n") == 1
+
+
 def test_an_error_in_the_policy_is_reported_with_its_text(monkeypatch):
     def fail(*_):
         raise KeyError("policy error")
