--- a/onyxhollow/leases/voter.py
+++ b/onyxhollow/leases/voter.py
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UndoState:
-    """State before the latest vote or accepted proposal."""
+    """State before the latest vote, release or accepted proposal."""
 
     role: str
     slot: VoterSlot | None
@@ -146,9 +146,10 @@
         return records if self.recovering else [*records, RecoveryCompleted()]
 
     def undo(self) -> None:
-        """Revert the latest vote or accepted proposal because its record could not be stored.
+        """Revert the latest vote, release or accepted proposal because its record could not be stored.
 
-        The response must not be sent either. Releases and committed voter sets are not reverted.
+        The response must not be sent either. A reverted release ends with the lease. Committed voter sets are
+        not reverted.
         """
         before = self._undo_state
         if before is None:
@@ -292,6 +293,7 @@
         slot = self.slots.get(notice.role, VoterSlot())
         if slot.holder != notice.holder or slot.term != notice.term:
             return VoterOutput([], [])
+        self._save_undo_state(notice.role)
         self.slots[notice.role] = VoterSlot(slot.term)
         return VoterOutput([], [LeaseReleased(notice.role, notice.term)])
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,6 +16,7 @@
     ConfigurationCommitted,
     KnownTerm,
     LeaseGrant,
+    LeaseReleased,
     ReconfigurationRequest,
     ReconfigurationResponse,
     RecoveryCompleted,
@@ -101,6 +102,21 @@
     assert responses[0].granted and records
 
 
+def test_undo_reverts_a_release_that_could_not_be_stored():
+    # Guards against a voter whose memory says released while its records say granted.
+    voter = make_voter()
+    voter.on_message(0.0, "x", vote_request(1, "x"))
+    records_before = voter.records()
+    assert voter.on_message(0.1, "x", ReleaseNotice("d", 1, "x")).records == [LeaseReleased("d", 1)]
+    voter.undo()
+    assert voter.records() == records_before
+    assert not granted(voter, 3.9, vote_request(2, "y"))
+    # The notice can be stored later, and the lease ends in any case.
+    assert voter.on_message(3.9, "x", ReleaseNotice("d", 1, "x")).records == [LeaseReleased("d", 1)]
+    voter.undo()
+    assert granted(voter, 4.1, vote_request(2, "y"))
+
+
 def test_voter_grants_nothing_under_the_old_voter_set_after_accepting_a_new_one():
     voter = make_voter()
     voter.on_message(0.0, "x", vote_request(3, "x", role="voters"))
