--- a/onyxhollow/fleet/voter_service.py
+++ b/onyxhollow/fleet/voter_service.py
@@ -15,6 +15,7 @@
     ConfigurationCommitted,
     Message,
     VoterSet,
+    VoterSetChanged,
     encode,
 )
 from onyxhollow.leases.voter import Voter
@@ -22,6 +23,8 @@
 
 LOG_NAME = "voter"  # file name of the append log in the folder given by the fleet file
 OPEN_RETRY_INTERVAL_SECONDS = 0.5
+STORE_RETRY_INTERVAL_SECONDS = 0.5  # between attempts to store a voter set
+REPEATED_LOG_INTERVAL_SECONDS = 60.0  # between two log lines about the same cause
 MAX_LOG_RECORDS = 512  # the log is compacted instead of growing beyond this
 DISK_FAILURES = "voter: disk failures"  # counter shown in /control/fleet
 MAX_LOGGED_REASON_CHARACTERS = 200
@@ -61,15 +64,21 @@
         self.disk_failing = False
         self._open_at = now
         self._open_error = ""
+        self._log_error_again_at = now
+        self._unstored_voter_set: VoterSetChanged | None = None  # in force, but its write has failed
+        self._store_at = now  # next attempt to store it
 
     def next_due(self) -> float | None:
         """Return the time at which `tick` must be called next; None without a voter."""
         return self.voter.next_due() if self.voter else None
 
     def check(self, now: float) -> None:
-        """Try to open the log if the fleet file names a folder and the retry interval has passed."""
+        """Open the log if the fleet file names a folder, or retry the write of a voter set, if due."""
         if self.context.fleet.folder and self.voter is None and now >= self._open_at:
             self.open_log(now)
+        if self._unstored_voter_set and now >= self._store_at:
+            self._store_at = now + STORE_RETRY_INTERVAL_SECONDS
+            self._store([self._unstored_voter_set])
 
     def open_log(self, now: float) -> None:
         """Open the log unless another process has it open.
@@ -80,20 +89,15 @@
         try:
             log = AppendLog(self.context.fleet.folder, LOG_NAME)
         except AppendLogError as error:
-            if str(error) != self._open_error:
-                self._open_error = str(error)
-                self.context.log_event(
-                    "voter log unavailable", why=self._open_error[:MAX_LOGGED_REASON_CHARACTERS]
-                )
+            self._log_open_error(str(error), now)
             return
         duration = self.context.fleet.file.leases.duration
         voter = Voter(self.context.name, self.context.voters, duration, now)
         try:
             voter.restore([RECORD_DECODER.decode(body) for body in log.bodies], now)
         except msgspec.DecodeError as error:
-            reason = f"{log.path}: expected records of a voter, got malformed ones: {error}"
-            self.context.log_event("voter log unavailable", why=reason[:MAX_LOGGED_REASON_CHARACTERS])
             log.close()
+            self._log_open_error(f"{log.path}: expected records of a voter, got malformed ones: {error}", now)
             return
         self.log = log
         self.voter = voter
@@ -107,6 +111,14 @@
             council=voter.voter_set.version,
         )
 
+    def _log_open_error(self, reason: str, now: float) -> None:
+        """Log why the log cannot be opened: once per cause, and again at long intervals."""
+        if reason == self._open_error and now < self._log_error_again_at:
+            return
+        self._open_error = reason
+        self._log_error_again_at = now + REPEATED_LOG_INTERVAL_SECONDS
+        self.context.log_event("voter log unavailable", why=reason[:MAX_LOGGED_REASON_CHARACTERS])
+
     def tick(self, now: float) -> None:
         """Continue the recovery of a voter without records."""
         if self.voter is None or now < self.voter.next_due():
@@ -147,9 +159,15 @@
             self.log.close()
 
     def _store(self, records: list[Message]) -> bool:
-        """Append records to the log; return False if the write failed."""
+        """Append records to the log; return False if the write failed.
+
+        A voter set stays in force although its write has failed. It is written before the next records, or
+        by `check`.
+        """
         if not records or self.log is None or self.voter is None:
             return True
+        if self._unstored_voter_set and self._unstored_voter_set not in records:
+            records = [self._unstored_voter_set, *records]
         try:
             if len(self.log.bodies) + len(records) > MAX_LOG_RECORDS:
                 self.log.rewrite([encode(record) for record in self.voter.records()])
@@ -160,7 +178,11 @@
             if not self.disk_failing:
                 self.context.log_event("voter disk", why=f"{error.strerror}"[:MAX_LOGGED_REASON_CHARACTERS])
             self.disk_failing = True
+            for record in records:
+                if isinstance(record, VoterSetChanged):
+                    self._unstored_voter_set = record
             return False
+        self._unstored_voter_set = None
         if self.disk_failing:
             self.context.log_event("voter disk", why="")
         self.disk_failing = False
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -9,17 +9,19 @@
 import pytest
 
 from onyxhollow.__main__ import main
+from onyxhollow.append_log import AppendLog
 from onyxhollow.fleet import clock, datagram_transport
 from onyxhollow.fleet.datagram_transport import DatagramTransport
 from onyxhollow.fleet.identity import split_process_id
 from onyxhollow.fleet.lease_messenger import LeaseMessenger
 from onyxhollow.fleet.route_guard import read_number
 from onyxhollow.fleet.voter_service import VoterService
-from onyxhollow.leases.messages import VoteRequest, VoterSet
+from onyxhollow.leases.messages import RECORD_DECODER, VoteRequest, VoterSet, VoterSetChanged
 from onyxhollow.membership.messages import MAX_DATAGRAM_BYTES
 from onyxhollow.topology.gather import fetch
 from onyxhollow.topology.model import MemberView
 
+MANY_SECONDS = 60.0  # longer than a voter stays silent about the same cause
 VOTER_SET = VoterSet(0, ("a", "b", "c"))
 
 
@@ -45,16 +47,72 @@
         transport.close()
 
 
-def test_a_voter_with_a_failing_disk_does_not_answer_and_logs_the_fault_once(tmp_path, monkeypatch):
+def make_voter_service(folder):
+    """Return a voter service, its messenger and the list of its log events."""
     events = []
     context = MagicMock(voters=VOTER_SET, counts=Counter())
     context.name = "a"
     context.process_id = "a~1"
-    context.fleet.folder = str(tmp_path)
+    context.fleet.folder = str(folder)
     context.fleet.file.leases.duration = 4.0
     context.log_event = lambda event, **values: events.append((event, values.get("why")))
     messenger = LeaseMessenger(context)
-    service = VoterService(context, messenger, MagicMock(), 0.0)
+    return VoterService(context, messenger, MagicMock(), 0.0), messenger, events
+
+
+def read_records(folder):
+    """Return the decoded records of a closed voter log."""
+    log = AppendLog(str(folder), "voter")
+    log.close()
+    return [RECORD_DECODER.decode(body) for body in log.bodies]
+
+
+def test_a_voter_log_that_cannot_be_decoded_is_logged_once_per_cause_and_then_rarely(tmp_path):
+    # Guards against a log line each 0.5 s.
+    log = AppendLog(str(tmp_path), "voter")
+    log.append(b"x")
+    service, _, events = make_voter_service(tmp_path)
+    for attempt in range(10):  # another process has the log open
+        service.check(attempt * 1.0)
+    assert [event for event, _ in events] == ["voter log unavailable"] and "another process" in events[0][1]
+    log.close()
+    for attempt in range(10, 30):
+        service.check(attempt * 1.0)
+    assert [event for event, _ in events] == ["voter log unavailable"] * 2 and "malformed" in events[1][1]
+    assert service.voter is None
+    service.check(10.0 + MANY_SECONDS)
+    service.check(11.0 + MANY_SECONDS)
+    assert len(events) == 3 and events[2] == events[1]
+
+
+@pytest.mark.parametrize("trigger", ["check", "grant"])
+def test_a_voter_set_whose_write_has_failed_is_stored_later(tmp_path, monkeypatch, trigger):
+    # Guards against a voter that forgets the voter set in force at its next restart.
+    service, _, events = make_voter_service(tmp_path)
+    service.check(0.0)
+    service.voter.recovering = False
+    new_set = VoterSet(1, ("a", "b", "z"))
+    with monkeypatch.context() as patch:
+        patch.setattr("os.fsync", MagicMock(side_effect=OSError(errno.EIO, "no")))
+        service.on_voter_set(new_set, 1.0)
+        service.check(2.0)
+        assert service.disk_failing and service.voter.voter_set == new_set
+    if trigger == "check":
+        service.check(2.1)  # too early
+        assert service.disk_failing
+        service.check(3.0)
+    else:
+        service.on_message("a~1", "a", VoteRequest("d", 1, "a~1", 1, 4.0, 1))
+    assert not service.disk_failing and events[-1] == ("voter disk", "")
+    service.check(4.0)
+    service.close()
+    stored = read_records(tmp_path)
+    assert stored[0] == VoterSetChanged(new_set) and len(stored) == (1 if trigger == "check" else 2)
+
+
+def test_a_voter_with_a_failing_disk_does_not_answer_and_logs_the_fault_once(tmp_path, monkeypatch):
+    service, messenger, events = make_voter_service(tmp_path)
+    context = service.context
     service.check(0.0)
     assert messenger.has_own_voter and events == [("voter", None)]
     service.voter.recovering = False
