--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -60,7 +60,7 @@
 
     Attributes:
         last_progress_at: Time of the list service's last answer, on the loop's clock.
-        superseded: Whether another member has published under a newer term.
+        superseded: Whether another member has published under a newer term than that of the present start.
     """
 
     def __init__(
@@ -96,6 +96,7 @@
     def start(self, term: int, holds_lease: Callable[[], bool], /) -> None:
         """Start to publish under a term; `holds_lease` is called before each message."""
         self.last_progress_at = self.context.loop.now
+        self.superseded = False
         publisher = Publisher(self.role, term, self.source)
         self.publication = Publication(publisher, holds_lease)
         self.subscriber.polling_suspended = False
--- a/tests/test_list_replication.py
+++ b/tests/test_list_replication.py
@@ -1,11 +1,15 @@
 """Replication of the endpoint list: publisher, subscriber, drain broadcasts and paced sending."""
 
+from collections import Counter
 from random import Random
+from types import SimpleNamespace
+from unittest.mock import MagicMock
 
 from onyxhollow.fleet import paced_sender
 from onyxhollow.fleet.drain_broadcast import DRAINS_PER_BROADCAST, DrainBroadcast
-from onyxhollow.fleet.list_messages import Heartbeat, ListUpdate, ResyncRequest, decode_records
+from onyxhollow.fleet.list_messages import Heartbeat, ListUpdate, ResyncRequest, decode_records, encode
 from onyxhollow.fleet.list_publisher import Publisher
+from onyxhollow.fleet.list_replication import ListReplication
 from onyxhollow.fleet.list_subscriber import MAX_PUBLISHER_LAG_SECONDS, Subscriber
 from onyxhollow.fleet.paced_sender import GROUP_INTERVAL_SECONDS, GROUP_SIZE, PacedSender
 
@@ -61,6 +65,33 @@
         assert subscriber.tick(subscriber.resume_at)
 
 
+def make_replication(records=(), version=7):
+    """Return the replication of a member whose watch has these records."""
+    context = MagicMock(rng=Random(1), counts=Counter())
+    context.loop.now = 0.0
+    context.membership.live_members.return_value = []
+    context.proxy.config.settings.max_poll_interval = 10.0
+    watch = context.proxy.discovery
+    watch.address, watch.next_address = ("127.0.0.1", 1), None
+    watch.records, watch.version = {record["host"]: record for record in records}, version
+    return ListReplication(context, "list", None, 0.5, "s")
+
+
+def test_a_superseded_publisher_is_not_superseded_any_more_at_its_next_start():
+    # Guards against a member that gives the role up again each time, once another member has superseded it.
+    replication = make_replication()
+    sender = SimpleNamespace(name="m")
+    replication.start(3, lambda: True)
+    replication.on_message(sender, encode(Heartbeat("list", 4, "s", 7, False)), 1.0)
+    assert replication.superseded
+    replication.stop()
+    replication.start(5, lambda: True)
+    replication.on_message(sender, encode(Heartbeat("list", 4, "s", 7, False)), 2.0)
+    assert not replication.superseded
+    replication.on_message(sender, encode(Heartbeat("list", 6, "s", 7, False)), 3.0)
+    assert replication.superseded
+
+
 def test_each_drain_is_broadcast_once_and_again_after_a_change_of_state():
     drain_broadcast = DrainBroadcast("list")
     records = [make_record(f"s{number}", "leaving") for number in range(DRAINS_PER_BROADCAST + 1)]
