--- a/onyxhollow/fleet/list_messages.py
+++ b/onyxhollow/fleet/list_messages.py
@@ -68,12 +68,30 @@
     """Bodies of an update that do not contain valid records; the text gives the reason."""
 
 
+class ListTooLargeError(Exception):
+    """A list that does not fit into the parts of one update; the text names the limit."""
+
+
 def encode_records(records: list[Record]) -> list[bytes]:
     """Return the bodies of the parts that contain the records."""
     compressed = zlib.compress(orjson.dumps(records), ZLIB_COMPRESSION_LEVEL)
     return [compressed[start : start + MAX_PART_BYTES] for start in range(0, len(compressed), MAX_PART_BYTES)]
 
 
+def encode_update(records: list[Record]) -> list[bytes]:
+    """Return the bodies of the parts of one update.
+
+    Raises:
+        ListTooLargeError: There are more parts than a subscriber accepts.
+    """
+    bodies = encode_records(records)
+    if len(bodies) > MAX_PARTS:
+        raise ListTooLargeError(
+            f"{len(records)} records: expected at most {MAX_PARTS} parts, got {len(bodies)}"
+        )
+    return bodies
+
+
 def decode_records(bodies: list[bytes]) -> list[Record]:
     """Return the records that the bodies of all parts contain.
 
--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -21,6 +21,7 @@
     Heartbeat,
     ListMessage,
     ListRecordsError,
+    ListTooLargeError,
     ListUpdate,
     Record,
     ResyncRequest,
@@ -44,6 +45,7 @@
 # Names of the counters in /control/fleet.
 MALFORMED = "list: rubbish"
 VERSIONS_RECEIVED = "list: told versions"
+NOT_SENT_TOO_LARGE = "list: not sent, too large"
 DROPPED_QUEUE_FULL = "list: not sent, too much waits"
 
 
@@ -79,6 +81,7 @@
         self.sender = PacedSender(self._send_if_current)
         self.last_progress_at = context.loop.now
         self.superseded = False
+        self.is_too_large = False  # whether the latest list did not fit into an update
         self.snapshot_sent_at: dict[str, float] = {}  # time by member name
         self.drain_broadcast = DrainBroadcast(role)
         self.is_applying = False  # whether the watch is applying a change received from another member
@@ -102,7 +105,7 @@
         self.subscriber.polling_suspended = False
         self.watch.set_suspended(False)
         if self.watch.version >= 0 and self.watch.records:
-            publisher.update(self.watch.records, self.watch.version)
+            self._update_publisher(publisher)
         publisher.next_heartbeat_at = clock.now()
         self.context.task.wake()
 
@@ -137,10 +140,29 @@
             term = publication.publisher.term
             publication = Publication(Publisher(self.role, term, self.source), publication.holds_lease)
             self.publication = publication
-        for update in publication.publisher.update(self.watch.records, self.watch.version):
+        for update in self._update_publisher(publication.publisher):
             for receiver in self._zone_members():
                 self._enqueue(receiver, update)
 
+    def _update_publisher(self, publisher: Publisher) -> list[ListUpdate]:
+        """Pass the present list to the publisher; return the updates, none if the list is too large."""
+        try:
+            updates = publisher.update(self.watch.records, self.watch.version)
+        except ListTooLargeError as error:
+            self._on_too_large_list(publisher, error)
+            return []
+        self.is_too_large = False
+        return updates
+
+    def _on_too_large_list(self, publisher: Publisher, error: ListTooLargeError) -> None:
+        """Count an update that could not be sent, and tell the subscribers at once to poll for themselves."""
+        self.context.counts[NOT_SENT_TOO_LARGE] += 1
+        if self.is_too_large:
+            return
+        self.is_too_large = True
+        publisher.next_heartbeat_at = clock.now()
+        self.context.log_event("list too large", duty=self.role, why=str(error), version=self.watch.version)
+
     def _broadcast_drains(self) -> None:
         for update in self.drain_broadcast.updates(
             self.watch.records.values(), self.source, self.watch.version
@@ -200,7 +222,12 @@
             return
         if now - self.snapshot_sent_at.get(sender.name, -math.inf) >= MIN_SNAPSHOT_INTERVAL_SECONDS:
             self.snapshot_sent_at[sender.name] = now
-            for update in publisher.snapshot():
+            try:
+                updates = publisher.snapshot()
+            except ListTooLargeError as error:
+                self._on_too_large_list(publisher, error)
+                return
+            for update in updates:
                 self._enqueue(sender, update)
 
     def _on_publisher_message(self, sender: Member, message: Heartbeat | ListUpdate, now: float) -> None:
--- a/tests/test_list_replication.py
+++ b/tests/test_list_replication.py
@@ -5,13 +5,21 @@
 from types import SimpleNamespace
 from unittest.mock import MagicMock
 
-from onyxhollow.fleet import paced_sender
+from onyxhollow.fleet import clock, paced_sender
 from onyxhollow.fleet.drain_broadcast import DRAINS_PER_BROADCAST, DrainBroadcast
-from onyxhollow.fleet.list_messages import Heartbeat, ListUpdate, ResyncRequest, decode_records, encode
+from onyxhollow.fleet.list_messages import (
+    MESSAGE_DECODER,
+    Heartbeat,
+    ListUpdate,
+    ResyncRequest,
+    decode_records,
+    encode,
+)
 from onyxhollow.fleet.list_publisher import Publisher
 from onyxhollow.fleet.list_replication import ListReplication
 from onyxhollow.fleet.list_subscriber import MAX_PUBLISHER_LAG_SECONDS, Subscriber
 from onyxhollow.fleet.paced_sender import GROUP_INTERVAL_SECONDS, GROUP_SIZE, PacedSender
+from onyxhollow.interface import EndpointListKind
 
 
 def make_publisher():
@@ -92,6 +100,49 @@
     assert replication.superseded
 
 
+def make_large_list():
+    """Return records that need more parts than an update may have."""
+    rng = Random(1)
+    return [make_record(f"{rng.getrandbits(128):032x}") for _ in range(6000)]
+
+
+def test_a_list_that_does_not_fit_into_an_update_is_not_sent_and_members_poll_for_themselves(monkeypatch):
+    # Guards against an update cut without a log line, and against suspended members that never get the list.
+    now = 100.0
+    monkeypatch.setattr(clock, "now", lambda: now)
+    sent, events = [], []
+    small, large = [make_record("s1")], make_large_list()
+    replication = make_replication(small)
+    context, member = replication.context, SimpleNamespace(name="m", zone="z")
+    context.membership.live_members.return_value = [member]
+    context.membership.send_payload = lambda receiver, kind, body: sent.append(MESSAGE_DECODER.decode(body))
+    context.log_event = lambda event, **values: events.append(event)
+    replication.start(3, lambda: True)
+    replication.tick(now)
+    subscriber = make_subscriber()
+    assert subscriber.on_heartbeat(sent.pop(), now, 7, 4) is None and subscriber.polling_suspended
+    replication.watch.records = {record["host"]: record for record in large}
+    for version in (8, 9):
+        replication.watch.version = version
+        replication.on_endpoint_list(EndpointListKind.DELTA)
+        now += 0.1
+    replication.on_message(member, encode(ResyncRequest("list", 3, "s", 7)), now)
+    replication.tick(now)
+    (heartbeat,) = sent
+    assert subscriber.on_heartbeat(heartbeat, now, 7, 4) is None
+    assert subscriber.tick(now + 2.0) and not subscriber.polling_suspended  # it polls the list service
+    # The list service works, so the publisher does not lose its role for a lack of progress.
+    assert not replication.publication.publisher.disconnected
+    assert events == ["list too large"] and context.counts["list: not sent, too large"] == 3
+    replication.watch.records, replication.watch.version = {"s2": make_record("s2")}, 10
+    replication.on_endpoint_list(EndpointListKind.SNAPSHOT)
+    now += 1.0
+    replication.tick(now)
+    heartbeat, update = sent[1:]
+    assert subscriber.on_update(update, now, 9).records == [make_record("s2")]
+    assert subscriber.on_heartbeat(heartbeat, now, 10, 4) is None and subscriber.polling_suspended
+
+
 def test_each_drain_is_broadcast_once_and_again_after_a_change_of_state():
     drain_broadcast = DrainBroadcast("list")
     records = [make_record(f"s{number}", "leaving") for number in range(DRAINS_PER_BROADCAST + 1)]
