--- a/onyxhollow/lab/fleet/random_walk.py
+++ b/onyxhollow/lab/fleet/random_walk.py
@@ -105,7 +105,6 @@
         self.unavailable_voters: set[str] = set()
         self.network_reliable = False  # whether messages are never lost, duplicated or long delayed
         self.violations: list[str] = []
-        self.established = False
         self.withdrawn_at: dict[
             tuple[str, str], float
         ] = {}  # time of withdrawals for health, by address, site
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -61,10 +61,6 @@
         self.server: Server | None = None
         self.established = self.answered = False
 
-    @property
-    def came_back(self) -> bool:
-        return self.sess.client.was_connected
-
 
 class Instance:
     """One process of a proxy, from start to end: the Host of its decision module."""
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -189,7 +189,7 @@
         Each is at a proxy of its client's zone, on a server drawn at random by weight.
         """
         rng = random_stream(self.seed, "standing")
-        rng.random(16)
+        rng.random(16)  # discarded; without these draws every seed would give other sessions
         clients = [client for client in self.clients if client.request.preexisting]
         if not self.servers:
             for client in clients:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -3,8 +3,10 @@
 import os
 import subprocess
 import sys
+from unittest import mock
 
 import msgspec
+import numpy as np
 import pytest
 
 pytest.importorskip("msgspec")
@@ -15,6 +17,7 @@
 from onyxhollow.lab.virtual import VirtualEngine  # noqa: E402
 from onyxhollow.lab.world import faults  # noqa: E402
 from onyxhollow.lab.world.servers import ServerState  # noqa: E402
+from onyxhollow.lab.world.streams import random_stream  # noqa: E402
 from onyxhollow.lab.world.types import LossCause  # noqa: E402
 from onyxhollow.lab.world.world import World  # noqa: E402
 from onyxhollow.policy import Balancer  # noqa: E402
@@ -70,6 +73,19 @@
     assert outputs[0] != runs.to_json(runs.play(scenario.read("reload"), 4, "module", series=True))
 
 
+def test_the_servers_of_sessions_that_exist_at_the_start_depend_on_the_seed_alone():
+    # Guards against a change of the draws, which would change the results of every recorded seed.
+    world = World(small_scenario(), 1)
+    world.engine = mock.Mock()
+    sessions = world.create_preexisting_sessions()
+    rng = random_stream(1, "standing")
+    rng.random(16)
+    weights = np.array([server.weight for server in world.servers])
+    drawn = rng.choice(len(world.servers), size=len(sessions), p=weights / weights.sum())
+    assert len(sessions) > 20
+    assert [sess.server for sess in sessions] == [world.servers[number] for number in drawn]
+
+
 def test_a_restarted_proxy_gets_clients_only_once_it_is_ready(monkeypatch):
     """Guards against sending clients to a proxy that does not listen yet.
 
