--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -28,12 +28,15 @@
     open_inherited_socket,
 )
 from onyxhollow.management import metrics
+from onyxhollow.settings import WireError
 from onyxhollow.state_snapshot import count_avoided, restore_snapshot, take_snapshot
 from onyxhollow.wire.client_session import accept_handoff
 from onyxhollow.wire.connection_handoff import ConnectionHandoff
+from onyxhollow.wire.endpoint_list import EndpointListError, decode_endpoint_list
 from onyxhollow.wire.established_connection import EstablishedConnection
 from onyxhollow.wire.handoff_channel import HandoffReceiver
 from onyxhollow.wire.listening import ListenError
+from onyxhollow.wire.remote_clock import RemoteClock
 from onyxhollow.wire.session_registry import SessionRegistry
 
 MANAGEMENT_ADDRESS = ("127.0.0.1", 0)
@@ -340,6 +343,48 @@
     )
 
 
+# Not ports: a superscript digit, Arabic digits, too large, zero, more digits than int() accepts, a sign.
+INVALID_PORTS = ("\u00b2", "\u0661\u0662", "65536", "0", "1" * 5000, "-1", "")
+
+
+@pytest.mark.parametrize("port", INVALID_PORTS)
+@pytest.mark.parametrize("key", ["listen", "discovery", "management"])
+def test_an_invalid_port_is_reported_by_check_with_file_key_and_expected_form(tmp_path, capfd, key, port):
+    # Guards against ports that str.isdigit accepts and int() does not: the error named neither file nor key.
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(CONFIG_DOCUMENT | {key: f"127.0.0.1:{port}"}))
+    assert main(["check", "--config", str(path)]) == 2
+    error = capfd.readouterr().err
+    assert error.startswith(
+        f"onyxhollow: {path}: {key} address: expected HOST:PORT, got '127.0.0.1:{port[:30]}"
+    )
+    assert error.count("\n") == 1
+
+
+def test_an_invalid_port_in_the_endpoint_list_is_reported_with_the_endpoint():
+    # Guards against the same error in an answer of the list service, which must be rejected as malformed.
+    document = {"seq": 1, "whole": True, "hosts": [{"host": "a", "health": "active", "dial": "h:\u00b2"}]}
+    with pytest.raises(EndpointListError, match=r"^a: address: expected HOST:PORT, got 'h:\u00b2'$"):
+        decode_endpoint_list(document, RemoteClock(), 0.0)
+
+
+@pytest.mark.parametrize("name", ["messageAimNs", "tenantQuotaConnections"])
+@pytest.mark.parametrize("value", [-1, True, False, float("nan"), float("inf"), "5", [5]])
+def test_an_invalid_message_objective_or_quota_is_reported_under_its_own_name(name, value):
+    # Guards against a negative or boolean objective in use, and against the error "setting quota".
+    document = change_document(("settings",), "tenants", [{"name": "t"}, {"name": "u"}])
+    document["settings"]["extra"] = {name: [None, value]}
+    with pytest.raises(WireError, match=rf"^setting {name}\[1\]: expected a number from 0, got "):
+        decode_config(document, {})
+    document["settings"]["extra"] = {name: [5e9]}  # a missing value is 0
+    settings = decode_config(document, {}).settings
+    assert [row.message_objective for row in settings.listeners.values()] == (
+        [5.0, 0.0] if name == "messageAimNs" else [0.0, 0.0]
+    )
+    quotas = [5e9, 0.0] if name == "tenantQuotaConnections" else [0.0, 0.0]
+    assert [tenant.connection_quota for tenant in settings.tenants.values()] == quotas
+
+
 def test_a_reload_changes_listeners_and_max_attempts_for_new_sessions_only(start_proxy, monkeypatch):
     proxy = start_proxy("ab", listeners=TWO_LISTENERS, max_attempts=2)
     attempting = proxy.open_session("calls")
@@ -695,6 +740,46 @@
     assert states == {"a": "in service", "b": "draining"} and new.proxy.discovery.version == 41
 
 
+@pytest.mark.parametrize("hears_delta", [False, True])
+def test_a_second_replacement_hands_over_the_whole_list_of_the_first_predecessor(
+    processes, monkeypatch, hears_delta
+):
+    # Guards against endpoints lost in a second replacement: a successor that had received no snapshot itself
+    # handed over no records, or only those of its first delta, as a whole list.
+    monkeypatch.setattr(replacement, "LIST_TIMEOUT_SECONDS", 0.2)
+    first = processes.start()
+    records = [first.list_record("a"), first.list_record("a") | {"host": "b"}]
+    first.answer_list(json.dumps({"seq": 41, "whole": True, "hosts": records}).encode())
+    processes.until(lambda: first.proxy.discovery.version == 41)
+    second = processes.start(has_cached_list=False)
+    first.proxy.discovery.address = second.config.discovery  # all three use one list service
+    processes.until(lambda: second.proxy.service.ready)
+    if hears_delta:
+        processes.until(lambda: second.proxy.discovery.version == 41)
+        delta = {"seq": 42, "whole": False, "hosts": [records[1] | {"health": "leaving"}]}
+        second.proxy.discovery.apply(
+            delta["hosts"], decode_endpoint_list(delta, second.proxy.discovery.clock, 0.0)
+        )
+    processes.kill(first)
+    processes.until(lambda: second.proxy.handover.serving_lock is not None)
+    third = processes.start(has_cached_list=False)
+    second.proxy.discovery.address = third.config.discovery
+    processes.until(lambda: third.proxy.service.ready)
+    states = {name: row.state.value for name, row in third.proxy.decisions.balancer.tracked.items()}
+    assert states == {"a": "in service", "b": "draining" if hears_delta else "in service"}
+    assert third.proxy.discovery.version == (42 if hears_delta else 41)
+
+
+def test_a_delta_to_the_configured_list_is_handed_over_with_the_other_endpoints(loopback):
+    # Guards against the same loss in a process that started from the list of its configuration.
+    proxy = loopback("ab")
+    record = proxy.list_record("b", "leaving")
+    proxy.answer_list(json.dumps({"seq": 8, "whole": False, "hosts": [record]}).encode())
+    proxy.until(lambda: proxy.proxy.discovery.version == 8)
+    snapshot = proxy.proxy.discovery.snapshot()
+    assert snapshot == {"seq": 8, "whole": True, "hosts": [proxy.list_record("a"), record]}
+
+
 def test_endpoint_and_list_answers_are_parsed_at_any_fragmentation(loopback):
     for length in range(1, 7):
         proxy = loopback()
