--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -85,12 +85,21 @@
 
     @property
     def source(self) -> str:
-        """Name or address of the current list service; versions of different services are not comparable."""
-        address = self.watch.next_address or self.watch.address  # a reload sets next_address
+        """Name or address of the service of the present list; versions of services are not comparable.
+
+        After a reload it is the former service until the first poll of the new one begins, at which the watch
+        has no version.
+        """
+        address = self.watch.address
         if self.service and address == self.service_address:
             return self.service
         return ":".join(map(str, address))
 
+    @property
+    def is_switching(self) -> bool:
+        """Whether a reload has configured another list service that the watch has not polled yet."""
+        return self.watch.next_address not in (None, self.watch.address)
+
     # Leader task.
 
     def start(self, term: int, holds_lease: Callable[[], bool], /) -> None:
@@ -165,6 +174,8 @@
             if message.term > self.publication.publisher.term:
                 self.superseded = True
             return
+        if self.is_switching:  # a heartbeat must not suspend the first poll of the new service
+            return
         self._on_publisher_message(sender, message, now)
 
     def on_broadcast(self, body: bytes) -> None:
@@ -287,7 +298,7 @@
         if self.publication:
             self._send_heartbeats(self.publication, now)
         self.sender.tick(now)
-        if self.subscriber.source != self.source:  # a reload has changed the list service
+        if self.is_switching or self.subscriber.source != self.source:
             self.subscriber.follow_source(self.source)
             self.watch.set_suspended(False)
         if self.subscriber.tick(now):
--- a/tests/test_list_replication.py
+++ b/tests/test_list_replication.py
@@ -1,13 +1,28 @@
 """Replication of the endpoint list: publisher, subscriber, drain broadcasts and paced sending."""
 
+from collections import Counter
 from random import Random
+from types import SimpleNamespace
+from unittest.mock import MagicMock
+
+import orjson
+import pytest
+from peers import HOST, ScriptedServer
 
 from onyxhollow.fleet import paced_sender
 from onyxhollow.fleet.drain_broadcast import DRAINS_PER_BROADCAST, DrainBroadcast
-from onyxhollow.fleet.list_messages import Heartbeat, ListUpdate, ResyncRequest, decode_records
+from onyxhollow.fleet.list_messages import (
+    Heartbeat,
+    ListUpdate,
+    ResyncRequest,
+    decode_records,
+    encode,
+)
 from onyxhollow.fleet.list_publisher import Publisher
+from onyxhollow.fleet.list_replication import ListReplication
 from onyxhollow.fleet.list_subscriber import MAX_PUBLISHER_LAG_SECONDS, Subscriber
 from onyxhollow.fleet.paced_sender import GROUP_INTERVAL_SECONDS, GROUP_SIZE, PacedSender
+from onyxhollow.interface import EndpointListKind
 
 
 def make_publisher():
@@ -85,3 +100,98 @@
     sender.tick(1.0 + GROUP_INTERVAL_SECONDS)
     assert [update for _, update in sent] == list(range(2 * GROUP_SIZE))
     assert sender.next_due == float("inf")
+
+
+class Subscribing:
+    """A proxy on loopback whose list replication has suspended polling after a publisher's heartbeat."""
+
+    def __init__(self, loopback):
+        self.proxy = loopback("ab")
+        self.now = 0.0
+        self.context = SimpleNamespace(
+            proxy=self.proxy.proxy,
+            loop=self.proxy.proxy.loop,
+            rng=Random(1),
+            membership=MagicMock(),
+            counts=Counter(),
+            log_event=lambda *_, **__: None,
+            task=MagicMock(),
+        )
+        self.context.membership.live_members.return_value = []
+        self.replication = ListReplication(self.context, "list", None, 0.5, "")
+        self.watch = self.proxy.proxy.discovery
+        self.answer(self.proxy.list_service, 8, "a", "b")
+        self.publisher = Publisher("list", 3, self.address_of(self.proxy.list_service))
+        self.publisher.update(self.watch.records, 8)
+        self.receive(self.publisher.heartbeat())
+        assert self.watch.suspended
+
+    def address_of(self, server):
+        return f"{HOST}:{server.port}"
+
+    def answer(self, server, version, *names):
+        """Answer the poll of a list service with a snapshot of these endpoints."""
+        rows = [self.proxy.list_record(name) for name in names]
+        body = orjson.dumps({"seq": version, "whole": True, "hosts": rows})
+        self.proxy.answer_list(body, server=server)
+        self.proxy.until(lambda: self.watch.version == version and set(self.watch.records) == set(names))
+
+    def receive(self, message):
+        """Process a message of the publisher, as one step of the fleet's member does."""
+        self.now += 0.1
+        self.replication.tick(self.now)
+        self.replication.on_message(MagicMock(), encode(message), self.now)
+
+    def reload(self):
+        """Configure another list service and return it."""
+        server = ScriptedServer()
+        self.proxy.switch_list_service(server)
+        return server
+
+
+@pytest.mark.parametrize("publisher_has_reloaded", [True, False])
+def test_after_a_reload_a_heartbeat_with_the_same_version_does_not_prevent_the_first_poll(
+    loopback, publisher_has_reloaded
+):
+    """Guards against a version of the former list service that counts as one of the new service.
+
+    A publisher that has reloaded earlier may send the version that this member has from the former service.
+    """
+    member = Subscribing(loopback)
+    new_service = member.reload()
+    if publisher_has_reloaded:
+        member.publisher = Publisher("list", 4, member.address_of(new_service))
+        member.publisher.update({"b": member.proxy.list_record("b")}, 8)
+    member.receive(member.publisher.heartbeat())
+    poll = member.proxy.until(new_service.connection).received
+    assert poll.startswith(b"GET /v1/endpoints HTTP/1.1"), "not a poll for a snapshot"
+    member.answer(new_service, 8, "b")
+    member.receive(member.publisher.heartbeat())
+    assert member.watch.suspended is publisher_has_reloaded
+
+
+def test_after_a_reload_a_delta_to_the_same_version_is_not_applied_to_the_former_list(loopback):
+    """Guards against a list that is a mixture of the lists of two services."""
+    member = Subscribing(loopback)
+    new_service = member.reload()
+    publisher = Publisher("list", 4, member.address_of(new_service))
+    publisher.update({"b": member.proxy.list_record("b")}, 8)
+    (delta,) = publisher.update({"b": member.proxy.list_record("b", "leaving")}, 9)
+    assert delta.base == 8
+    member.receive(delta)
+    assert member.watch.version == 8 and member.watch.records["b"]["health"] == "active"
+    assert member.proxy.until(new_service.connection)
+
+
+def test_a_holder_that_starts_after_a_reload_does_not_publish_the_former_list_as_the_new_one(loopback):
+    """Guards against subscribers of the new service that receive the list of the former service."""
+    member = Subscribing(loopback)
+    new_service = member.reload()
+    member.replication.start(5, lambda: True)
+    publisher = member.replication.publication.publisher
+    former_source = member.address_of(member.proxy.list_service)
+    assert (publisher.source, publisher.version) == (former_source, 8)
+    member.answer(new_service, 8, "b")
+    member.replication.on_endpoint_list(EndpointListKind.SNAPSHOT)
+    publisher = member.replication.publication.publisher
+    assert (publisher.source, set(publisher.records)) == (member.address_of(new_service), {"b"})
