--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,10 @@
 """Fixtures: a fake host with its balancer, and a proxy on loopback with scripted servers."""
 
+import time
 from dataclasses import replace
 
 import pytest
-from peers import CALLS, DEFAULT_SETTINGS, ProxyOnLoopback
+from peers import CALLS, DEFAULT_SETTINGS, ProxyOnLoopback, StallFreeClock
 
 from onyxhollow.interface import AttemptOutcome, Endpoint, EndpointListKind, EndpointState
 from onyxhollow.policy import Balancer
@@ -73,6 +74,12 @@
     return lambda session, outcome=AttemptOutcome.RESET: session.on_attempt_ended(outcome, False, 0.1)
 
 
+@pytest.fixture
+def stall_free_clock(monkeypatch):
+    """Run the test on a clock that leaves out the stalls of its process."""
+    monkeypatch.setattr(time, "monotonic", StallFreeClock())
+
+
 @pytest.fixture
 def loopback():
     """Return a function that starts a proxy on loopback; all of them are closed after the test."""
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -39,6 +39,31 @@
 )
 
 
+class StallFreeClock:
+    """Monotonic clock that leaves out the time in which this process waited for a core.
+
+    Proxy and peers run on one thread, and a stall delays both. On the machine's clock, a stall makes time
+    limits of the proxy expire that a peer was about to meet. Between two readings this clock advances by the
+    elapsed time, but at most by the processor time used and the longest wait of the tests' loops. Slow code
+    therefore counts.
+    """
+
+    MAX_WAIT_SECONDS = 0.01  # the loops of the tests wait for 5 ms
+
+    def __init__(self):
+        self.machine_clock = time.monotonic
+        self.machine_time, self.processor_time = self.machine_clock(), time.thread_time()
+        self.now = self.machine_time
+
+    def __call__(self):
+        """Return seconds; comparable to the machine's clock when it was created."""
+        machine_time, processor_time = self.machine_clock(), time.thread_time()
+        elapsed = machine_time - self.machine_time
+        self.now += min(elapsed, processor_time - self.processor_time + self.MAX_WAIT_SECONDS)
+        self.machine_time, self.processor_time = machine_time, processor_time
+        return self.now
+
+
 class Peer:
     """The test's end of one connection; reads do not block."""
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -437,6 +437,7 @@
     assert proxy.counts["idle connections closed for room"] >= 5 and not client.end
 
 
+@pytest.mark.usefixtures("stall_free_clock")
 def test_without_free_descriptors_a_session_is_rejected_with_no_evidence_against_the_endpoint(loopback):
     proxy = loopback(sockets=OWN_DESCRIPTORS + 16)
     proxy.answer_list(EMPTY_DELTA)
@@ -821,6 +822,7 @@
     assert proxy.proxy.decisions.balancer.tracked["a"].load == 0.2
 
 
+@pytest.mark.usefixtures("stall_free_clock")
 def test_a_shutdown_migrates_open_sessions_answers_waiting_ones_and_serves_late_ones(loopback):
     proxy = loopback()
     (first, _), (second, _) = proxy.establish(), proxy.establish()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -511,6 +511,7 @@
     file.close()
 
 
+@pytest.mark.usefixtures("stall_free_clock")
 def test_open_connections_and_their_buffers_are_handed_off_to_the_successor(processes):
     old = processes.start()
     pairs = [old.establish() for _ in range(40)]
