--- a/onyxhollow/__main__.py
+++ b/onyxhollow/__main__.py
@@ -2,14 +2,15 @@
 
 from __future__ import annotations
 
-import argparse
 import os
 import sys
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from onyxhollow import __version__
 
 if TYPE_CHECKING:
+    import argparse
+
     from onyxhollow.fleet.file import FleetConfig
     from onyxhollow.lifecycle.config import Config
     from onyxhollow.lifecycle.signals import SignalQueue
@@ -33,6 +34,15 @@
     ("topology", "topology of a fleet: draw, show, diff, save, record, replay"),
     ("addresses", "routes of the shared addresses and their causes; overrides"),
 )
+CONFIG_OPTION = "--config"
+FLEET_OPTION = "--fleet"
+
+
+class ConfigPaths(NamedTuple):
+    """Paths of the configuration file and of the fleet file; empty if not given."""
+
+    config: str
+    fleet: str
 
 
 def report_missing_extra(extra: str, error: ImportError) -> int:
@@ -49,20 +59,47 @@
     return EXIT_UNUSABLE
 
 
+def default_paths() -> ConfigPaths:
+    """Return the paths that the environment gives."""
+    return ConfigPaths(os.environ.get("LB_CONFIG", ""), os.environ.get("LB_FLEET", ""))
+
+
+def parse_plain_serve(arguments: list[str]) -> ConfigPaths | None:
+    """Parse `serve` whose options are written as `--config FILE` and `--fleet FILE`.
+
+    Return None for all other arguments, which `make_parser` handles. The usual start of a proxy thereby does
+    not wait for the import of argparse and for the set-up of a parser for each command.
+    """
+    if not arguments or arguments[0] != "serve":
+        return None
+    names = arguments[1::2]
+    values = arguments[2::2]
+    if len(names) != len(values) or any(value.startswith("-") for value in values):
+        return None
+    paths = default_paths()
+    for name, value in zip(names, values, strict=True):
+        if name == CONFIG_OPTION:
+            paths = paths._replace(config=value)
+        elif name == FLEET_OPTION:
+            paths = paths._replace(fleet=value)
+        else:
+            return None
+    return paths
+
+
 def make_parser() -> argparse.ArgumentParser:
     """Return the parser for all commands."""
+    import argparse
+
+    defaults = default_paths()
     parser = argparse.ArgumentParser(
         prog="onyxhollow", description="A load balancer for long-lived connections."
     )
     commands = parser.add_subparsers(dest="command", required=True)
     for name, purpose in PROXY_COMMANDS:
         command = commands.add_parser(name, help=purpose)
-        command.add_argument(
-            "--config", default=os.environ.get("LB_CONFIG"), help="JSON file (default: $LB_CONFIG)"
-        )
-        command.add_argument(
-            "--fleet", default=os.environ.get("LB_FLEET"), help="TOML file (default: $LB_FLEET)"
-        )
+        command.add_argument(CONFIG_OPTION, default=defaults.config, help="JSON file (default: $LB_CONFIG)")
+        command.add_argument(FLEET_OPTION, default=defaults.fleet, help="TOML file (default: $LB_FLEET)")
     commands.add_parser("version", help="print the version")
     lab = commands.add_parser("lab", help="run scenarios on a model of fleet and clients", add_help=False)
     lab.add_argument("arguments", nargs=argparse.REMAINDER)
@@ -71,29 +108,42 @@
         command.add_argument("arguments", nargs=argparse.REMAINDER)
     for name, purpose in ROUTE_GUARD_COMMANDS:
         command = commands.add_parser(name, help=purpose)
-        command.add_argument("--config", required=True, help="TOML file")
+        command.add_argument(CONFIG_OPTION, required=True, help="TOML file")
     return parser
 
 
 def main(argv: list[str] | None = None) -> int:
     """Run one command; return the exit status."""
-    options = make_parser().parse_args(argv)
+    arguments = sys.argv[1:] if argv is None else argv
+    paths = parse_plain_serve(arguments)
+    if paths is not None:
+        return run_serve(paths)
+    return run_command(make_parser().parse_args(arguments))
+
+
+def run_command(options: argparse.Namespace) -> int:
+    """Run the command of parsed arguments; return the exit status."""
     command = options.command
     if command == "version":
         print(__version__)
         return 0
     if command == "check":
-        return check(options)
+        return check(ConfigPaths(options.config, options.fleet))
     if command == "lab":
         return run_lab(options.arguments)
     if command == "topology":
         return run_topology(options.arguments)
-    if command != "serve":
-        return run_fleet_command(options)
+    if command == "serve":
+        return run_serve(ConfigPaths(options.config, options.fleet))
+    return run_fleet_command(options)
+
+
+def run_serve(paths: ConfigPaths) -> int:
+    """Run one proxy, with signals queued from here on; return the exit status."""
     from onyxhollow.lifecycle.signals import SignalQueue
 
     signals = SignalQueue()  # before slow imports, so that no signal is lost
-    status = serve(options, signals)
+    status = serve(paths, signals)
     if status:
         signals.close()
     return status
@@ -138,7 +188,7 @@
     return run(command, options.arguments)
 
 
-def read_files(options: argparse.Namespace) -> tuple[Config, FleetConfig | None]:
+def read_files(paths: ConfigPaths) -> tuple[Config, FleetConfig | None]:
     """Return the configuration, and the fleet's if a fleet file is given.
 
     Raises:
@@ -147,37 +197,37 @@
     """
     from onyxhollow.lifecycle.config import ConfigError, read_config
 
-    if not options.config:
+    if not paths.config:
         raise ConfigError("configuration: expected --config or $LB_CONFIG, got neither")
-    config = read_config(options.config)
-    if not options.fleet:
+    config = read_config(paths.config)
+    if not paths.fleet:
         return config, None
     from onyxhollow.fleet.file import read_fleet
 
-    return config, read_fleet(options.fleet)
+    return config, read_fleet(paths.fleet)
 
 
-def serve(options: argparse.Namespace, signals: SignalQueue) -> int:
+def serve(paths: ConfigPaths, signals: SignalQueue) -> int:
     """Run one proxy until a signal ends it; return the exit status."""
     from onyxhollow.lifecycle import serve as serving
 
     try:
-        config, fleet = read_files(options)
+        config, fleet = read_files(paths)
     except ImportError as error:
         return report_missing_extra("fleet", error)
     except ValueError as error:
         return report_unusable_file(error)
     if fleet is None:
-        return serving.serve(config, options.config, signals)
+        return serving.serve(config, paths.config, signals)
     from onyxhollow.fleet.node import attach
 
-    return serving.serve(config, options.config, signals, attach(fleet))
+    return serving.serve(config, paths.config, signals, attach(fleet))
 
 
-def check(options: argparse.Namespace) -> int:
+def check(paths: ConfigPaths) -> int:
     """Validate the configuration and the fleet file, and print a summary; return the exit status."""
     try:
-        config, fleet = read_files(options)
+        config, fleet = read_files(paths)
     except ImportError as error:
         return report_missing_extra("fleet", error)
     except ValueError as error:
