--- a/onyxhollow/policy/estimators.py
+++ b/onyxhollow/policy/estimators.py
@@ -7,7 +7,11 @@
 
 import math
 from collections.abc import Hashable
-from hashlib import blake2b
+
+try:
+    from _blake2 import blake2b  # the same function as hashlib's, whose import also loads OpenSSL
+except ImportError:  # an interpreter without this module of CPython
+    from hashlib import blake2b
 
 EWMA_EXPIRY_SECONDS = 5.0  # an average without a new sample for this long counts as unknown
 NEWEST_SAMPLE_WEIGHT = 0.3
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -15,6 +15,7 @@
 
 # Modules that only other commands, optional features or failures need.
 DEFERRED_MODULES = {
+    "_hashlib",
     "argparse",
     "asyncio",
     "bz2",
@@ -22,6 +23,7 @@
     "decimal",
     "email",
     "gettext",
+    "hashlib",
     "http",
     "locale",
     "logging",
