--- a/onyxhollow/decision_adapter.py
+++ b/onyxhollow/decision_adapter.py
@@ -9,8 +9,7 @@
 
 import math
 from collections.abc import Callable, Generator, Hashable, Iterable
-from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from onyxhollow.counters import Counters
 from onyxhollow.interface import (
@@ -60,8 +59,7 @@
         """Outlier score from the failures of all members at the endpoint."""
 
 
-@dataclass(frozen=True, slots=True)
-class Selection:
+class Selection(NamedTuple):
     """The policy's decision for a session: an endpoint to attempt, or the final answer.
 
     Attributes:
--- a/onyxhollow/state_snapshot.py
+++ b/onyxhollow/state_snapshot.py
@@ -9,8 +9,7 @@
 
 import math
 from collections.abc import Iterable
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from onyxhollow.interface import EndpointState
 from onyxhollow.policy import Balancer
@@ -23,24 +22,21 @@
     """A snapshot contains a value that no process writes."""
 
 
-@dataclass(frozen=True, slots=True)
-class AgedValue:
+class AgedValue(NamedTuple):
     """A value, such as an average, and its age in seconds."""
 
     value: float
     age: float
 
 
-@dataclass(frozen=True, slots=True)
-class ArrivalProgress:
+class ArrivalProgress(NamedTuple):
     """Progress of an arriving endpoint: its fair share of placements, and those made so far."""
 
-    count: int
+    fair_share: int
     moved: int
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointRecord:
+class EndpointRecord(NamedTuple):
     """One endpoint's record in a snapshot. Ages are in seconds; None means unknown."""
 
     ever_used: bool
@@ -218,7 +214,7 @@
     """Restore the slow-start budget, so that both processes together do not exceed it."""
     endpoint.arrival = None
     if record.arrival:
-        endpoint.arrival = StagedMigration(record.arrival.count)
+        endpoint.arrival = StagedMigration(record.arrival.fair_share)
         endpoint.arrival.moved = record.arrival.moved
     if record.tokens is not None:
         balancer.slow_start.tokens[endpoint] = (min(1.0, record.tokens), now)
--- a/onyxhollow/wire/health_checks.py
+++ b/onyxhollow/wire/health_checks.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Generator
-from dataclasses import dataclass
 
 from onyxhollow.interface import AttemptOutcome
 from onyxhollow.loop import Task
@@ -27,7 +26,6 @@
 DEFAULT_MAX_CONNECTIONS = 64  # cached; until the configured limits are applied
 
 
-@dataclass(slots=True, eq=False)
 class HealthCheckConnection:
     """A connection for health checks.
 
@@ -35,9 +33,12 @@
     already slow another connection set-up.
     """
 
-    address: Address
-    channel: Channel
-    pending_answers: int = 0  # to earlier requests that timed out, and to the present one
+    __slots__ = ("address", "channel", "pending_answers")
+
+    def __init__(self, address: Address, channel: Channel) -> None:
+        self.address = address
+        self.channel = channel
+        self.pending_answers = 0  # to earlier requests that timed out, and to the present one
 
 
 class HealthChecker:
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -53,6 +53,9 @@
     "xxhash",
 }
 
+# Data classes of the modules of `serve`; each compiles its methods at every start, a NamedTuple does not.
+DATA_CLASSES = {"Config", "Endpoint", "Listener", "Settings", "Tenant"}
+
 
 def find_free_port():
     with socket.create_server(("127.0.0.1", 0)) as free:
@@ -94,6 +97,18 @@
     assert not too_early
 
 
+def test_serve_defines_no_data_classes_beyond_the_known_ones():
+    # Guards against a slow start: the methods of each data class are compiled when its module is imported.
+    code = (
+        "import sys, onyxhollow.__main__, onyxhollow.lifecycle.serve\n"
+        "modules = [module for name, module in sys.modules.items() if name.startswith('onyxhollow')]\n"
+        "print(*{name for module in modules for name, value in vars(module).items()"
+        " if isinstance(value, type) and hasattr(value, '__dataclass_fields__')})"
+    )
+    program = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    assert set(program.stdout.split()) == DATA_CLASSES
+
+
 @pytest.mark.parametrize(
     "arguments",
     [
