--- a/onyxhollow/lab/fleet/process_cluster.py
+++ b/onyxhollow/lab/fleet/process_cluster.py
@@ -474,16 +474,19 @@
         ]
 
     def polling_suspended(self) -> list[bool]:
-        """Return for each running member whether it has suspended its own list polling."""
-        last_events: dict[str, str] = {}
+        """Return for each running member whether it has suspended its own list polling.
+
+        A member that becomes the publisher polls again, and logs this only as the start of its duty.
+        """
+        list_duties = {duty["name"] for duty in self.duties if duty["work"] == "list"}
+        suspended: dict[str, bool] = {}
         for line in self.lines:
             if line.event in ("list polling suspended", "list polling resumed"):
-                last_events[line.process] = line.event
-        return [
-            last_events.get(process.title) == "list polling suspended"
-            for process in self.current.values()
-            if process.alive
-        ]
+                suspended[line.process] = line.event == "list polling suspended"
+            elif line.event == "duty" and line.fields["change"] == "held":
+                if line.fields["duty"].partition("/")[0] in list_duties:
+                    suspended[line.process] = False
+        return [suspended.get(process.title, False) for process in self.current.values() if process.alive]
 
     def holds(self) -> list[Hold]:
         ends = {p.title: p.ended_at for p in self.processes if p.ended_at}
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -3,6 +3,7 @@
 import signal
 import time
 from dataclasses import replace
+from types import SimpleNamespace
 
 import orjson
 import pytest
@@ -14,6 +15,7 @@
     ACTION_TOLERANCE_SECONDS,
     ActionKey,
     Hold,
+    LogLine,
     SlowWrite,
     check_holds,
 )
@@ -204,17 +206,41 @@
 LIST_ROLE = {"name": "list", "work": "list", "per": "zone", "every": 0.3}
 
 
+def test_a_member_that_becomes_the_publisher_no_longer_counts_as_suspended(make_cluster):
+    """Guards against a wait for suspended subscribers that a change of the publisher keeps from ending."""
+    cluster = make_cluster(members=3, duties=[LIST_ROLE])
+    cluster.current = {
+        name: SimpleNamespace(title=f"{name}.1", alive=True, expected_end=True) for name in cluster.names
+    }
+
+    def log(name, event, **fields):
+        cluster.lines.append(LogLine(float(len(cluster.lines)), f"{name}.1", event, fields))
+
+    log("n0", "duty", duty="list/a", change="held", term=1)
+    for name in ("n1", "n2"):
+        log(name, "list polling suspended", duty="list/a", term=1)
+    assert cluster.polling_suspended() == [False, True, True]
+    log("n0", "duty", duty="list/a", change="ended", term=1)
+    log("n1", "duty", duty="voters", change="held", term=1)
+    assert cluster.polling_suspended() == [False, True, True]
+    log("n1", "duty", duty="list/a", change="held", term=2)
+    log("n0", "list polling suspended", duty="list/a", term=2)
+    assert cluster.polling_suspended() == [True, False, True]
+    log("n2", "list polling resumed", duty="list/a", why="audit")
+    assert cluster.polling_suspended() == [True, False, False]
+
+
 def start_list_publisher(make_cluster, **values):
     cluster = make_cluster(members=5, duties=[LIST_ROLE], **values)
     cluster.start()
     cluster.wait_members()
-    publisher = cluster.wait_holder("list/a")
+    cluster.wait_holder("list/a")
     cluster.wait(
         lambda: sum(cluster.polling_suspended()) == 4,
         15,
         "polling suspended by all members but the publisher",
     )
-    return cluster, publisher
+    return cluster, cluster.wait_holder("list/a")  # a busy machine may have changed the first holder
 
 
 def processes_with_drain(cluster, host):
