--- a/onyxhollow/policy/selection.py
+++ b/onyxhollow/policy/selection.py
@@ -179,9 +179,8 @@
         return state.endpoints
     if len(state.subset) <= MIN_SUBSET:
         return state.subset
-    local_endpoints = sample(
-        state.rng, state.local_endpoints, min(LOCAL_SAMPLE_SIZE, len(state.local_endpoints))
-    )
+    local_count = min(LOCAL_SAMPLE_SIZE, len(state.local_endpoints))
+    local_endpoints = sample(state.rng, state.local_endpoints, local_count)
     return local_endpoints + sample(state.rng, state.subset, MIN_SUBSET // 2)
 
 
@@ -190,6 +189,8 @@
 
     Few own connections say less about the cost of an endpoint than its zone does.
     """
+    if not state.local_set:
+        return sample(state.rng, others, min(2, len(others)))
     local_endpoints = [s for s in others if s in state.local_set]
     drawn = sample(state.rng, local_endpoints, min(2, len(local_endpoints)))
     return drawn + sample(state.rng, others, min(1 if local_endpoints else 2, len(others)))
@@ -205,13 +206,14 @@
         return []
     if size > (MAX_COPIED_ENDPOINTS if count <= MAX_TINY_SAMPLE else MAX_COPIED_ENDPOINTS_FOR_LARGER_SAMPLE):
         return rng.sample(endpoints, count)
+    draw_bits = rng.getrandbits
     remaining = endpoints.copy()
     drawn = []
     for remaining_count in range(size, size - count, -1):
         bits = remaining_count.bit_length()
-        index = rng.getrandbits(bits)
+        index = draw_bits(bits)
         while index >= remaining_count:
-            index = rng.getrandbits(bits)
+            index = draw_bits(bits)
         drawn.append(remaining[index])
         remaining[index] = remaining[remaining_count - 1]
     return drawn
