--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -31,6 +31,8 @@
 from pathlib import Path
 from typing import Any
 
+from onyxhollow.lab.interrupts import deferred_interrupts
+
 ROOT = Path(__file__).resolve().parents[1]
 SERVER_COUNTS = (20, 1000)
 STEP_NS, SESSIONS_PER_STEP, SESSION_STEPS = 10_000_000, 10, 400  # in virtual time
@@ -168,6 +170,11 @@
     return False
 
 
+def end_process(process: subprocess.Popen[bytes]) -> None:
+    process.kill()
+    process.wait()
+
+
 def measure_start(clone: Path) -> dict[str, Any]:
     """Measure the time until a proxy is ready and its peak memory until then."""
     config = json.loads((clone / "example" / "config.json").read_bytes())
@@ -178,17 +185,16 @@
         path.write_text(json.dumps(config))
         started_at = time.perf_counter()
         arguments = ("-O", "-m", "onyxhollow", "serve", "--config", str(path))
-        process = start_python(clone, *arguments, stdout=subprocess.DEVNULL)
-        try:
+        with contextlib.ExitStack() as exit_stack:
+            with deferred_interrupts():
+                process = start_python(clone, *arguments, stdout=subprocess.DEVNULL)
+                exit_stack.callback(end_process, process)
             while not is_ready(port):
                 if process.poll() is not None or time.perf_counter() > started_at + START_TIMEOUT_SECONDS:
                     raise SystemExit(f"{clone}: proxy not ready within {START_TIMEOUT_SECONDS:g} s, or ended")
                 time.sleep(0.002)
             duration = time.perf_counter() - started_at
             status = Path(f"/proc/{process.pid}/status").read_text()
-        finally:
-            process.kill()
-            process.wait()
     peak = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM"))
     return {"ready_ms": duration * 1e3, "peak_mib": peak / 1024}
 
--- a/benchmarks/replace.py
+++ b/benchmarks/replace.py
@@ -24,6 +24,8 @@
 from pathlib import Path
 from typing import Any
 
+from onyxhollow.lab.interrupts import deferred_interrupts
+
 ROOT = Path(__file__).resolve().parents[1]
 LINE_INTERVAL_SECONDS = 0.02  # from an echo to the next line on the same connection
 CLIENT_INTERVAL_SECONDS = 0.02  # between new clients
@@ -145,6 +147,7 @@
         self.echo_times: list[float] = []  # seconds from a line to its echo
         self.scheduled: list[tuple[float, Client]] = []  # due time, client
         self.finished = False
+        self.children: list[subprocess.Popen[bytes]] = []  # all proxies that were started
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self.server_sockets = [socket.create_server(("127.0.0.1", 0), backlog=1024) for _ in range(3)]
         for sock in self.server_sockets:
@@ -196,7 +199,7 @@
             "LB_MANAGEMENT": f"127.0.0.1:{port}",
             "TMPDIR": str(self.folder),
         }
-        with (self.folder / "log").open("ab") as log:
+        with (self.folder / "log").open("ab") as log, deferred_interrupts():
             child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "onyxhollow", "serve", "--config", str(path)],
                 cwd=ROOT,
@@ -205,6 +208,7 @@
                 stdout=log,
                 stderr=log,
             )
+            self.children.append(child)
         return child, port
 
     def is_ready(self, child: subprocess.Popen[bytes], port: int) -> bool:
@@ -253,9 +257,9 @@
 
 def run_benchmark(connections: int, replacements: int, folder: Path) -> dict[str, Any]:
     bench = Bench(folder)
-    child, port = bench.start(0)
-    children, start_times, end_times, killed, closed_by_kills = [child], [], [], 0, 0
+    start_times, end_times, killed, closed_by_kills = [], [], 0, 0
     try:
+        child, port = bench.start(0)
         bench.next_client_at = time.monotonic() + WAIT_TIMEOUT_SECONDS
         bench.run_until(lambda: bench.is_ready(child, port), "start of the first proxy")
         clients = [Client(bench, lasting=True) for _ in range(connections)]
@@ -266,7 +270,6 @@
         baseline, bench.echo_times = sorted(bench.echo_times), []
         for number in range(1, replacements + 1):
             predecessor, (child, port) = child, bench.start(number)
-            children.append(child)
             start_times.append(
                 bench.run_until(lambda c=child, p=port: bench.is_ready(c, p), "start of a successor")
             )
@@ -292,7 +295,7 @@
         )
     finally:
         bench.finished = True
-        for process in children:
+        for process in bench.children:
             if process.poll() is None:
                 process.kill()
             process.wait()
--- a/onyxhollow/lab/fleet/process_cluster.py
+++ b/onyxhollow/lab/fleet/process_cluster.py
@@ -25,6 +25,7 @@
 from onyxhollow.lab.fleet.proxied_links import LinkFault, LinkRule, ProxiedLinks
 from onyxhollow.lab.fleet.record import Hold, HoldTracker, LogLine, Verdict, check_holds
 from onyxhollow.lab.fleet.stand_ins import LedgerService, ListService
+from onyxhollow.lab.interrupts import deferred_interrupts
 from onyxhollow.lab.sockets.proxies import free_address
 from onyxhollow.loop import Loop
 
@@ -77,7 +78,7 @@
         self.expected_end = False
 
     def start(self, environment: Mapping[str, str], fds: Iterable[int] = ()) -> None:
-        with self.log_path.open("wb") as log:
+        with self.log_path.open("wb") as log, deferred_interrupts():
             self.child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "onyxhollow.lab.fleet.member", "serve"],
                 stdin=subprocess.DEVNULL,
@@ -288,8 +289,8 @@
         if name in self.held_sockets:
             variables["LB_LISTEN_FD"] = str(self.held_sockets[name].fileno())
             fds = (self.held_sockets[name].fileno(),)
+        self.processes.append(process)  # before the start, so that `close` ends it after an interrupt
         process.start(variables, fds)
-        self.processes.append(process)
         if rate := self.process_faults.get(name, {}).get("rate"):
             self.clock_rates[process.title] = rate
 
--- a/onyxhollow/lab/fleet/sites.py
+++ b/onyxhollow/lab/fleet/sites.py
@@ -18,6 +18,7 @@
 from onyxhollow.lab.fleet.process_cluster import ROOT, ClusterError, ProcessCluster, format_address
 from onyxhollow.lab.fleet.routing_daemons import Internet, Partner, RoutingDaemon
 from onyxhollow.lab.fleet.traffic import Client, EchoServer
+from onyxhollow.lab.interrupts import deferred_interrupts
 from onyxhollow.lab.sockets.proxies import free_address
 
 PROXY_SETTINGS = {
@@ -70,7 +71,7 @@
 
     def start(self) -> None:
         self.path.write_text(tomli_w.dumps(self.config))
-        with self.log.open("ab") as log:
+        with self.log.open("ab") as log, deferred_interrupts():
             self.child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "onyxhollow", "route-guard", "--config", str(self.path)],
                 stdin=subprocess.DEVNULL,
--- a/onyxhollow/lab/sockets/proxies.py
+++ b/onyxhollow/lab/sockets/proxies.py
@@ -14,6 +14,7 @@
 
 import orjson
 
+from onyxhollow.lab.interrupts import deferred_interrupts
 from onyxhollow.lab.scenario import Scenario
 
 SEMANTICS = {"repeatable": "read_like", "referenced": "idempotency_key", "once-only": "non_idempotent"}
@@ -118,7 +119,7 @@
             environment["LB_FLEET"] = self.fleet
         self.start_count, self.ending = self.start_count + 1, False
         log = (self.folder / f"n{self.number}.log").open("ab")
-        with log:
+        with log, deferred_interrupts():
             self.child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "onyxhollow", "serve", "--config", str(config)],
                 stdin=subprocess.DEVNULL,
