--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -7,7 +7,9 @@
 import socket
 import subprocess
 import sys
+import tomllib
 import urllib.request
+from pathlib import Path
 
 import pytest
 
@@ -97,6 +99,22 @@
     assert not too_early
 
 
+def test_the_deploy_file_names_each_module_that_serve_imports():
+    # Guards against a module that a start needs and that the deployment does not check.
+    root = Path(__file__).resolve().parents[1]
+    deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
+    code = (
+        "import sys, onyxhollow.__main__, onyxhollow.lifecycle.serve\n"
+        "print(*{module.__file__ for name, module in sys.modules.items() if name.startswith('onyxhollow.')})"
+    )
+    program = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=root
+    )
+    imported = {Path(path).relative_to(root) for path in program.stdout.split()}
+    named = {Path(path) for path in (*deploy["node"], *deploy["policy"])}
+    assert imported and not {path for path in imported if not named & {path, *path.parents}}
+
+
 def test_serve_defines_no_data_classes_beyond_the_known_ones():
     # Guards against a slow start: the methods of each data class are compiled when its module is imported.
     code = (
