--- a/onyxhollow/policy/subset.py
+++ b/onyxhollow/policy/subset.py
@@ -78,7 +78,8 @@
     if healthy and healthy_connections > 0.0:
         reporting = healthy
         connections = healthy_connections
-        size -= sum(s.size for s in overloaded)
+        # An endpoint whose arrival has ended since the last redraw is not in the total.
+        size = max(size - sum(s.size for s in overloaded), sum(s.size for s in healthy))
     load = sum(s.size * s.load for s in reporting) / sum(s.size for s in reporting) if reporting else 1.0
     return connections / size / max(MIN_USABLE_LOAD, load)
 
--- a/tests/test_load_reports.py
+++ b/tests/test_load_reports.py
@@ -8,6 +8,7 @@
 from onyxhollow.interface import (
     Tenant,
 )
+from onyxhollow.policy.migration import StagedMigration
 
 
 def test_after_a_restart_among_many_an_endpoint_has_capacity_for_a_share_of_the_tenants_quotas(make_host):
@@ -58,6 +59,22 @@
     assert host.balancer.connections_at_capacity == pytest.approx(capacity / 4, rel=0.2)
 
 
+def test_an_arrival_that_ends_between_two_redraws_leaves_the_capacity_estimate_finite(make_host):
+    # Guards against a division by zero: the totals of the last redraw hold only the overloaded endpoint.
+    host = make_host()
+    a, b = host.list_endpoints("a", "b")
+    for _ in range(10):
+        host.admit()
+    b.arrival = StagedMigration(1)
+    host.balancer.redraw_subset()
+    b.arrival = None
+    host.report_loads(a=9.0, b=0.5)
+    for session in list(a.connections)[:1]:
+        session.release()
+    host.balancer.refresh_health()
+    assert 0.0 < host.balancer.connections_at_capacity < math.inf
+
+
 def test_without_load_reports_this_instances_share_of_the_quotas_limits_an_endpoint(make_host):
     # With 200 proxies and no reports, a group's endpoint was filled until it dropped its connections.
     host, servers = start_without_reports(make_host, max_retry_after=1.0)
