--- a/onyxhollow/lab/fleet/random_walk.py
+++ b/onyxhollow/lab/fleet/random_walk.py
@@ -62,6 +62,22 @@
     interval=STEP_SECONDS,
 )
 RECOVERY_SECONDS = 60.0  # without faults at the end, before the final state is checked
+# The kinds of random faults; one that is listed several times is drawn more often.
+FAULT_KINDS = (
+    "unhealthy",
+    "unhealthy",
+    "healthy",
+    "stop controller",
+    "stop announcer",
+    "cut off",
+    "heal",
+    "unavailable voter",
+    "routing daemon",
+    "override",
+    "override",
+    "override",
+    "load",
+)
 
 
 @dataclass
@@ -116,6 +132,7 @@
     # Time and messages.
 
     def schedule(self, delay: float, call: Callable[[], None]) -> None:
+        """Queue a call for `delay` seconds from now; calls due at the same time run in the order queued."""
         self.number += 1
         heapq.heappush(self.queue, (self.now + delay, self.number, call))
 
@@ -130,12 +147,14 @@
             self.schedule(self.rng.random() * max_delay, call)
 
     def record_violation(self, description: str) -> None:
+        """Add the description with the virtual time; only the first five violations are kept."""
         if len(self.violations) < 5:
             self.violations.append(f"{self.now:.2f}: {description}")
 
     # Controllers and announcers.
 
     def current_controller(self) -> LeaseHolder | None:
+        """Return the latest controller, or None if its lease has expired; it may be stopped."""
         return (
             self.controllers[-1] if self.controllers and self.controllers[-1].lease_until > self.now else None
         )
@@ -148,6 +167,7 @@
         self.controllers = self.controllers[-3:]
 
     def start_announcer(self, site: SimulatedSite) -> None:
+        """Start the next announcer of the site; its two predecessors are kept, as they may resume late."""
         self.announcer_term += 1
         site_config = next(entry for entry in CONFIG.sites if entry.name == site.name)
         core = Announcer(CONFIG, site_config, self.announcer_term, self.now)
@@ -178,12 +198,14 @@
                 self.send(partial(self.deliver_to_site, site, outgoing.message, holder), site.cut_off)
 
     def deliver_to_controller(self, holder: LeaseHolder, message: Message, sender: str) -> None:
+        """Pass a message to a controller; one that is stopped or has lost its lease ignores it."""
         if holder.stopped_until > self.now or holder.lease_until <= self.now:
             return
         holder.core.on_message(message, sender, self.now, self.now)
         self.send_outbox(holder)
 
     def deliver_to_voter(self, voter: str, message: Message, sender: LeaseHolder) -> None:
+        """Answer a query, or store records and acknowledge them; an unavailable voter loses the message."""
         if voter in self.unavailable_voters:
             return
         override_log = self.override_logs[voter]
@@ -203,6 +225,7 @@
         self.send(lambda: self.deliver_to_controller(sender, response, voter))
 
     def deliver_to_site(self, site: SimulatedSite, message: Message, sender: LeaseHolder) -> None:
+        """Pass a route assignment to the site's latest announcer, which answers with a site report."""
         if site.cut_off or not isinstance(message, RouteAssignment) or not site.announcers:
             return
         announcer = site.announcers[-1]
@@ -214,6 +237,7 @@
     def send_site_report(
         self, site: SimulatedSite, announcer: LeaseHolder, controller: LeaseHolder | None
     ) -> None:
+        """Send the announcer's report, if it has one, to the given controller."""
         report: SiteReport | None = announcer.core.report(self.now)
         if report is not None and controller is not None:
             self.send(lambda: self.deliver_to_controller(controller, report, f"{site.name}0"), site.cut_off)
@@ -267,6 +291,7 @@
         controller_term: int,
         number: int,
     ) -> None:
+        """Apply a call to the route table and return the guard's state; a stale term gets no answer."""
         table = site.table
         try:
             if call == "claim":
@@ -294,20 +319,10 @@
         self, site: SimulatedSite, announcer: LeaseHolder, name: str, before: Preference, after: Preference
     ) -> None:
         """Check a change that reaches a routing daemon: its term, stored decision and the policy's limits."""
-        if announcer.term < self.highest_terms.get(site.name, 0):
-            self.record_violation(
-                f"{site.name}: term {announcer.term} after {self.highest_terms[site.name]} "
-                "at the routing daemon"
-            )
-        self.highest_terms[site.name] = max(announcer.term, self.highest_terms.get(site.name, 0))
+        self.check_announcer_term(site, announcer)
         by_site_itself = (name, site.name) in self.self_withdrawn and after is Preference.WITHDRAWN
         self.self_withdrawn.discard((name, site.name))
-        committed = [
-            row
-            for row in self.decision_records.values()
-            if (row.address, row.site, row.preference) == (name, site.name, int(after))
-            and sum(record_id(row) in stored for stored in self.stored_decisions.values()) >= 2
-        ]
+        committed = self.committed_decisions(site, name, after)
         if not committed and not by_site_itself:
             self.record_violation(
                 f"{name} at {site.name}: {after.name} without a record on two voters' disks"
@@ -315,28 +330,55 @@
         if after is not Preference.WITHDRAWN:
             self.withdrawn_at.pop((name, site.name), None)
             return
+        if by_site_itself:
+            return
+        self.check_remaining_sites(site, name)
+        if committed and max(committed, key=lambda row: (row.term, row.number)).cause == Cause.HEALTH:
+            self.withdrawn_at[name, site.name] = self.now
+            self.check_withdrawal_budget()
+
+    def check_announcer_term(self, site: SimulatedSite, announcer: LeaseHolder) -> None:
+        """Check that the announcer terms that reach the site's routing daemon never decrease."""
+        highest_term = self.highest_terms.get(site.name, 0)
+        if announcer.term < highest_term:
+            self.record_violation(
+                f"{site.name}: term {announcer.term} after {highest_term} at the routing daemon"
+            )
+        self.highest_terms[site.name] = max(announcer.term, highest_term)
+
+    def committed_decisions(
+        self, site: SimulatedSite, name: str, preference: Preference
+    ) -> list[DecisionRecord]:
+        """Return the decisions for this preference that at least two voters have stored."""
+        return [
+            row
+            for row in self.decision_records.values()
+            if (row.address, row.site, row.preference) == (name, site.name, int(preference))
+            and sum(record_id(row) in stored for stored in self.stored_decisions.values()) >= 2
+        ]
+
+    def check_remaining_sites(self, site: SimulatedSite, name: str) -> None:
+        """Check that enough other sites advertise the address that is withdrawn at the given one."""
         others = sum(
             other.table.preferences[name] is not Preference.WITHDRAWN
             for other in self.sites.values()
             if other is not site
         )
-        if others < POLICY.min_sites and not by_site_itself:
+        if others < POLICY.min_sites:
             self.record_violation(f"{name}: withdrawn at {site.name}, {others} others advertise it")
-        if (
-            not by_site_itself
-            and committed
-            and max(committed, key=lambda row: (row.term, row.number)).cause == Cause.HEALTH
-        ):
-            self.withdrawn_at[name, site.name] = self.now
-            # Message delays separate a decision from its route change, so only half of the policy's window
-            # is checked.
-            recently_withdrawn = {
-                other
-                for (_, other), withdrawn_at in self.withdrawn_at.items()
-                if self.now - withdrawn_at < POLICY.withdrawal_window / 2
-            }
-            if len(recently_withdrawn) > POLICY.max_concurrent_withdrawals:
-                self.record_violation(f"withdrawn for health at the same time: {sorted(recently_withdrawn)}")
+
+    def check_withdrawal_budget(self) -> None:
+        """Check that not too many sites were withdrawn for health within half of the policy's window.
+
+        Message delays separate a decision from its route change, so the full window would be too strict.
+        """
+        recently_withdrawn = {
+            other
+            for (_, other), withdrawn_at in self.withdrawn_at.items()
+            if self.now - withdrawn_at < POLICY.withdrawal_window / 2
+        }
+        if len(recently_withdrawn) > POLICY.max_concurrent_withdrawals:
+            self.record_violation(f"withdrawn for health at the same time: {sorted(recently_withdrawn)}")
 
     def check_final_state(self) -> None:
         """Check that healthy sites advertise all addresses, and unhealthy ones none that others can serve."""
@@ -400,24 +442,10 @@
                     )
 
     def cause_random_fault(self) -> None:
+        """Draw a site and a kind of fault and start it; some draws have no effect in the current state."""
         rng = self.rng
         site = self.sites[rng.choice(SITES)]
-        kinds = (
-            "unhealthy",
-            "unhealthy",
-            "healthy",
-            "stop controller",
-            "stop announcer",
-            "cut off",
-            "heal",
-            "unavailable voter",
-            "routing daemon",
-            "override",
-            "override",
-            "override",
-            "load",
-        )
-        kind = rng.choice(kinds)
+        kind = rng.choice(FAULT_KINDS)
         if kind == "unhealthy":
             site.health = rng.choice((0.0, 0.05, 0.3, 0.5))
         elif kind == "healthy":
@@ -438,15 +466,17 @@
         elif kind == "load":
             site.load = rng.choice((5.0, 40.0, 80.0))
         elif kind == "override":
-            verb = rng.choice(("drain", "drain", "undrain", "exclude", "include"))
-            self.number += 1
-            highest = max(override_log.highest_number for override_log in self.override_logs.values())
-            until = self.now + 20.0
-            override = Override(
-                f"o{self.number}", highest + 1, verb, "", site.name, "w", "y", self.now, until
-            )
-            for voter in rng.sample(VOTERS, 2):
-                self.override_logs[voter].add(override, self.now, self.now)
+            self.give_random_override(site)
+
+    def give_random_override(self, site: SimulatedSite) -> None:
+        """Store an operator's override for the site, valid for 20 s, at two of the voters."""
+        verb = self.rng.choice(("drain", "drain", "undrain", "exclude", "include"))
+        self.number += 1
+        highest = max(override_log.highest_number for override_log in self.override_logs.values())
+        until = self.now + 20.0
+        override = Override(f"o{self.number}", highest + 1, verb, "", site.name, "w", "y", self.now, until)
+        for voter in self.rng.sample(VOTERS, 2):
+            self.override_logs[voter].add(override, self.now, self.now)
 
     def run(self, faults: int) -> list[str]:
         """Run a schedule with the given number of faults; return the violations, up to five."""
