--- a/onyxhollow/lab/fleet/state_explorer.py
+++ b/onyxhollow/lab/fleet/state_explorer.py
@@ -39,6 +39,7 @@
 VOTERS = ("v0", "v1", "v2")
 CANDIDATES = ("c0", "c1")
 DUTY = "d"
+Datagram = tuple[str, str, Any]  # source, target, message
 RECOVERY_TICKS = 40  # without faults, within which a candidate must become the holder
 
 
@@ -46,9 +47,11 @@
     """Random numbers that are all the minimum, so that only the explorer varies a run."""
 
     def random(self) -> float:
+        """Return 0.0."""
         return 0.0
 
-    def uniform(self, a: float, b: float) -> float:
+    def uniform(self, a: float, b: float) -> float:  # the parameter names of the base class
+        """Return the lower bound."""
         return a
 
 
@@ -60,6 +63,34 @@
     return tuple((*row[:-1], encode(row[-1])) for row in rows)
 
 
+def voter_key(voter: Voter) -> tuple[Any, ...]:
+    """Return what determines how a voter continues; its recovery state counts only while it recovers."""
+    return (
+        tuple(sorted(voter.slots.items(), key=lambda row: row[0])),
+        voter.recovering,
+        voter.recovering
+        and (voter.no_grants_before, tuple(sorted(voter.peer_recovering.items())), voter.next_query_at),
+    )
+
+
+def candidate_key(candidate: Candidate) -> tuple[Any, ...]:
+    """Return what determines how a candidate continues, with rounds numbered from its current one."""
+    return (
+        candidate.state,
+        candidate.term,
+        candidate.highest_term,
+        candidate.expires_at,
+        candidate.next_at,
+        candidate.retransmit_at,
+        candidate.failed_attempts,
+        tuple(
+            (number - candidate.round, sent.sent_at, sent.granted_by)
+            for number, sent in candidate.rounds.items()
+        ),
+        tuple(sorted((name, refusal.remaining) for name, refusal in candidate.refusals.items())),
+    )
+
+
 class InvariantViolationError(Exception):
     """An invariant does not hold."""
 
@@ -76,7 +107,7 @@
     stopped: frozenset[str] = frozenset()
     cut: frozenset[tuple[str, str]] = frozenset()  # candidate and direction: "out", "in"
     delayed: tuple[tuple[int, str, str, Any], ...] = ()  # due tick, source, target, message
-    unread: tuple[tuple[str, str, Any], ...] = ()  # source, target, message; the target is stopped
+    unread: tuple[Datagram, ...] = ()  # that arrived while their target was stopped
     highest_term: int = 0  # of the actions that the service has received
     last_holder: tuple[int, str] = (0, "")  # term and name
     budget: int = 0  # faults that may still be caused
@@ -88,6 +119,7 @@
 
     @staticmethod
     def new(rates: tuple[float, ...], budget: int, only_faults: str = "") -> World:
+        """Return the initial state: nothing is granted, and the first candidate is due before the second."""
         voter_set = VoterSet(0, VOTERS)
         world = World(rates, budget=budget, only_faults=only_faults)
         for name in VOTERS:
@@ -104,6 +136,7 @@
         return world
 
     def copy(self) -> World:
+        """Return a world that can advance independently; it shares only values that are never changed."""
         other = copy.copy(self)
         other.voters = [copy.copy(voter) for voter in self.voters]
         for voter in other.voters:
@@ -125,54 +158,21 @@
 
     def key(self) -> Any:
         """Return the key of the state; states with equal keys continue in the same way."""
-        voters = tuple(
-            (
-                tuple(sorted(voter.slots.items(), key=lambda row: row[0])),
-                voter.recovering,
-                voter.recovering
-                and (
-                    voter.no_grants_before,
-                    tuple(sorted(voter.peer_recovering.items())),
-                    voter.next_query_at,
-                ),
-            )
-            for voter in self.voters
-        )
-        candidates = tuple(
-            (
-                candidate.state,
-                candidate.term,
-                candidate.highest_term,
-                candidate.expires_at,
-                candidate.next_at,
-                candidate.retransmit_at,
-                candidate.failed_attempts,
-                tuple(
-                    (number - candidate.round, sent.sent_at, sent.granted_by)
-                    for number, sent in candidate.rounds.items()
-                ),
-                tuple(sorted((name, refusal.remaining) for name, refusal in candidate.refusals.items())),
-            )
-            for candidate in self.candidates
-        )
         in_transit = encode_messages(self.delayed), encode_messages(self.unread)
         return (
             self.tick,
-            voters,
-            candidates,
+            tuple(voter_key(voter) for voter in self.voters),
+            tuple(candidate_key(candidate) for candidate in self.candidates),
             self.stopped,
             self.cut,
             in_transit,
             self.highest_term,
             self.last_holder,
             self.budget,
-            self.disks_key(),
+            tuple(disk[-1:] for disk in self.disks),
             self.blank_voters,
         )
 
-    def disks_key(self) -> Any:
-        return tuple(disk[-1:] for disk in self.disks)
-
     # Faults.
 
     def possible_faults(self) -> list[tuple[str, str]]:
@@ -194,10 +194,11 @@
         return faults
 
     def holds(self, name: str) -> bool:
+        """Return whether the candidate holds the lease by its own clock."""
         return self.candidates[CANDIDATES.index(name)].holds(self.clock(name))
 
-    def cause_fault(self, kind: str, name: str) -> list[tuple[str, str, Any]]:
-        """Start or end the fault; return the datagrams (source, target, message) to deliver because of it."""
+    def cause_fault(self, kind: str, name: str) -> list[Datagram]:
+        """Start or end the fault; return the datagrams to deliver because of it."""
         if kind == "stop":
             self.stopped |= {name}
         elif kind == "resume":
@@ -244,22 +245,48 @@
 
     def advance(self, choose: Callable[[int], int]) -> None:
         """Run one tick; `choose` takes the number of options and returns one, 0 being no fault."""
-        queue: list[tuple[str, str, Any]] = []
-        if self.budget:
-            faults = self.possible_faults()
-            if chosen := choose(1 + len(faults)):
-                self.budget -= 1
-                queue += self.cause_fault(*faults[chosen - 1])
-        now = self.tick
-        queue += [(source, target, message) for due, source, target, message in self.delayed if due <= now]
-        self.delayed = tuple(row for row in self.delayed if row[0] > now)
+        queue = self.choose_fault(choose)
+        queue += self.take_due_datagrams()
         self.check()
-        for name in VOTERS:
+        queue += self.tick_voters()
+        queue += self.tick_candidates()
+        self.check()
+        position = 0
+        while position < len(queue):
+            queue += self.transmit(*queue[position], choose)
+            position += 1
+        self.tick += 1
+        self.check()
+
+    def choose_fault(self, choose: Callable[[int], int]) -> list[Datagram]:
+        """Let `choose` select a fault of this tick, and return the datagrams to deliver because of it."""
+        if not self.budget:
+            return []
+        faults = self.possible_faults()
+        if not (chosen := choose(1 + len(faults))):
+            return []
+        self.budget -= 1
+        return self.cause_fault(*faults[chosen - 1])
+
+    def take_due_datagrams(self) -> list[Datagram]:
+        """Remove the delayed datagrams that are due at this tick, and return them."""
+        due = [row[1:] for row in self.delayed if row[0] <= self.tick]
+        self.delayed = tuple(row for row in self.delayed if row[0] > self.tick)
+        return due
+
+    def tick_voters(self) -> list[Datagram]:
+        """Run the voters that are not stopped, store their records and return their datagrams."""
+        queue: list[Datagram] = []
+        for index, name in enumerate(VOTERS):
             if name not in self.stopped:
-                voter = self.voters[VOTERS.index(name)]
-                sent, rows = voter.tick(self.clock(name))
-                self.disks[VOTERS.index(name)] += tuple(rows)
+                sent, records = self.voters[index].tick(self.clock(name))
+                self.disks[index] += tuple(records)
                 queue += [(name, target, message) for target, message in sent]
+        return queue
+
+    def tick_candidates(self) -> list[Datagram]:
+        """Let the candidates that are not stopped act and run if due, and return their datagrams."""
+        queue: list[Datagram] = []
         for rank, name in enumerate(CANDIDATES):
             if name not in self.stopped:
                 self.act(name)
@@ -267,34 +294,36 @@
                 if self.clock(name) >= candidate.next_due():
                     requests = candidate.tick(self.clock(name), rank)
                     queue += [(name, voter, message) for voter, message in requests]
+        return queue
+
+    def transmit(
+        self, source: str, target: str, message: Any, choose: Callable[[int], int]
+    ) -> list[Datagram]:
+        """Deliver a datagram unless a fault prevents it; return the datagrams sent in response.
+
+        `choose` selects the fault of the datagram: 0 none, 1 lost, then one option for each delay, and one
+        for each delay of a duplicate.
+        """
+        if (source, "out") in self.cut or (target, "in") in self.cut:
+            return []
+        chosen = choose(2 + 2 * len(DELAY_TICKS)) if self.budget and not self.only_faults else 0
+        if chosen:
+            self.budget -= 1
+            if chosen == 1:
+                return []
+            delay = DELAY_TICKS[(chosen - 2) % len(DELAY_TICKS)]
+            self.delayed += ((self.tick + delay, source, target, message),)
+            duplicated = chosen >= 2 + len(DELAY_TICKS)
+            if not duplicated:
+                return []
+        if target in self.stopped:
+            self.unread += ((source, target, message),)
+            return []
+        responses = self.deliver(source, target, message)
         self.check()
-        position = 0
-        while position < len(queue):
-            source, target, message = queue[position]
-            position += 1
-            if (source, "out") in self.cut or (target, "in") in self.cut:
-                continue
-            chosen = choose(2 + 2 * len(DELAY_TICKS)) if self.budget and not self.only_faults else 0
-            if chosen:  # 1: lost; then one option for each delay, and one for each delay of a duplicate
-                self.budget -= 1
-                if chosen == 1:
-                    continue
-                delay, duplicated = (
-                    DELAY_TICKS[(chosen - 2) % len(DELAY_TICKS)],
-                    chosen >= 2 + len(DELAY_TICKS),
-                )
-                self.delayed += ((self.tick + delay, source, target, message),)
-                if not duplicated:
-                    continue
-            if target in self.stopped:
-                self.unread += ((source, target, message),)
-                continue
-            queue += self.deliver(source, target, message)
-            self.check()
-        self.tick += 1
-        self.check()
+        return responses
 
-    def deliver(self, source: str, target: str, message: Any) -> list[tuple[str, str, Any]]:
+    def deliver(self, source: str, target: str, message: Any) -> list[Datagram]:
         """Deliver a datagram; return the datagrams sent in response."""
         now = self.clock(target)
         if target in VOTERS:
@@ -308,16 +337,23 @@
             sent = candidate.on_response(now, source, message)
         elif isinstance(message, LeaseOffer):
             sent = candidate.on_offer(now, message.term)
+        self.check_new_terms(candidate, target)
+        return [(target, voter, voter_message) for voter, voter_message in sent]
+
+    def check_new_terms(self, candidate: Candidate, name: str) -> None:
+        """Check that each lease that the candidate has just acquired has a higher term than the one before.
+
+        After a majority of the voters has recovered without disks, terms may repeat.
+        """
         for transition in candidate.transitions:
             if transition.began:
                 if transition.term <= self.last_holder[0] and not self.majority_blank:
                     raise InvariantViolationError(
-                        f"tick {self.tick}: {target} holds under term {transition.term} "
+                        f"tick {self.tick}: {name} holds under term {transition.term} "
                         f"after {self.last_holder}"
                     )
-                self.last_holder = max(self.last_holder, (transition.term, target))
+                self.last_holder = max(self.last_holder, (transition.term, name))
         candidate.transitions.clear()
-        return [(target, voter, voter_message) for voter, voter_message in sent]
 
     def act(self, name: str) -> None:
         """Perform an action under the candidate's term if it holds the lease."""
@@ -357,7 +393,8 @@
             f"tick {self.tick}: no holder after {RECOVERY_TICKS} ticks without faults"
         )
 
-    def deliver_next_tick(self, rows: list[tuple[str, str, Any]]) -> None:
+    def deliver_next_tick(self, rows: list[Datagram]) -> None:
+        """Queue the datagrams as due at the tick that runs next."""
         self.delayed += tuple((self.tick, *row) for row in rows)
 
 
@@ -383,8 +420,10 @@
 
 @dataclass
 class ExplorationResult:
-    states: int = 0
-    steps: int = 0
+    """The size of an exploration and the first violation that it found."""
+
+    states: int = 0  # distinct ones, over all ticks
+    steps: int = 0  # ticks that were run, including those that reached a known state
     violation: str = ""  # the first one
     complete: bool = True  # whether no state was left out
     checked_ends: int = 0  # final states from which the recovery was checked
@@ -397,6 +436,45 @@
 }
 
 
+def explore_tick(
+    worlds: list[World], max_states: int, deadline: float, result: ExplorationResult
+) -> list[World]:
+    """Run one tick of each world with every choice of faults, and return the distinct states reached.
+
+    Worlds are left out once `max_states` states are reached or the deadline, in monotonic time, has passed.
+    """
+    next_worlds: dict[Any, World] = {}
+    for world in worlds:
+        if len(next_worlds) >= max_states or time.monotonic() > deadline:
+            result.complete = False
+            break
+        for successor in successors(world):
+            result.steps += 1
+            next_worlds.setdefault(successor.key(), successor)
+    return list(next_worlds.values())
+
+
+def successors(world: World) -> Iterator[World]:
+    """Yield the state after one tick for every choice of faults; the given world is not changed."""
+    reached: list[World] = []
+
+    def run_tick(choose: Callable[[int], int]) -> None:
+        successor = world.copy()
+        successor.advance(choose)
+        reached.append(successor)
+
+    for _ in run_all_choices(run_tick):
+        yield reached.pop()
+
+
+def check_recoveries(final_worlds: list[World], rng: Random, result: ExplorationResult) -> None:
+    """Check the recovery from a sample of the final states: 5 %, but at least 50 if there are as many."""
+    sample_size = min(len(final_worlds), max(50, len(final_worlds) // 20))
+    for world in rng.sample(final_worlds, sample_size):
+        result.checked_ends += 1
+        world.copy().check_recovery()
+
+
 def explore(
     budget: int,
     ticks: int,
@@ -411,39 +489,18 @@
     `max_states` and `seconds` limit the exploration. The seed then selects the states that are continued.
     """
     result, started_at, rng = ExplorationResult(), time.monotonic(), Random(seed)
-    level: dict[Any, World] = {"": World.new(RATES[rates], budget, only_faults)}
+    worlds = [World.new(RATES[rates], budget, only_faults)]
     try:
         for tick in range(ticks):
-            next_level: dict[Any, World] = {}
-            worlds = list(level.values())
             remaining = max(1, max_states - result.states)
-            # Each tick has a share of the limit, so that the later ones are explored too.
+            # Each tick has a share of the limits, so that the later ones are explored too.
             share = max(1, remaining // max(1, ticks - tick))
             if len(worlds) > 1 and share < max_states:
                 rng.shuffle(worlds)
-            for world in worlds:
-                if len(next_level) >= share or time.monotonic() - started_at > seconds * (tick + 1) / ticks:
-                    result.complete = False
-                    break
-                reached: list[World] = []
-
-                def run_tick(
-                    choose: Callable[[int], int], world: World = world, reached: list[World] = reached
-                ) -> None:
-                    successor = world.copy()
-                    successor.advance(choose)
-                    reached.append(successor)
-
-                for _ in run_all_choices(run_tick):
-                    result.steps += 1
-                    successor = reached.pop()
-                    next_level.setdefault(successor.key(), successor)
-            result.states += len(next_level)
-            level = next_level
-        final_worlds = list(level.values())
-        for world in rng.sample(final_worlds, min(len(final_worlds), max(50, len(final_worlds) // 20))):
-            result.checked_ends += 1
-            world.copy().check_recovery()
+            tick_ends_at = started_at + seconds * (tick + 1) / ticks
+            worlds = explore_tick(worlds, share, tick_ends_at, result)
+            result.states += len(worlds)
+        check_recoveries(worlds, rng, result)
     except InvariantViolationError as error:
         result.violation = str(error)
     result.seconds = time.monotonic() - started_at
