--- a/benchmarks/topology.py
+++ b/benchmarks/topology.py
@@ -22,7 +22,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from onyxhollow.lab.fleet.process_cluster import ProcessCluster, format_address  # noqa: E402
+from onyxhollow.lab.fleet.configuration_files import format_address  # noqa: E402
+from onyxhollow.lab.fleet.process_cluster import ProcessCluster  # noqa: E402
 from onyxhollow.topology import draw, fault_types, gather, layout  # noqa: E402
 from onyxhollow.topology.faults import find_faults  # noqa: E402
 from onyxhollow.topology.model import EndpointStatus, LinkStatus, MemberStatus, MemberView, Snapshot  # noqa: E402
--- a/onyxhollow/lab/fleet/process_cluster.py
+++ b/onyxhollow/lab/fleet/process_cluster.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 import orjson
-import tomli_w
 
+from onyxhollow.lab.fleet.configuration_files import format_address, write_configuration
 from onyxhollow.lab.fleet.proxied_links import LinkFault, LinkRule, ProxiedLinks
 from onyxhollow.lab.fleet.record import Hold, HoldTracker, LogLine, Verdict, check_holds
 from onyxhollow.lab.fleet.stand_ins import LedgerService, ListService
@@ -40,11 +40,6 @@
     """A condition was not met within its timeout, or a process did not start."""
 
 
-def format_address(address: tuple[str, int]) -> str:
-    """Return an address as `host:port`."""
-    return f"{address[0]}:{address[1]}"
-
-
 def server_row(number: int, zones: tuple[str, ...]) -> dict[str, Any]:
     """Return the endpoint list row of a server that does not exist; no proxy can connect to it."""
     return {
@@ -77,6 +72,7 @@
         self.expected_end = False
 
     def start(self, environment: Mapping[str, str], fds: Iterable[int] = ()) -> None:
+        """Run `serve` with its management address and fault file in the environment; it inherits `fds`."""
         with self.log_path.open("wb") as log:
             self.child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "onyxhollow.lab.fleet.member", "serve"],
@@ -95,14 +91,17 @@
 
     @property
     def pid(self) -> int:
+        """The process id; only valid after `start`."""
         assert self.child is not None
         return self.child.pid
 
     @property
     def alive(self) -> bool:
+        """Whether the process was started and has not ended; a stopped one is alive."""
         return self.child is not None and self.child.poll() is None
 
     def send_signal(self, number: int) -> None:
+        """Send a signal, unless the process has ended."""
         if self.alive:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.pid, number)
@@ -130,26 +129,14 @@
         settings: dict[str, Any] | None = None,
         extra_fleet_settings: dict[str, Any] | None = None,
     ) -> None:
-        """Allocate all addresses without starting a process.
-
-        `extra_fleet_settings` are added to the fleet file.
-        """
+        """Allocate all addresses, but start no process; the fleet file gets `extra_fleet_settings` too."""
         self.folder, self.seed, self.lease = folder, seed, lease
-        folder.mkdir(parents=True, exist_ok=True)
-        (folder / "key").write_text(KEY + "\n")
-        for stale_folder in folder.glob("state-*"):  # of an earlier run in the same folder
-            shutil.rmtree(stale_folder)
-        self.failures: list[str] = []
-        self.loop = Loop(lambda where, error: self.failures.append(f"{where}: {error!r}"))
-        self.rng = Random(seed)
-        self.links = ProxiedLinks(self.loop, self.rng)
-        rows = [server_row(number, zones) for number in range(servers)]
-        self.list_service = ListService(self.loop, self.links, rows)
-        self.ledger = LedgerService(self.loop, self.links)
-        self.stand_ins = (self.list_service, self.ledger)
+        self._prepare_folder()
+        self._create_network([server_row(number, zones) for number in range(servers)])
         self.names = [f"n{number}" for number in range(members)]
         self.zones = {name: zones[number % len(zones)] for number, name in enumerate(self.names)}
         self.voters = self.names[:voters]
+        self.spare_voters: tuple[str, ...] = ()  # members with a state folder that are not voters yet
         self.duties = [{"name": "ledger", "work": "call", "every": 0.1}] if duties is None else duties
         self.fleet, self.ask_within, self.settings = fleet, ask_within, settings or {}
         self.extra_fleet_settings = extra_fleet_settings or {}
@@ -160,8 +147,28 @@
             "patience": patience,
         }
         self.membership = {"period": period, "timeout": period / 3, "sync": max(1.0, 5 * period)}
-        self.advertised_addresses: dict[str, tuple[str, int]] = {}  # proxied addresses, by slot
-        self.process_addresses: dict[str, tuple[str, int]] = {}
+        self._create_process_records()
+        self._allocate_addresses()
+
+    def _prepare_folder(self) -> None:
+        """Create the folder with the key of the fleet, and delete the state of an earlier run in it."""
+        self.folder.mkdir(parents=True, exist_ok=True)
+        (self.folder / "key").write_text(KEY + "\n")
+        for stale_folder in self.folder.glob("state-*"):
+            shutil.rmtree(stale_folder)
+
+    def _create_network(self, server_rows: list[dict[str, Any]]) -> None:
+        """Create the event loop, the proxied links and the stand-ins; the list service has these rows."""
+        self.failures: list[str] = []
+        self.loop = Loop(lambda where, error: self.failures.append(f"{where}: {error!r}"))
+        self.rng = Random(self.seed)
+        self.links = ProxiedLinks(self.loop, self.rng)
+        self.list_service = ListService(self.loop, self.links, server_rows)
+        self.ledger = LedgerService(self.loop, self.links)
+        self.stand_ins = (self.list_service, self.ledger)
+
+    def _create_process_records(self) -> None:
+        """Create the records of processes and of what their logs tell, all empty."""
         self.processes: list[Process] = []
         self.current: dict[str, Process] = {}  # current process, by member
         self.lines: list[LogLine] = []
@@ -171,6 +178,11 @@
         self.process_faults: dict[str, dict[str, Any]] = {}
         self.next_log_read_at = 0.0
         self.crashes: list[str] = []
+
+    def _allocate_addresses(self) -> None:
+        """Reserve the listener, process and proxied addresses of all members."""
+        self.advertised_addresses: dict[str, tuple[str, int]] = {}  # proxied addresses, by slot
+        self.process_addresses: dict[str, tuple[str, int]] = {}
         self.held_sockets: dict[str, socket.socket] = {}  # listener sockets passed to members, by name
         self.listen_addresses: dict[str, tuple[str, int]] = {}
         for name in self.names:
@@ -178,80 +190,20 @@
             self.listen_addresses[name] = free_address(self.host(name, 1), socket.SOCK_STREAM)
 
     def host(self, name: str, net: int) -> str:
+        """Return a loopback host of the member: in net 1 for its listener, in 2 process, in 3 proxy."""
         number = int(name.rstrip("+")[1:])
         return f"127.{net}.{number // 200}.{number % 200 + 1}"
 
     def give_addresses(self, name: str, slot: str) -> None:
+        """Reserve the addresses of a slot, and open the proxy socket between them."""
         self.process_addresses[slot] = free_address(self.host(name, 2), socket.SOCK_DGRAM)
         self.advertised_addresses[slot] = free_address(self.host(name, 3), socket.SOCK_DGRAM)
         self.links.add(slot, self.process_addresses[slot], self.advertised_addresses[slot])
 
     # Processes
 
-    def write_files(self, process: Process) -> tuple[Path, Path]:
-        name, slot = process.name, process.slot
-        settings: dict[str, Any] = {
-            "me": int(name[1:]),
-            "peersTotal": len(self.names),
-            "zone": self.zones[name],
-            "discovery": "on_request",
-            "listeners": [
-                {
-                    "name": "chat",
-                    "semantics": "read_like",
-                    "handshakeTargetNs": 300000000,
-                    "dialTimeoutNs": 2000000000,
-                }
-            ],
-            "ceilings": {"mostDials": 3, "probes": False, "cancelling": True, "connectTimeoutNs": 250000000},
-            "rules": {
-                "askWithinNs": round(self.ask_within * 1e9),
-                "coldNs": 1000000000,
-                "coldShare": 1.0,
-                "fallMultiple": 3.0,
-                "fallNs": 2000000000,
-            },
-        }
-        config_path = self.folder / f"{process.title}.json"
-        config_path.write_bytes(
-            orjson.dumps(
-                {
-                    "name": name,
-                    "listen": format_address(self.listen_addresses[name]),
-                    "discovery": format_address(self.list_service.listener_for(name).address),
-                    "seed": f"{self.seed * 7919 + int(name[1:]) * 31 + process.run_number:x}",
-                    "limits": {"memory_mb": 64, "sockets": 256},
-                    "known": {"seq": -1, "hosts": []},
-                    "settings": settings | self.settings,
-                }
-            )
-        )
-        call = format_address(self.ledger.listener_for(name).address)
-        duties = [
-            duty | ({"call": call} if duty["work"] == "call" else {"service": "rig"}) for duty in self.duties
-        ]
-        fleet_settings: dict[str, Any] = {
-            "fleet": "rig",
-            "key_file": "key",
-            "listen": format_address(self.process_addresses[slot]),
-            "advertise": format_address(self.advertised_addresses[slot]),
-            "voters": self.voters,
-            "seeds": [format_address(self.advertised_addresses[seed]) for seed in self.names[:3]],
-            "record": True,
-            "membership": self.membership,
-            "leases": self.lease_settings,
-            "duty": duties,
-        } | self.extra_fleet_settings
-        if name in self.voters or name in self.spare_voters:
-            fleet_settings["folder"] = f"state-{name}"
-        fleet_path = self.folder / f"{process.title}.toml"
-        fleet_path.write_text(tomli_w.dumps(fleet_settings))
-        process.fault_file.write_bytes(orjson.dumps(self.process_faults.get(name, {})))
-        return config_path, fleet_path
-
-    spare_voters: tuple[str, ...] = ()  # members with a state folder that are not voters yet
-
     def environment(self, name: str, config: Path, fleet: Path) -> dict[str, str]:
+        """Return the environment of a member, without inherited LB_ variables; create its TMPDIR."""
         variables = {key: value for key, value in os.environ.items() if not key.startswith("LB_")}
         scratch = self.folder / f"tmp-{name}"
         scratch.mkdir(exist_ok=True)
@@ -282,7 +234,7 @@
     def launch(self, process: Process) -> None:
         """Start a process; pass it the listener socket if the cluster holds one for its member."""
         name = process.name
-        config, fleet = self.write_files(process)
+        config, fleet = write_configuration(self, process)
         variables = self.environment(name, config, fleet)
         fds: tuple[int, ...] = ()
         if name in self.held_sockets:
@@ -294,6 +246,7 @@
             self.clock_rates[process.title] = rate
 
     def start(self, *names: str, wait: bool = True) -> None:
+        """Start a new process for each of these members, or for all; with `wait`, until all have started."""
         for name in names or self.names:
             process = Process(self, name, 1 + sum(process.name == name for process in self.processes))
             self.launch(process)
@@ -301,7 +254,7 @@
         if wait:
             wanted = [self.current[name] for name in names or self.names]
             self.wait(
-                lambda: all(self.log_lines(p.title, "start") for p in wanted),
+                lambda: all(self.log_lines(process.title, "start") for process in wanted),
                 20 + len(wanted) / 4,
                 "all started",
             )
@@ -326,6 +279,7 @@
         self.current[name].send_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
+        """Continue a stopped process with SIGCONT, and record the time for the check of late actions."""
         process = self.current[name]
         process.stopped = False
         process.resumptions.append(time.monotonic())
@@ -352,6 +306,7 @@
         process.ended_at = time.monotonic()
 
     def delete_state_folder(self, name: str) -> None:
+        """Delete what a voter has stored; its process must have ended."""
         shutil.rmtree(self.folder / f"state-{name}", ignore_errors=True)
 
     # Links
@@ -359,6 +314,7 @@
     def cut(
         self, source: Iterable[str] | None, target: Iterable[str] | None, both: bool = True
     ) -> list[LinkRule]:
+        """Cut the links from `source` to `target`, and with `both` those back; `heal` ends it."""
         return self.add_link_fault(CUT, source, target, both)
 
     def add_link_fault(
@@ -381,12 +337,14 @@
         self.apply_link_faults()
 
     def apply_link_faults(self) -> None:
+        """Make the TCP connections to the stand-ins follow the link faults."""
         for stand_in in self.stand_ins:
             stand_in.apply_link_faults()
 
     # Event loop and logs
 
     def run_once(self, longest: float = MAX_TURN_SECONDS) -> None:
+        """Run one turn of the event loop, for at most `longest` seconds, and read the logs if due."""
         for stand_in in self.stand_ins:
             stand_in.last_polled_at = self.loop.now
         self.loop.turn(longest)
@@ -413,9 +371,10 @@
         raise ClusterError(f"expected within {within:g} s: {description}; {self.describe_state()}")
 
     def describe_state(self) -> str:
+        """Return the states of members, the latest duty changes and the first failures as one text."""
         member_states = [
-            f"{name}: {'stopped' if p.stopped else 'up' if p.alive else 'down'}"
-            for name, p in self.current.items()
+            f"{name}: {'stopped' if process.stopped else 'up' if process.alive else 'down'}"
+            for name, process in self.current.items()
         ]
         duty_changes = [
             f"{line.process} {line.fields['change']} {line.fields['duty']} {line.fields['term']}"
@@ -447,6 +406,7 @@
                     self.process_log_row(process, row)
 
     def process_log_row(self, process: Process, row: bytes) -> None:
+        """Record the event of a log row; a row that is not JSON, such as a traceback, counts as a crash."""
         try:
             fields = orjson.loads(row)
         except ValueError:
@@ -486,7 +446,8 @@
         ]
 
     def holds(self) -> list[Hold]:
-        ends = {p.title: p.ended_at for p in self.processes if p.ended_at}
+        """Return the holds of all duties by start time, as far as the logs have been read."""
+        ends = {process.title: process.ended_at for process in self.processes if process.ended_at}
         return self.hold_tracker.sorted_holds(ends)
 
     def holder(self, duty: str = "ledger") -> str:
@@ -498,6 +459,7 @@
         return current_holds[-1].process.partition(".")[0] if current_holds else ""
 
     def wait_holder(self, duty: str = "ledger", other_than: str = "", within: float = 0.0) -> str:
+        """Wait until a duty has a holder, and return its member; by default for 8 leases and 5 s."""
         timeout = within or 8 * self.lease + 5
         return str(
             self.wait(
@@ -525,9 +487,9 @@
 
         def all_see_all() -> bool:
             return all(
-                self.visible_members(p) == expected_count
-                for p in self.current.values()
-                if p.alive and not p.stopped
+                self.visible_members(process) == expected_count
+                for process in self.current.values()
+                if process.alive and not process.stopped
             )
 
         self.wait(all_see_all, within + expected_count / 8, f"{expected_count} members seen by all")
@@ -538,9 +500,14 @@
         The members of a fleet poll the list one after another.
         """
         running = [process for process in self.current.values() if process.alive and not process.stopped]
-        self.wait(lambda: all(self.log_lines(p.title, "list") for p in running), within, "all have the list")
+        self.wait(
+            lambda: all(self.log_lines(process.title, "list") for process in running),
+            within,
+            "all have the list",
+        )
 
     def visible_members(self, process: Process) -> int:
+        """Return the number of members that the process sees, itself included."""
         return self.member_counts.get(process.title, 1)
 
     def http_request(self, name: str, target: str, method: str = "GET") -> tuple[bytes, bytes]:
@@ -573,11 +540,13 @@
         return orjson.loads(body) if body[:1] in b"{[" else body.decode()
 
     def verdict(self) -> Verdict:
+        """Check all holds and ledger actions so far."""
         self.read_logs()
         resumptions = {process.title: process.resumptions for process in self.processes}
         return check_holds(self.holds(), self.ledger.actions, self.hold_tracker.slow_writes, resumptions)
 
     def close(self) -> None:
+        """Kill all processes, wait for their ends and close all sockets."""
         for process in self.processes:
             process.expected_end = True
             process.send_signal(signal.SIGCONT)
--- a/onyxhollow/lab/fleet/sites.py
+++ b/onyxhollow/lab/fleet/sites.py
@@ -15,7 +15,8 @@
 import orjson
 import tomli_w
 
-from onyxhollow.lab.fleet.process_cluster import ROOT, ClusterError, ProcessCluster, format_address
+from onyxhollow.lab.fleet.configuration_files import format_address
+from onyxhollow.lab.fleet.process_cluster import ROOT, ClusterError, ProcessCluster
 from onyxhollow.lab.fleet.routing_daemons import Internet, Partner, RoutingDaemon
 from onyxhollow.lab.fleet.traffic import Client, EchoServer
 from onyxhollow.lab.sockets.proxies import free_address
--- a/tests/test_fleet_addresses.py
+++ b/tests/test_fleet_addresses.py
@@ -8,7 +8,8 @@
 import pytest
 
 from onyxhollow.fleet import address_commands
-from onyxhollow.lab.fleet.process_cluster import ROOT, format_address
+from onyxhollow.lab.fleet.configuration_files import format_address
+from onyxhollow.lab.fleet.process_cluster import ROOT
 from onyxhollow.lab.fleet.sites import Sites
 from onyxhollow.lab.fleet.traffic import Client
 
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -9,7 +9,8 @@
 
 from onyxhollow.fleet import commands
 from onyxhollow.lab.fleet import bug_detection, fault_scenario, injected_bugs
-from onyxhollow.lab.fleet.process_cluster import KEY, ClusterError, ProcessCluster, format_address, server_row
+from onyxhollow.lab.fleet.configuration_files import format_address
+from onyxhollow.lab.fleet.process_cluster import KEY, ClusterError, ProcessCluster, server_row
 from onyxhollow.lab.fleet.record import (
     ACTION_TOLERANCE_SECONDS,
     ActionKey,
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -8,7 +8,8 @@
 import pytest
 
 from onyxhollow.lab import runs, scenario
-from onyxhollow.lab.fleet.process_cluster import ProcessCluster, format_address
+from onyxhollow.lab.fleet.configuration_files import format_address
+from onyxhollow.lab.fleet.process_cluster import ProcessCluster
 from onyxhollow.lab.fleet.sites import Sites
 from onyxhollow.topology import (
     commands,
