--- a/onyxhollow/lab/fleet/sites.py
+++ b/onyxhollow/lab/fleet/sites.py
@@ -70,6 +70,7 @@
         self.child: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
+        """Write the configuration file and start the process; its output is appended to the log."""
         self.path.write_text(tomli_w.dumps(self.config))
         with self.log.open("ab") as log:
             self.child = subprocess.Popen(
@@ -83,11 +84,13 @@
             )
 
     def end(self, signal_number: int = signal.SIGKILL) -> None:
+        """Send the signal and wait for the end of the process, if it is running."""
         if self.child is not None and self.child.poll() is None:
             self.child.send_signal(signal_number)
             self.child.wait()
 
     def events(self, name: str = "") -> list[dict[str, Any]]:
+        """Return the logged events with this name, or all; lines that are not JSON are left out."""
         rows = [orjson.loads(row) for row in self.log.read_bytes().splitlines() if row.startswith(b"{")]
         return [row for row in rows if name in ("", row["event"])]
 
@@ -115,10 +118,9 @@
         """Create the processes of all sites without starting them.
 
         `cut_off` applies to all sites but the last, which keeps its routes. `servers` is the number for each
-        site, `partners` the number for each address. `load_per_session` is a session's share of a server's
-        capacity. With `own_servers`, the proxies of a site use only its own servers, and a server above its
-        capacity answers too late. `time_scale` multiplies all intervals and timeouts, for fleets that load
-        one machine heavily.
+        site, `partners` that for each address, and `load_per_session` a share of a server's capacity. With
+        `own_servers`, a site's proxies use only its own servers, which answer too late above their capacity.
+        `time_scale` multiplies all intervals and timeouts, for fleets that load one machine heavily.
         """
         self.zones = tuple("abcdefghijklmnopqrst"[:sites])
         self.cluster = ProcessCluster(
@@ -131,53 +133,74 @@
             extra_fleet_settings={"addresses": "addresses.toml"},
             **values,
         )
-        cluster = self.cluster
-        self.routing_daemons = {zone: RoutingDaemon(cluster.loop, zone) for zone in self.zones}
+        self.prefixes = {f"addr{number}": f"198.51.100.{number}/32" for number in range(addresses)}
+        self._create_routing(orphaned_after)
+        self._write_addresses_file(capacity, policy or {}, cut_off, time_scale)
+        self._create_echo_servers(sites * servers, load_per_session, own_servers)
+        self._create_clients(partners)
+
+    def _create_routing(self, orphaned_after: float) -> None:
+        """Create a routing daemon and a route guard for each site."""
+        self.routing_daemons = {zone: RoutingDaemon(self.cluster.loop, zone) for zone in self.zones}
         self.route_guards = {
-            zone: RouteGuardProcess(folder, zone, daemon, orphaned_after)
+            zone: RouteGuardProcess(self.cluster.folder, zone, daemon, orphaned_after)
             for zone, daemon in self.routing_daemons.items()
         }
-        self.prefixes = {f"addr{n}": f"198.51.100.{n}/32" for n in range(addresses)}
-        self.config = {
-            "service": [
-                {"name": name, "prefix": prefix, "listeners": ["chat"], "owner": "voice"}
-                for name, prefix in self.prefixes.items()
-            ],
-            "site": [
-                {
-                    "name": zone,
-                    "gate": format_address(self.route_guards[zone].address),
-                    "capacity": capacity,
-                    "cut_off": "keep" if zone == self.zones[-1] else cut_off,
-                }
-                for zone in self.zones
-            ],
-            "policy": {
-                key: value * time_scale if key not in COUNT_KEYS else value for key, value in QUICK.items()
+
+    def _write_addresses_file(
+        self, capacity: float, policy: dict[str, Any], cut_off: str, time_scale: float
+    ) -> None:
+        """Write the addresses file; `policy` replaces settings of the default policy, without scaling."""
+        services = [
+            {"name": name, "prefix": prefix, "listeners": ["chat"], "owner": "voice"}
+            for name, prefix in self.prefixes.items()
+        ]
+        sites = [
+            {
+                "name": zone,
+                "gate": format_address(self.route_guards[zone].address),
+                "capacity": capacity,
+                "cut_off": "keep" if zone == self.zones[-1] else cut_off,
             }
-            | (policy or {}),
+            for zone in self.zones
+        ]
+        scaled_policy = {
+            key: value * time_scale if key not in COUNT_KEYS else value for key, value in QUICK.items()
+        }
+        self.config = {
+            "service": services,
+            "site": sites,
+            "policy": scaled_policy | policy,
             "every": 0.25 * time_scale,
             "synthetic": 0.5 * time_scale * time_scale,
         }
-        (folder / "addresses.toml").write_text(tomli_w.dumps(self.config))
+        (self.cluster.folder / "addresses.toml").write_text(tomli_w.dumps(self.config))
+
+    def _create_echo_servers(self, count: int, load_per_session: float, own_servers: bool) -> None:
+        """Create the echo servers and list their addresses; `own_servers` splits the list by site."""
         overload_delay = OVERLOAD_DELAY_SECONDS if own_servers else 0.0
         self.echo_servers = [
-            EchoServer(cluster.loop, 0.1, load_per_session, overload_delay) for _ in range(sites * servers)
+            EchoServer(self.cluster.loop, 0.1, load_per_session, overload_delay) for _ in range(count)
         ]
+        list_service = self.cluster.list_service
         if own_servers:
-            cluster.list_service.sites = dict(cluster.zones)
+            list_service.sites = dict(self.cluster.zones)
         for number, server in enumerate(self.echo_servers):
-            cluster.list_service.rows[f"s{number}"]["dial"] = format_address(server.address)
+            list_service.rows[f"s{number}"]["dial"] = format_address(server.address)
+
+    def _create_clients(self, partners: int) -> None:
+        """Create the partners of each address, whose nearest sites take turns, and start their routing."""
         self.internet = Internet(self.routing_daemons, self.on_site_changed)
         self.clients: dict[int, Client] = {}  # by id() of the partner
+        site_count = len(self.zones)
         for prefix in self.prefixes.values():
             for number in range(partners):
-                near = [self.zones[(number + place) % sites] for place in range(sites)]
+                near = [self.zones[(number + place) % site_count] for place in range(site_count)]
                 self.internet.partners.append(Partner(prefix, near, 0.1 + 0.1 * (number % 4)))
-        self.updated_at = 0.0
-        cluster.loop.spawn(self.update_client_sites())
+        self.cluster.loop.spawn(self.update_client_sites())
 
     def update_client_sites(self) -> Generator[float, None, None]:
+        """Route the clients by the current routes at a fixed interval, as a task of the event loop."""
         while True:
             self.internet.update_sites()
             yield from self.cluster.loop.sleep(ROUTING_INTERVAL_SECONDS)
@@ -204,12 +227,15 @@
         return sum(client.echoed_at >= since for client in clients) / max(1, len(rows))
 
     def servers_at(self, zone: str) -> list[EchoServer]:
+        """Return the echo servers whose rows in the endpoint list belong to the site."""
         return self.echo_servers[self.zones.index(zone) :: len(self.zones)]
 
     def members(self, zone: str) -> list[str]:
+        """Return the names of the site's members, also of those that are not running."""
         return [name for name in self.cluster.names if self.cluster.zones[name] == zone]
 
     def start(self) -> None:
+        """Start all processes and wait for the controller; the route guards start before the members."""
         for guard in self.route_guards.values():
             guard.start()
         self.cluster.wait(
@@ -246,6 +272,7 @@
         self.cluster.wait(self.all_reported, within, "the controller has reports of all routes")
 
     def all_reported(self) -> bool:
+        """Return whether the status has every route as advertised, reported and installed."""
         rows = self.query(self.cluster.names[0])["rows"]
         return all(row["reached"] and row["carried"] and row["standing"] == "advertised" for row in rows)
 
@@ -271,6 +298,7 @@
         return self.cluster.wait(answer, 8, f"an answer to {path}")
 
     def request(self, name: str, path: str, parameters: str, method: str = "GET") -> Any:
+        """Return the decoded JSON answer to one request, or {"error": text} if the answer is not JSON."""
         target = f"/control/addresses{path}" + (f"?{parameters}" if parameters else "")
         _, body = self.cluster.http_request(name, target, method)
         return orjson.loads(body) if body[:1] in b"{[" else {"error": body.decode()}
@@ -290,6 +318,7 @@
         return [line.fields for line in self.cluster.lines if line.event == "address"]
 
     def close(self) -> None:
+        """Close the clients, end all processes and close the sockets of the stand-ins."""
         for client in self.clients.values():
             client.close()
         for guard in self.route_guards.values():
