--- a/onyxhollow/lab/fleet/bug_detection.py
+++ b/onyxhollow/lab/fleet/bug_detection.py
@@ -38,6 +38,32 @@
     return cluster.wait_holder(other_than=holder, within=30)
 
 
+def first_violation(verdict: Verdict) -> str:
+    """Return the first violation of the verdict, or an empty string."""
+    return next(iter(verdict.overlaps + verdict.late + verdict.stale + verdict.falling), "")
+
+
+def cause_revealing_faults(cluster: ProcessCluster, name: str, holder: str) -> None:
+    """Cause and end the faults at the holder under which the bug of this name may violate an invariant."""
+    if name == "overlaps":
+        to = next(member for member in cluster.names if member != holder)
+        cluster.query(holder, f"/hand-over?name=ledger&to={to}", "POST")
+        cluster.run_for(1.5)
+    elif name == "no-look":
+        stop_isolated_holder(cluster, holder)
+        cluster.run_for(1.0)
+        cluster.heal()
+    else:
+        rules = cluster.cut([holder], None)
+        if name == "forgets":
+            voters = [voter for voter in cluster.voters if voter != holder]
+            cluster.kill(*voters)
+            cluster.start(*voters, wait=False)
+        cluster.run_for(2.5)
+        cluster.heal(rules)
+        cluster.run_for(1.0)
+
+
 def detect_bug(name: str, folder: Path) -> str:
     """Return the first violation of a fleet with this bug in every member, or an empty string."""
     rates = {"n0": 0.9, "n1": 1.1, "n2": 1.1, "n3": 0.9}
@@ -49,34 +75,15 @@
             {"rate": rates[member]} if name == "no-margin" else {}
         )
 
-    def first_violation(verdict: Verdict) -> str:
-        return next(iter(verdict.overlaps + verdict.late + verdict.stale + verdict.falling), "")
-
     try:
         cluster.start()
         cluster.wait_members()
         cluster.wait_holder()
         for _ in range(MAX_ATTEMPTS):
             holder = cluster.wait_holder(within=30)
-            if name == "overlaps":
-                to = next(member for member in cluster.names if member != holder)
-                cluster.query(holder, f"/hand-over?name=ledger&to={to}", "POST")
-                cluster.run_for(1.5)
-            elif name == "no-look":
-                stop_isolated_holder(cluster, holder)
-                cluster.run_for(1.0)
-                cluster.heal()
-            else:
-                if name == "no-margin" and rates[holder] > 1.0:
-                    holder = hand_to(cluster, holder, "n0")
-                rules = cluster.cut([holder], None)
-                if name == "forgets":
-                    voters = [voter for voter in cluster.voters if voter != holder]
-                    cluster.kill(*voters)
-                    cluster.start(*voters, wait=False)
-                cluster.run_for(2.5)
-                cluster.heal(rules)
-                cluster.run_for(1.0)
+            if name == "no-margin" and rates[holder] > 1.0:
+                holder = hand_to(cluster, holder, "n0")
+            cause_revealing_faults(cluster, name, holder)
             if violation := first_violation(cluster.verdict()):
                 return violation
         return ""
--- a/onyxhollow/lab/fleet/fault_scenario.py
+++ b/onyxhollow/lab/fleet/fault_scenario.py
@@ -6,6 +6,7 @@
 import statistics
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 from pathlib import Path
 from random import Random
 from typing import Any, Literal
@@ -72,6 +73,7 @@
 
 
 def shipped_scenarios() -> list[str]:
+    """Return the names of the scenarios in SCENARIO_FOLDER, which `read` accepts."""
     return sorted(path.stem for path in SCENARIO_FOLDER.glob("*.toml"))
 
 
@@ -133,9 +135,11 @@
 
     @property
     def clean(self) -> bool:
+        """Whether no invariant was violated, no process failed and the ledger lease has a holder."""
         return self.verdict.clean and self.holder_at_end and not self.crashes and not self.failures
 
     def figures(self) -> dict[str, Any]:
+        """Return the report for output as JSON; lists are cut to their first five entries."""
         return {
             "clean": self.clean,
             "holds": self.verdict.holds,
@@ -252,29 +256,14 @@
         """Start the fault at the named members; return the function that ends it, if it has an end."""
         cluster, kind = self.cluster, fault.kind
         if kind in ("kill", "restart", "term"):
-            if kind == "term":
-                for name in names:
-                    cluster.current[name].expected_end = True
-                    cluster.current[name].send_signal(signal.SIGTERM)
-            else:
-                cluster.kill(*names)
-            if kind == "restart":
-                self.restart(names, fault.folder)
-                return None
-            return lambda: self.restart(names, fault.folder)
+            return self.end_processes(fault, names)
         if kind == "stop":
-            for name in names:
-                cluster.stop(name)
+            self.call_for_each(names, cluster.stop)
             return lambda: self.call_for_each(names, cluster.resume)
         if kind in ("cut", "loss", "delay", "copies"):
             return self.start_link_fault(fault, names)
         if kind in ("disk", "fsync", "wall"):
-            settings = {"disk": ("write", "full"), "fsync": ("fsync", "fails"), "wall": ("wall", fault.value)}
-            key, value = settings[kind]
-            self.call_for_each(names, lambda name: cluster.set_process_faults(name, **{key: value}))
-            return lambda: self.call_for_each(
-                names, lambda name: cluster.set_process_faults(name, **{key: 0 if kind == "wall" else ""})
-            )
+            return self.start_process_fault(fault, names)
         if kind == "list":
             setattr(cluster.list_service, fault.how, True)
             return lambda: setattr(cluster.list_service, fault.how, False)
@@ -282,22 +271,48 @@
             cluster.ledger.silent = True
             return lambda: setattr(cluster.ledger, "silent", False)
         if kind == "drain":
-            cluster.list_service.update_row(
-                self.rng.choice(sorted(cluster.list_service.rows)), health="leaving"
-            )
+            host = self.rng.choice(sorted(cluster.list_service.rows))
+            cluster.list_service.update_row(host, health="leaving")
+        else:
+            self.end_lease(fault, names[0])
+        return None
+
+    def end_processes(self, fault: Fault, names: list[str]) -> Callable[[], None] | None:
+        """Kill, terminate or restart the members; return the function that starts them again, if needed."""
+        if fault.kind == "term":
+            for name in names:
+                self.cluster.current[name].expected_end = True
+                self.cluster.current[name].send_signal(signal.SIGTERM)
+        else:
+            self.cluster.kill(*names)
+        if fault.kind == "restart":
+            self.restart(names, fault.folder)
             return None
+        return lambda: self.restart(names, fault.folder)
+
+    def start_process_fault(self, fault: Fault, names: list[str]) -> Callable[[], None]:
+        """Start a fault of the disk or the wall clock of the members; return the function that ends it."""
+        settings = {"disk": ("write", "full"), "fsync": ("fsync", "fails"), "wall": ("wall", fault.value)}
+        key, value = settings[fault.kind]
+        no_fault = 0 if fault.kind == "wall" else ""
+        set_faults = self.cluster.set_process_faults
+        self.call_for_each(names, lambda name: set_faults(name, **{key: value}))
+        return lambda: self.call_for_each(names, lambda name: set_faults(name, **{key: no_fault}))
+
+    def end_lease(self, fault: Fault, member: str) -> None:
+        """Have the member hand over its lease to a random other member that is alive, or release it."""
+        cluster = self.cluster
         duty = fault.to[0] if fault.to != ("all",) else "ledger"
-        if kind == "hand-over":
-            others = [
-                name for name in cluster.names if name != cluster.holder(duty) and cluster.current[name].alive
-            ]
-            cluster.query(names[0], f"/hand-over?name={duty}&to={self.rng.choice(others)}", "POST")
+        if fault.kind == "hand-over":
+            holder = cluster.holder(duty)
+            others = [name for name in cluster.names if name != holder and cluster.current[name].alive]
+            cluster.query(member, f"/hand-over?name={duty}&to={self.rng.choice(others)}", "POST")
         else:
-            cluster.query(names[0], f"/release?name={duty}", "POST")
-        return None
+            cluster.query(member, f"/release?name={duty}", "POST")
 
     @staticmethod
     def call_for_each(names: list[str], call: Callable[[str], None]) -> None:
+        """Call a function with each name; a statement for the lambdas that end a fault."""
         for name in names:
             call(name)
 
@@ -328,50 +343,61 @@
 
     def run(self, progress: Callable[[ScenarioRunner, float], None] = lambda runner, now: None) -> Report:
         """Run the scenario, end all faults, and return the report; `progress` is called every 0.5 s."""
-        cluster, scenario = self.cluster, self.scenario
+        cluster = self.cluster
         try:
             cluster.start()
             cluster.wait_members(within=30)
             cluster.wait_holder("ledger", within=30)
-            started_at = cluster.loop.now
-            for fault in scenario.fault:
-                self.schedule(fault.at, lambda fault=fault: self.cause_fault(fault, fault.at))  # type: ignore[misc]
-            reported_at = 0.0
-            while (now := cluster.loop.now - started_at) < scenario.seconds:
-                for event in sorted(event for event in self.event_queue if event[0] <= now):
-                    self.event_queue.remove(event)
-                    event[2]()
-                cluster.run_once()
-                if now - reported_at >= 0.5:
-                    reported_at = now
-                    progress(self, now)
-            cluster.heal()
-            cluster.list_service.down = cluster.list_service.silent = cluster.list_service.frozen = (
-                cluster.ledger.silent
-            ) = False
+            self.run_events(progress)
+            self.end_faults()
             holder_at_end = self.wait_for_final_holder()
             cluster.read_logs()
-            holds = cluster.holds()
-            gaps, planned_gaps = compute_gaps(holds)
-            logged_failures = [
-                f"{line.process}: {line.fields.get('error')}"
-                for line in cluster.lines
-                if line.event == "failure"
-            ]
-            list_callers = cluster.list_service.count_callers(cluster.loop.now - 5.0, cluster.loop.now + 1.0)
-            return Report(
-                cluster.verdict(),
-                self.faults,
-                gaps,
-                planned_gaps,
-                holder_at_end,
-                cluster.crashes,
-                [*logged_failures, *cluster.failures],
-                list_callers,
-            )
+            return self.create_report(holder_at_end)
         finally:
             cluster.close()
 
+    def run_events(self, progress: Callable[[ScenarioRunner, float], None]) -> None:
+        """Run the cluster for the time of the scenario, and start and end the faults when they are due."""
+        cluster, scenario = self.cluster, self.scenario
+        started_at = cluster.loop.now
+        for fault in scenario.fault:
+            self.schedule(fault.at, partial(self.cause_fault, fault, fault.at))
+        reported_at = 0.0
+        while (now := cluster.loop.now - started_at) < scenario.seconds:
+            for event in sorted(event for event in self.event_queue if event[0] <= now):
+                self.event_queue.remove(event)
+                event[2]()
+            cluster.run_once()
+            if now - reported_at >= 0.5:
+                reported_at = now
+                progress(self, now)
+
+    def end_faults(self) -> None:
+        """End the faults of all links and stand-ins; the processes keep theirs."""
+        self.cluster.heal()
+        list_service = self.cluster.list_service
+        list_service.down = list_service.silent = list_service.frozen = False
+        self.cluster.ledger.silent = False
+
+    def create_report(self, holder_at_end: bool) -> Report:
+        """Return the report from the logs that have been read."""
+        cluster = self.cluster
+        gaps, planned_gaps = compute_gaps(cluster.holds())
+        logged_failures = [
+            f"{line.process}: {line.fields.get('error')}" for line in cluster.lines if line.event == "failure"
+        ]
+        list_callers = cluster.list_service.count_callers(cluster.loop.now - 5.0, cluster.loop.now + 1.0)
+        return Report(
+            cluster.verdict(),
+            self.faults,
+            gaps,
+            planned_gaps,
+            holder_at_end,
+            cluster.crashes,
+            [*logged_failures, *cluster.failures],
+            list_callers,
+        )
+
     def wait_for_final_holder(self) -> bool:
         """Resume all processes; return whether the ledger lease has a holder within 20 leases and 10 s."""
         for name, process in self.cluster.current.items():
