--- a/onyxhollow/lab/fleet/address_explorer.py
+++ b/onyxhollow/lab/fleet/address_explorer.py
@@ -36,10 +36,13 @@
     """Random numbers that are all the mean: every message takes half the longest delay, so none overtakes."""
 
     def random(self) -> float:
+        """Return 0.5."""
         return 0.5
 
 
 def set_health(site: str, health: float = 0.0) -> Callable[[World], None]:
+    """Return a change that sets the true health of a site, from 0.0 to 1.0."""
+
     def change(world: World) -> None:
         world.sites[site].health = health
 
@@ -47,6 +50,8 @@
 
 
 def give_override(verb: str, site: str, number: int) -> Callable[[World], None]:
+    """Return a change that stores an override for 10 s at two of the voters."""
+
     def change(world: World) -> None:
         override = Override(f"o{number}", number, verb, "", site, "w", "y", world.now, world.now + 10.0)
         for voter in VOTERS[:2]:
@@ -90,8 +95,10 @@
 
 @dataclass
 class ExplorationResult:
+    """The size of an exploration and the first violation of each of up to five runs."""
+
     runs: int = 0
-    messages: int = 0
+    messages: int = 0  # sent within the fault windows, over all runs
     timed_out: bool = False  # the time ended before all points were tried
     violations: list[str] = field(default_factory=list)
 
@@ -118,6 +125,7 @@
         return self.at_message.get(self.sent, "") if self.in_window else ""
 
     def send(self, call: Callable[[], None], cut_off: bool = False) -> None:
+        """Deliver a message after 0.05 s unless it has a planned fault; health reports have none."""
         if cut_off:
             return
         is_evidence = any(isinstance(value, HealthReport) for value in getattr(call, "args", ()))
@@ -137,9 +145,8 @@
             else:
                 arrive()
 
-        for delay in {"": (0.01,), "lost": (), "late": (DELAY_SECONDS,), "twice": (0.01, DELAY_SECONDS)}[
-            fault
-        ]:
+        delays = {"": (0.01,), "lost": (), "late": (DELAY_SECONDS,), "twice": (0.01, DELAY_SECONDS)}
+        for delay in delays[fault]:
             self.schedule(delay, arrive_when_running)
 
     def start_step_fault(self, fault: str, step: int) -> None:
