--- a/onyxhollow/lab/fleet/member.py
+++ b/onyxhollow/lab/fleet/member.py
@@ -56,16 +56,19 @@
         return self.faults
 
     def pwrite(self, fd: int, data: bytes, offset: int) -> int:
+        """Write like os.pwrite, or raise ENOSPC while "write" is "full"."""
         if self.read_faults().get("write") == "full":
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         return PWRITE(fd, data, offset)
 
     def fsync(self, fd: int) -> None:
+        """Flush like os.fsync, or raise EIO while "fsync" is "fails"."""
         if self.read_faults().get("fsync") == "fails":
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         FSYNC(fd)
 
     def install(self) -> None:
+        """Replace the functions of this process, and apply the faults that are read once."""
         os.pwrite = self.pwrite  # type: ignore[assignment]
         os.fsync = self.fsync  # type: ignore[assignment]
         time.time = lambda: TIME() + float(self.read_faults().get("wall", 0.0))
@@ -115,6 +118,7 @@
         DiscoveryConnection.send_request = observed_send_request  # type: ignore[method-assign, assignment]
 
     def log_slow_write(self, target: str, checked_at: float) -> None:
+        """Log the times of the check and of the write of an action on the ledger."""
         query = {name: values[0] for name, values in parse_qs(urlsplit(target).query).items()}
         if "duty" not in query:  # an action on a route guard, which the ledger does not receive
             return
@@ -131,6 +135,7 @@
 
 
 def main() -> int:
+    """Inject the faults and run the program with the arguments; return its exit status."""
     if path := os.environ.get("ONYX_TRIAL"):
         shim = FaultShim(path)
         shim.install()
--- a/onyxhollow/lab/fleet/proxied_links.py
+++ b/onyxhollow/lab/fleet/proxied_links.py
@@ -58,12 +58,13 @@
     fault: LinkFault
 
     def covers(self, source: str, target: str) -> bool:
+        """Return whether the rule applies to the directed link."""
         return (self.sources is None or source in self.sources) and (
             self.targets is None or target in self.targets
         )
 
 
-def as_name_set(names: Iterable[str] | None) -> frozenset[str] | None:
+def _as_name_set(names: Iterable[str] | None) -> frozenset[str] | None:
     return None if names is None else frozenset(names)
 
 
@@ -110,7 +111,8 @@
     def add_rule(
         self, fault: LinkFault, sources: Iterable[str] | None, targets: Iterable[str] | None
     ) -> LinkRule:
-        rule = LinkRule(as_name_set(sources), as_name_set(targets), fault)
+        """Add a fault to all links from `sources` to `targets`; None stands for any name."""
+        rule = LinkRule(_as_name_set(sources), _as_name_set(targets), fault)
         self.rules.append(rule)
         self.fault_cache.clear()
         return rule
@@ -123,6 +125,7 @@
     # Forwarding
 
     def read(self, target: str) -> None:
+        """Forward the datagrams at the proxy socket of a member, up to MAX_READS_PER_TURN."""
         sock = self.sockets[target]
         for _ in range(MAX_READS_PER_TURN):
             try:
@@ -139,6 +142,7 @@
             self.forward(source, target, data)
 
     def forward(self, source: str, target: str, data: bytes) -> None:
+        """Send, drop, delay or duplicate a datagram by the fault of its link."""
         fault = self.fault_on(source, target)
         if fault is NO_FAULT:
             self.send(source, target, data)
@@ -160,11 +164,13 @@
                 self.task.wake()
 
     def send(self, source: str, target: str, data: bytes) -> None:
+        """Send a datagram from the sender's proxy socket; errors of the socket count as loss."""
         self.counts["passed on"] += 1
         with contextlib.suppress(OSError):
             self.sockets[source].sendto(data, self.addresses[target])
 
     def send_delayed(self) -> Generator[float, None, None]:
+        """Send delayed datagrams when they are due, as a task of the event loop."""
         while True:
             while self.delayed and self.delayed[0][0] <= self.loop.now:
                 _, _, source, target, data = heapq.heappop(self.delayed)
@@ -173,6 +179,7 @@
             yield self.delayed[0][0] if self.delayed else math.inf
 
     def close(self) -> None:
+        """Close all proxy sockets; delayed datagrams are dropped."""
         for sock in self.sockets.values():
             self.loop.watch(sock.fileno(), 0, None)
             sock.close()
--- a/onyxhollow/lab/fleet/record.py
+++ b/onyxhollow/lab/fleet/record.py
@@ -80,6 +80,7 @@
 
     @property
     def clean(self) -> bool:
+        """Whether nothing was found that violates an invariant; suspended actions do not."""
         return not (self.overlaps or self.stale or self.late or self.falling)
 
 
@@ -97,6 +98,7 @@
         self.slow_writes: dict[ActionKey, SlowWrite] = {}
 
     def process_line(self, line: LogLine) -> None:
+        """Update the holds by one log line; the lines of a process must come in order."""
         fields, rate = line.fields, self.rates.get(line.process, 1.0)
         if line.event == "fleet":
             self.holder_names[line.process] = f"{fields['proxy']}~{fields['epoch']}"
--- a/onyxhollow/lab/fleet/routing_daemons.py
+++ b/onyxhollow/lab/fleet/routing_daemons.py
@@ -48,6 +48,7 @@
         accept_connections(loop, self.sock, self.on_accepted)
 
     def on_accepted(self, sock: socket.socket) -> None:
+        """Serve a connection of a route guard, and count how many are open at the same time."""
         lines = LineConnection(
             self.loop, sock, lambda line: self.on_command(lines, line), lambda _: self.on_closed(lines)
         )
@@ -55,10 +56,12 @@
         self.max_connections = max(self.max_connections, len(self.connections))
 
     def on_closed(self, lines: LineConnection) -> None:
+        """Remove a connection that its route guard has closed."""
         if lines in self.connections:
             self.connections.remove(lines)
 
     def on_command(self, lines: LineConnection, line: bytes) -> None:
+        """Apply a command and answer it; invalid and rejected ones get `error` and change nothing."""
         self.commands += 1
         match = ROUTE_COMMAND.fullmatch(line.decode(errors="replace").strip())
         if match is None or self.rejects_commands:
@@ -77,6 +80,7 @@
             lines.send(b"done\n")
 
     def reply_later(self, lines: LineConnection) -> Generator[float, None, None]:
+        """Answer `done` after `reply_delay` seconds, as a task of the event loop."""
         yield from self.loop.sleep(self.reply_delay)
         if lines.open:
             lines.send(b"done\n")
@@ -106,6 +110,7 @@
         accept_connections(self.loop, self.sock, self.on_accepted)
 
     def close(self) -> None:
+        """Stop the daemon if it is running."""
         if self.sock is not None:
             self.stop()
 
@@ -142,6 +147,7 @@
         return 0 if recent_changes > self.max_changes else state
 
     def update_sites(self) -> None:
+        """Choose the site of each client again, and report those that have changed."""
         now = time.monotonic()
         for partner in self.partners:
             ranked_sites = [
--- a/onyxhollow/lab/fleet/stand_ins.py
+++ b/onyxhollow/lab/fleet/stand_ins.py
@@ -38,6 +38,7 @@
             self.lines.pause_reading(True)
 
     def on_data(self, data: bytes) -> None:
+        """Parse received bytes and pass each complete request on; a protocol error closes the connection."""
         try:
             self.http.receive_data(data)
             while True:
@@ -54,6 +55,7 @@
             self.lines.close()
 
     def answer(self, status: int, body: bytes = b"") -> None:
+        """Send a response after the delay of the link, unless the connection does not wait for one."""
         if not self.lines.open or self.http.our_state is not h11.SEND_RESPONSE:
             return
         head = h11.Response(status_code=status, headers=[("Content-Length", str(len(body)))])
@@ -64,11 +66,13 @@
             self.listener.run_after_delay(self.listener.response_fault(), lambda: self.send(response))
 
     def send(self, response: bytes) -> None:
+        """Send an encoded response, unless the link has been cut during its delay."""
         # A cut link loses the answer, although the request was processed.
         if not self.listener.response_fault().cut:
             self.lines.send(response)
 
     def on_closed(self, _: bool) -> None:
+        """Remove the connection after its member has closed it."""
         self.listener.on_connection_closed(self)
 
 
@@ -84,9 +88,11 @@
         accept_connections(self.loop, self.sock, self.on_accepted)
 
     def request_fault(self) -> LinkFault:
+        """Return the present fault of the link from the member to the stand-in."""
         return self.stand_in.links.fault_on(self.member, self.stand_in.name)
 
     def response_fault(self) -> LinkFault:
+        """Return the present fault of the link from the stand-in to the member."""
         return self.stand_in.links.fault_on(self.stand_in.name, self.member)
 
     def run_after_delay(self, fault: LinkFault, call: Callable[[], None]) -> None:
@@ -102,14 +108,17 @@
         self.loop.spawn(delayed(self.stand_in.links.rng.uniform(*fault.delay)))
 
     def on_request(self, connection: MemberConnection, query: dict[str, str]) -> None:
+        """Let the stand-in handle a request after the delay of the link."""
         self.run_after_delay(
             self.request_fault(), lambda: self.stand_in.handle_request(self.member, connection, query)
         )
 
     def on_accepted(self, sock: socket.socket) -> None:
+        """Register a new connection, which is blocked if the listener is."""
         self.connections[MemberConnection(self, sock)] = None
 
     def on_connection_closed(self, connection: MemberConnection) -> None:
+        """Forget a connection, also in the stand-in; may be called more than once."""
         self.connections.pop(connection, None)
         self.stand_in.on_connection_closed(connection)
 
@@ -126,6 +135,7 @@
                 self.on_connection_closed(connection)
 
     def close(self) -> None:
+        """Close the listening socket and all connections."""
         for connection in list(self.connections):
             connection.lines.close()
         self.loop.watch(self.sock.fileno(), 0, None)
@@ -143,6 +153,7 @@
         self.last_polled_at = 0.0  # when the cluster last polled its sockets
 
     def listener_for(self, member: str) -> MemberListener:
+        """Return the member's listener, which is opened at the first call."""
         if member not in self.listeners:
             self.listeners[member] = MemberListener(self, member)
         return self.listeners[member]
@@ -153,12 +164,15 @@
             listener.block(listener.request_fault().cut)
 
     def handle_request(self, member: str, connection: MemberConnection, query: dict[str, str]) -> None:
+        """Process a request with the values of its query, and answer it at once, later or never."""
         raise NotImplementedError
 
     def on_connection_closed(self, connection: MemberConnection) -> None:
+        """Drop what the service keeps for the connection; called for every one that ends."""
         pass
 
     def close(self) -> None:
+        """Close the listeners of all members."""
         for listener in self.listeners.values():
             listener.close()
 
@@ -178,7 +192,7 @@
 
 
 class LedgerService(StandIn):
-    """The service that duties act on: accepts an action unless it has known_version a newer term."""
+    """The service that duties act on: accepts an action unless it has seen a newer term."""
 
     name = "ledger"
 
@@ -189,6 +203,7 @@
         self.silent = False  # accepts connections and does not answer
 
     def handle_request(self, member: str, connection: MemberConnection, query: dict[str, str]) -> None:
+        """Record the action, and answer 200, or 409 if a newer term has acted on the duty."""
         if self.silent:
             return
         duty, term = query.get("duty", ""), int(query.get("term", "0"))
@@ -221,35 +236,30 @@
         self.rows = {row["host"]: row for row in rows}
         self.versions: dict[str, int] = dict.fromkeys(self.rows, 1)
         self.version = 1
-        self.watches: dict[
-            MemberConnection, tuple[int, float]
-        ] = {}  # the version that the member knows, the deadline
+        # The version that the member knows, and the deadline on the loop's clock.
+        self.watches: dict[MemberConnection, tuple[int, float]] = {}
         self.calls: list[tuple[float, str]] = []
         self.sites: dict[str, str] = {}  # members that get the servers of one site only
         self.down = self.silent = self.frozen = False
-        self.shown: bytes | None = None
         loop.spawn(self.expire_watches())
 
-    def known(self) -> dict[str, Any]:
-        return {"seq": self.version, "whole": True, "hosts": list(self.rows.values())}
-
     def handle_request(self, member: str, connection: MemberConnection, query: dict[str, str]) -> None:
+        """Answer with the rows newer than the version in `index`, or wait for them up to `wait` ms."""
         self.calls.append((time.monotonic(), member))
         if self.silent:
             return
         if self.down:
             connection.answer(503)
             return
-        known_version, wait = (
-            int(query.get("index", "-1")),
-            min(MAX_WATCH_SECONDS, int(query.get("wait", "0")) / 1000),
-        )
+        known_version = int(query.get("index", "-1"))
+        wait = min(MAX_WATCH_SECONDS, int(query.get("wait", "0")) / 1000)
         if known_version < self.version and not self.frozen or known_version < 0:
             self.answer_list(connection, known_version)
         else:
             self.watches[connection] = known_version, self.loop.now + wait
 
     def answer_list(self, connection: MemberConnection, known_version: int) -> None:
+        """Answer with the newer rows that the member may see; a negative version asks for all rows."""
         self.watches.pop(connection, None)
         is_snapshot = known_version < 0
         site = self.sites.get(connection.listener.member, "")
@@ -261,9 +271,11 @@
         connection.answer(200, orjson.dumps({"seq": self.version, "whole": is_snapshot, "hosts": rows}))
 
     def on_connection_closed(self, connection: MemberConnection) -> None:
+        """End the watch of the connection."""
         self.watches.pop(connection, None)
 
     def expire_watches(self) -> Generator[float, None, None]:
+        """Answer watches whose deadline has passed, as a task of the event loop."""
         while True:
             for connection, (known_version, until) in list(self.watches.items()):
                 if until <= self.loop.now and not self.silent:
@@ -285,7 +297,9 @@
         return len(self.waiting_members() | {member for at, member in self.calls if since <= at < until})
 
     def waiting_members(self) -> set[str]:
+        """Return the members with an open watch."""
         return {connection.listener.member for connection in self.watches}
 
     def calls_by_member(self) -> Counter[str]:
+        """Return the number of calls by each member since the start."""
         return Counter(member for _, member in self.calls)
--- a/onyxhollow/lab/fleet/traffic.py
+++ b/onyxhollow/lab/fleet/traffic.py
@@ -22,12 +22,8 @@
     def __init__(
         self, loop: Loop, base_load: float = 0.1, load_per_session: float = 0.01, overload_delay: float = 0.0
     ) -> None:
-        self.loop, self.base_load, self.load_per_session, self.overload_delay = (
-            loop,
-            base_load,
-            load_per_session,
-            overload_delay,
-        )
+        self.loop, self.base_load = loop, base_load
+        self.load_per_session, self.overload_delay = load_per_session, overload_delay
         self.silent, self.health_checks = False, 0  # silent: accepts connections and does not answer
         self.sock = open_listener(("127.0.0.1", 0))
         self.address: tuple[str, int] = ("127.0.0.1", self.sock.getsockname()[1])
@@ -35,17 +31,21 @@
         accept_connections(loop, self.sock, self.on_accepted)
 
     def on_accepted(self, sock: socket.socket) -> None:
+        """Register a connection, which becomes a session or a series of health checks."""
         self.connections.append(ServerConnection(self, sock))
 
     @property
     def load(self) -> float:
+        """The load that health checks report; 1.0 is the capacity."""
         return self.base_load + self.load_per_session * self.open_sessions
 
     @property
     def open_sessions(self) -> int:
+        """The number of open connections that a session was accepted on."""
         return sum(connection.established and connection.lines.open for connection in self.connections)
 
     def close(self) -> None:
+        """Close the listening socket and all connections."""
         for connection in self.connections:
             connection.lines.close()
         self.loop.watch(self.sock.fileno(), 0, None)
@@ -60,6 +60,7 @@
         self.lines = LineConnection(server.loop, sock, self.on_line, lambda _: None)
 
     def on_line(self, line: bytes) -> None:
+        """Echo a session's line, accept a session, or answer a health check."""
         server = self.server
         if server.silent:
             return
@@ -79,6 +80,7 @@
             self.lines.send(b"PONG\r\n")
 
     def echo_after(self, line: bytes, delay: float) -> Generator[float, None, None]:
+        """Echo the line after `delay` seconds, as a task of the event loop."""
         yield from self.server.loop.sleep(delay)
         self.lines.send(line)
 
@@ -97,6 +99,7 @@
         loop.spawn(self.run())
 
     def run(self) -> Generator[float, None, None]:
+        """Send a line at each interval or reconnect, until `close`; a task of the event loop."""
         while not self.closed:
             if self.lines is None or not self.lines.open:
                 if self.loop.now >= self.retry_at:
@@ -108,6 +111,7 @@
                 yield next_line_at
 
     def connect(self) -> None:
+        """Open a connection and ask for a session under a new session name."""
         self.connection_count, self.established = self.connection_count + 1, False
         sock = socket.socket()
         sock.setblocking(False)
@@ -120,6 +124,7 @@
         )
 
     def on_line(self, line: bytes) -> None:
+        """Handle an accepted session, an echo, a request to move, or a line that counts as unexpected."""
         if line.startswith(b"UP"):
             self.established = True
         elif line.startswith(b"MOVE"):
@@ -138,6 +143,7 @@
             )
 
     def on_closed(self, _: bool) -> None:
+        """Count an established session that the peer has ended as lost."""
         if self.established:
             self.anomalies.append(
                 f"{self.loop.now:.3f} connection {self.connection_count}: closed after {self.echoes} echoes"
@@ -146,6 +152,7 @@
         self.established = False
 
     def close(self) -> None:
+        """Close the connection for good."""
         self.closed = True
         if self.lines:
             self.lines.close()
