--- a/onyxhollow/lab/world/draws.py
+++ b/onyxhollow/lab/world/draws.py
@@ -72,95 +72,166 @@
     average_load_by_listener: list[float]
 
 
+@dataclass(frozen=True, slots=True)
+class ListenerMix:
+    """The scenario's listeners as arrays, by number of the listener."""
+
+    arrival_shares: np.ndarray  # of all arrivals; the sum is 1
+    mean_lives: np.ndarray  # of a connection, seconds
+    open_weights: np.ndarray  # relative number of open connections
+    average_loads: np.ndarray  # of a connection, cores
+    load_sigmas: np.ndarray  # of the logarithm of a connection's load
+
+
 def populate(scenario: Scenario, capacity: float, rates: RateFactors, seed: int) -> Population:
     """Draw all clients of a run; capacity is the fleet's at the start, in cores of speed 1.
 
+    The results of a seed depend on the order of the draws from each random stream.
+
     Raises:
         OSError: the file of arrivals cannot be read.
         ValueError: the file of arrivals is malformed.
     """
-    clients, listeners = scenario.clients, scenario.listeners
-    share = np.array([row.share for row in listeners])
-    share /= share.sum()
-    life = np.array([row.life for row in listeners]) * clients.life
-    weight = share * life  # share of the listeners among open connections
-    mean_load = float((weight * [row.load for row in listeners]).sum() / weight.sum())
-    average_load = 1.0 / clients.per_core
+    clients = scenario.clients
+    mix = listener_mix(scenario)
     mean_open = clients.load * capacity * clients.per_core
-    rate = mean_open / float((share * life).sum())
+    arrivals = draw_arrivals(scenario, rates, mean_open / float(mix.open_weights.sum()), seed)
+    preexisting = int(random_stream(seed, "standing").poisson(mean_open))
+    due = np.concatenate([np.zeros(preexisting), arrivals])
+
+    traits = random_stream(seed, "traits")
+    listeners = draw_listeners(traits, mix, len(due), preexisting, seed)
+    ends = due + draw_remaining_lives(clients.life_sigma, mix.mean_lives[listeners], preexisting, seed)
+    tenants = draw_tenants(traits, scenario, len(due))
+    zones = draw_zones(traits, scenario, len(due))
+    loads = draw_loads(traits, mix, listeners)
+    groups = draw_groups(traits, clients.group_size, mean_open, len(due))
+    loads = apply_load_factors(traits, rates, due, listeners, loads)
+
+    quotas = tenant_quotas(scenario, capacity)
+    over_quota = flag_over_quota(due, ends, tenants, quotas)
+    columns = (due, ends, listeners, tenants, zones, groups, loads)
+    requests = make_requests(columns, over_quota, preexisting)
+    return Population(requests, 1.0 / clients.per_core, quotas, mix.average_loads.tolist())
+
+
+def make_requests(columns: tuple[np.ndarray, ...], over_quota: list[bool], preexisting: int) -> list[Request]:
+    """Return the requests, whose fields from `due` to `load` are columns in the order of Request."""
+    rows = zip(*(column.tolist() for column in columns), over_quota, strict=True)
+    return [
+        Request(number, due, end, listener, tenant, zone, group, load, is_over, number < preexisting)
+        for number, (due, end, listener, tenant, zone, group, load, is_over) in enumerate(rows)
+    ]
 
+
+def listener_mix(scenario: Scenario) -> ListenerMix:
+    """Return the listeners as arrays, their loads scaled to the average load of an open connection."""
+    listeners, clients = scenario.listeners, scenario.clients
+    arrival_shares = np.array([row.share for row in listeners])
+    arrival_shares /= arrival_shares.sum()
+    mean_lives = np.array([row.life for row in listeners]) * clients.life
+    open_weights = arrival_shares * mean_lives
+    loads = np.array([row.load for row in listeners])
+    mean_load = float((open_weights * loads).sum() / open_weights.sum())
+    average_load = 1.0 / clients.per_core
+    return ListenerMix(
+        arrival_shares,
+        mean_lives,
+        open_weights,
+        loads * average_load / mean_load,
+        np.array([row.load_sigma for row in listeners]),
+    )
+
+
+def draw_arrivals(scenario: Scenario, rates: RateFactors, rate: float, seed: int) -> np.ndarray:
+    """Return the sorted times of arrival, drawn with a mean rate per second or read from the record."""
     rng = random_stream(seed, "arrivals")
     shape = arrival_shape(scenario, rates, rng)
-    if clients.record:
-        times = read_arrivals(clients.record)
-        times = times[times < scenario.seconds]
-    else:
-        peak = float(shape(np.linspace(0, scenario.seconds, 2001)).max(initial=0.0)) * 1.001
-        times = np.sort(rng.uniform(0, scenario.seconds, rng.poisson(peak * rate * scenario.seconds)))
-        times = times[rng.random(len(times)) * peak < shape(times)]
-    preexisting = int(random_stream(seed, "standing").poisson(mean_open))
-    count = preexisting + len(times)
-
-    traits, lives = random_stream(seed, "traits"), random_stream(seed, "lives")
-    listener_numbers = traits.choice(len(listeners), size=count, p=share)
-    # Connections open at the start are length-biased towards long lives, of which a uniform part has passed.
+    if scenario.clients.record:
+        times = read_arrivals(scenario.clients.record)
+        return times[times < scenario.seconds]
+    # Arrivals at the peak rate, of which each is kept with the probability of its time's rate.
+    peak = float(shape(np.linspace(0, scenario.seconds, 2001)).max(initial=0.0)) * 1.001
+    times = np.sort(rng.uniform(0, scenario.seconds, rng.poisson(peak * rate * scenario.seconds)))
+    return times[rng.random(len(times)) * peak < shape(times)]
+
+
+def draw_listeners(
+    traits: np.random.Generator, mix: ListenerMix, count: int, preexisting: int, seed: int
+) -> np.ndarray:
+    """Draw each client's listener: by the open connections for the first `preexisting`, else by arrivals."""
+    listeners = traits.choice(len(mix.arrival_shares), size=count, p=mix.arrival_shares)
     if preexisting:
-        listener_numbers[:preexisting] = random_stream(seed, "standing").choice(
-            len(listeners), size=preexisting, p=weight / weight.sum()
+        listeners[:preexisting] = random_stream(seed, "standing").choice(
+            len(mix.open_weights), size=preexisting, p=mix.open_weights / mix.open_weights.sum()
         )
-    sigma = clients.life_sigma
-    bias = np.where(np.arange(count) < preexisting, sigma, 0.0)
-    whole_life = np.exp(sigma * (lives.standard_normal(count) + bias) - sigma**2 / 2) * life[listener_numbers]
-    remaining_life = whole_life * np.where(np.arange(count) < preexisting, lives.random(count), 1.0)
+    return listeners
+
+
+def draw_remaining_lives(sigma: float, mean_lives: np.ndarray, preexisting: int, seed: int) -> np.ndarray:
+    """Draw the seconds for which each client still wants its connection.
+
+    Connections open at the start are length-biased towards long lives, of which a uniform part has passed.
+    """
+    lives = random_stream(seed, "lives")
+    count = len(mean_lives)
+    is_preexisting = np.arange(count) < preexisting
+    bias = np.where(is_preexisting, sigma, 0.0)
+    whole_lives = np.exp(sigma * (lives.standard_normal(count) + bias) - sigma**2 / 2) * mean_lives
+    remaining_lives: np.ndarray = whole_lives * np.where(is_preexisting, lives.random(count), 1.0)
+    return remaining_lives
+
+
+def draw_tenants(traits: np.random.Generator, scenario: Scenario, count: int) -> np.ndarray:
+    """Draw each client's tenant, by the tenants' shares and their use of them."""
     usage = np.array([row.share * row.usage for row in scenario.customers])
-    tenant = traits.choice(len(usage), size=count, p=usage / usage.sum())
+    return traits.choice(len(usage), size=count, p=usage / usage.sum())
+
+
+def draw_zones(traits: np.random.Generator, scenario: Scenario, count: int) -> np.ndarray:
+    """Draw each client's zone; with a skew the first zone has the most clients and the last the fewest."""
     zones = len(scenario.fleet.zones)
-    skew = 1.0 + clients.zone_skew * np.linspace(1, -1, zones) if zones > 1 else np.ones(1)
-    zone = traits.choice(zones, size=count, p=skew / skew.sum())
-    sigmas = np.array([row.load_sigma for row in listeners])[listener_numbers]
-    scale = np.array([row.load for row in listeners])[listener_numbers] * average_load / mean_load
-    load = scale * np.exp(sigmas * traits.standard_normal(count) - sigmas**2 / 2)
-    groups = max(1, round(mean_open / clients.group_size))
-    if clients.group_size > 1:
-        ranks = 1.0 / np.arange(1, groups + 1) ** 0.9
-        group = traits.choice(groups, size=count, p=ranks / ranks.sum())
-    else:
-        group = np.full(count, -1)
-    due = np.concatenate([np.zeros(preexisting), times])
+    skew = 1.0 + scenario.clients.zone_skew * np.linspace(1, -1, zones) if zones > 1 else np.ones(1)
+    return traits.choice(zones, size=count, p=skew / skew.sum())
+
+
+def draw_loads(traits: np.random.Generator, mix: ListenerMix, listeners: np.ndarray) -> np.ndarray:
+    """Draw each client's average load in cores, log-normal around the average of its listener."""
+    sigmas = mix.load_sigmas[listeners]
+    factors = np.exp(sigmas * traits.standard_normal(len(listeners)) - sigmas**2 / 2)
+    loads: np.ndarray = mix.average_loads[listeners] * factors
+    return loads
+
+
+def draw_groups(traits: np.random.Generator, group_size: float, mean_open: float, count: int) -> np.ndarray:
+    """Draw each client's group, the first groups being the largest; -1 for all without groups."""
+    if group_size <= 1:
+        return np.full(count, -1)
+    groups = max(1, round(mean_open / group_size))
+    sizes = 1.0 / np.arange(1, groups + 1) ** 0.9
+    return traits.choice(groups, size=count, p=sizes / sizes.sum())
+
+
+def apply_load_factors(
+    traits: np.random.Generator,
+    rates: RateFactors,
+    due: np.ndarray,
+    listeners: np.ndarray,
+    loads: np.ndarray,
+) -> np.ndarray:
+    """Return the loads, multiplied for the clients that each factor of a fault draws."""
     for begin, end, listener, affected_share, factor in rates.loads:
-        hit = (due >= begin) & (due < end) & (traits.random(count) < affected_share)
+        affected = (due >= begin) & (due < end) & (traits.random(len(due)) < affected_share)
         if listener >= 0:
-            hit &= listener_numbers == listener
-        load = np.where(hit, load * factor, load)
-    quotas = [
-        0.9 * capacity * clients.per_core * row.share / sum(other.share for other in scenario.customers)
-        for row in scenario.customers
-    ]
-    over_quota = flag_over_quota(due, due + remaining_life, tenant, quotas)
-    ends, loads = (due + remaining_life).tolist(), load.tolist()
-    listener_of, tenant_of, zone_of, group_of = (
-        listener_numbers.tolist(),
-        tenant.tolist(),
-        zone.tolist(),
-        group.tolist(),
-    )
-    requests = [
-        Request(
-            n,
-            arrival,
-            ends[n],
-            listener_of[n],
-            tenant_of[n],
-            zone_of[n],
-            group_of[n],
-            loads[n],
-            over_quota[n],
-            n < preexisting,
-        )
-        for n, arrival in enumerate(due.tolist())
-    ]
-    average_load_by_listener = [row.load * average_load / mean_load for row in listeners]
-    return Population(requests, average_load, quotas, average_load_by_listener)
+            affected &= listeners == listener
+        loads = np.where(affected, loads * factor, loads)
+    return loads
+
+
+def tenant_quotas(scenario: Scenario, capacity: float) -> list[float]:
+    """Return each tenant's quota of open connections, which together take up 90% of the capacity."""
+    share_sum = sum(row.share for row in scenario.customers)
+    return [0.9 * capacity * scenario.clients.per_core * row.share / share_sum for row in scenario.customers]
 
 
 def flag_over_quota(due: np.ndarray, end: np.ndarray, tenant: np.ndarray, quotas: list[float]) -> list[bool]:
--- a/onyxhollow/lab/world/event_queue.py
+++ b/onyxhollow/lab/world/event_queue.py
@@ -26,6 +26,7 @@
         heapq.heappush(self.heap, (when if when > self.now else self.now, self.scheduled, call, values))
 
     def schedule_after(self, span: float, call: Callable[..., None], *values: Any) -> None:
+        """Schedule a call `span` seconds from now; a negative span counts as 0."""
         self.schedule_at(self.now + span, call, *values)
 
     @property
--- a/onyxhollow/lab/world/faults.py
+++ b/onyxhollow/lab/world/faults.py
@@ -34,41 +34,59 @@
     def proxies(self) -> Sequence[object]:
         """All proxies, by number."""
 
-    def zone_name(self, zone: int) -> str: ...
+    def zone_name(self, zone: int) -> str:
+        """Return the name of a zone, given its index."""
 
-    def fault_stream(self, number: int) -> np.random.Generator: ...
+    def fault_stream(self, number: int) -> np.random.Generator:
+        """Return a new random generator for a fault; its draws are the same on every call."""
 
-    def schedule_silence_timeouts(self, server: Server) -> None: ...
+    def schedule_silence_timeouts(self, server: Server) -> None:
+        """Schedule the timeouts by which proxies notice a server's silent connections."""
 
-    def vanish(self, server: Server, number: int) -> None: ...
+    def vanish(self, server: Server, number: int) -> None:
+        """Make a server silent: its connections stay open but carry no packets."""
 
-    def reappear(self, server: Server, number: int) -> None: ...
+    def reappear(self, server: Server, number: int) -> None:
+        """Restart a vanished server without its connections, once no other fault holds it."""
 
-    def add_server(self) -> None: ...
+    def add_server(self) -> None:
+        """Start a new server, which warms up and shows in the list after the usual delay."""
 
-    def start_server(self, server: Server) -> None: ...
+    def start_server(self, server: Server) -> None:
+        """Start a stopped server, which warms up; do nothing if it is not stopped."""
 
-    def stop_server(self, server: Server, silently: bool) -> None: ...
+    def stop_server(self, server: Server, silently: bool) -> None:
+        """Stop a server process; `silently` means that the list notices it late."""
 
-    def restart_server(self, server: Server) -> None: ...
+    def restart_server(self, server: Server) -> None:
+        """Crash a running server and start it again shortly afterwards."""
 
-    def drain_server(self, server: Server, span: float, returns: bool, replaced: bool) -> None: ...
+    def drain_server(self, server: Server, span: float, returns: bool, replaced: bool) -> None:
+        """Drain a server for `span` seconds, stop it, and restart or replace it if wanted."""
 
-    def reset_connections(self, server: Server) -> None: ...
+    def reset_connections(self, server: Server) -> None:
+        """Reset all connections of a server; the server keeps its state."""
 
-    def block_links(self, number: int, servers: list[Server], proxies: list[int], one_way: bool) -> None: ...
+    def block_links(self, number: int, servers: list[Server], proxies: list[int], one_way: bool) -> None:
+        """Block the links between servers and proxies until restore_links of the same fault."""
 
-    def restore_links(self, number: int) -> None: ...
+    def restore_links(self, number: int) -> None:
+        """Restore the links that the fault with this number blocked."""
 
-    def crash_proxy(self, number: int) -> None: ...
+    def crash_proxy(self, number: int) -> None:
+        """Kill a proxy; its clients lose their sessions. Do nothing if it is dead."""
 
-    def restart_proxy(self, number: int) -> None: ...
+    def restart_proxy(self, number: int) -> None:
+        """Start a dead proxy; do nothing if it runs."""
 
-    def stop_proxy(self, number: int, span: float, away: float) -> None: ...
+    def stop_proxy(self, number: int, span: float, away: float) -> None:
+        """Restart a proxy gracefully: `span` seconds to migrate, `away` seconds down."""
 
-    def stall_proxy(self, number: int, span: float) -> None: ...
+    def stall_proxy(self, number: int, span: float) -> None:
+        """Suspend a proxy for `span` seconds; it then processes what has arrived."""
 
-    def drop_connections(self, share: float, span: float, number: int) -> None: ...
+    def drop_connections(self, share: float, span: float, number: int) -> None:
+        """Drop the connections of a share of the clients, spread over `span` seconds."""
 
     list_service: ListService
 
@@ -81,6 +99,7 @@
 
     @property
     def until(self) -> float:
+        """Time at which the fault ends, in seconds from the start of the run."""
         return self.at + self.lasts
 
     def find_invalid_key(self, zones: list[str], listeners: list[str]) -> tuple[str, str, object] | None:
@@ -118,17 +137,21 @@
         return [running[index] for index in indices]
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Select the servers, keep them for end, and apply the fault to each."""
         world.affected_servers[number] = self.select_servers(world, number)
         for server in world.affected_servers[number]:
             self.apply(world, server, number)
 
     def end(self, world: FaultTarget, number: int) -> None:
+        """Revert the fault on the servers that begin selected."""
         for server in world.affected_servers.pop(number, []):
             self.revert(world, server, number)
 
-    def apply(self, world: FaultTarget, server: Server, number: int) -> None: ...
+    def apply(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Apply the fault to one server; `number` identifies the fault."""
 
-    def revert(self, world: FaultTarget, server: Server, number: int) -> None: ...
+    def revert(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Revert the fault on one server, without touching the effects of other faults."""
 
 
 class Slow(ServerFault, frozen=True, kw_only=True, tag="slow"):
@@ -137,9 +160,11 @@
     times: Annotated[float, Meta(gt=1)] = 4.0
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Divide the server's capacity by the factor."""
         server.capacity_factors[number] = 1.0 / self.times
 
     def revert(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Remove this fault's factor from the server's capacity."""
         server.capacity_factors.pop(number, None)
 
 
@@ -147,10 +172,12 @@
     """Servers accept connections but answer nothing."""
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Make the server answer nothing; proxies notice its open connections by their silence."""
         server.hung_by.add(number)
         world.schedule_silence_timeouts(server)
 
     def revert(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Let the server answer again, unless another fault keeps it hung."""
         server.hung_by.discard(number)
 
 
@@ -160,9 +187,11 @@
     share: Share = 0.7
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Set the share of OPEN requests that the server answers with an error."""
         server.error_shares[number] = self.share
 
     def revert(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Remove this fault's share of errors."""
         server.error_shares.pop(number, None)
 
 
@@ -174,6 +203,7 @@
     off: Positive = 2.0
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Take the share of capacity for `on` seconds; pause calls this again until the fault ends."""
         if number in world.affected_servers and server in world.affected_servers[number]:
             server.capacity_factors[number] = 1.0 - self.takes
             world.event_queue.schedule_after(self.on, self.pause, world, server, number)
@@ -185,6 +215,7 @@
             world.event_queue.schedule_after(self.off, self.apply, world, server, number)
 
     def revert(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Return the capacity; a pending apply or pause then does nothing more."""
         server.capacity_factors.pop(number, None)
 
 
@@ -192,9 +223,11 @@
     """Machines vanish; their connections stay open and silent. At the end the machines restart."""
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Make the machine silent; the list notices it late."""
         world.vanish(server, number)
 
     def revert(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Restart the machine without its connections."""
         world.reappear(server, number)
 
 
@@ -204,6 +237,7 @@
     part: Share = 1.0
 
     def find_invalid_key(self, zones: list[str], listeners: list[str]) -> tuple[str, str, object] | None:
+        """Return the zone as invalid if none is given, else check as for every fault."""
         if not self.zone:
             return "zone", f"one of {zones}", self.zone
         return super().find_invalid_key(zones, listeners)
@@ -213,9 +247,11 @@
     """Server processes die: connections are reset, new ones refused. At the end they start and warm up."""
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Stop the process; the list notices it late."""
         world.stop_server(server, silently=True)
 
     def revert(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Start the process, which warms up."""
         world.start_server(server)
 
 
@@ -225,6 +261,7 @@
     lasts: NonNegative = 0.0
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Reset all connections that the server has now."""
         world.reset_connections(server)
 
 
@@ -238,6 +275,7 @@
     one_way: bool = False
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Draw the unreachable proxies and block their links to the selected servers."""
         count = max(1, round(self.proxies * len(world.proxies)))
         unreachable = world.fault_stream(number).permutation(len(world.proxies))[:count]
         world.block_links(
@@ -245,6 +283,7 @@
         )
 
     def end(self, world: FaultTarget, number: int) -> None:
+        """Restore the links that this fault blocked."""
         world.restore_links(number)
 
 
@@ -254,9 +293,11 @@
     factor: NonNegative = 0.2
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Multiply the load that the server reports; its true load stays."""
         server.report_factors[number] = self.factor
 
     def revert(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Remove this fault's factor from the server's reports."""
         server.report_factors.pop(number, None)
 
 
@@ -269,10 +310,12 @@
     step: float = 30.0
 
     def apply(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Move the server's clock forward by the step and schedule its restart."""
         server.clock_offset += self.step
         world.event_queue.schedule_after(self.lasts / 2, world.restart_server, server)
 
     def revert(self, world: FaultTarget, server: Server, number: int) -> None:
+        """Move the server's clock back by the step."""
         server.clock_offset -= self.step
 
 
@@ -284,6 +327,7 @@
     listener: str = ""
 
     def adjust_rates(self, rates: RateFactors, listeners: list[str]) -> None:
+        """Multiply the load of the share of sessions that arrive during the fault."""
         index = listeners.index(self.listener) if self.listener else -1
         rates.loads.append((self.at, self.until, index, self.share, self.times))
 
@@ -294,6 +338,7 @@
     times: Positive = 2.0
 
     def adjust_rates(self, rates: RateFactors, listeners: list[str]) -> None:
+        """Multiply the arrival rate for the duration of the fault."""
         rates.arrivals.append((self.at, self.until, self.times))
 
 
@@ -304,6 +349,7 @@
     lasts: NonNegative = 1.0
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Drop the connections of the share of clients, spread over the duration."""
         world.drop_connections(self.share, self.lasts, number)
 
 
@@ -313,6 +359,7 @@
     servers: Annotated[int, Meta(ge=1, le=100000)] = 4
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Schedule the starts of the new servers, evenly over the duration."""
         for index in range(self.servers):
             world.event_queue.schedule_after(self.lasts * index / self.servers, world.add_server)
 
@@ -323,6 +370,7 @@
     drain: NonNegative = 4.0
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Schedule the drains of the selected servers, evenly over the duration."""
         selected = self.select_servers(world, number)
         for index, server in enumerate(selected):
             world.event_queue.schedule_after(
@@ -339,6 +387,7 @@
     replaced: bool = False
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Schedule the drains of the selected servers, batch by batch over the duration."""
         selected = self.select_servers(world, number)
         size = max(1, math.ceil(self.batch * len(selected)))
         batches = [selected[first : first + size] for first in range(0, len(selected), size)]
@@ -363,10 +412,12 @@
         return sorted(world.fault_stream(number).permutation(len(world.proxies))[:count].tolist())
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Kill the selected proxies at once."""
         for proxy in self.select_proxies(world, number):
             world.crash_proxy(proxy)
 
     def end(self, world: FaultTarget, number: int) -> None:
+        """Start the same proxies, `one_by_one` seconds apart."""
         for index, proxy in enumerate(self.select_proxies(world, number)):
             world.event_queue.schedule_after(index * self.one_by_one, world.restart_proxy, proxy)
 
@@ -378,6 +429,7 @@
     stop: Positive = 3.0
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Schedule the graceful restarts, `apart` seconds after one another."""
         for index, proxy in enumerate(self.select_proxies(world, number)):
             world.event_queue.schedule_after(
                 index * self.apart, world.stop_proxy, proxy, self.stop, self.lasts
@@ -393,6 +445,7 @@
     lasts: NonNegative = 0.5
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Suspend the selected proxies for the duration of the fault."""
         for proxy in self.select_proxies(world, number):
             world.stall_proxy(proxy, self.lasts)
 
@@ -404,9 +457,11 @@
     """The list service answers no calls, and all watches end."""
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Stop answering calls, and end all watches."""
         world.list_service.take_down(number)
 
     def end(self, world: FaultTarget, number: int) -> None:
+        """Answer calls again, unless another fault keeps the service down."""
         world.list_service.bring_up(number)
 
 
@@ -416,9 +471,11 @@
     late: Positive = 5.0
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """Add the delay to every change that is made from now on."""
         world.list_service.delay_by_fault[number] = self.late
 
     def end(self, world: FaultTarget, number: int) -> None:
+        """Remove this fault's delay; changes already delayed stay so."""
         world.list_service.delay_by_fault.pop(number, None)
 
 
@@ -428,6 +485,7 @@
     lasts: NonNegative = 0.0
 
     def begin(self, world: FaultTarget, number: int) -> None:
+        """End all watches and answer calls again at once."""
         world.list_service.take_down(number)
         world.list_service.bring_up(number)
 
--- a/onyxhollow/lab/world/servers.py
+++ b/onyxhollow/lab/world/servers.py
@@ -69,6 +69,7 @@
 
     @property
     def group(self) -> int:
+        """Group of the client's request; -1 if it has none."""
         return self.request.group
 
     def next_draw(self) -> int:
@@ -160,6 +161,7 @@
 
     @property
     def is_running(self) -> bool:
+        """Whether the process runs, draining included; it may still be unresponsive."""
         return self.state is not ServerState.STOPPED
 
     @property
--- a/onyxhollow/lab/world/streams.py
+++ b/onyxhollow/lab/world/streams.py
@@ -27,10 +27,13 @@
         self.normals: list[float] = rng.standard_normal(TABLE_SIZE).tolist()
 
     def uniform(self, number: int, draw: int) -> float:
+        """Return a number in [0, 1) for one draw of a client or server."""
         return self.uniforms[(number * 40503 + draw * 977) & (TABLE_SIZE - 1)]
 
     def normal(self, number: int, draw: int) -> float:
+        """Return a standard normal number for one draw of a client or server."""
         return self.normals[(number * 30011 + draw * 1471) & (TABLE_SIZE - 1)]
 
     def exponential(self, number: int, draw: int) -> float:
+        """Return an exponentially distributed number of mean 1 for one draw."""
         return -math.log(1.0 - self.uniforms[(number * 52361 + draw * 613 + 17) & (TABLE_SIZE - 1)])
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -19,7 +19,7 @@
 from onyxhollow.lab.scenario import Scenario
 from onyxhollow.lab.world import listing
 from onyxhollow.lab.world.clients import retry_wait
-from onyxhollow.lab.world.draws import populate
+from onyxhollow.lab.world.draws import Population, populate
 from onyxhollow.lab.world.event_queue import EventQueue
 from onyxhollow.lab.world.listing import ListedServer, ListService
 from onyxhollow.lab.world.servers import Client, OpenResult, Server, ServerState, Session
@@ -44,9 +44,11 @@
     def close_by_server(self, sess: Session, move: bool) -> None:
         """Close the server's side of a connection: tell the client to move, or reset it."""
 
-    def crash(self, proxy: int) -> None: ...
+    def crash(self, proxy: int) -> None:
+        """Kill a proxy at once, without its graceful shutdown."""
 
-    def restart(self, proxy: int) -> None: ...
+    def restart(self, proxy: int) -> None:
+        """Start a dead proxy with the endpoint list that it had."""
 
     def is_ready(self, proxy: int) -> bool:
         """Return whether a proxy that was started accepts clients."""
@@ -54,7 +56,8 @@
     def stop(self, proxy: int, span: float) -> None:
         """Shut a proxy down gracefully: it migrates its clients over the span in seconds."""
 
-    def stall(self, proxy: int, span: float) -> None: ...
+    def stall(self, proxy: int, span: float) -> None:
+        """Suspend a proxy for `span` seconds; it then processes what has arrived."""
 
 
 @dataclass(slots=True)
@@ -107,15 +110,12 @@
         self.checker = InvariantChecker(
             scenario.proxies.drain_grace, scenario.proxies.answer_grace, scenario.proxies.ask_within
         )
-        self.proxies = [Proxy(n, n % len(fleet.zones)) for n in range(fleet.proxies)]
+        self.proxies = [Proxy(number, number % len(fleet.zones)) for number in range(fleet.proxies)]
         self.average_load = 1.0
         for _ in range(fleet.servers):
             self.make_server(-math.inf)
         self.capacity = sum(server.full_capacity for server in self.servers)  # cores of speed 1, at the start
-        rates = RateFactors()
-        for fault in scenario.faults:
-            fault.adjust_rates(rates, self.listener_names)
-        population = populate(scenario, max(1.0, self.capacity), rates, seed)
+        population = self._draw_population()
         self.average_load, self.quotas, self.requests = (
             population.average_load,
             population.quotas,
@@ -136,7 +136,15 @@
         self.engine: Engine = None  # type: ignore[assignment]  # set in start
         self.crossings = 0
 
+    def _draw_population(self) -> Population:
+        """Draw all clients of the run, with the rates and loads that the faults set."""
+        rates = RateFactors()
+        for fault in self.scenario.faults:
+            fault.adjust_rates(rates, self.listener_names)
+        return populate(self.scenario, max(1.0, self.capacity), rates, self.seed)
+
     def zone_name(self, zone: int) -> str:
+        """Return the name of a zone, given its index."""
         return self.scenario.fleet.zones[zone]
 
     def fault_stream(self, number: int) -> np.random.Generator:
@@ -164,7 +172,8 @@
         self.event_queue.schedule_at(SAMPLE_SECONDS, self.sample)
         self.schedule_arrival(
             next(
-                (n for n, request in enumerate(self.requests) if not request.preexisting), len(self.requests)
+                (number for number, request in enumerate(self.requests) if not request.preexisting),
+                len(self.requests),
             )
         )
         for number, fault in enumerate(self.scenario.faults):
@@ -379,9 +388,11 @@
         self.attach(sess, server)
 
     def on_rejected(self, sess: Session, retry_after: float) -> None:
+        """Handle a rejection; its client waits `retry_after` seconds if it honours that."""
         self.handle_failed_answer(sess, LossCause.REFUSED, retry_after)
 
     def on_failed(self, sess: Session) -> None:
+        """Handle an error as the final answer; the session may have run."""
         self.handle_failed_answer(sess, LossCause.TORN_DOWN, 0.0)
 
     def handle_failed_answer(self, sess: Session, cause: LossCause, retry_after: float) -> None:
@@ -561,6 +572,7 @@
         self.list_service.schedule_change(self.list_row(server, state), notice)
 
     def add_server(self) -> None:
+        """Add a running server that warms up and shows in the list after the usual delay."""
         server = self.make_server(self.event_queue.now)
         self.publish_state(server, listing.IN_SERVICE, self.scenario.server_list.add)
 
@@ -627,6 +639,7 @@
             self.event_queue.schedule_after(0.5, self.start_server, server)
 
     def vanish(self, server: Server, number: int) -> None:
+        """Make a server silent: its connections stay open and earn nothing."""
         server.vanished_by.add(number)  # its connections earn nothing from the next step on
         self.publish_state(server, listing.GONE, self.scenario.server_list.silent_notice)
         self.schedule_silence_timeouts(server)
@@ -692,7 +705,7 @@
     def block_links(self, number: int, servers: list[Server], proxies: list[int], one_way: bool) -> None:
         """Block the links between servers and proxies; packets of their connections are lost."""
         self.blocked_links[number] = links = BlockedLinks(
-            frozenset(s.name for s in servers), frozenset(proxies), one_way
+            frozenset(server.name for server in servers), frozenset(proxies), one_way
         )
         for server in servers:
             for sess in list(server.sessions):
@@ -770,6 +783,7 @@
         self.event_queue.schedule_after(span + away, self.restart_proxy, number)
 
     def stall_proxy(self, number: int, span: float) -> None:
+        """Suspend a proxy for `span` seconds, unless it is dead."""
         if self.proxies[number].alive:
             self.engine.stall(number, span)
 
@@ -783,6 +797,7 @@
                 self.event_queue.schedule_after(wait * span, self.drop_client, client)
 
     def drop_client(self, client: Client) -> None:
+        """End the client's established connection, if it has one, from the client's side."""
         sess = client.session
         if sess is None or sess.established_at < 0 or sess.ended:
             return
