--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -41,6 +41,8 @@
 READY_CHECK_SECONDS = 0.25  # between two PINGs to a restarted proxy
 WORLD_CHECK_SECONDS = 0.05  # between two checks of the world for changes
 MAX_LISTENERS = 4000  # listener sockets with one for each pair of proxy and server
+# Limit of a proxy's sockets: the minimum plus a number for each client of the run, up to the maximum.
+MIN_PROXY_SOCKETS, PROXY_SOCKETS_PER_CLIENT, MAX_PROXY_SOCKETS = 400, 3, 4000
 BAD_CLIENT_SECONDS = 1.0  # between two clients that violate the protocol
 BAD_CLIENT_INPUTS = (
     b"HELLO\r\n",
@@ -65,6 +67,7 @@
         self.lines = LineConnection(engine.loop, sock, self.on_line, self.on_end)
 
     def on_line(self, line: bytes) -> None:
+        """Handle a line of the proxy: the final answer, a MOVE, or an echoed line."""
         engine, sess = self.engine, self.sess
         answer, _, rest = line.strip().partition(b" ")
         if self.answered:
@@ -102,12 +105,14 @@
             engine.world.on_failed(sess)
 
     def send_line(self) -> None:
+        """Send the next numbered line and schedule another, until the connection ends."""
         if self.lines.open and not self.sess.ended:
             self.lines_sent += 1
             self.lines.send(b"line %d\r\n" % self.lines_sent)
             self.engine.world.event_queue.schedule_after(CLIENT_LINE_SECONDS, self.send_line)
 
     def on_end(self, _: bool) -> None:
+        """Handle the end of the connection by the proxy, with or without a final answer."""
         engine, sess = self.engine, self.sess
         engine.client_connections.pop(sess.number, None)
         if sess.ended:
@@ -134,11 +139,8 @@
         """Prepare a run; in_fleet: the proxies form a fleet; sharing: its members gossip load reports."""
         self.scenario, self.seed, self.folder, self.in_fleet = scenario, seed, folder, in_fleet
         self.world = World(scenario, seed)
-        drain_grace, answer_grace = (
-            scenario.proxies.drain_grace + TIME_LIMIT_SLACK_SECONDS,
-            scenario.proxies.answer_grace + TIME_LIMIT_SLACK_SECONDS,
-        )
-        self.world.checker.drain_grace, self.world.checker.answer_grace = drain_grace, answer_grace
+        self.world.checker.drain_grace = scenario.proxies.drain_grace + TIME_LIMIT_SLACK_SECONDS
+        self.world.checker.answer_grace = scenario.proxies.answer_grace + TIME_LIMIT_SLACK_SECONDS
         self.loop = Loop(self.record_failure)
         self.started_at = time.monotonic()
         self.client_connections: dict[int, ClientConnection] = {}
@@ -159,28 +161,35 @@
         self.bad_clients: list[LineConnection] = []
         self.bad_clients_started = self.bad_clients_ended = 0
         self.list_was_down = False
-        # One listener for each pair of proxy and server. Where that needs too many descriptors, one for each
-        # pair of zone and server: link faults affect whole zones (proxies are assigned to zones round robin).
-        fleet = scenario.fleet
-        pairs = fleet.proxies * fleet.servers
-        self.listeners_per_server = fleet.proxies if pairs <= MAX_LISTENERS else len(fleet.zones)
-        self.list_services = [ListService(self, n) for n in range(scenario.fleet.proxies)]
-        clients = len(self.world.clients)
-        self.proxies = [
-            ProxyProcess(
-                n,
-                wire_settings(scenario, self.world.quotas, n),
-                self.list_services[n].address,
-                folder,
-                min(4000, 400 + 3 * clients),
-            )
-            for n in range(scenario.fleet.proxies)
-        ]
+        self.listeners_per_server = self._count_listeners_per_server()
+        self.list_services = [ListService(self, number) for number in range(scenario.fleet.proxies)]
+        self.proxies = [self._make_proxy(number) for number in range(scenario.fleet.proxies)]
         if in_fleet:
             self.write_fleet_files(sharing)
 
+    def _count_listeners_per_server(self) -> int:
+        """Return the listeners of each server: one for each proxy, in a large fleet one for each zone.
+
+        One for each pair of proxy and server would need too many descriptors in a large fleet. Link faults
+        affect whole zones there (proxies are assigned to zones round robin).
+        """
+        fleet = self.scenario.fleet
+        pairs = fleet.proxies * fleet.servers
+        return fleet.proxies if pairs <= MAX_LISTENERS else len(fleet.zones)
+
+    def _make_proxy(self, number: int) -> ProxyProcess:
+        """Return a proxy that is not started yet; its limit of sockets grows with the number of clients."""
+        return ProxyProcess(
+            number,
+            wire_settings(self.scenario, self.world.quotas, number),
+            self.list_services[number].address,
+            self.folder,
+            min(MAX_PROXY_SOCKETS, MIN_PROXY_SOCKETS + PROXY_SOCKETS_PER_CLIENT * len(self.world.clients)),
+        )
+
     @property
     def now(self) -> float:
+        """Seconds since the run began, as of the last event."""
         return self.world.event_queue.now
 
     def to_unix_time(self, when: float) -> float:
@@ -188,24 +197,28 @@
         return time.time() - time.monotonic() + self.started_at + when
 
     def record_failure(self, where: str, error: BaseException) -> None:
+        """Keep an exception of a callback of the event loop for the findings; 20 at most."""
         if len(self.failures) < 20:
             self.failures.append(f"{where}: {error!r}")
 
     def report_protocol_error(self, text: str) -> None:
+        """Keep a violation of the protocol by a proxy for the findings; 50 at most."""
         if len(self.protocol_errors) < 50:
             self.protocol_errors.append(text)
 
     def get_listener(self, server: str, proxy: int) -> ServerListener:
+        """Return the listener at which a proxy reaches a server, opened on the first call."""
         listeners = self.listeners.get(server)
         if listeners is None:
             model = self.world.servers_by_name[server]
             listeners = self.listeners[server] = [
-                ServerListener(self, model, n) for n in range(self.listeners_per_server)
+                ServerListener(self, model, index) for index in range(self.listeners_per_server)
             ]
             self.server_states[server] = model.state
         return listeners[proxy % self.listeners_per_server]
 
     def find_session(self, line: bytes) -> Session | None:
+        """Return the session whose id an OPEN line carries, or None if the id is not known."""
         field = line.split(b" ")[1] if line.count(b" ") >= 3 else b""
         return self.sessions.get(int(field[1:], 16)) if field[:1] == b"c" and len(field) < 20 else None
 
@@ -213,7 +226,8 @@
         """Write the proxies' fleet files; one leader in each zone polls the list for the others."""
         (self.folder / "fleet.key").write_text("6c61622d" * 4 + "\n")
         addresses = [
-            free_address(f"127.0.3.{n % 250 + 1}", socket.SOCK_DGRAM) for n in range(len(self.proxies))
+            free_address(f"127.0.3.{number % 250 + 1}", socket.SOCK_DGRAM)
+            for number in range(len(self.proxies))
         ]
         fast = {"period": 0.4, "timeout": 0.15, "sync": 2.0}
         slow = {"period": 1.5, "timeout": 0.5, "sync": 8.0}
@@ -237,6 +251,7 @@
     # running
 
     def run(self, progress: Any = lambda now, of: None) -> World:
+        """Play the scenario in real time and return its world; all processes and sockets are closed."""
         try:
             self.set_up()
             self.run_until_end(progress)
@@ -246,6 +261,7 @@
         return self.world
 
     def set_up(self) -> None:
+        """Start the proxies and establish the connections that exist from the start."""
         world = self.world
         # An event that runs late is accounted from when it ran, not from when it was due. With hundreds of
         # processes on one machine that missed one part in ten thousand. It is reported, and bounded.
@@ -278,6 +294,7 @@
             )
 
     def run_until_end(self, progress: Any) -> None:
+        """Run the event queue in real time to the end of the scenario and measure lateness."""
         event_queue, end = self.world.event_queue, self.scenario.seconds
         self.started_at = time.monotonic()
         # Health checks before the start do not count: with sharing they were most of the total.
@@ -312,6 +329,7 @@
         ]
 
     def tear_down(self) -> None:
+        """Kill the proxies and close all connections, listeners and the event loop."""
         for process in self.proxies:
             process.detect_crash()
             process.kill()
@@ -333,7 +351,7 @@
         """Apply the world's changes of servers, links and list to the sockets."""
         world = self.world
         for server in world.servers:
-            listeners = [self.get_listener(server.name, n) for n in range(self.listeners_per_server)]
+            listeners = [self.get_listener(server.name, index) for index in range(self.listeners_per_server)]
             if server.state is not self.server_states[server.name]:
                 before, self.server_states[server.name] = self.server_states[server.name], server.state
                 for listener in listeners:
@@ -358,6 +376,7 @@
         self.world.event_queue.schedule_after(WORLD_CHECK_SECONDS, self.apply_world_changes)
 
     def list_snapshot(self, proxy: int) -> dict[str, Any]:
+        """Return the whole list as a proxy stores it, to start the proxy with."""
         rows = [self.list_services[proxy].row(row) for row in self.world.list_service.rows.values()]
         return {"seq": self.world.list_service.version, "whole": True, "hosts": rows}
 
@@ -377,9 +396,11 @@
         self.world.event_queue.schedule_after(BAD_CLIENT_SECONDS, self.start_bad_client)
 
     def on_bad_client_end(self, _: bool) -> None:
+        """Count a client that violated the protocol and was disconnected by its proxy."""
         self.bad_clients_ended += 1
 
     def on_standing_answer(self, sess: Session, accepted: bool) -> None:
+        """Count a connection from the start as answered; report any answer but UP."""
         self.awaiting_established.discard(sess.number)
         if not accepted:
             self.report_protocol_error(f"session {sess.number}: expected UP for a connection from the start")
@@ -387,9 +408,11 @@
     # called by the world
 
     def submit(self, sess: Session) -> None:
+        """Open a client's session at its proxy."""
         self.connect(sess)
 
     def connect(self, sess: Session) -> None:
+        """Connect to the session's proxy and send OPEN; a refused connection loses the session."""
         request, scenario = sess.client.request, self.scenario
         self.sessions[sess.number] = sess
         sock = socket.socket()
@@ -419,11 +442,13 @@
         client.lines.send(f"OPEN c{sess.number:x} k{request.number} {','.join(fields)}\r\n".encode())
 
     def cancel(self, sess: Session) -> None:
+        """Close the client's side of a session, before or after its final answer."""
         self.world.checker.record_client_gone(self.now, sess.number)
         if client := self.client_connections.pop(sess.number, None):
             client.lines.close()
 
     def close_by_server(self, sess: Session, move: bool) -> None:
+        """Close the server's side of a connection: tell the client to move, or reset it."""
         connection = self.server_connections.get(sess.number)
         if connection is not None and not connection.ended:
             if move:
@@ -431,6 +456,7 @@
             connection.close(reset=not move)
 
     def load_changed(self, sess: Session) -> None:
+        """Send the new load of a connection to its proxy, unless its server is silent."""
         connection = self.server_connections.get(sess.number)
         if (
             connection is not None
@@ -442,6 +468,7 @@
             connection.lines.send(b"LOAD %d\r\n" % round(sess.load * 1e6))
 
     def crash(self, number: int) -> None:
+        """Kill a proxy and close the connections of its clients."""
         self.ready_proxies.discard(number)
         self.proxies[number].kill()
         for sess_number, client in list(self.client_connections.items()):
@@ -450,6 +477,7 @@
                 client.lines.close()
 
     def restart(self, number: int) -> None:
+        """Start a dead proxy with the current list; is_ready tells when it accepts clients."""
         self.proxies[number].start(
             self.seed * 1009 + number + 500 * self.proxies[number].start_count, self.list_snapshot(number)
         )
@@ -478,13 +506,16 @@
         )
 
     def is_ready(self, number: int) -> bool:
+        """Return whether a proxy that was started has answered PING."""
         return number in self.ready_proxies
 
     def stop(self, number: int, span: float) -> None:
+        """Ask a proxy by SIGTERM to shut down gracefully; `span` is not passed on."""
         self.proxies[number].ending = True
         self.proxies[number].send_signal(signal.SIGTERM)
 
     def stall(self, number: int, span: float) -> None:
+        """Suspend a proxy's process for `span` seconds."""
         self.proxies[number].send_signal(signal.SIGSTOP)
         self.world.checker.record_stall(number, self.now + span + TIME_LIMIT_SLACK_SECONDS)
         self.world.event_queue.schedule_after(span, self.proxies[number].send_signal, signal.SIGCONT)
@@ -511,7 +542,7 @@
             "probes_before": self.health_checks_before_start,
             "behind_s": round(self.slow_turn_seconds, 2),
             "latest_ms": round(1000 * max(self.lateness, default=0.0), 1),
-            "crashes": {f"n{p.number}": p.crashes for p in self.proxies if p.crashes},
+            "crashes": {f"n{proxy.number}": proxy.crashes for proxy in self.proxies if proxy.crashes},
             "complaints": self.protocol_errors,
             "failures": self.failures,
             "bad_clients": self.bad_clients_started,
--- a/onyxhollow/lab/sockets/line_connection.py
+++ b/onyxhollow/lab/sockets/line_connection.py
@@ -37,9 +37,11 @@
         self.watch()
 
     def watch(self) -> None:
+        """Register for read events, and for write events while data waits to be sent."""
         self.loop.watch(self.sock.fileno(), READ | (WRITE if self.outbox else 0), self.on_ready)
 
     def on_ready(self, events: int) -> None:
+        """Handle the readiness of the socket, called by the event loop."""
         if events & WRITE and self.open:
             self.flush()
         if events & ~WRITE and self.open:
@@ -72,6 +74,7 @@
             self.on_end(broken)
 
     def send(self, text: bytes) -> None:
+        """Send bytes, or buffer those that the socket does not take; do nothing once closed."""
         if not self.open:
             return
         self.outbox += text
@@ -80,6 +83,7 @@
             self.close()  # the peer does not read
 
     def flush(self) -> None:
+        """Send buffered bytes as far as the socket takes them."""
         try:
             while self.outbox:
                 del self.outbox[: self.sock.send(self.outbox)]
@@ -91,6 +95,7 @@
         self.watch()
 
     def close(self, reset: bool = False) -> None:
+        """Close the socket, with a TCP reset if wanted; on_end is not called."""
         if not self.open:
             return
         self.open = False
@@ -109,6 +114,7 @@
 
 
 def open_listener(address: tuple[str, int], backlog: int = 1024) -> socket.socket:
+    """Return a non-blocking listener socket; port 0 lets the kernel choose one."""
     sock = socket.create_server(address, backlog=backlog)
     sock.setblocking(False)
     return sock
--- a/onyxhollow/lab/sockets/list_service.py
+++ b/onyxhollow/lab/sockets/list_service.py
@@ -51,6 +51,7 @@
         self.http = h11.Connection(h11.SERVER)
 
     def on_data(self, data: bytes) -> None:
+        """Feed received bytes to the HTTP parser and handle each complete request."""
         try:
             self.http.receive_data(data)
             while True:
@@ -68,6 +69,7 @@
             self.lines.close()
 
     def on_request(self, target: str) -> None:
+        """Answer a request: 503 during an outage, changes at once, or a watch that waits for them."""
         query = parse_qs(urlsplit(target).query)
         seen, wait = int(query.get("index", ["-1"])[0]), min(60.0, int(query.get("wait", ["0"])[0]) / 1000)
         service, engine = self.service, self.service.engine
@@ -85,6 +87,7 @@
         engine.world.event_queue.schedule_after(wait, self.on_wait_over, self.wait_number)
 
     def on_wait_over(self, number: int) -> None:
+        """Answer a watch whose wait has passed without a change."""
         if self.service.watchers.get(self) is not None and number == self.wait_number:
             self.send_changes(self.service.watchers.pop(self))
 
@@ -107,6 +110,7 @@
         self.service.answered_at = engine.now
 
     def answer(self, status: int, body: Any) -> None:
+        """Send a response with a JSON body and prepare for the next request."""
         text = orjson.dumps(body)
         head = h11.Response(status_code=status, headers=[("Content-Length", str(len(text)))])
         parts = (head, h11.Data(data=text), h11.EndOfMessage())
@@ -117,6 +121,7 @@
             self.lines.close()
 
     def on_end(self, _: bool) -> None:
+        """Forget the connection and its watch."""
         self.service.watchers.pop(self, None)
         self.service.connections.pop(self, None)
 
@@ -134,6 +139,7 @@
         accept_connections(engine.loop, self.sock, self.on_accept)
 
     def on_accept(self, sock: socket.socket) -> None:
+        """Serve a new connection of the proxy."""
         self.connections[ListConnection(self, sock)] = None
 
     def row(self, row: ListedServer) -> dict[str, Any]:
@@ -158,10 +164,12 @@
             self.engine.world.checker.record_poll(answered_at, self.proxy)
 
     def notify_watchers(self) -> None:
+        """Answer all watches with what has changed since the version of each."""
         for connection, seen in list(self.watchers.items()):
             connection.send_changes(seen)
 
     def drop_connections(self) -> None:
+        """Close all connections of the proxy, as an outage of the service does."""
         for connection in list(self.connections):
             connection.lines.close()
             connection.on_end(True)
@@ -169,6 +177,7 @@
         self.engine.world.checker.record_poll(self.engine.now, self.proxy)
 
     def close(self) -> None:
+        """Drop the connections and close the listener socket."""
         self.drop_connections()
         self.engine.loop.watch(self.sock.fileno(), 0, None)
         self.sock.close()
--- a/onyxhollow/lab/sockets/proxies.py
+++ b/onyxhollow/lab/sockets/proxies.py
@@ -15,17 +15,19 @@
 import orjson
 
 from onyxhollow.lab.scenario import Scenario
+from onyxhollow.lab.specs import ListenerSpec
 
 SEMANTICS = {"repeatable": "read_like", "referenced": "idempotency_key", "once-only": "non_idempotent"}
 READY_TIMEOUT_SECONDS = 10.0  # until a started proxy answers PING
 
 
-def wire_settings(scenario: Scenario, quotas: list[float], number: int) -> dict[str, Any]:
-    """Return the settings object that `serve` reads; times are in nanoseconds."""
+def to_nanoseconds(seconds: float) -> int:
+    """Return a time in whole nanoseconds, the unit of the settings that `serve` reads."""
+    return round(seconds * 1e9)
 
-    def ns(seconds: float) -> int:
-        return round(seconds * 1e9)
 
+def wire_settings(scenario: Scenario, quotas: list[float], number: int) -> dict[str, Any]:
+    """Return the settings object that `serve` reads; times are in nanoseconds."""
     fleet, proxies = scenario.fleet, scenario.proxies
     return {
         "me": number,
@@ -33,50 +35,65 @@
         "zone": fleet.zones[number % len(fleet.zones)],
         "discovery": "on_request",
         "overageUtility": proxies.overage_utility,
-        "listeners": [
-            {
-                "name": row.name,
-                "handshakeTargetNs": ns(row.target),
-                "dialTimeoutNs": ns(row.timeout),
-                "utility": row.utility,
-                "semantics": SEMANTICS[row.repeat],
-                "group": row.scope,
-                "windowNs": ns(row.window),
-                "stream": True,
-            }
-            for row in scenario.listeners
-        ],
+        "listeners": [_listener_settings(row) for row in scenario.listeners],
         "tenants": [{"name": row.name, "share": row.share} for row in scenario.customers],
-        "extra": {
-            "groups": scenario.clients.group_size > 1,
-            "mode": "proxy",
-            "tellsLoad": fleet.tells_load,
-            "reportX0": "load asked of the server over what it can do",
-            "messageAimNs": [ns(row.message_target) for row in scenario.listeners],
-            "tenantQuotaConnections": quotas,
-        },
+        "extra": _extra_settings(scenario, quotas),
         "report": {"how": "probe", "fields": ["x0"]},
-        "rules": {
-            "askWithinNs": ns(proxies.ask_within),
-            "coldShare": fleet.cold_share,
-            "coldNs": ns(fleet.cold_time),
-            "fallMultiple": fleet.fall_multiple,
-            "fallNs": ns(fleet.fall_time),
-            "drainGraceNs": ns(proxies.drain_grace),
-            "graceToAnswerNs": ns(proxies.answer_grace),
-        },
-        "ceilings": {
-            "mostDials": proxies.most_dials,
-            "probes": proxies.probes,
-            "cancelling": proxies.cancelling,
-            "connectTimeoutNs": ns(scenario.network.connect_time),
-            "retryAfter": scenario.clients.most_retry_after > 0,
-            "maxRetryAfterNs": ns(scenario.clients.most_retry_after),
-        },
+        "rules": _rule_settings(scenario),
+        "ceilings": _limit_settings(scenario),
         "charges": {"probe": proxies.probe_price},
     }
 
 
+def _listener_settings(listener: ListenerSpec) -> dict[str, Any]:
+    return {
+        "name": listener.name,
+        "handshakeTargetNs": to_nanoseconds(listener.target),
+        "dialTimeoutNs": to_nanoseconds(listener.timeout),
+        "utility": listener.utility,
+        "semantics": SEMANTICS[listener.repeat],
+        "group": listener.scope,
+        "windowNs": to_nanoseconds(listener.window),
+        "stream": True,
+    }
+
+
+def _extra_settings(scenario: Scenario, quotas: list[float]) -> dict[str, Any]:
+    return {
+        "groups": scenario.clients.group_size > 1,
+        "mode": "proxy",
+        "tellsLoad": scenario.fleet.tells_load,
+        "reportX0": "load asked of the server over what it can do",
+        "messageAimNs": [to_nanoseconds(row.message_target) for row in scenario.listeners],
+        "tenantQuotaConnections": quotas,
+    }
+
+
+def _rule_settings(scenario: Scenario) -> dict[str, Any]:
+    fleet, proxies = scenario.fleet, scenario.proxies
+    return {
+        "askWithinNs": to_nanoseconds(proxies.ask_within),
+        "coldShare": fleet.cold_share,
+        "coldNs": to_nanoseconds(fleet.cold_time),
+        "fallMultiple": fleet.fall_multiple,
+        "fallNs": to_nanoseconds(fleet.fall_time),
+        "drainGraceNs": to_nanoseconds(proxies.drain_grace),
+        "graceToAnswerNs": to_nanoseconds(proxies.answer_grace),
+    }
+
+
+def _limit_settings(scenario: Scenario) -> dict[str, Any]:
+    proxies, max_retry_after = scenario.proxies, scenario.clients.most_retry_after
+    return {
+        "mostDials": proxies.most_dials,
+        "probes": proxies.probes,
+        "cancelling": proxies.cancelling,
+        "connectTimeoutNs": to_nanoseconds(scenario.network.connect_time),
+        "retryAfter": max_retry_after > 0,
+        "maxRetryAfterNs": to_nanoseconds(max_retry_after),
+    }
+
+
 def free_address(host: str, kind: int = socket.SOCK_STREAM) -> tuple[str, int]:
     """Return the host with a port that is free at the time of the call."""
     with socket.socket(socket.AF_INET, kind) as sock:
@@ -99,6 +116,7 @@
         self.ending = False
 
     def start(self, seed: int, endpoint_list: dict[str, Any]) -> None:
+        """Write the configuration and start the process, whose output is appended to its log."""
         config = self.folder / f"n{self.number}.json"
         config.write_bytes(
             orjson.dumps(
@@ -139,6 +157,7 @@
             return False
 
     def wait_ready(self, timeout: float = READY_TIMEOUT_SECONDS) -> bool:
+        """Wait up to `timeout` seconds; return False if the process ended or did not answer."""
         deadline = time.monotonic() + timeout
         while time.monotonic() < deadline:
             if self.child is None or self.child.poll() is not None:
@@ -149,6 +168,7 @@
         return False
 
     def send_signal(self, number: int) -> None:
+        """Send a signal to the process; do nothing if it has ended."""
         if self.child is not None and self.child.poll() is None:
             with contextlib.suppress(ProcessLookupError):
                 self.child.send_signal(number)
--- a/onyxhollow/lab/sockets/servers.py
+++ b/onyxhollow/lab/sockets/servers.py
@@ -51,6 +51,7 @@
         self.sess: Session | None = None
 
     def on_line(self, line: bytes) -> None:
+        """Handle a line of the proxy: a health check, an OPEN, or data, which is echoed."""
         engine, server = self.listener.engine, self.listener.server
         command = line.split(b" ", 1)[0].strip()
         if server.is_unresponsive or self.listener.blocked:
@@ -73,6 +74,7 @@
             self.lines.send(b"SYNTAX\r\n")
 
     def on_open_request(self, line: bytes) -> None:
+        """Offer the session of an OPEN line to the server and schedule the answer."""
         engine, server, world = self.listener.engine, self.listener.server, self.listener.engine.world
         sess = engine.find_session(line)
         if sess is None:
@@ -107,6 +109,7 @@
         self.lines.send(b"UP %d\r\n" % sess.number)
 
     def answer(self, verdict: OpenResult) -> None:
+        """Send the verdict to the proxy, unless the connection has ended or is silent."""
         if (
             self.ended
             or not self.lines.open
@@ -129,6 +132,7 @@
         self.on_end(reset)
 
     def on_end(self, reset: bool) -> None:
+        """Record the end of the attempt or of the established connection, once."""
         if self.ended:
             return
         self.ended = True
@@ -158,11 +162,13 @@
         self.open()
 
     def open(self) -> None:
+        """Listen on a free port, or on the same port as before when opened again."""
         self.sock = open_listener(self.address)
         self.address = ("127.0.0.1", self.sock.getsockname()[1])
         accept_connections(self.engine.loop, self.sock, self.on_accept)
 
     def on_accept(self, sock: socket.socket) -> None:
+        """Accept a connection, or close it if the server has no free one."""
         if len(self.server.sessions) >= self.server.kind.connections:
             sock.close()
             return
@@ -201,6 +207,7 @@
             self.fillers.append(filler)
 
     def close_fillers(self) -> None:
+        """Close the connections that fill the accept queue."""
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
