--- a/onyxhollow/lab/baselines.py
+++ b/onyxhollow/lab/baselines.py
@@ -47,6 +47,7 @@
         self.update(entry)
 
     def update(self, entry: Endpoint) -> None:
+        """Take over what a new entry of the list says about the server."""
         self.state, self.size, self.started_at = entry.state, entry.weight, entry.started_at
         self.zone, self.cell = entry.zone, entry.cell
 
@@ -55,6 +56,8 @@
     """The part that all baselines share; each one implements choose."""
 
     class Session:
+        """A session at the proxy, the handle that the host reports its events to."""
+
         def __init__(
             self,
             balancer: Baseline,
@@ -72,18 +75,23 @@
             self.server: KnownServer | None = None
 
         def on_established(self, took: float) -> None:
+            """Mark the session as answered: its connection is established."""
             self.established = self.answered = True
 
-        def on_load(self, load: float) -> None: ...
+        def on_load(self, load: float) -> None:
+            """Ignore the load of the session; no baseline uses it."""
 
-        def on_message_delay(self, delay: float) -> None: ...
+        def on_message_delay(self, delay: float) -> None:
+            """Ignore the delay of a message; no baseline uses it."""
 
         def on_client_gone(self) -> None:
+            """Mark the session as answered, so that it is not attempted again."""
             self.answered = True
 
         def on_attempt_ended(
             self, end: AttemptOutcome, final: bool, took: float, load: float | None = None
         ) -> None:
+            """Release the server; attempt again if the session still awaits its answer."""
             if not self.attempt_in_flight or self.server is None:
                 return
             self.attempt_in_flight, was_established, self.established = False, self.established, False
@@ -109,6 +117,7 @@
     # the interface of the decision module
 
     def on_endpoint_list(self, kind: EndpointListKind, entries: Iterable[Endpoint]) -> None:
+        """Apply an answer of the list, and begin to drain servers that newly drain."""
         if kind is EndpointListKind.FAILED:
             self.list_lost, self.poll_at = (
                 True,
@@ -141,6 +150,7 @@
         time_left: float,
         load: float | None,
     ) -> Baseline.Session:
+        """Admit a new session and attempt it at once; `time_left` is in seconds."""
         sess = Baseline.Session(self, token, listener, tenant, self.host.now + time_left)
         self.budget.record_arrival(self.host.now)
         self.attempt(sess)
@@ -155,6 +165,7 @@
         load: float | None,
         name: str,
     ) -> Baseline.Session | None:
+        """Take over an established connection; return None if its server is not known."""
         if (server := self.servers.get(name)) is None:
             return None
         sess = Baseline.Session(self, token, listener, tenant, float("inf"))
@@ -162,9 +173,11 @@
         server.open[sess] = None
         return sess
 
-    def on_health_check(self, name: str, end: AttemptOutcome, took: float, load: float | None) -> None: ...
+    def on_health_check(self, name: str, end: AttemptOutcome, took: float, load: float | None) -> None:
+        """Ignore the result of a health check; no baseline sends any."""
 
     def tick(self) -> None:
+        """Poll a lost list, start due migrations and retry waiting sessions; sets its own timer."""
         now = self.host.now
         if self.list_lost and now >= self.poll_at:
             self.poll_at = now + self.settings.max_poll_interval / 2
@@ -181,6 +194,7 @@
     # placement
 
     def drain(self, server: KnownServer) -> None:
+        """Schedule the migration of a server's established connections, evenly over DRAIN_SECONDS."""
         moving = [sess for sess in server.open if sess.established]
         for place, sess in enumerate(moving):
             self.due_count += 1
@@ -188,6 +202,7 @@
             heapq.heappush(self.migrations, (when, self.due_count, lambda sess=sess: self.migrate(sess)))  # type: ignore[misc]
 
     def migrate(self, sess: Baseline.Session) -> None:
+        """Ask the client of an established connection to reconnect; do nothing if it has ended."""
         if sess.established and sess.server is not None:
             sess.established = False
             sess.server.open.pop(sess, None)
@@ -220,6 +235,7 @@
         return max(0.5, sum(len(s.open) for s in warm)) / size if size else 1.0
 
     def attempt(self, sess: Baseline.Session) -> None:
+        """Place the session on a server, or let it wait, or answer it if neither is possible."""
         if sess.answered or sess.attempt_in_flight:
             return
         now, left = self.host.now, sess.deadline - self.host.now
@@ -252,6 +268,7 @@
         )
 
     def answer_unplaced(self, sess: Baseline.Session) -> None:
+        """Reject a session that certainly may run again; tear down any other."""
         sess.answered, idempotency = True, sess.listener.idempotency
         everywhere = (
             idempotency is Idempotency.KEYED and sess.listener.deduplication_scope is DeduplicationScope.ALL
@@ -262,18 +279,25 @@
             self.host.tear_down(sess.token)
 
     def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer | None:
+        """Return one of the eligible servers, of which there is at least one, or None to reject."""
         raise NotImplementedError
 
 
 class RandomChoice(Baseline):
+    """Picks a server uniformly at random, whatever its size."""
+
     def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer:
+        """Draw one of the eligible servers."""
         return self.rng.choice(eligible)
 
 
 class RoundRobin(Baseline):
+    """Picks the eligible servers in turn, from a random start."""
+
     turn = -1
 
     def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer:
+        """Return the next of the eligible servers."""
         if self.turn < 0:
             # Without a random start all proxies would pick the same server at the same time.
             self.turn = self.rng.randrange(1 << 16)
@@ -282,12 +306,18 @@
 
 
 class LeastConnections(Baseline):
+    """Picks the server with the fewest connections of this proxy for its size."""
+
     def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer:
+        """Return the server with the fewest connections for its size; ties are random."""
         return min(eligible, key=lambda s: ((len(s.open) + 1) / s.size, self.rng.random()))
 
 
 class TwoChoices(Baseline):
+    """Picks the less loaded of two random servers, by this proxy's connections for their size."""
+
     def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer:
+        """Return the better of two servers drawn at random."""
         sampled = self.rng.sample(eligible, min(2, len(eligible)))
         return min(sampled, key=lambda s: (len(s.open) + 1) / s.size)
 
@@ -299,9 +329,11 @@
     """
 
     def true_server(self, server: KnownServer) -> servers.Server:
+        """Return the emulated server behind an entry of the list."""
         return self.world.servers_by_name[server.name]
 
     def choose(self, eligible: list[KnownServer], sess: Baseline.Session) -> KnownServer | None:
+        """Return the usable server of the lowest load, its group's first; None if all are full."""
         now, own_zone, unit = self.host.now, self.settings.zone, self.world.average_load
         group = self.world.group_of(sess.token)
 
--- a/onyxhollow/lab/broken_policies.py
+++ b/onyxhollow/lab/broken_policies.py
@@ -29,6 +29,7 @@
     finished_count = 0
 
     def finish(self, sess: Session) -> None:
+        """Answer every second session only."""
         self.finished_count += 1
         if self.finished_count % 2:
             super().finish(sess)
@@ -38,10 +39,12 @@
     """Breaks rule 2: retries sessions that may have run."""
 
     def attempt(self, sess: Session) -> None:
+        """Forget where the session may have run, and attempt it."""
         sess.may_have_run_on = None
         super().attempt(sess)
 
     def attempt_timeout(self, sess: Session, left: float) -> float:
+        """Give up an attempt early, so that there is time for another."""
         return min(left, sess.listener.handshake_objective)
 
 
@@ -49,10 +52,12 @@
     """Breaks rule 3: places sessions on draining servers."""
 
     def withdraw(self, server: TrackedEndpoint, new_state: EndpointState) -> None:
+        """Keep draining servers in use; withdraw removed ones only."""
         if new_state is EndpointState.REMOVED:
             super().withdraw(server, new_state)
 
     def on_endpoint_list(self, kind: Any, entries: Any) -> None:
+        """Apply the list, and make all known servers eligible."""
         entries = list(entries)
         super().on_endpoint_list(kind, entries)
         self.endpoints = list(self.tracked.values())
@@ -63,9 +68,11 @@
     """Breaks rule 4: sends all sessions to the server that started last."""
 
     def within_slow_start(self, server: TrackedEndpoint, sess: Session) -> bool:
+        """Allow every session, whatever the slow-start budget."""
         return True
 
     def select(self, sess: Session) -> TrackedEndpoint | None:
+        """Return the server that started last, if any has a start time."""
         arriving = [server for server in self.endpoints if server.started_at is not None]
         return (
             max(arriving, key=lambda server: server.started_at or 0.0) if arriving else super().select(sess)
@@ -73,6 +80,7 @@
 
 
 def make_scenario(title: str, more: str) -> Scenario:
+    """Return the small scenario with more TOML sections."""
     return decode(SCENARIO_TEMPLATE.format(title=title, more=more).encode(), title)
 
 
--- a/onyxhollow/lab/cli.py
+++ b/onyxhollow/lab/cli.py
@@ -8,7 +8,7 @@
 import sys
 from dataclasses import asdict
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from rich.console import Console
 from rich.progress import Progress
@@ -17,10 +17,14 @@
 from onyxhollow.lab import decisions, experiment, runs, scenario
 from onyxhollow.lab.run_metrics import merge_quantiles
 
+if TYPE_CHECKING:
+    Subparsers = argparse._SubParsersAction[argparse.ArgumentParser]
+
 MIN_SHOWN_LOSS = 0.0005  # share of the wanted utility; smaller losses are not printed
 
 
 def parser() -> argparse.ArgumentParser:
+    """Return the parser of all commands of `onyxhollow lab`."""
     top = argparse.ArgumentParser(
         prog="onyxhollow lab", description="Plays scenarios on an emulated fleet with emulated clients."
     )
@@ -28,6 +32,18 @@
     commands.add_parser("list", help="scenarios and policies")
     show = commands.add_parser("show", help="print a scenario as TOML")
     show.add_argument("scenario", help="a name of list, or a file")
+    _add_run(commands)
+    _add_experiment(commands)
+    _add_compare(commands)
+    _add_search(commands)
+    _add_report(commands)
+    _add_fleet(commands)
+    commands.add_parser("demo-addresses", help="three sites, one lost, shown live; half a minute")
+    commands.add_parser("demo", help="a small fleet on sockets, shown live; half a minute")
+    return top
+
+
+def _add_run(commands: Subparsers) -> None:
     run = commands.add_parser("run", help="one run")
     run.add_argument("scenario", help="a name of list, or a file")
     run.add_argument("--seed", type=int, default=1)
@@ -39,32 +55,42 @@
     run.add_argument(
         "--picture-at", type=float, default=0.0, metavar="SECONDS", help="default: half of the run"
     )
-    for name, help_text in (
-        ("experiment", "scenarios x policies x seeds; resumable"),
-        ("compare", "compare policy B with A by scenario, with confidence intervals"),
-    ):
-        command = commands.add_parser(name, help=help_text)
-        if name == "compare":
-            command.add_argument("a", help="a policy")
-            command.add_argument("b", help="a policy")
-        else:
-            command.add_argument(
-                "file", nargs="?", help="TOML with scenarios, policies and seeds; default: the options"
-            )
-            command.add_argument(
-                "--policies", default="module,true-state,two-choices", help="names, separated by commas"
-            )
-        command.add_argument(
-            "--scenarios",
-            default="",
-            help="names or files, separated by commas; default: all except the grown ones",
-        )
-        command.add_argument("--seeds", type=int, default=5, metavar="N", help="1 to N")
-        command.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="processes")
-        command.add_argument(
-            "--dir", type=Path, default=Path("found/lab"), help="folder for the results of runs"
-        )
-        command.add_argument("--json", metavar="FILE", help="write the figures as JSON")
+
+
+def _add_experiment(commands: Subparsers) -> None:
+    command = commands.add_parser("experiment", help="scenarios x policies x seeds; resumable")
+    command.add_argument(
+        "file", nargs="?", help="TOML with scenarios, policies and seeds; default: the options"
+    )
+    command.add_argument(
+        "--policies", default="module,true-state,two-choices", help="names, separated by commas"
+    )
+    _add_planned_options(command)
+
+
+def _add_compare(commands: Subparsers) -> None:
+    command = commands.add_parser(
+        "compare", help="compare policy B with A by scenario, with confidence intervals"
+    )
+    command.add_argument("a", help="a policy")
+    command.add_argument("b", help="a policy")
+    _add_planned_options(command)
+
+
+def _add_planned_options(command: argparse.ArgumentParser) -> None:
+    """Add the options of the commands that play many runs and store their results."""
+    command.add_argument(
+        "--scenarios",
+        default="",
+        help="names or files, separated by commas; default: all except the grown ones",
+    )
+    command.add_argument("--seeds", type=int, default=5, metavar="N", help="1 to N")
+    command.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="processes")
+    command.add_argument("--dir", type=Path, default=Path("found/lab"), help="folder for the results of runs")
+    command.add_argument("--json", metavar="FILE", help="write the figures as JSON")
+
+
+def _add_search(commands: Subparsers) -> None:
     search = commands.add_parser(
         "search", help="find scenarios with the largest gap between a policy and true-state"
     )
@@ -75,10 +101,16 @@
     search.add_argument("--seed", type=int, default=1)
     search.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="processes")
     search.add_argument("--out", type=Path, default=Path("found"), help="folder for the scenario files")
-    show = commands.add_parser("report", help="HTML of one run, or of two side by side")
-    show.add_argument("runs", nargs="+", type=Path, help="files of run --json, or folders of them")
-    show.add_argument("--out", type=Path, help="default: next to the first run")
-    show.add_argument("--svg", type=Path, metavar="FOLDER", help="maps of load and herds of one run")
+
+
+def _add_report(commands: Subparsers) -> None:
+    report = commands.add_parser("report", help="HTML of one run, or of two side by side")
+    report.add_argument("runs", nargs="+", type=Path, help="files of run --json, or folders of them")
+    report.add_argument("--out", type=Path, help="default: next to the first run")
+    report.add_argument("--svg", type=Path, metavar="FOLDER", help="maps of load and herds of one run")
+
+
+def _add_fleet(commands: Subparsers) -> None:
     fleet = commands.add_parser(
         "fleet", help="roles on a cluster of real processes, with faults between them"
     )
@@ -90,12 +122,10 @@
     play.add_argument("--members", type=int, help="instead of the file's")
     play.add_argument("--logs", type=Path, help="folder for the processes' files and logs")
     play.add_argument("--json", action="store_true", help="print the verdict as JSON")
-    commands.add_parser("demo-addresses", help="three sites, one lost, shown live; half a minute")
-    commands.add_parser("demo", help="a small fleet on sockets, shown live; half a minute")
-    return top
 
 
 def main(arguments: list[str]) -> int:
+    """Run a command; return its exit code, 2 for invalid input and 130 when interrupted."""
     args = parser().parse_args(arguments)
     try:
         return int(globals()[f"do_{args.command.replace('-', '_')}"](args))
@@ -108,6 +138,7 @@
 
 
 def do_list(_: argparse.Namespace) -> int:
+    """Print the scenarios and policies by name."""
     table = Table("scenario", "proxies x servers", "seconds", "about", box=None)
     for name in scenario.shipped_scenarios():
         row = scenario.read(name)
@@ -119,6 +150,7 @@
 
 
 def do_fleet(args: argparse.Namespace) -> int:
+    """Run a command of the fleet group: list or run the fault scenarios of process clusters."""
     from onyxhollow.lab.fleet import fault_scenario, show
 
     try:
@@ -128,18 +160,21 @@
 
 
 def do_demo(_: argparse.Namespace) -> int:
+    """Play the demo on sockets; return 0 if no rule was broken and nothing failed."""
     from onyxhollow.lab import demo
 
     return demo.show(Console())
 
 
 def do_demo_addresses(_: argparse.Namespace) -> int:
+    """Play the demo of shared addresses over three sites."""
     from onyxhollow.lab.fleet import demo
 
     return demo.show(Console())
 
 
 def do_search(args: argparse.Namespace) -> int:
+    """Search for scenarios and write each as a TOML file."""
     from onyxhollow.lab import search
 
     if args.days < 1 or args.keep < 0 or args.jobs < 1:
@@ -156,6 +191,7 @@
 
 
 def read_run(path: Path) -> dict[str, Any]:
+    """Return the results in a file of `run --json`; raise RunError if it has none with series."""
     try:
         result = json.loads(path.read_bytes())
     except (OSError, ValueError) as error:
@@ -191,11 +227,13 @@
 
 
 def do_show(args: argparse.Namespace) -> int:
+    """Print a scenario as TOML, with all defaults filled in."""
     sys.stdout.write(scenario.encode(scenario.read(args.scenario)).decode())
     return 0
 
 
 def do_run(args: argparse.Namespace) -> int:
+    """Play one run and print its results; return 1 if a rule was broken or the run does not count."""
     selected = scenario.read(args.scenario)
     with Progress(*Progress.get_default_columns(), console=Console(stderr=True), transient=True) as bar:
         task = bar.add_task("seconds", total=selected.seconds, visible=args.engine == "sockets")
@@ -221,6 +259,7 @@
 
 
 def selected_scenarios(args: argparse.Namespace) -> list[scenario.Scenario]:
+    """Return the scenarios of --scenarios, by default all but the grown ones."""
     names = args.scenarios.split(",") if args.scenarios else []
     return [
         scenario.read(name)
@@ -244,6 +283,7 @@
 
 
 def do_experiment(args: argparse.Namespace) -> int:
+    """Play all runs and print the scores by scenario and policy."""
     if args.file:
         plan = scenario.read_experiment(args.file)
         args.scenarios, args.seeds, args.policies = (
@@ -283,6 +323,7 @@
 
 
 def do_compare(args: argparse.Namespace) -> int:
+    """Play the runs of two policies and print their differences by scenario."""
     results = run_planned(args, [args.a, args.b])
     findings = experiment.compare(results, args.a, args.b)
     table = Table("scenario", args.a, args.b, "difference", "95%", "", "rules broken", box=None)
@@ -314,6 +355,25 @@
         f"{figures['scenario']}, seed {figures['seed']}, {figures['policy']}: {proxies} proxies, "
         f"{servers} servers, {figures['clients']} clients ({figures['engine']})"
     )
+    console.print(_summary_table(figures))
+    counts = figures["counts"]
+    console.print(
+        ", ".join(
+            f"{name} {counts[name]}"
+            for name in ("sessions", "up", "answered refused", "moves", "probes")
+            if name in counts
+        )
+    )
+    rules = figures["rules"]
+    if rules["clean"]:
+        console.print("rules: all four kept")
+    else:
+        console.print(f"rules broken: {rules['broken']}")
+        for line in rules["first"]:
+            console.print(f"  {line}")
+
+
+def _summary_table(figures: dict[str, Any]) -> Table:
     table = Table(box=None, show_header=False)
     table.add_row("service", f"{figures['service']:.4f}", "of the utility that clients wanted")
     table.add_row("worst 10 s", f"{figures['worst_window']:.4f}")
@@ -332,19 +392,4 @@
     table.add_row("busiest server", f"{even['worst_over_mean']:.3f}", "over the mean, in the median second")
     table.add_row("idle servers", str(even["idle_servers"]), f"{even['idle_seconds']:g} s in sum")
     table.add_row("herds", f"{even['herd_p99']:.2f}", "new connections over chance, 99th percentile")
-    console.print(table)
-    counts = figures["counts"]
-    console.print(
-        ", ".join(
-            f"{name} {counts[name]}"
-            for name in ("sessions", "up", "answered refused", "moves", "probes")
-            if name in counts
-        )
-    )
-    rules = figures["rules"]
-    if rules["clean"]:
-        console.print("rules: all four kept")
-    else:
-        console.print(f"rules broken: {rules['broken']}")
-        for line in rules["first"]:
-            console.print(f"  {line}")
+    return table
--- a/onyxhollow/lab/decisions.py
+++ b/onyxhollow/lab/decisions.py
@@ -119,4 +119,5 @@
 
 
 def names() -> list[str]:
+    """Return the names of all policies that can be selected, revisions aside."""
     return ["module", *baselines.BY_NAME, *ABLATIONS]
--- a/onyxhollow/lab/demo.py
+++ b/onyxhollow/lab/demo.py
@@ -35,6 +35,7 @@
 
 
 def render(engine: SocketEngine) -> Table:
+    """Return the current state of servers, proxies and faults as a table."""
     world = engine.world
     outer = Table.grid()
     table = Table("server", "state", "connections", "", box=None)
--- a/onyxhollow/lab/evenness.py
+++ b/onyxhollow/lab/evenness.py
@@ -40,9 +40,11 @@
         self.placements: list[tuple[float, str, int]] = []
 
     def record_loads(self, now: float, loads: list[ServerLoad]) -> None:
+        """Keep a sample of the loads of all warm servers; `now` is in seconds."""
         self.samples.append((now, loads))
 
     def record_placement(self, now: float, server: str, proxy: int) -> None:
+        """Keep that a proxy has established a connection at a server."""
         self.placements.append((now, server, proxy))
 
     # figures
@@ -129,6 +131,7 @@
     # results
 
     def figures(self) -> dict[str, Any]:
+        """Return the evenness figures of the run, rounded for the results."""
         spread = np.array([row[2:] for row in self.load_spread()]) if self.load_spread() else np.zeros((1, 2))
         herds = self.herds()
         ratios = [row[3] for row in herds]
@@ -153,6 +156,7 @@
         }
 
     def series(self) -> dict[str, Any]:
+        """Return what reports plot: load spread over time, idle servers and herds."""
         return {
             "course": [[round(value, 4) for value in row] for row in self.load_spread()],
             "idle": [[server, round(begin, 2), round(end, 2)] for server, begin, end in self.idle()],
--- a/onyxhollow/lab/experiment.py
+++ b/onyxhollow/lab/experiment.py
@@ -40,6 +40,7 @@
     seed: int
 
     def file(self, policy_text: str) -> str:
+        """Return the name under which the result is stored; it changes with scenario and policy."""
         names = f"{runs.digest(self.scenario)} {self.policy} {policy_text} {self.seed}"
         mark = hashlib.blake2b(names.encode(), digest_size=8).hexdigest()
         return f"{self.scenario.title}-{self.policy.replace('/', '_')}-{self.seed}-{mark}.json"
@@ -57,6 +58,7 @@
 
 
 def matrix(scenarios: Iterable[Scenario], policies: Sequence[str], seeds: Iterable[int]) -> list[PlannedRun]:
+    """Return all combinations of scenarios, policies and seeds as planned runs."""
     seeds = list(seeds)
     return [
         PlannedRun(scenario, policy, seed) for scenario in scenarios for policy in policies for seed in seeds
@@ -64,6 +66,7 @@
 
 
 def play_planned(run: PlannedRun) -> dict[str, Any]:
+    """Play a run; return its results as a stored file gives them, through JSON."""
     result = runs.play(run.scenario, run.seed, run.policy)
     return json.loads(runs.to_json(result))  # type: ignore[no-any-return]
 
@@ -78,6 +81,7 @@
 
 
 def save(path: Path, result: dict[str, Any]) -> None:
+    """Write a result through a temporary file, so that no partial file is ever read."""
     temporary = path.with_suffix(f".{os.getpid()}.part")
     temporary.write_bytes(runs.to_json(result))
     temporary.replace(path)
@@ -110,7 +114,7 @@
     if pending and jobs == 1:
         for index in pending:
             results[index] = play_planned(planned[index])
-            save_if_stored(paths[index], results[index])
+            _save_if_stored(paths[index], results[index])
             progress(len(results), len(planned))
         pending = []
     # Workers are spawned, not forked: a child must not inherit what the parent has open.
@@ -122,7 +126,7 @@
                 for future in concurrent.futures.as_completed(waiting):
                     index = waiting[future]
                     results[index] = future.result()
-                    save_if_stored(paths[index], results[index])
+                    _save_if_stored(paths[index], results[index])
                     progress(len(results), len(planned))
             except BaseException:
                 pool.shutdown(wait=False, cancel_futures=True)
@@ -130,7 +134,7 @@
     return [results[index] for index in range(len(planned))]
 
 
-def save_if_stored(path: Path | None, result: dict[str, Any]) -> None:
+def _save_if_stored(path: Path | None, result: dict[str, Any]) -> None:
     if path:
         save(path, result)
 
@@ -176,6 +180,7 @@
 
     @property
     def verdict(self) -> str:
+        """Whether B is better or worse than A: the interval excludes 0 or not."""
         return "better" if self.low > 0 else "worse" if self.high < 0 else "no difference shown"
 
 
@@ -204,38 +209,45 @@
     return float(result.confidence_interval.low), float(result.confidence_interval.high)
 
 
-def compare(results: list[dict[str, Any]], a: str, b: str, figure: str = "score") -> list[Difference]:
+def compare(
+    results: list[dict[str, Any]], policy_a: str, policy_b: str, figure: str = "score"
+) -> list[Difference]:
     """Return the difference for each scenario and over all, from the results of runs of both policies."""
     by_policy: dict[str, dict[str, dict[int, dict[str, Any]]]] = {}
     for run in results:
         by_policy.setdefault(run["scenario"], {}).setdefault(run["policy"], {})[run["seed"]] = run
     rows, differences = [], []
     for title, policies in by_policy.items():
-        seeds = sorted(set(policies.get(a, {})) & set(policies.get(b, {})))
+        seeds = sorted(set(policies.get(policy_a, {})) & set(policies.get(policy_b, {})))
         if not seeds:
             continue
-        runs_a, runs_b = ([policies[name][seed] for seed in seeds] for name in (a, b))
-        rows.append([float(y[figure] - x[figure]) for x, y in zip(runs_a, runs_b, strict=True)])
+        runs_a, runs_b = ([policies[name][seed] for seed in seeds] for name in (policy_a, policy_b))
+        rows.append(
+            [float(run_b[figure] - run_a[figure]) for run_a, run_b in zip(runs_a, runs_b, strict=True)]
+        )
         differences.append(difference(title, runs_a, runs_b, figure, [rows[-1]]))
     if differences:
-        count = len(differences)
-        low, high = interval(rows)
-        differences.append(
-            Difference(
-                f"all {count}",
-                sum(d.mean_a for d in differences) / count,
-                sum(d.mean_b for d in differences) / count,
-                sum(d.difference for d in differences) / count,
-                low,
-                high,
-                sum(d.seeds for d in differences),
-                sum(d.broken_a for d in differences),
-                sum(d.broken_b for d in differences),
-            )
-        )
+        differences.append(overall_difference(differences, rows))
     return differences
 
 
+def overall_difference(differences: list[Difference], rows: list[list[float]]) -> Difference:
+    """Return the mean over all scenarios, each with the same weight; rows hold the paired differences."""
+    count = len(differences)
+    low, high = interval(rows)
+    return Difference(
+        f"all {count}",
+        sum(row.mean_a for row in differences) / count,
+        sum(row.mean_b for row in differences) / count,
+        sum(row.difference for row in differences) / count,
+        low,
+        high,
+        sum(row.seeds for row in differences),
+        sum(row.broken_a for row in differences),
+        sum(row.broken_b for row in differences),
+    )
+
+
 def difference(
     title: str,
     runs_a: list[dict[str, Any]],
@@ -243,6 +255,7 @@
     figure: str,
     rows: list[list[float]],
 ) -> Difference:
+    """Return the difference of two policies on one scenario, from runs paired by seed."""
     low, high = interval(rows)
     mean_a, mean_b = (float(np.mean([run[figure] for run in side])) for side in (runs_a, runs_b))
     broken = [sum(not run["rules"]["clean"] for run in side) for side in (runs_a, runs_b)]
--- a/onyxhollow/lab/report.py
+++ b/onyxhollow/lab/report.py
@@ -69,6 +69,7 @@
 
 
 def service_plot(run: dict[str, Any], size: tuple[float, float]) -> str:
+    """Return an SVG of the share of the wanted utility earned in each second."""
     series = run["series"]
     wanted, earned = np.array(series["wanted"]), np.array(series["earned"])
 
@@ -108,6 +109,7 @@
 
 
 def load_map(run: dict[str, Any], width: float) -> str:
+    """Return an SVG of each server's load over time; in a large fleet of the most loaded only."""
     loads: dict[str, list[list[float]]] = run["series"]["loads"]
     names = sorted(loads)
     columns = len(run["series"]["wanted"]) + 1
@@ -142,6 +144,7 @@
 
 
 def evenness_plot(run: dict[str, Any], size: tuple[float, float]) -> str:
+    """Return an SVG of the busiest server and of the variation of loads over time."""
     rows = run["series"].get("evenness", {}).get("course", [])
 
     def paint(axes: Axes) -> None:
@@ -193,6 +196,8 @@
 
 
 def latency_plot(run: dict[str, Any]) -> str:
+    """Return an SVG of the distributions of message and set-up latencies."""
+
     def paint(axes: Axes) -> None:
         rows = {"message": run["series"]["message"]}
         rows |= {f"set-up, {name}": row for name, row in run["series"]["setup_by_listener"].items()}
@@ -208,6 +213,7 @@
 
 
 def service_bars(run: dict[str, Any], kind: str) -> str:
+    """Return an SVG of the service by listener or by customer, as `kind` says."""
     rows = run[kind]
 
     def paint(axes: Axes) -> None:
@@ -220,6 +226,8 @@
 
 
 def table(runs: list[dict[str, Any]]) -> str:
+    """Return an HTML table of the figures, with one column for each run."""
+
     def row(name: str, values: list[str]) -> str:
         return f"<tr><td>{html.escape(name)}</td>{''.join(f'<td>{value}</td>' for value in values)}</tr>"
 
@@ -245,6 +253,7 @@
 
 
 def title(run: dict[str, Any]) -> str:
+    """Return the policy, seed and engine of a run as one line."""
     return f"{run['policy']}, seed {run['seed']}, {run['engine']}"
 
 
@@ -295,6 +304,7 @@
 
 
 def write(runs: list[dict[str, Any]], path: Path) -> None:
+    """Write the HTML page through a temporary file; see page for the runs."""
     temporary = path.with_suffix(".part")
     temporary.write_text(page(runs))
     temporary.replace(path)
--- a/onyxhollow/lab/runs.py
+++ b/onyxhollow/lab/runs.py
@@ -12,6 +12,7 @@
 from onyxhollow.lab import decisions
 from onyxhollow.lab.scenario import Scenario, encode
 from onyxhollow.lab.virtual import VirtualEngine
+from onyxhollow.lab.world.world import World
 
 
 class RunError(Exception):
@@ -49,35 +50,52 @@
         raise RunError(
             "--picture: expected the module in virtual time; on sockets use --logs and draw the logs"
         )
+    if engine == "sockets" and policy != "module":
+        raise RunError(f"--policy: on sockets expected module, got {policy}")
     findings: dict[str, Any] = {}
-    log: list[Any] = []
+    log: list[tuple[float, int, str]] = []
     try:
         if engine == "sockets":
             from onyxhollow.lab.sockets.engine import play as play_on_sockets
 
-            if policy != "module":
-                raise RunError(f"--policy: on sockets expected module, got {policy}")
             world, findings = play_on_sockets(scenario, seed, logs, progress)
         else:
-            virtual = VirtualEngine(scenario, seed, policy_factory)
-            if picture:
-                virtual.begin()
-                virtual.world.event_queue.run_until(min(picture[1], scenario.seconds))
-                save_snapshot(virtual, picture[0])
-                virtual.world.event_queue.run_until(scenario.seconds)
-                world, log = virtual.end(), virtual.logs
-            else:
-                world, log = virtual.run(), virtual.logs
+            world, log = _play_in_virtual_time(scenario, seed, policy_factory, picture)
     except (OSError, ValueError) as error:
         raise RunError(f"{scenario.title}: $.clients.record: {error}") from None
     except RuntimeError as error:
         raise RunError(f"{scenario.title}: {error}") from None
-    verdict = world.checker.summary()
-    figures = world.metrics.figures()
-    result: dict[str, Any] = {
+    result = _collect_results(world, policy, engine)
+    if findings:
+        result["sockets"] = findings
+    if series:
+        result["series"] = world.metrics.series()
+        result["log"] = [list(line) for line in log]
+    return result
+
+
+def _play_in_virtual_time(
+    scenario: Scenario, seed: int, policy_factory: decisions.PolicyFactory, picture: tuple[Path, float] | None
+) -> tuple[World, list[tuple[float, int, str]]]:
+    """Play a run, taking the snapshot if there is one; return its world and the modules' log."""
+    virtual = VirtualEngine(scenario, seed, policy_factory)
+    if not picture:
+        return virtual.run(), virtual.logs
+    path, taken_at = picture
+    virtual.begin()
+    virtual.world.event_queue.run_until(min(taken_at, scenario.seconds))
+    save_snapshot(virtual, path)
+    virtual.world.event_queue.run_until(scenario.seconds)
+    return virtual.end(), virtual.logs
+
+
+def _collect_results(world: World, policy: str, engine: str) -> dict[str, Any]:
+    """Return the results of a run that has ended."""
+    scenario, verdict, figures = world.scenario, world.checker.summary(), world.metrics.figures()
+    return {
         "scenario": scenario.title,
         "digest": digest(scenario),
-        "seed": seed,
+        "seed": world.seed,
         "policy": policy,
         "engine": engine,
         "score": figures["figure"] if verdict["clean"] else 0.0,
@@ -90,15 +108,10 @@
         "crossings": world.crossings,
         "faults": [[begin, end, kind] for begin, end, kind in world.fault_spans],
     }
-    if findings:
-        result["sockets"] = findings
-    if series:
-        result["series"] = world.metrics.series()
-        result["log"] = [list(line) for line in log]
-    return result
 
 
 def save_snapshot(virtual: VirtualEngine, path: Path) -> None:
+    """Write the current state for the topology tool; raise RunError if the file can't be written."""
     from onyxhollow.lab import topology_snapshot
     from onyxhollow.topology import snapshot_file
 
--- a/onyxhollow/lab/search.py
+++ b/onyxhollow/lab/search.py
@@ -28,6 +28,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FoundScenario:
+    """A reduced scenario with the gap between the policy and the reference on it."""
+
     scenario: Scenario
     gap: float
     first_gap: float  # of the scenario as drawn
@@ -35,6 +37,7 @@
 
 
 def draw_fault(rng: Random) -> faults.Fault:
+    """Draw a fault of any kind with random parameters, rounded for readability."""
     at, lasts = rng.uniform(5, 22), rng.uniform(2, 14)
     part = rng.choice([0.1, 0.2, 0.35])
     share = rng.uniform(0.2, 0.7)
@@ -159,6 +162,7 @@
 
 
 def is_playable(scenario: Scenario) -> bool:
+    """Return whether the scenario passes the checks of scenario files."""
     try:
         check(scenario, scenario.title)
     except Exception:
--- a/onyxhollow/lab/simulated_gossip.py
+++ b/onyxhollow/lab/simulated_gossip.py
@@ -87,15 +87,18 @@
         self.world.event_queue.schedule_at(core.next_due, self.tick, instance, core)
 
     def remove_member(self, number: int) -> None:
+        """Remove the gossip core of a proxy that ended; the others learn it later."""
         if self.cores.pop(number, None):
             self.world.event_queue.schedule_after(MEMBER_LOSS_SECONDS, self.update_membership)
 
     def update_membership(self) -> None:
+        """Pass the current members to every gossip core."""
         members = [core.local for core in self.cores.values()]
         for core in self.cores.values():
             core.set_members(members)
 
     def tick(self, instance: GossipingProxy, core: LoadGossip) -> None:
+        """Run a period of a proxy's gossip core, or delay it while the proxy is stalled."""
         if not instance.alive or self.cores.get(instance.number) is not core:
             return
         now, balancer = self.world.event_queue.now, instance.balancer
@@ -131,6 +134,7 @@
             report_shared(instance.balancer, estimate)
 
     def deliver(self, number: int, epoch: int, sender: int, message: ReportPage | ConnectionCounts) -> None:
+        """Pass a message to its receiver, unless that has ended or restarted since."""
         core, instance = self.cores.get(number), self.engine.instances.get(number)
         if core is None or instance is None or core.local.epoch != epoch:
             return
--- a/onyxhollow/lab/topology_snapshot.py
+++ b/onyxhollow/lab/topology_snapshot.py
@@ -20,6 +20,7 @@
 
 
 def view_of(instance: Instance, members: list[MemberStatus]) -> MemberView:
+    """Return what a running proxy knows, as the topology tool shows it."""
     now, balancer, zone = instance.now, instance.balancer, instance.world.zone_name(instance.zone)
     servers = [
         EndpointStatus(
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -88,9 +88,11 @@
 
     @property
     def now(self) -> float:
+        """Current time in seconds from the start of the run."""
         return self.event_queue.now
 
     def schedule(self, span: float, call: Any, *values: Any) -> None:
+        """Call after `span` seconds, unless the process has ended; a stall delays the call."""
         self.event_queue.schedule_after(span, self.call_unless_stalled, call, values)
 
     def call_unless_stalled(self, call: Any, values: tuple[Any, ...]) -> None:
@@ -105,6 +107,7 @@
     # called by the decision module
 
     def start_attempt(self, token: Hashable, server: str, timeout: float) -> None:
+        """Send a session to a server; the result comes later through end_attempt or establish."""
         assert isinstance(token, SessionToken)
         now, target, engine = self.now, self.world.servers_by_name[server], self.engine
         token.attempt, token.attempt_in_flight, token.server, token.sent_at = (
@@ -124,10 +127,12 @@
         )
 
     def cancel_attempt(self, token: Hashable, attempt: int) -> None:
+        """End the session's current attempt as cancelled, in an event of its own at this time."""
         assert isinstance(token, SessionToken)
         self.schedule(0.0, self.end_attempt, token, token.attempt, AttemptOutcome.CANCELLED)
 
     def reject(self, token: Hashable, retry_after: float) -> None:
+        """Record the rejection and pass it to the client after the network's delay."""
         assert isinstance(token, SessionToken)
         self.record_answer(token, "refused")
         self.event_queue.schedule_after(
@@ -135,11 +140,13 @@
         )
 
     def tear_down(self, token: Hashable) -> None:
+        """Record the error answer and pass it to the client after the network's delay."""
         assert isinstance(token, SessionToken)
         self.record_answer(token, "failed")
         self.event_queue.schedule_after(self.world.network.client, self.world.on_failed, token.sess)
 
     def migrate(self, token: Hashable) -> None:
+        """Ask the client of an established connection to reconnect, and end the connection."""
         assert isinstance(token, SessionToken)
         if token.established and not token.sess.ended:
             self.world.metrics.increment("moves")
@@ -161,63 +168,54 @@
         network_time = 3 * self.engine.one_way(self.zone, target.zone, None)
         reachable = not target.vanished_by and not self.world.blocked_direction(self.number, target)
         if not reachable or target.hung_by:
-            self.schedule(
-                HEALTH_CHECK_TIMEOUT_SECONDS,
-                self.on_health_check_result,
-                server,
-                AttemptOutcome.TIMEOUT,
-                HEALTH_CHECK_TIMEOUT_SECONDS,
-                None,
-            )
+            self._schedule_health_check_result(server, AttemptOutcome.TIMEOUT, HEALTH_CHECK_TIMEOUT_SECONDS)
         elif target.state is ServerState.STOPPED:
-            self.schedule(
-                network_time,
-                self.on_health_check_result,
-                server,
-                AttemptOutcome.CONNECT_FAILED,
-                network_time,
-                None,
-            )
+            self._schedule_health_check_result(server, AttemptOutcome.CONNECT_FAILED, network_time)
         else:
             target.backlog += HEALTH_CHECK_CORE_SECONDS
             draw = int(now * 1000) + self.number
             load = target.reported_load(now, self.world.random_tables.normal(target.number, draw))
-            self.schedule(
-                1.3 * network_time,
-                self.on_health_check_result,
-                server,
-                AttemptOutcome.OK,
-                1.3 * network_time,
-                load,
-            )
+            self._schedule_health_check_result(server, AttemptOutcome.OK, 1.3 * network_time, load)
+
+    def _schedule_health_check_result(
+        self, server: str, outcome: AttemptOutcome, took: float, load: float | None = None
+    ) -> None:
+        """Schedule the result of a health check that takes `took` seconds from now."""
+        self.schedule(took, self.on_health_check_result, server, outcome, took, load)
 
     def on_health_check_result(
         self, server: str, outcome: AttemptOutcome, took: float, load: float | None
     ) -> None:
+        """Pass a result to the decision module and to gossip; `took` is in seconds."""
         self.balancer.on_health_check(server, outcome, took, load)
         if self.gossip and (core := self.gossip.cores.get(self.number)):
             core.on_poll_result(server, load, self.now)
             self.gossip.dispatch(self, core)
 
     def poll_endpoint_list(self) -> None:
+        """Call the list service; the call continues as a watch."""
         self.world.checker.record_poll(self.now, self.number)
         self.world.list_service.watch(
             self.number, self.seen, self.on_list_change, self.on_list_answer, self.on_watch_ended
         )
 
     def set_timer(self, when: float) -> None:
+        """Call tick at a time of the run, or when a stall ends."""
         self.event_queue.schedule_at(when, self.call_unless_stalled, self.tick, ())
 
     def log(self, line: str) -> None:
+        """Keep a log line of the decision module, MAX_LOG_LINES of all modules together."""
         if len(self.engine.logs) < MAX_LOG_LINES:
             self.engine.logs.append((round(self.now, 3), self.number, line))
 
     # events
 
     def tick(self) -> None:
+        """Call the decision module at the time of its timer."""
         self.balancer.tick()
 
     def pass_endpoint_list(self, kind: EndpointListKind, rows: list[ListedServer]) -> None:
+        """Notify the decision module of entries, and tell the checker that it knows them."""
         entries = [
             Endpoint(row.name, STATE_BY_READINESS[row.state], row.weight, row.started, row.zone, row.cell)
             for row in rows
@@ -227,6 +225,7 @@
         self.balancer.on_endpoint_list(kind, entries)
 
     def apply_list_update(self, rows: list[ListedServer], whole: bool, version: int) -> None:
+        """Update the stored list and notify the decision module."""
         self.seen = version
         if whole:
             for name in [name for name in self.rows if name not in {row.name for row in rows}]:
@@ -237,9 +236,11 @@
         self.pass_endpoint_list(EndpointListKind.SNAPSHOT if whole else EndpointListKind.DELTA, rows)
 
     def on_list_change(self, rows: list[ListedServer], version: int) -> None:
+        """Handle a change that the watch reports."""
         self.call_unless_stalled(self.apply_list_update, (rows, False, version))
 
     def on_list_answer(self, rows: list[ListedServer] | None, whole: bool, version: int) -> None:
+        """Handle the answer to a call; no rows mean that the call failed."""
         if not self.alive:
             return
         if rows is None:
@@ -249,6 +250,7 @@
         self.call_unless_stalled(self.apply_list_update, (rows, whole, version))
 
     def on_watch_ended(self) -> None:
+        """Handle the end of the watch as a failed call."""
         if self.alive:
             self.world.checker.set_watching(self.number, False)
             self.world.checker.record_poll(self.now, self.number)
@@ -278,6 +280,7 @@
         token.handle = self.balancer.adopt(token, listener, tenant, group, None, sess.server.name)
 
     def record_answer(self, token: SessionToken, outcome: str) -> None:
+        """Record the final answer of a session and forget the session."""
         token.answered = True
         self.world.checker.record_answer(self.now, self.number, token.sess.number, outcome)
         self.tokens.pop(token.sess.number, None)
@@ -318,6 +321,7 @@
             self.call_unless_stalled(self.establish, (token, attempt, server))
 
     def establish(self, token: SessionToken, attempt: int, server: Server) -> None:
+        """Handle the UP of a server at the proxy, unless the attempt has ended meanwhile."""
         if not token.attempt_in_flight or token.attempt != attempt or token.sess.ended:
             return
         token.established = token.answered = True
@@ -326,10 +330,12 @@
         self.world.on_established(token.sess, server)
 
     def on_attempt_timeout(self, token: SessionToken, attempt: int) -> None:
+        """End the attempt if it is still in flight and not established."""
         if token.attempt_in_flight and token.attempt == attempt and not token.established:
             self.end_attempt(token, attempt, AttemptOutcome.TIMEOUT)
 
     def end_attempt(self, token: SessionToken, attempt: int, outcome: AttemptOutcome) -> None:
+        """End an attempt once and report its outcome to checker, gossip and decision module."""
         if not token.attempt_in_flight or token.attempt != attempt:
             return
         token.attempt_in_flight = False
@@ -365,10 +371,12 @@
             token.handle.on_client_gone()
 
     def on_server_ended(self, sess: Session, move: bool) -> None:
+        """Handle the end of a connection by its server, by a move or a reset."""
         if token := self.tokens.get(sess.number):
             self.end_attempt(token, token.attempt, AttemptOutcome.CANCELLED if move else AttemptOutcome.RESET)
 
     def stop(self, span: float) -> None:
+        """Shut down gracefully within `span` seconds; the world ends the process then."""
         self.schedule(STOP_DELAY_SECONDS, self.stop_step, self.now + span - STOP_MARGIN_SECONDS)
 
     def stop_step(self, last: float) -> None:
@@ -426,10 +434,12 @@
             for row in scenario.listeners
         ]
         self.customers = [
-            Tenant(row.name, row.share, self.world.quotas[n]) for n, row in enumerate(scenario.customers)
+            Tenant(row.name, row.share, quota)
+            for row, quota in zip(scenario.customers, self.world.quotas, strict=True)
         ]
 
     def settings(self, number: int) -> Settings:
+        """Return the decision module's settings for the proxy with this number."""
         fleet, proxies = self.scenario.fleet, self.scenario.proxies
         return Settings(
             listeners={row.name: row for row in self.listeners},
@@ -453,6 +463,7 @@
         )
 
     def describe(self, sess: Session) -> tuple[Listener, Tenant, Hashable]:
+        """Return a session's listener, tenant and affinity key for the decision module."""
         request = sess.client.request
         group = f"g{request.group}" if request.group >= 0 else f"k{request.number}"
         return self.listeners[request.listener], self.customers[request.tenant], group
@@ -469,6 +480,7 @@
         return base * (1.0 + self.scenario.network.jitter * (2.0 * draw - 1.0))
 
     def run(self) -> World:
+        """Play the scenario to its end and return its world."""
         self.begin()
         self.world.event_queue.run_until(self.scenario.seconds)
         return self.end()
@@ -492,9 +504,11 @@
     # called by the world
 
     def submit(self, sess: Session) -> None:
+        """Send a client's session to its proxy; it arrives after the network's delay."""
         self.world.event_queue.schedule_after(self.world.network.client, self.deliver, sess)
 
     def deliver(self, sess: Session) -> None:
+        """Hand a session to its proxy, or lose it if the proxy is down."""
         instance = self.instances.get(sess.proxy)
         if instance is None:
             self.world.on_proxy_lost(sess)
@@ -502,19 +516,23 @@
             instance.call_unless_stalled(instance.on_session, (sess,))
 
     def cancel(self, sess: Session) -> None:
+        """Close the client's side of a session, before or after its final answer."""
         if instance := self.instances.get(sess.proxy):
             instance.call_unless_stalled(instance.on_client_left, (sess,))
 
     def close_by_server(self, sess: Session, move: bool) -> None:
+        """Close the server's side of a connection: tell the client to move, or reset it."""
         if instance := self.instances.get(sess.proxy):
             instance.call_unless_stalled(instance.on_server_ended, (sess, move))
 
     def load_changed(self, sess: Session) -> None:
+        """Report the new load of an established connection to the decision module."""
         if (instance := self.instances.get(sess.proxy)) and (token := instance.tokens.get(sess.number)):
             if token.handle is not None and token.established:
                 instance.call_unless_stalled(token.handle.on_load, (sess.load,))
 
     def crash(self, number: int) -> None:
+        """End a proxy's process and keep its endpoint list for a restart."""
         if instance := self.instances.pop(number, None):
             instance.alive = False
             if self.gossip:
@@ -522,17 +540,21 @@
             self.lists[number] = list(instance.rows.values()), instance.seen
 
     def restart(self, number: int) -> None:
+        """Start a proxy's next process with the endpoint list that the last one had."""
         self.start_counts[number] += 1
         rows, seen = self.lists[number]
         self.instances[number] = Instance(self, number, rows, seen, self.start_counts[number])
 
     def is_ready(self, number: int) -> bool:
+        """Return True: a simulated proxy accepts clients as soon as it is started."""
         return True
 
     def stop(self, number: int, span: float) -> None:
+        """Shut a proxy down gracefully: it migrates its clients over the span in seconds."""
         self.instances[number].stop(span)
 
     def stall(self, number: int, span: float) -> None:
+        """Suspend a proxy for `span` seconds; its events run when the stall ends."""
         instance = self.instances[number]
         instance.stalled_until = max(instance.stalled_until, self.world.event_queue.now + span)
         self.world.checker.record_stall(number, instance.stalled_until)
