--- a/onyxhollow/lab/demo.py
+++ b/onyxhollow/lab/demo.py
@@ -60,6 +60,12 @@
     return outer
 
 
+RULES_KEPT = (
+    "All four rules were kept: one answer in time for each session, no session run twice, no new "
+    "session on the drained server, no overload of a server that had just started."
+)
+
+
 def show(console: Console) -> int:
     """Play the demo; return 0 if no rule was broken and nothing failed."""
     demo_scenario = scenario.read("demo")
@@ -84,13 +90,8 @@
     sound = world.checker.is_clean and not findings["crashes"] and not findings["failures"]
     reconnected = counts.get("cut: dropped", 0) + counts.get("cut: unreachable", 0)
     moved, cut = counts.get("moves", 0), counts.get("cut: torn down", 0)
-    if sound:
-        verdict = (
-            "All four rules were kept: one answer in time for each session, no session run twice, no new "
-            "session on the drained server, no overload of a server that had just started."
-        )
-    else:
-        verdict = f"Expected no broken rule and no failure, got: {world.checker.summary()} {findings}"
+    failure = f"Expected no broken rule and no failure, got: {world.checker.summary()} {findings}"
+    verdict = RULES_KEPT if sound else failure
     console.print(f"""
 {len(world.clients)} clients wanted a connection; for {figures["service"]:.1%} of the time \
 that they wanted one, they had it and got answers in time.
--- a/onyxhollow/lab/experiment.py
+++ b/onyxhollow/lab/experiment.py
@@ -9,13 +9,14 @@
 from __future__ import annotations
 
 import concurrent.futures
+import contextlib
 import hashlib
 import inspect
 import json
 import math
 import multiprocessing
 import os
-from collections.abc import Callable, Iterable, Sequence
+from collections.abc import Callable, Generator, Iterable, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -111,27 +112,35 @@
             results[index] = result
     progress(len(results), len(planned))
     pending = [index for index in range(len(planned)) if index not in results]
-    if pending and jobs == 1:
-        for index in pending:
-            results[index] = play_planned(planned[index])
-            _save_if_stored(paths[index], results[index])
+    # Closed at once on an error or an interrupt, which cancels the runs that have not begun.
+    with contextlib.closing(_play_pending(planned, pending, jobs)) as played:
+        for index, result in played:
+            results[index] = result
+            _save_if_stored(paths[index], result)
             progress(len(results), len(planned))
-        pending = []
+    return [results[index] for index in range(len(planned))]
+
+
+def _play_pending(
+    planned: list[PlannedRun], pending: list[int], jobs: int
+) -> Generator[tuple[int, dict[str, Any]], None, None]:
+    """Play the pending runs and yield the index and result of each as it ends."""
+    if not pending:
+        return
+    if jobs == 1:
+        for index in pending:
+            yield index, play_planned(planned[index])
+        return
     # Workers are spawned, not forked: a child must not inherit what the parent has open.
     context = multiprocessing.get_context("spawn")
-    if pending:
-        with concurrent.futures.ProcessPoolExecutor(min(jobs, len(pending)), mp_context=context) as pool:
-            waiting = {pool.submit(play_planned, planned[index]): index for index in pending}
-            try:
-                for future in concurrent.futures.as_completed(waiting):
-                    index = waiting[future]
-                    results[index] = future.result()
-                    _save_if_stored(paths[index], results[index])
-                    progress(len(results), len(planned))
-            except BaseException:
-                pool.shutdown(wait=False, cancel_futures=True)
-                raise
-    return [results[index] for index in range(len(planned))]
+    with concurrent.futures.ProcessPoolExecutor(min(jobs, len(pending)), mp_context=context) as pool:
+        waiting = {pool.submit(play_planned, planned[index]): index for index in pending}
+        try:
+            for future in concurrent.futures.as_completed(waiting):
+                yield waiting[future], future.result()
+        except BaseException:
+            pool.shutdown(wait=False, cancel_futures=True)
+            raise
 
 
 def _save_if_stored(path: Path | None, result: dict[str, Any]) -> None:
--- a/onyxhollow/lab/invariant_checker.py
+++ b/onyxhollow/lab/invariant_checker.py
@@ -165,36 +165,32 @@
                 2, now, f"session {sess}: attempted at {server} while another attempt was in flight"
             )
         if tracked.ran_at < math.inf:
-            if tracked.repeat == "once-only":
-                self.add_violation(
-                    2, now, f"session {sess}: once-only, may have run on {tracked.ran_on}, sent to {server}"
-                )
-            elif tracked.repeat == "referenced":
-                location, first_location = (
-                    self.server_locations.get(server),
-                    self.server_locations.get(tracked.ran_on),
-                )
-                compared = {"all": slice(0, 0), "zone": slice(0, 1), "cell": slice(1, 2)}[tracked.scope]
-                if (
-                    location is None
-                    or first_location is None
-                    or location[compared] != first_location[compared]
-                ):
-                    self.add_violation(
-                        2,
-                        now,
-                        f"session {sess}: referenced in its {tracked.scope}, may have run on "
-                        f"{tracked.ran_on}, sent to {server}",
-                    )
-                elif now > tracked.ran_at + tracked.window:
-                    self.add_violation(
-                        2, now, f"session {sess}: sent to {server} after its deduplication window"
-                    )
+            self._check_repeat(now, sess, tracked, server)
         tracked.attempts += 1
         tracked.current_attempt = tracked.attempts
         if tracked.ran_at == math.inf:
             tracked.ran_on = server
 
+    def _check_repeat(self, now: float, sess: Hashable, tracked: TrackedSession, server: str) -> None:
+        """Check that a session that may have run may be attempted again at a server."""
+        if tracked.repeat == "once-only":
+            self.add_violation(
+                2, now, f"session {sess}: once-only, may have run on {tracked.ran_on}, sent to {server}"
+            )
+        elif tracked.repeat == "referenced":
+            location = self.server_locations.get(server)
+            first_location = self.server_locations.get(tracked.ran_on)
+            compared = {"all": slice(0, 0), "zone": slice(0, 1), "cell": slice(1, 2)}[tracked.scope]
+            if location is None or first_location is None or location[compared] != first_location[compared]:
+                self.add_violation(
+                    2,
+                    now,
+                    f"session {sess}: referenced in its {tracked.scope}, may have run on "
+                    f"{tracked.ran_on}, sent to {server}",
+                )
+            elif now > tracked.ran_at + tracked.window:
+                self.add_violation(2, now, f"session {sess}: sent to {server} after its deduplication window")
+
     def record_attempt_end(self, now: float, sess: Hashable, sent_at: float, never_ran: bool) -> None:
         """Record the end of an attempt; never_ran if the session certainly did not run."""
         if (tracked := self.sessions.get(sess)) is None:
--- a/onyxhollow/lab/report.py
+++ b/onyxhollow/lab/report.py
@@ -266,10 +266,26 @@
         f'<p class="about">{proxies} proxies, {servers} servers, {runs[0]["clients"]} clients</p>',
         table(runs),
     ]
+    for name, paint in page_sections(runs):
+        cells = "".join(
+            f"<div><b>{html.escape(title(run)) if len(runs) > 1 else ''}</b>{paint(run)}</div>"
+            for run in runs
+        )
+        parts.append(f'<h2>{name}</h2><div class="pair">{cells}</div>')
+    for run in runs:
+        parts += run_notes(run)
+    return (
+        f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(head)}</title>'
+        f"<style>{STYLE}</style><body>{''.join(parts)}</body></html>\n"
+    )
+
+
+def page_sections(runs: list[dict[str, Any]]) -> list[tuple[str, Callable[[dict[str, Any]], str]]]:
+    """Return the heading of each section of the page with the function that draws it for one run."""
     size = WIDE if len(runs) == 1 else HALF
     highest = max(float(sum(shares_lost(run).values(), np.zeros(1)).max()) for run in runs)
     top = min(1.0, max(0.05, 1.35 * highest))
-    sections: list[tuple[str, Callable[[dict[str, Any]], str]]] = [
+    return [
         ("Service over time (faults shaded)", lambda run: service_plot(run, size)),
         ("Utility lost, by cause", lambda run: loss_plot(run, size, top)),
         ("Load of each server (grey: not running)", lambda run: load_map(run, size[0])),
@@ -282,25 +298,20 @@
         ("By listener", lambda run: service_bars(run, "listeners")),
         ("By customer", lambda run: service_bars(run, "customers")),
     ]
-    for name, paint in sections:
-        cells = "".join(
-            f"<div><b>{html.escape(title(run)) if len(runs) > 1 else ''}</b>{paint(run)}</div>"
-            for run in runs
+
+
+def run_notes(run: dict[str, Any]) -> list[str]:
+    """Return the HTML of a run's first broken rules and first changes of mode; none for what it lacks."""
+    parts = []
+    if run["rules"]["first"]:
+        lines = "".join(f"<li>{html.escape(line)}</li>" for line in run["rules"]["first"])
+        parts.append(f"<h2>Rules broken: {html.escape(title(run))}</h2><ul>{lines}</ul>")
+    if run.get("log"):
+        lines = "\n".join(f"{at:8.2f}  n{proxy}  {line}" for at, proxy, line in run["log"][:60])
+        parts.append(
+            f"<h2>First changes of mode: {html.escape(title(run))}</h2><pre>{html.escape(lines)}</pre>"
         )
-        parts.append(f'<h2>{name}</h2><div class="pair">{cells}</div>')
-    for run in runs:
-        if run["rules"]["first"]:
-            lines = "".join(f"<li>{html.escape(line)}</li>" for line in run["rules"]["first"])
-            parts.append(f"<h2>Rules broken: {html.escape(title(run))}</h2><ul>{lines}</ul>")
-        if run.get("log"):
-            lines = "\n".join(f"{at:8.2f}  n{proxy}  {line}" for at, proxy, line in run["log"][:60])
-            parts.append(
-                f"<h2>First changes of mode: {html.escape(title(run))}</h2><pre>{html.escape(lines)}</pre>"
-            )
-    return (
-        f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(head)}</title>'
-        f"<style>{STYLE}</style><body>{''.join(parts)}</body></html>\n"
-    )
+    return parts
 
 
 def write(runs: list[dict[str, Any]], path: Path) -> None:
--- a/onyxhollow/lab/run_metrics.py
+++ b/onyxhollow/lab/run_metrics.py
@@ -143,24 +143,13 @@
             raise AssertionError(
                 f"accounts: expected wanted = earned + lost, got a gap of {gap:.6f} of {wanted.sum():.3f}"
             )
-        width = min(WORST_WINDOW_SECONDS, self.bins)
-        ones = np.ones(width)
-        window_earned, window_wanted = np.convolve(earned, ones, "valid"), np.convolve(wanted, ones, "valid")
-        # Windows with few clients are left out: their share depends on chance.
-        counted = window_wanted > 0.2 * window_wanted.max(initial=0.0)
-        window_shares = window_earned[counted] / window_wanted[counted]
         whole_share = ratio(float(earned.sum()), float(wanted.sum()))
-        by_listener = [
-            ratio(got, total)
-            for got, total in zip(self.earned_by_listener, self.wanted_by_listener, strict=True)
-        ]
-        by_tenant = [
-            ratio(got, total) for got, total in zip(self.earned_by_tenant, self.wanted_by_tenant, strict=True)
-        ]
+        by_listener = ratios(self.earned_by_listener, self.wanted_by_listener)
+        by_tenant = ratios(self.earned_by_tenant, self.wanted_by_tenant)
         goal = self.scenario.goal
         parts = {
             "whole": whole_share,
-            "window": float(window_shares.min(initial=1.0)),
+            "window": worst_window_share(wanted, earned),
             "listener": min(by_listener),
             "customer": min(by_tenant),
         }
@@ -171,8 +160,12 @@
             "service": whole_share,
             "unaccounted": ratio(float(gap), float(wanted.sum()), 0.0),
             "worst_window": parts["window"],
-            "listeners": {row.name: by_listener[n] for n, row in enumerate(self.scenario.listeners)},
-            "customers": {row.name: by_tenant[n] for n, row in enumerate(self.scenario.customers)},
+            "listeners": {
+                row.name: share for row, share in zip(self.scenario.listeners, by_listener, strict=True)
+            },
+            "customers": {
+                row.name: share for row, share in zip(self.scenario.customers, by_tenant, strict=True)
+            },
             "lost": {name: ratio(float(row.sum()), float(wanted.sum()), 0.0) for name, row in lost.items()},
             "setup_ms": quantiles(self.setup),
             "message_ms": quantiles(self.message),
@@ -196,16 +189,32 @@
             "setup": cdf(self.setup),
             "message": cdf(self.message),
             "setup_by_listener": {
-                row.name: cdf(self.setup_by_listener[n]) for n, row in enumerate(self.scenario.listeners)
+                row.name: cdf(hist)
+                for row, hist in zip(self.scenario.listeners, self.setup_by_listener, strict=True)
             },
         }
 
 
+def worst_window_share(wanted: np.ndarray, earned: np.ndarray) -> float:
+    """Return the lowest share earned in WORST_WINDOW_SECONDS in a row; the arrays have a value per second."""
+    ones = np.ones(min(WORST_WINDOW_SECONDS, len(wanted)))
+    window_earned, window_wanted = np.convolve(earned, ones, "valid"), np.convolve(wanted, ones, "valid")
+    # Windows with few clients are left out: their share depends on chance.
+    counted = window_wanted > 0.2 * window_wanted.max(initial=0.0)
+    window_shares = window_earned[counted] / window_wanted[counted]
+    return float(window_shares.min(initial=1.0))
+
+
 def ratio(part: float, whole: float, default: float = 1.0) -> float:
     """Return part / whole, or the default if whole is 0."""
     return part / whole if whole > 0 else default
 
 
+def ratios(parts: list[float], wholes: list[float]) -> list[float]:
+    """Return the ratio of each part to its whole, 1 where the whole is 0."""
+    return [ratio(part, whole) for part, whole in zip(parts, wholes, strict=True)]
+
+
 def quantiles(hist: HdrHistogram) -> dict[str, float]:
     """Return p50, p90, p99 and p99.9 in milliseconds."""
     return {
--- a/onyxhollow/lab/runs.py
+++ b/onyxhollow/lab/runs.py
@@ -46,19 +46,12 @@
         RunError: the run can't be played for another reason.
     """
     policy_factory = decisions.find(policy)
-    if picture and (engine != "virtual" or policy != "module"):
-        raise RunError(
-            "--picture: expected the module in virtual time; on sockets use --logs and draw the logs"
-        )
-    if engine == "sockets" and policy != "module":
-        raise RunError(f"--policy: on sockets expected module, got {policy}")
+    _check_options(policy, engine, picture)
     findings: dict[str, Any] = {}
     log: list[tuple[float, int, str]] = []
     try:
         if engine == "sockets":
-            from onyxhollow.lab.sockets.engine import play as play_on_sockets
-
-            world, findings = play_on_sockets(scenario, seed, logs, progress)
+            world, findings = _play_on_sockets(scenario, seed, logs, progress)
         else:
             world, log = _play_in_virtual_time(scenario, seed, policy_factory, picture)
     except (OSError, ValueError) as error:
@@ -69,11 +62,29 @@
     if findings:
         result["sockets"] = findings
     if series:
-        result["series"] = world.metrics.series()
-        result["log"] = [list(line) for line in log]
+        result |= {"series": world.metrics.series(), "log": [list(line) for line in log]}
     return result
 
 
+def _check_options(policy: str, engine: str, picture: tuple[Path, float] | None) -> None:
+    """Raise RunError if the engine can't play the policy or take the snapshot."""
+    if picture and (engine != "virtual" or policy != "module"):
+        raise RunError(
+            "--picture: expected the module in virtual time; on sockets use --logs and draw the logs"
+        )
+    if engine == "sockets" and policy != "module":
+        raise RunError(f"--policy: on sockets expected module, got {policy}")
+
+
+def _play_on_sockets(
+    scenario: Scenario, seed: int, logs: Path | None, progress: Callable[[float, float], None]
+) -> tuple[World, dict[str, Any]]:
+    """Play a run on sockets; return its world and the findings of the engine."""
+    from onyxhollow.lab.sockets import engine
+
+    return engine.play(scenario, seed, logs, progress)
+
+
 def _play_in_virtual_time(
     scenario: Scenario, seed: int, policy_factory: decisions.PolicyFactory, picture: tuple[Path, float] | None
 ) -> tuple[World, list[tuple[float, int, str]]]:
--- a/onyxhollow/lab/world/servers.py
+++ b/onyxhollow/lab/world/servers.py
@@ -153,8 +153,7 @@
         self.recent_arrivals: deque[tuple[float, float, int]] = deque()
         self.recent_load = 0.0
         self.load = 0.0  # demand over capacity, as of the last step
-        self.reported_at, self.last_report = -math.inf, 0.0
-        self.previous_report = 0.0
+        self.reported_at, self.last_report, self.previous_report = -math.inf, 0.0, 0.0
         self.delay, self.tau = 0.0, 0.001  # seconds: backlog, time constant of a message's own time
 
     # state
