--- a/onyxhollow/lab/baselines.py
+++ b/onyxhollow/lab/baselines.py
@@ -43,6 +43,7 @@
     """A server as the endpoint list describes it."""
 
     def __init__(self, entry: Endpoint) -> None:
+        """Take the server's first entry of the list."""
         self.name, self.open = entry.name, dict[Baseline.Session, None]()
         self.update(entry)
 
@@ -66,6 +67,7 @@
             tenant: Tenant | None,
             deadline: float,
         ) -> None:
+            """Prepare a session without a server; `deadline` is on the host's clock, in seconds."""
             self.balancer, self.token, self.listener, self.tenant = balancer, token, listener, tenant
             self.deadline = deadline
             self.attempted: list[KnownServer] = []
@@ -104,6 +106,7 @@
                 self.balancer.attempt(self)
 
     def __init__(self, host: Host, settings: Settings, seed: int, world: World) -> None:
+        """Begin with no servers and set the first timer; `world` is for TrueState only."""
         self.host, self.settings, self.rng, self.world = host, settings, Random(seed), world
         self.servers: dict[str, KnownServer] = {}
         self.list_lost, self.poll_at = settings.list_is_polled, host.now + 0.05 * self.rng.random()
--- a/onyxhollow/lab/invariant_checker.py
+++ b/onyxhollow/lab/invariant_checker.py
@@ -51,6 +51,7 @@
     """
 
     def __init__(self, drain_grace: float, answer_grace: float, ask_within: float) -> None:
+        """Take the time limits of the rules, in seconds."""
         self.drain_grace, self.answer_grace, self.ask_within = drain_grace, answer_grace, ask_within
         self.sessions: dict[Hashable, TrackedSession] = {}
         self.server_locations: dict[str, tuple[int, int]] = {}  # zone and cell of each server
--- a/onyxhollow/lab/run_metrics.py
+++ b/onyxhollow/lab/run_metrics.py
@@ -33,6 +33,7 @@
     """Utility accounts, latency histograms and counters of one run."""
 
     def __init__(self, scenario: Scenario, requests: list[Request]) -> None:
+        """Open the accounts and enter the utility that the requests want."""
         self.scenario, self.horizon = scenario, scenario.seconds
         self.tolerance = 1e-6  # share of the wanted utility that may stay unaccounted for
         self.bins = math.ceil(scenario.seconds)
--- a/onyxhollow/lab/simulated_gossip.py
+++ b/onyxhollow/lab/simulated_gossip.py
@@ -69,6 +69,7 @@
     """The gossip cores of all running proxies, with the messages between them."""
 
     def __init__(self, engine: GossipEngine, gossip_config: GossipConfig, faults: GossipFaults) -> None:
+        """Begin without members; the engine adds each proxy that it starts."""
         self.engine, self.gossip_config, self.faults = engine, gossip_config, faults
         self.world = engine.world
         self.cores: dict[int, LoadGossip] = {}  # by proxy
--- a/onyxhollow/lab/sockets/engine.py
+++ b/onyxhollow/lab/sockets/engine.py
@@ -63,6 +63,7 @@
     __slots__ = ("engine", "sess", "lines", "answered", "lines_sent")
 
     def __init__(self, engine: SocketEngine, sess: Session, sock: socket.socket) -> None:
+        """Take over a socket that connects to the session's proxy."""
         self.engine, self.sess, self.answered, self.lines_sent = engine, sess, False, 0
         self.lines = LineConnection(engine.loop, sock, self.on_line, self.on_end)
 
--- a/onyxhollow/lab/sockets/line_connection.py
+++ b/onyxhollow/lab/sockets/line_connection.py
@@ -28,6 +28,7 @@
         on_line: Callable[[bytes], None],
         on_end: Callable[[bool], None],
     ) -> None:
+        """Make the socket non-blocking and watch it; it may still be connecting."""
         self.loop, self.sock, self.on_line, self.on_end = loop, sock, on_line, on_end
         self.inbox, self.outbox, self.open, self.raw = bytearray(), bytearray(), True, False
         self.sent = False  # whether any byte was sent; stays False if the connection was never established
--- a/onyxhollow/lab/sockets/list_service.py
+++ b/onyxhollow/lab/sockets/list_service.py
@@ -45,6 +45,7 @@
     """One HTTP connection from a proxy to the list service."""
 
     def __init__(self, service: ListService, sock: socket.socket) -> None:
+        """Take over a socket that a proxy has opened."""
         self.service, self.wait_number = service, 0
         self.lines = LineConnection(service.engine.loop, sock, self.on_data, self.on_end)
         self.lines.raw = True
@@ -130,6 +131,7 @@
     """The endpoint list as one proxy polls and watches it."""
 
     def __init__(self, engine: ListHost, proxy: int) -> None:
+        """Listen on a free port of 127.0.0.1 for the proxy with this number."""
         self.engine, self.proxy = engine, proxy
         self.connections: dict[ListConnection, None] = {}
         self.watchers: dict[ListConnection, int] = {}
--- a/onyxhollow/lab/sockets/proxies.py
+++ b/onyxhollow/lab/sockets/proxies.py
@@ -107,6 +107,7 @@
     def __init__(
         self, number: int, settings: dict[str, Any], list_address: tuple[str, int], folder: Path, sockets: int
     ) -> None:
+        """Reserve an address, without starting the process; `sockets` limits its sockets."""
         self.number, self.settings, self.list_address, self.folder = number, settings, list_address, folder
         self.listen = free_address(f"127.0.1.{number % 250 + 1}")
         self.sockets, self.start_count = sockets, 0
--- a/onyxhollow/lab/sockets/servers.py
+++ b/onyxhollow/lab/sockets/servers.py
@@ -44,6 +44,7 @@
     __slots__ = ("listener", "lines", "sess", "established", "sent_at", "ended", "may_have_run")
 
     def __init__(self, listener: ServerListener, sock: socket.socket) -> None:
+        """Take over a socket that a proxy has opened."""
         self.listener = listener
         self.established = self.ended = self.may_have_run = False
         self.sent_at = 0.0
@@ -153,6 +154,7 @@
     """
 
     def __init__(self, engine: ServerHost, server: Server, proxy: int) -> None:
+        """Listen on a free port of 127.0.0.1."""
         self.engine, self.server, self.proxy = engine, server, proxy
         self.connections: dict[ServerConnection, None] = {}
         self.blocked = False
--- a/onyxhollow/lab/virtual.py
+++ b/onyxhollow/lab/virtual.py
@@ -55,6 +55,7 @@
     )
 
     def __init__(self, sess: Session) -> None:
+        """Prepare the token of a session that has no attempt yet."""
         self.sess = sess
         self.handle: Any = None
         self.attempt, self.attempt_in_flight, self.sent_at = 0, False, 0.0
@@ -68,6 +69,7 @@
     def __init__(
         self, engine: VirtualEngine, number: int, rows: list[ListedServer], seen: int, start_count: int
     ) -> None:
+        """Start the process with the stored rows and the version of the list that it has seen."""
         self.engine, self.number, self.world, self.event_queue = (
             engine,
             number,
--- a/onyxhollow/lab/world/event_queue.py
+++ b/onyxhollow/lab/world/event_queue.py
@@ -15,6 +15,7 @@
     """Calls in order of time; calls of the same time run in the order in which they were scheduled."""
 
     def __init__(self) -> None:
+        """Begin at time 0 with no scheduled call."""
         self.now = 0.0
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.scheduled = self.executed = 0
--- a/onyxhollow/lab/world/listing.py
+++ b/onyxhollow/lab/world/listing.py
@@ -32,6 +32,7 @@
     """The list of servers with its recent changes and its watchers."""
 
     def __init__(self, event_queue: EventQueue, settings: ListServiceSettings) -> None:
+        """Begin with an empty list, which the world fills before the start."""
         self.event_queue, self.settings = event_queue, settings
         self.rows: dict[str, ListedServer] = {}
         self.changes: list[tuple[int, ListedServer]] = []
--- a/onyxhollow/lab/world/servers.py
+++ b/onyxhollow/lab/world/servers.py
@@ -60,6 +60,7 @@
     )
 
     def __init__(self, request: Request, honours_retry_after: bool) -> None:
+        """Prepare the client of a request; it has no connection yet."""
         self.request, self.honours_retry_after = request, honours_retry_after
         self.cause, self.cause_since = LossCause.LATE, request.due
         self.open_count = self.connection_number = self.draw_count = 0
@@ -97,6 +98,7 @@
     )
 
     def __init__(self, number: int, client: Client, proxy: int, deadline: float) -> None:
+        """Prepare a session at a proxy; `deadline` is in seconds from the start of the run."""
         self.number, self.client, self.proxy = number, client, proxy
         self.deadline = deadline
         self.load = client.request.load
@@ -128,6 +130,7 @@
         average_load: float,
         started: float = -math.inf,
     ) -> None:
+        """Prepare a running server; one started at -inf has warmed up."""
         self.number, self.name, self.zone, self.cell = number, name, zone, number // fleet.cell
         self.fleet, self.kind, self.speed = fleet, kind, speed
         self.full_capacity = kind.cores * speed  # cores of speed 1
--- a/onyxhollow/lab/world/streams.py
+++ b/onyxhollow/lab/world/streams.py
@@ -22,6 +22,7 @@
     """
 
     def __init__(self, seed: int) -> None:
+        """Draw both tables from the stream of their own purpose."""
         rng = random_stream(seed, "tables")
         self.uniforms: list[float] = rng.random(TABLE_SIZE).tolist()
         self.normals: list[float] = rng.standard_normal(TABLE_SIZE).tolist()
--- a/onyxhollow/lab/world/world.py
+++ b/onyxhollow/lab/world/world.py
@@ -84,6 +84,7 @@
     """The session store; each session set-up calls it once, and it handles calls in turn."""
 
     def __init__(self, rate: float, time: float) -> None:
+        """Take the calls per second, 0 for no limit, and the seconds that each call takes."""
         self.rate, self.time, self.free_at = rate, time, 0.0
 
     def call(self, now: float) -> float:
@@ -98,6 +99,7 @@
     """The state of a run, and the handlers of its events."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
+        """Create the servers and draw the clients; start schedules the events."""
         self.scenario, self.seed = scenario, seed
         self.event_queue, self.random_tables = EventQueue(), RandomTables(seed)
         fleet, network = scenario.fleet, scenario.network
