--- a/onyxhollow/lab/report.py
+++ b/onyxhollow/lab/report.py
@@ -69,6 +69,7 @@
 
 
 def service_plot(run: dict[str, Any], size: tuple[float, float]) -> str:
+    """Return an SVG of the share of the wanted utility earned in each second."""
     series = run["series"]
     wanted, earned = np.array(series["wanted"]), np.array(series["earned"])
 
@@ -108,6 +109,7 @@
 
 
 def load_map(run: dict[str, Any], width: float) -> str:
+    """Return an SVG of each server's load over time; in a large fleet of the most loaded only."""
     loads: dict[str, list[list[float]]] = run["series"]["loads"]
     names = sorted(loads)
     columns = len(run["series"]["wanted"]) + 1
@@ -142,6 +144,7 @@
 
 
 def evenness_plot(run: dict[str, Any], size: tuple[float, float]) -> str:
+    """Return an SVG of the busiest server and of the variation of loads over time."""
     rows = run["series"].get("evenness", {}).get("course", [])
 
     def paint(axes: Axes) -> None:
@@ -193,6 +196,8 @@
 
 
 def latency_plot(run: dict[str, Any]) -> str:
+    """Return an SVG of the distributions of message and set-up latencies."""
+
     def paint(axes: Axes) -> None:
         rows = {"message": run["series"]["message"]}
         rows |= {f"set-up, {name}": row for name, row in run["series"]["setup_by_listener"].items()}
@@ -208,6 +213,7 @@
 
 
 def service_bars(run: dict[str, Any], kind: str) -> str:
+    """Return an SVG of the service by listener or by customer, as `kind` says."""
     rows = run[kind]
 
     def paint(axes: Axes) -> None:
@@ -220,6 +226,8 @@
 
 
 def table(runs: list[dict[str, Any]]) -> str:
+    """Return an HTML table of the figures, with one column for each run."""
+
     def row(name: str, values: list[str]) -> str:
         return f"<tr><td>{html.escape(name)}</td>{''.join(f'<td>{value}</td>' for value in values)}</tr>"
 
@@ -245,6 +253,7 @@
 
 
 def title(run: dict[str, Any]) -> str:
+    """Return the policy, seed and engine of a run as one line."""
     return f"{run['policy']}, seed {run['seed']}, {run['engine']}"
 
 
@@ -257,10 +266,26 @@
         f'<p class="about">{proxies} proxies, {servers} servers, {runs[0]["clients"]} clients</p>',
         table(runs),
     ]
+    for name, paint in page_sections(runs):
+        cells = "".join(
+            f"<div><b>{html.escape(title(run)) if len(runs) > 1 else ''}</b>{paint(run)}</div>"
+            for run in runs
+        )
+        parts.append(f'<h2>{name}</h2><div class="pair">{cells}</div>')
+    for run in runs:
+        parts += run_notes(run)
+    return (
+        f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(head)}</title>'
+        f"<style>{STYLE}</style><body>{''.join(parts)}</body></html>\n"
+    )
+
+
+def page_sections(runs: list[dict[str, Any]]) -> list[tuple[str, Callable[[dict[str, Any]], str]]]:
+    """Return the heading of each section of the page with the function that draws it for one run."""
     size = WIDE if len(runs) == 1 else HALF
     highest = max(float(sum(shares_lost(run).values(), np.zeros(1)).max()) for run in runs)
     top = min(1.0, max(0.05, 1.35 * highest))
-    sections: list[tuple[str, Callable[[dict[str, Any]], str]]] = [
+    return [
         ("Service over time (faults shaded)", lambda run: service_plot(run, size)),
         ("Utility lost, by cause", lambda run: loss_plot(run, size, top)),
         ("Load of each server (grey: not running)", lambda run: load_map(run, size[0])),
@@ -273,28 +298,24 @@
         ("By listener", lambda run: service_bars(run, "listeners")),
         ("By customer", lambda run: service_bars(run, "customers")),
     ]
-    for name, paint in sections:
-        cells = "".join(
-            f"<div><b>{html.escape(title(run)) if len(runs) > 1 else ''}</b>{paint(run)}</div>"
-            for run in runs
+
+
+def run_notes(run: dict[str, Any]) -> list[str]:
+    """Return the HTML of a run's first broken rules and first changes of mode; none for what it lacks."""
+    parts = []
+    if run["rules"]["first"]:
+        lines = "".join(f"<li>{html.escape(line)}</li>" for line in run["rules"]["first"])
+        parts.append(f"<h2>Rules broken: {html.escape(title(run))}</h2><ul>{lines}</ul>")
+    if run.get("log"):
+        lines = "\n".join(f"{at:8.2f}  n{proxy}  {line}" for at, proxy, line in run["log"][:60])
+        parts.append(
+            f"<h2>First changes of mode: {html.escape(title(run))}</h2><pre>{html.escape(lines)}</pre>"
         )
-        parts.append(f'<h2>{name}</h2><div class="pair">{cells}</div>')
-    for run in runs:
-        if run["rules"]["first"]:
-            lines = "".join(f"<li>{html.escape(line)}</li>" for line in run["rules"]["first"])
-            parts.append(f"<h2>Rules broken: {html.escape(title(run))}</h2><ul>{lines}</ul>")
-        if run.get("log"):
-            lines = "\n".join(f"{at:8.2f}  n{proxy}  {line}" for at, proxy, line in run["log"][:60])
-            parts.append(
-                f"<h2>First changes of mode: {html.escape(title(run))}</h2><pre>{html.escape(lines)}</pre>"
-            )
-    return (
-        f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{html.escape(head)}</title>'
-        f"<style>{STYLE}</style><body>{''.join(parts)}</body></html>\n"
-    )
+    return parts
 
 
 def write(runs: list[dict[str, Any]], path: Path) -> None:
+    """Write the HTML page through a temporary file; see page for the runs."""
     temporary = path.with_suffix(".part")
     temporary.write_text(page(runs))
     temporary.replace(path)
--- a/onyxhollow/lab/sockets/servers.py
+++ b/onyxhollow/lab/sockets/servers.py
@@ -44,6 +44,7 @@
     __slots__ = ("listener", "lines", "sess", "established", "sent_at", "ended", "may_have_run")
 
     def __init__(self, listener: ServerListener, sock: socket.socket) -> None:
+        """Take over a socket that a proxy has opened."""
         self.listener = listener
         self.established = self.ended = self.may_have_run = False
         self.sent_at = 0.0
@@ -51,6 +52,7 @@
         self.sess: Session | None = None
 
     def on_line(self, line: bytes) -> None:
+        """Handle a line of the proxy: a health check, an OPEN, or data, which is echoed."""
         engine, server = self.listener.engine, self.listener.server
         command = line.split(b" ", 1)[0].strip()
         if server.is_unresponsive or self.listener.blocked:
@@ -73,6 +75,7 @@
             self.lines.send(b"SYNTAX\r\n")
 
     def on_open_request(self, line: bytes) -> None:
+        """Offer the session of an OPEN line to the server and schedule the answer."""
         engine, server, world = self.listener.engine, self.listener.server, self.listener.engine.world
         sess = engine.find_session(line)
         if sess is None:
@@ -107,6 +110,7 @@
         self.lines.send(b"UP %d\r\n" % sess.number)
 
     def answer(self, verdict: OpenResult) -> None:
+        """Send the verdict to the proxy, unless the connection has ended or is silent."""
         if (
             self.ended
             or not self.lines.open
@@ -129,6 +133,7 @@
         self.on_end(reset)
 
     def on_end(self, reset: bool) -> None:
+        """Record the end of the attempt or of the established connection, once."""
         if self.ended:
             return
         self.ended = True
@@ -149,6 +154,7 @@
     """
 
     def __init__(self, engine: ServerHost, server: Server, proxy: int) -> None:
+        """Listen on a free port of 127.0.0.1."""
         self.engine, self.server, self.proxy = engine, server, proxy
         self.connections: dict[ServerConnection, None] = {}
         self.blocked = False
@@ -158,11 +164,13 @@
         self.open()
 
     def open(self) -> None:
+        """Listen on a free port, or on the same port as before when opened again."""
         self.sock = open_listener(self.address)
         self.address = ("127.0.0.1", self.sock.getsockname()[1])
         accept_connections(self.engine.loop, self.sock, self.on_accept)
 
     def on_accept(self, sock: socket.socket) -> None:
+        """Accept a connection, or close it if the server has no free one."""
         if len(self.server.sessions) >= self.server.kind.connections:
             sock.close()
             return
@@ -201,6 +209,7 @@
             self.fillers.append(filler)
 
     def close_fillers(self) -> None:
+        """Close the connections that fill the accept queue."""
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
--- a/onyxhollow/lab/world/event_queue.py
+++ b/onyxhollow/lab/world/event_queue.py
@@ -15,6 +15,7 @@
     """Calls in order of time; calls of the same time run in the order in which they were scheduled."""
 
     def __init__(self) -> None:
+        """Begin at time 0 with no scheduled call."""
         self.now = 0.0
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.scheduled = self.executed = 0
@@ -26,6 +27,7 @@
         heapq.heappush(self.heap, (when if when > self.now else self.now, self.scheduled, call, values))
 
     def schedule_after(self, span: float, call: Callable[..., None], *values: Any) -> None:
+        """Schedule a call `span` seconds from now; a negative span counts as 0."""
         self.schedule_at(self.now + span, call, *values)
 
     @property
