--- a/onyxhollow/addresses/controller.py
+++ b/onyxhollow/addresses/controller.py
@@ -224,8 +224,9 @@
         for route in self.routes.values():
             self.observe(route, now)
         if self.ready(now):
-            self.restore_causes(now)
-            self.decide(now, wall)
+            overrides = self.active_overrides(now)
+            self.restore_causes(overrides)
+            self.decide(overrides, now, wall)
         for site in self.capacity:
             self.assign(site, now)
         self.send_store_requests()
@@ -250,25 +251,23 @@
         """Return the overrides in force for each route, by address and site."""
         return self.overrides.active({address for address, _ in self.routes}, self.capacity, now)
 
-    def restore_causes(self, now: float) -> None:
+    def restore_causes(self, overrides: dict[tuple[str, str], ActiveOverrides]) -> None:
         """Set the cause of withdrawn routes that were reported without one, if an override is in force.
 
         The route guard stores no causes. After a change of the announcer, a controller that adopts the site's
         report adopts it without causes. The site's members move connections only off routes that an override
         has withdrawn, so they would stop in the middle of a drain.
         """
-        overrides = self.active_overrides(now)
         for key in self.reported_routes:
             route = self.routes[key]
             has_no_cause = route.preference is Preference.WITHDRAWN and route.cause == Cause.NONE
             if has_no_cause and overrides.get(key, NO_OVERRIDES).takes_out:
                 route.cause = Cause.OVERRIDE
 
-    def decide(self, now: float, wall: float) -> None:
+    def decide(self, overrides: dict[tuple[str, str], ActiveOverrides], now: float, wall: float) -> None:
         """Decide the next changes, unless earlier ones are still being stored."""
         if self.pending:
             return  # later decisions depend on these changes
-        overrides = self.active_overrides(now)
         changes, self.suppressed = decide(self.policy, self.routes.values(), overrides, now)
         self.request_drains(overrides, changes)
         for suppressed in self.suppressed:
--- a/onyxhollow/fleet/list_replication.py
+++ b/onyxhollow/fleet/list_replication.py
@@ -279,9 +279,7 @@
         }
         self.is_applying = True
         try:
-            self.watch.apply(
-                change.records, decode_endpoint_list(answer, self.watch.clock, self.context.loop.now)
-            )
+            self.watch.apply(decode_endpoint_list(answer, self.watch.clock, self.context.loop.now))
         except EndpointListError:
             return False
         finally:
--- a/onyxhollow/lab/fleet/random_walk.py
+++ b/onyxhollow/lab/fleet/random_walk.py
@@ -38,7 +38,14 @@
 )
 from onyxhollow.addresses.overrides import OverrideLog
 from onyxhollow.addresses.route_table import InstalledRoute, RouteTable, StaleTermError
-from onyxhollow.addresses.routes import NO_OVERRIDES, Cause, Preference, RouteState, SuppressionRule
+from onyxhollow.addresses.routes import (
+    NO_OVERRIDES,
+    ActiveOverrides,
+    Cause,
+    Preference,
+    RouteState,
+    SuppressionRule,
+)
 
 STEP_SECONDS = 0.25
 SITES, ADDRESSES, VOTERS = ("a", "b", "c"), ("x", "y"), ("v0", "v1", "v2")
@@ -564,8 +571,10 @@
     """Publish decisions before a majority of the voters has stored them."""
     original = Controller.decide
 
-    def decide(self: Controller, now: float, wall: float) -> None:
-        original(self, now, wall)
+    def decide(
+        self: Controller, overrides: dict[tuple[str, str], ActiveOverrides], now: float, wall: float
+    ) -> None:
+        original(self, overrides, now, wall)
         for row in list(self.pending.values()):
             self.on_committed(self.pending[record_id(row.record)], now)
 
--- a/onyxhollow/wire/endpoint_list_watch.py
+++ b/onyxhollow/wire/endpoint_list_watch.py
@@ -202,7 +202,7 @@
         self.timeouts = 0
         self.interrupted = False
         self.clock.known_until = self.loop.now
-        self.apply(document["hosts"], update)
+        self.apply(update)
         return True
 
     def ensure_connection(self) -> DiscoveryConnection:
@@ -259,18 +259,13 @@
             grace = SILENCE_TIMEOUT_SECONDS
         return f"/v1/endpoints?index={self.version}&wait={round(wait * 1000)}", wait + grace
 
-    def apply(self, records: list[Any], update: EndpointList) -> None:
-        """Apply an update of the service, received here or by another member of the fleet.
-
-        Args:
-            records: The endpoints in the service's format.
-            update: The same update, decoded.
-        """
+    def apply(self, update: EndpointList) -> None:
+        """Apply an update of the service, received here or by another member of the fleet."""
         for name, address in update.addresses.items():
             self.addresses.store(name, address)
         if update.is_snapshot:
             self.records.clear()
-        self.records.update((record["host"], record) for record in records)
+        self.records.update((record["host"], record) for record in update.records)
         if update.endpoints or update.is_snapshot or update.version != self.version:
             lines = [self.log_line(endpoint) for endpoint in update.endpoints]
             self.log(
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -758,9 +758,7 @@
     if hears_delta:
         processes.until(lambda: second.proxy.discovery.version == 41)
         delta = {"seq": 42, "whole": False, "hosts": [records[1] | {"health": "leaving"}]}
-        second.proxy.discovery.apply(
-            delta["hosts"], decode_endpoint_list(delta, second.proxy.discovery.clock, 0.0)
-        )
+        second.proxy.discovery.apply(decode_endpoint_list(delta, second.proxy.discovery.clock, 0.0))
     processes.kill(first)
     processes.until(lambda: second.proxy.handover.serving_lock is not None)
     third = processes.start(has_cached_list=False)
